--- a/components/front/src/instances/membership.rs
+++ b/components/front/src/instances/membership.rs
@@ -283,7 +283,7 @@
         member: front.peers.me().clone(),
         held,
         known: front.peers.mark_of(&owner),
-        quarantine: front.quarantine.lock().mark(boot_time()),
+        quarantine: front.quarantine.lock().digest(boot_time()),
     };
     let reply = front.peers.call(&owner, &message, SYNC_PATIENCE).await;
     keeping::reconcile(front, &owner, reply.as_ref()).await;
--- a/components/front/src/instances/message.rs
+++ b/components/front/src/instances/message.rs
@@ -103,7 +103,7 @@
             members,
             mark,
             words: keeping::words_beside(&self.front, quarantine),
-            quarantine: self.front.quarantine.lock().mark(boot_time()),
+            quarantine: self.front.quarantine.lock().digest(boot_time()),
         }
     }
 
--- a/components/front/src/instances/wire.rs
+++ b/components/front/src/instances/wire.rs
@@ -4,7 +4,7 @@
 
 use derive_more::Display;
 use placing::{Answer, Ask, Carried, Carry, Note, Sync};
-use quarantine::{Evidence, Word};
+use quarantine::{Evidence, Verdict};
 use rates::{self, Slot};
 use serde::{Deserialize, Serialize};
 use types::{DataCentreId, InstanceId, TargetId};
@@ -111,7 +111,7 @@
     /// A target ended while it ran a request for the sender; the receiver sums such evidence up.
     Ended(Evidence),
     /// How requests are taken under which targets ended.
-    Words(Vec<Word>),
+    Words(Vec<Verdict>),
     /// What a target has said of the rate that it takes from all instances together.
     Limit(rates::Word),
     /// An ask for a slot of that rate, to the one that hands it out.
@@ -177,7 +177,7 @@
         /// The mark up to which it knows all now.
         mark: u64,
         /// How requests are taken under which targets ended, where the asker knows otherwise.
-        words: Vec<Word>,
+        words: Vec<Verdict>,
         /// What is known here of such requests.
         quarantine: u64,
     },
--- a/components/front/src/quarantine/ends.rs
+++ b/components/front/src/quarantine/ends.rs
@@ -6,7 +6,7 @@
 
 use std::{collections::HashMap, io::ErrorKind, net::SocketAddr, sync::Arc, time::Duration};
 
-use ::quarantine::{Evidence, Fingerprint, Life};
+use ::quarantine::{Evidence, Fingerprint, TargetIncarnation};
 use events::{Event, emit};
 use parking_lot::Mutex;
 use placing::RunId;
@@ -114,15 +114,15 @@
             target: Arc::clone(&target.id),
             events: self.events,
         });
-        let life = Life {
+        let incarnation = TargetIncarnation {
             target: Arc::clone(&target.id),
-            born: target.born,
+            started_at: target.born,
         };
         let evidence = Evidence {
             fingerprint: self.fingerprint,
-            life,
+            incarnation,
             age: boot_time().saturating_sub(self.lost),
-            ran: self.lost.saturating_sub(self.sent),
+            ran_for: self.lost.saturating_sub(self.sent),
         };
         keeping::found(front, evidence);
     }
--- a/components/front/src/quarantine/keeping.rs
+++ b/components/front/src/quarantine/keeping.rs
@@ -1,12 +1,12 @@
 //! Sums up what all instances see of requests that crash targets, and tells all what comes of it.
 //!
 //! No instance alone sees enough of a request that comes to another one each time. So evidence goes to
-//! the request's keepers, the first in an order by its fingerprint. Word of what they find goes to each
+//! the request's keepers, the first in an order by its fingerprint. Verdict of what they find goes to each
 //! instance at once, and with the syncs to those that were not reached or have just started.
 
 use std::sync::Arc;
 
-use ::quarantine::{Audience, Evidence, Fingerprint, Standing, Word};
+use ::quarantine::{Evidence, Fingerprint, Recipients, Verdict, VerdictKind};
 use events::{Event, emit};
 use timer::boot_time;
 use types::InstanceId;
@@ -43,54 +43,57 @@
 
 /// Takes evidence in; tells all instances what comes of it.
 pub fn take(front: &Arc<Front>, evidence: Evidence) {
-    let word = front.quarantine.lock().ended(boot_time(), evidence);
-    let Some(word) = word else {
+    let verdict = front.quarantine.lock().record_crash(boot_time(), evidence);
+    let Some(verdict) = verdict else {
         return;
     };
-    log(&word);
-    tell_all(front, &Message::Words(vec![word]));
-    if word.standing == Standing::Rejected && is_first_keeper(front, &word.fingerprint) {
-        kept::keep(front, &word);
+    log(&verdict);
+    tell_all(front, &Message::Words(vec![verdict]));
+    if verdict.kind == VerdictKind::Rejected && is_first_keeper(front, &verdict.fingerprint) {
+        kept::keep(front, &verdict);
     }
 }
 
 /// Notes that a target has served a request whole.
 pub fn served(front: &Arc<Front>, fingerprint: &Fingerprint) {
-    let served = front.quarantine.lock().served(boot_time(), fingerprint);
+    let served = front
+        .quarantine
+        .lock()
+        .record_success(boot_time(), fingerprint);
     match served {
         None => {}
-        Some((word, Audience::Keepers)) => {
+        Some((verdict, Recipients::Aggregators)) => {
             for keeper in keepers(front, fingerprint) {
-                tell(front, keeper, Message::Words(vec![word]));
+                tell(front, keeper, Message::Words(vec![verdict]));
             }
         }
-        Some((word, Audience::All)) => {
-            log(&word);
-            tell_all(front, &Message::Words(vec![word]));
-            kept::keep(front, &word);
+        Some((verdict, Recipients::All)) => {
+            log(&verdict);
+            tell_all(front, &Message::Words(vec![verdict]));
+            kept::keep(front, &verdict);
         }
     }
 }
 
 /// Takes another instance's words.
-pub fn learn(front: &Front, words: &[Word]) {
+pub fn learn(front: &Front, words: &[Verdict]) {
     let now = boot_time();
-    for word in words {
-        if front.quarantine.lock().learn(now, word) {
-            log(word);
+    for verdict in words {
+        if front.quarantine.lock().apply(now, verdict) {
+            log(verdict);
         }
     }
 }
 
 /// What an instance is told that knows what `mark` stands for.
 #[must_use]
-pub fn words_beside(front: &Front, mark: u64) -> Vec<Word> {
+pub fn words_beside(front: &Front, mark: u64) -> Vec<Verdict> {
     let now = boot_time();
-    let ledger = front.quarantine.lock();
-    if ledger.mark(now) == mark {
+    let state = front.quarantine.lock();
+    if state.digest(now) == mark {
         return Vec::new();
     }
-    ledger.words(now)
+    state.verdicts(now)
 }
 
 /// Learns what the owner that took a sync knows, and tells it what it does not know.
@@ -127,14 +130,14 @@
     keepers
 }
 
-fn log(word: &Word) {
-    let fingerprint = word.fingerprint.to_string().into();
-    match word.standing {
-        Standing::Suspected => {}
-        Standing::Rejected => emit(&Event::RequestsQuarantined {
+fn log(verdict: &Verdict) {
+    let fingerprint = verdict.fingerprint.to_string().into();
+    match verdict.kind {
+        VerdictKind::Suspected => {}
+        VerdictKind::Rejected => emit(&Event::RequestsQuarantined {
             fingerprint,
-            for_ms: millis(word.left),
+            for_ms: millis(verdict.remaining),
         }),
-        Standing::Cleared => emit(&Event::QuarantineLifted { fingerprint }),
+        VerdictKind::Cleared => emit(&Event::QuarantineLifted { fingerprint }),
     }
 }
--- a/components/front/src/quarantine/kept.rs
+++ b/components/front/src/quarantine/kept.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use ::quarantine::{Fingerprint, Standing, Word};
+use ::quarantine::{Fingerprint, Verdict, VerdictKind};
 use serde::{Deserialize, Serialize};
 
 use crate::{
@@ -28,18 +28,18 @@
 }
 
 /// Writes a rejection to the store, or drops one that was lifted.
-pub fn keep(front: &Arc<Front>, word: &Word) {
-    let (front, word) = (Arc::clone(front), *word);
+pub fn keep(front: &Arc<Front>, verdict: &Verdict) {
+    let (front, verdict) = (Arc::clone(front), *verdict);
     let kept = Kept {
-        fingerprint: word.fingerprint,
-        round: word.round,
-        until_ms: unix_millis().saturating_add(millis(word.left)),
+        fingerprint: verdict.fingerprint,
+        round: verdict.round,
+        until_ms: unix_millis().saturating_add(millis(verdict.remaining)),
     };
     let keeping = async move {
         for _ in 0..TRIES {
-            let done = match word.standing {
-                Standing::Rejected => front.store.keep(&kept).await,
-                Standing::Suspected | Standing::Cleared => front.store.drop_kept(&kept).await,
+            let done = match verdict.kind {
+                VerdictKind::Rejected => front.store.keep(&kept).await,
+                VerdictKind::Suspected | VerdictKind::Cleared => front.store.drop_kept(&kept).await,
             };
             if done.is_ok() {
                 return;
@@ -53,18 +53,18 @@
 /// Takes a rejection that was found in the store; drops it if its time is over.
 pub fn found(front: &Arc<Front>, kept: &Kept) {
     let left = kept.until_ms.saturating_sub(unix_millis());
-    let word = Word {
+    let verdict = Verdict {
         fingerprint: kept.fingerprint,
         round: kept.round,
-        standing: Standing::Rejected,
-        left: Duration::from_millis(left),
+        kind: VerdictKind::Rejected,
+        remaining: Duration::from_millis(left),
     };
     if left > 0 {
-        keeping::learn(front, &[word]);
+        keeping::learn(front, &[verdict]);
     } else if keeping::is_first_keeper(front, &kept.fingerprint) {
-        let lapsed = Word {
-            standing: Standing::Cleared,
-            ..word
+        let lapsed = Verdict {
+            kind: VerdictKind::Cleared,
+            ..verdict
         };
         keep(front, &lapsed);
     }
--- a/components/front/src/state.rs
+++ b/components/front/src/state.rs
@@ -11,7 +11,7 @@
 
 use net::{Client, Terms};
 use parking_lot::{Mutex, RwLock};
-use quarantine::Ledger;
+use quarantine::QuarantineState;
 use rates::{Limits, Slots};
 use timer::{Timer, boot_time};
 use types::Moment;
@@ -79,7 +79,7 @@
     /// The rates that this instance hands out.
     pub slots: Mutex<Slots>,
     /// Requests under which targets ended.
-    pub quarantine: Mutex<Ledger>,
+    pub quarantine: Mutex<QuarantineState>,
     /// Targets that have ended lately.
     pub endings: Endings,
     /// Bytes that bodies may hold together.
--- a/components/gateway/src/quarantine.rs
+++ b/components/gateway/src/quarantine.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use ::quarantine::{Evidence, Fingerprint, Life};
+use ::quarantine::{Evidence, Fingerprint, TargetIncarnation};
 use events::Event;
 use targets::{Report, TargetError};
 use types::{Moment, Refusal, ServiceKind, Standing, Target};
@@ -62,15 +62,15 @@
                 target: Arc::clone(&target.id),
                 events: 0,
             });
-            let life = Life {
+            let incarnation = TargetIncarnation {
                 target: target.id,
-                born: Some(target.incarnation),
+                started_at: Some(target.incarnation),
             };
             core.quarantine.ended(Evidence {
                 fingerprint,
-                life,
+                incarnation,
                 age: core.admission.now().saturating_sub(lost),
-                ran: lost.saturating_sub(sent),
+                ran_for: lost.saturating_sub(sent),
             });
         };
         workers::spawn(look).detach();
--- a/components/gateway/tests/fakes/mod.rs
+++ b/components/gateway/tests/fakes/mod.rs
@@ -14,7 +14,7 @@
 use hyper::{HeaderMap, Request, body::Incoming};
 use net::{Client, ServeLimits, Server};
 use parking_lot::Mutex;
-use quarantine::{Evidence, Fingerprint, Ledger};
+use quarantine::{Evidence, Fingerprint, QuarantineState};
 use settings::Limits;
 use sha2::{Digest, Sha256};
 use targets::StreamId;
@@ -30,20 +30,22 @@
 /// What one instance alone knows.
 #[derive(Default)]
 struct FakeQuarantine {
-    ledger: Mutex<Ledger>,
+    state: Mutex<QuarantineState>,
 }
 
 impl Quarantine for FakeQuarantine {
     fn rejects(&self, fingerprint: &Fingerprint) -> bool {
-        self.ledger.lock().rejects(Duration::ZERO, fingerprint)
+        self.state.lock().rejects(Duration::ZERO, fingerprint)
     }
 
     fn ended(&self, evidence: Evidence) {
-        self.ledger.lock().ended(Duration::ZERO, evidence);
+        self.state.lock().record_crash(Duration::ZERO, evidence);
     }
 
     fn served(&self, fingerprint: &Fingerprint) {
-        self.ledger.lock().served(Duration::ZERO, fingerprint);
+        self.state
+            .lock()
+            .record_success(Duration::ZERO, fingerprint);
     }
 }
 
--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -13,7 +13,7 @@
 use members::{Change, Input, Membership, times::PAUSE};
 use parking_lot::Mutex;
 use policy::{Action, Decide, Event, RequestId, ShardRole, Used, View};
-use quarantine::Ledger;
+use quarantine::QuarantineState;
 use smol::channel::{Receiver, Sender, bounded};
 use timer::{Pauses, Timer};
 use types::{Incarnation, InstanceId, Moment, Refusal, Shard};
@@ -62,7 +62,7 @@
     pauses: Mutex<Pauses>,
     view: Mutex<Arc<View>>,
     /// Requests that crash targets; held alone.
-    pub(crate) quarantine: Mutex<Ledger>,
+    pub(crate) quarantine: Mutex<QuarantineState>,
     /// Shards whose ownership was logged.
     owned: Mutex<BTreeSet<Shard>>,
     outbox: Outbox,
@@ -192,7 +192,7 @@
     /// Sends a heartbeat to every peer.
     pub fn send_heartbeats(&self, config_version: u64) {
         self.check_pause();
-        let mark = self.quarantine.lock().mark(self.timer.now());
+        let mark = self.quarantine.lock().digest(self.timer.now());
         let members = self.members.lock();
         let now = self.timer.now();
         let owned = self.policy.lock().summaries(now);
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -6,7 +6,7 @@
 
 use std::sync::Arc;
 
-use ::quarantine::{Audience, Evidence, Fingerprint, Standing, Word};
+use ::quarantine::{Evidence, Fingerprint, Recipients, Verdict, VerdictKind};
 use events::Event;
 use gateway::Quarantine;
 use types::InstanceId;
@@ -45,17 +45,17 @@
 
     fn served(&self, fingerprint: &Fingerprint) {
         let now = self.core.timer.now();
-        let served = self.core.quarantine.lock().served(now, fingerprint);
-        let Some((word, audience)) = served else {
+        let served = self.core.quarantine.lock().record_success(now, fingerprint);
+        let Some((verdict, recipients)) = served else {
             return;
         };
-        let to = match audience {
-            Audience::Keepers => self.core.keepers(fingerprint),
-            Audience::All => self.core.others(),
+        let to = match recipients {
+            Recipients::Aggregators => self.core.keepers(fingerprint),
+            Recipients::All => self.core.others(),
         };
-        log(&word);
+        log(&verdict);
         for peer in to {
-            self.core.push(&peer, Message::Words(vec![word]));
+            self.core.push(&peer, Message::Words(vec![verdict]));
         }
     }
 }
@@ -63,22 +63,25 @@
 impl Core {
     /// Takes evidence in; tells all peers what comes of it.
     pub fn take_evidence(&self, evidence: Evidence) {
-        let word = self.quarantine.lock().ended(self.timer.now(), evidence);
-        let Some(word) = word else {
+        let verdict = self
+            .quarantine
+            .lock()
+            .record_crash(self.timer.now(), evidence);
+        let Some(verdict) = verdict else {
             return;
         };
-        log(&word);
+        log(&verdict);
         for peer in self.others() {
-            self.push(&peer, Message::Words(vec![word]));
+            self.push(&peer, Message::Words(vec![verdict]));
         }
     }
 
     /// Takes a peer's words.
-    pub fn learn_words(&self, words: &[Word]) {
+    pub fn learn_words(&self, words: &[Verdict]) {
         let now = self.timer.now();
-        for word in words {
-            if self.quarantine.lock().learn(now, word) {
-                log(word);
+        for verdict in words {
+            if self.quarantine.lock().apply(now, verdict) {
+                log(verdict);
             }
         }
     }
@@ -86,13 +89,13 @@
     /// Tells a peer what is known here, if it knows otherwise.
     pub fn answer_mark(&self, peer: &InstanceId, mark: u64) {
         let now = self.timer.now();
-        let ledger = self.quarantine.lock();
-        let words = if ledger.mark(now) == mark {
+        let state = self.quarantine.lock();
+        let words = if state.digest(now) == mark {
             Vec::new()
         } else {
-            ledger.words(now)
+            state.verdicts(now)
         };
-        drop(ledger);
+        drop(state);
         if !words.is_empty() {
             self.push(peer, Message::Words(words));
         }
@@ -115,14 +118,14 @@
     }
 }
 
-fn log(word: &Word) {
-    let fingerprint = word.fingerprint.to_string().into();
-    match word.standing {
-        Standing::Suspected => {}
-        Standing::Rejected => events::emit(&Event::RequestsQuarantined {
+fn log(verdict: &Verdict) {
+    let fingerprint = verdict.fingerprint.to_string().into();
+    match verdict.kind {
+        VerdictKind::Suspected => {}
+        VerdictKind::Rejected => events::emit(&Event::RequestsQuarantined {
             fingerprint,
-            for_ms: u64::try_from(word.left.as_millis()).unwrap_or(u64::MAX),
+            for_ms: u64::try_from(verdict.remaining.as_millis()).unwrap_or(u64::MAX),
         }),
-        Standing::Cleared => events::emit(&Event::QuarantineLifted { fingerprint }),
+        VerdictKind::Cleared => events::emit(&Event::QuarantineLifted { fingerprint }),
     }
 }
--- a/components/quarantine/src/fingerprint.rs
+++ b/components/quarantine/src/fingerprint.rs
@@ -1,20 +1,21 @@
-//! What stays the same of a request when it is sent again.
+//! Digests that identify a request independently of its request id.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of a fingerprint: too many for two requests to share one by chance or by design.
-const LENGTH: usize = 16;
+/// Bytes of a fingerprint: long enough that no two requests collide, neither by chance nor by
+/// design.
+const FINGERPRINT_BYTES: usize = 16;
 
-/// A digest of what stays the same of a request when it is sent again under another id.
+/// A digest of the parts of a request that stay the same when it is retried under another id.
 #[derive(Clone, Copy, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Fingerprint([u8; LENGTH]);
+pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
 impl Fingerprint {
-    /// Digests the parts of a request. Each counts with its length, so that no two lists of parts
-    /// run into the same bytes.
+    /// Digests the parts of a request. The length of each part is hashed before the part, so that
+    /// two different lists of parts never hash the same bytes.
     #[must_use]
     pub fn new(parts: &[&[u8]]) -> Self {
         let mut hasher = Sha256::new();
@@ -22,12 +23,13 @@
             hasher.update((part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
-        let mut bytes = [0; LENGTH];
-        bytes.copy_from_slice(&hasher.finalize()[..LENGTH]);
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        bytes.copy_from_slice(&hasher.finalize()[..FINGERPRINT_BYTES]);
         Self(bytes)
     }
 
-    /// Its first half, for tables in which a collision does little harm.
+    /// The first eight bytes as a big-endian number, for tables in which a collision does little
+    /// harm.
     #[must_use]
     pub fn short(self) -> u64 {
         let [a, b, c, d, e, f, g, h, ..] = self.0;
--- a/components/quarantine/src/lib.rs
+++ b/components/quarantine/src/lib.rs
@@ -1,13 +1,13 @@
-//! Recognizes requests that crash the targets that run them, whatever id they come with, and keeps
-//! them from further targets.
+//! Recognizes requests that crash the targets which run them, whatever request ids they carry, and
+//! decides when such a request must not be sent to any further target.
 //!
-//! No I/O and no clock: the time and what happened are arguments, and what other instances should
-//! hear is returned.
+//! The crate does no I/O and reads no clock: the current time and each event are passed in, and
+//! verdicts to be sent to other instances are returned.
 
 pub mod fingerprint;
-pub mod ledger;
-pub mod word;
+pub mod state;
+pub mod verdict;
 
 pub use fingerprint::Fingerprint;
-pub use ledger::{Audience, Ledger};
-pub use word::{Evidence, Life, Standing, Word};
+pub use state::{QuarantineState, Recipients};
+pub use verdict::{Evidence, TargetIncarnation, Verdict, VerdictKind};
--- a/components/wire/src/message.rs
+++ b/components/wire/src/message.rs
@@ -1,7 +1,7 @@
 //! The envelope that instances exchange.
 
 use derive_more::From;
-use quarantine::{Evidence, Word};
+use quarantine::{Evidence, Verdict};
 use serde::{Deserialize, Serialize};
 use types::{Incarnation, InstanceId};
 
@@ -35,7 +35,7 @@
     /// A target ended while it ran a request for the sender; the receiver sums such evidence up.
     Ended(Evidence),
     /// How requests are taken under which targets ended.
-    Words(Vec<Word>),
+    Words(Vec<Verdict>),
 }
 
 /// A batch of messages from one instance to one other.
