--- a/components/bench/src/slopes/decisions.rs
+++ b/components/bench/src/slopes/decisions.rs
@@ -43,17 +43,17 @@
             asked: 0,
             targets,
         };
-        busy.feed(Event::Changed(world::view(busy.targets.clone())));
+        busy.feed(Event::ViewChanged(world::view(busy.targets.clone())));
         let shard = busy.shard.clone();
         let role = ShardRole::Own {
             epoch: 1 << 57,
-            ask: Vec::new(),
+            entries_to_query: Vec::new(),
         };
-        busy.feed(Event::Role {
+        busy.feed(Event::RoleChanged {
             shard: shard.clone(),
             role,
         });
-        busy.feed(Event::Exclusive {
+        busy.feed(Event::ExclusivityChanged {
             shard,
             exclusive: true,
         });
@@ -126,7 +126,7 @@
             warm: true,
         };
         let target = self.targets[number % self.targets.len()].id.clone();
-        self.feed(Event::Reported { target, report });
+        self.feed(Event::TargetReported { target, report });
     }
 
     fn held(&mut self) {
@@ -160,7 +160,7 @@
         let report = meter::each(|n| busy.report(n));
         let held = meter::each(|_| busy.held());
         let view = world::view(busy.targets.clone());
-        let changed = meter::each(|_| busy.feed(Event::Changed(view.clone())));
+        let changed = meter::each(|_| busy.feed(Event::ViewChanged(view.clone())));
         eprintln!("{targets} targets: {ask:.1} {tick:.1} {report:.1} {held:.1} {changed:.1} us");
         Row {
             x: targets as f64,
@@ -188,14 +188,14 @@
     let view = world::spread(targets);
     let mut entry = Entry::new(world::instance(1), world::shard(0).data_centre);
     let mut out = Vec::new();
-    entry.handle(NOW, &Event::Changed(view.clone()), &mut out);
+    entry.handle(NOW, &Event::ViewChanged(view.clone()), &mut out);
     let shard = world::shard(0);
     let owner = world::instance(0);
     let role = ShardRole::Follow {
         owner: Some(owner),
         epoch: 1 << 57,
     };
-    entry.handle(NOW, &Event::Role { shard, role }, &mut out);
+    entry.handle(NOW, &Event::RoleChanged { shard, role }, &mut out);
     let hosts: Vec<Target> = view
         .targets
         .into_iter()
@@ -210,7 +210,7 @@
 fn place(entry: &mut Entry, id: u64, ask: u64, hosts: &[Target]) {
     let shard = world::shard(0);
     let mut out = Vec::new();
-    entry.handle(NOW, &Event::Arrive(world::request(id, &shard)), &mut out);
+    entry.handle(NOW, &Event::Arrived(world::request(id, &shard)), &mut out);
     let target = &hosts[id as usize % hosts.len()];
     let message = world::grant(ask, &shard, target, NOW).into();
     let granted = Event::Received {
@@ -237,14 +237,14 @@
             let ended = Event::Ended {
                 request: id,
                 outcome: FINISHED,
-                again: false,
+                retry: false,
             };
             entry.handle(NOW, &ended, &mut out);
             out.clear();
         });
         let view = world::spread(targets);
         let changed = meter::each(|_| {
-            let changed = Event::Changed(view.clone());
+            let changed = Event::ViewChanged(view.clone());
             entry.handle(NOW, &changed, &mut out);
             out.clear();
         });
--- a/components/bench/src/slopes/memory.rs
+++ b/components/bench/src/slopes/memory.rs
@@ -52,7 +52,7 @@
     );
     let entry = || {
         let mut entry = Entry::new(world::instance(1), "dc".into());
-        let view = Event::Changed(world::spread(48_000));
+        let view = Event::ViewChanged(world::spread(48_000));
         entry.handle(world::NOW, &view, &mut Vec::new());
         entry
     };
--- a/components/bench/src/slopes/world.rs
+++ b/components/bench/src/slopes/world.rs
@@ -41,7 +41,7 @@
         kind: ServiceKind::Model,
         cold_limit: 96,
         warm_limit: 96,
-        memory: 10_000_000,
+        memory_tokens: 10_000_000,
         warm_after: 4,
         queue_limit: 1000,
         retry_percent: 10,
@@ -54,7 +54,7 @@
     View {
         targets,
         limits,
-        out: Vec::new(),
+        data_centres_out: Vec::new(),
         instances: 2100,
     }
 }
@@ -87,7 +87,7 @@
         class: Class::Normal,
         deadline: NOW + Duration::from_secs(3600),
         idempotent: true,
-        prompt: 500,
+        prompt_tokens: 500,
         max_output: 2000,
         prefix: vec![id; 4],
         true_output: None,
@@ -106,7 +106,7 @@
         route: request.route,
         within: Duration::from_secs(10),
         waited: Duration::ZERO,
-        prompt: request.prompt,
+        prompt: request.prompt_tokens,
         max_output: request.max_output,
         slots: 1,
         prefix: request.prefix,
--- a/components/bench/src/sweep/mod.rs
+++ b/components/bench/src/sweep/mod.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use clap::{Arg, ArgMatches, Command, value_parser};
-use policy::{Admission, Tuning};
+use policy::{MemoryEstimate, Tuning};
 
 pub use figures::Figures;
 pub use world::{Setup, run_one};
@@ -137,8 +137,8 @@
     Variant {
         name: "sum of finals".to_owned(),
         tuning: Tuning {
-            admission: Admission::ExpectedFinals,
-            share: 1.0,
+            memory_estimate: MemoryEstimate::ExpectedFinals,
+            admit_share: 1.0,
             ..Tuning::default()
         },
     }
@@ -147,20 +147,20 @@
 fn told() -> Variant {
     Variant {
         name: "told lengths".to_owned(),
-        tuning: Tuning::told(),
+        tuning: Tuning::with_known_lengths(),
     }
 }
 
 /// The projected peak with each share and spread that was asked for.
 fn peaks(matches: &ArgMatches) -> Vec<Variant> {
     let mut variants = Vec::new();
-    for &share in matches.get_many::<f64>("share").into_iter().flatten() {
-        for &spread in matches.get_many::<f64>("spread").into_iter().flatten() {
+    for &admit_share in matches.get_many::<f64>("share").into_iter().flatten() {
+        for &margin_deviations in matches.get_many::<f64>("spread").into_iter().flatten() {
             variants.push(Variant {
-                name: format!("peak, share {share}, spread {spread}"),
+                name: format!("peak, share {admit_share}, spread {margin_deviations}"),
                 tuning: Tuning {
-                    share,
-                    spread,
+                    admit_share,
+                    margin_deviations,
                     ..Tuning::default()
                 },
             });
--- a/components/bench/src/sweep/world.rs
+++ b/components/bench/src/sweep/world.rs
@@ -8,7 +8,7 @@
 };
 
 use policy::{
-    Action, Admission, EngineReport, Event, Owner, ShardRole, TargetLimits, Tuning, View,
+    Action, EngineReport, Event, MemoryEstimate, Owner, ShardRole, TargetLimits, Tuning, View,
 };
 use types::{
     Epoch, InstanceId, Moment, ServiceId, ServiceKind, Shard, Standing, Target, TargetId, Tokens,
@@ -120,7 +120,7 @@
             engines: (0..ENGINES).map(|_| Engine::default()).collect(),
             steps: (0..ENGINES).map(|_| Step::default()).collect(),
             requests,
-            told: setup.tuning.admission == Admission::Told,
+            told: setup.tuning.memory_estimate == MemoryEstimate::KnownLengths,
             tuning: setup.tuning,
             warm_up: setup.warm_up,
             figures: Figures::new(),
@@ -151,17 +151,20 @@
     }
 
     /// Makes the owner own the shard, in a new term.
-    fn own(&mut self, ask: Vec<InstanceId>) {
+    fn own(&mut self, entries_to_query: Vec<InstanceId>) {
         let view = self.view();
-        self.tell(&Event::Changed(view));
+        self.tell(&Event::ViewChanged(view));
         self.epoch += 1;
         let epoch = self.epoch;
         let shard = self.shard.clone();
-        let role = ShardRole::Own { epoch, ask };
-        self.tell(&Event::Role { shard, role });
+        let role = ShardRole::Own {
+            epoch,
+            entries_to_query,
+        };
+        self.tell(&Event::RoleChanged { shard, role });
         let shard = self.shard.clone();
         let exclusive = true;
-        self.tell(&Event::Exclusive { shard, exclusive });
+        self.tell(&Event::ExclusivityChanged { shard, exclusive });
     }
 
     /// Another owner takes over; what waited at the first asks again.
@@ -182,7 +185,7 @@
             kind: ServiceKind::Model,
             cold_limit: 2,
             warm_limit: 96,
-            memory: CAPACITY,
+            memory_tokens: CAPACITY,
             warm_after: 8,
             queue_limit: 2000,
             retry_percent: 10,
@@ -199,7 +202,7 @@
                 })
                 .collect(),
             limits: BTreeMap::from([(self.shard.service.clone(), Arc::new(limits))]),
-            out: Vec::new(),
+            data_centres_out: Vec::new(),
             instances: 0,
         }
     }
@@ -442,7 +445,7 @@
         let target = target(at);
         self.mails += 1;
         self.mail_in
-            .insert(self.mails, Event::Reported { target, report });
+            .insert(self.mails, Event::TargetReported { target, report });
         self.at(self.now + REPORT_EVERY, Next::ToOwner(self.mails));
         self.at(self.now + REPORT_EVERY, Next::Report(at));
     }
--- a/components/bench/tests/sweep.rs
+++ b/components/bench/tests/sweep.rs
@@ -33,12 +33,15 @@
         ..setup(tuning)
     };
     let careless = Tuning {
-        share: 1.5,
-        spread: 0.0,
+        admit_share: 1.5,
+        margin_deviations: 0.0,
         stop_share: 2.0,
-        recall_share: 2.0,
+        revoke_share: 2.0,
         ..Tuning::default()
     };
-    assert_eq!(run_one(&crowded(Tuning::told())).preemptions, 0);
+    assert_eq!(
+        run_one(&crowded(Tuning::with_known_lengths())).preemptions,
+        0
+    );
     assert!(run_one(&crowded(careless)).preemptions > 0);
 }
--- a/components/members/src/api.rs
+++ b/components/members/src/api.rs
@@ -56,7 +56,7 @@
         /// The term.
         epoch: Epoch,
         /// Entries that are heard, this instance among them.
-        ask: Vec<InstanceId>,
+        entries_to_query: Vec<InstanceId>,
     },
     /// Somebody else owns a shard, or nobody.
     Follow {
--- a/components/members/src/ownership.rs
+++ b/components/members/src/ownership.rs
@@ -54,14 +54,18 @@
         let epoch = next_epoch(self.follows.epoch(&shard), &self.me.id, self.me.incarnation);
         self.follows.follow(&shard, &self.me.id, epoch);
         self.changed.insert(shard.clone(), now);
-        let mut ask = self.alive(now);
-        ask.push(self.me.id.clone());
+        let mut entries_to_query = self.alive(now);
+        entries_to_query.push(self.me.id.clone());
         let term = Term {
             epoch,
             exclusivity: Exclusivity::default(),
         };
         self.terms.insert(shard.clone(), term);
-        out.push(Change::Own { shard, epoch, ask });
+        out.push(Change::Own {
+            shard,
+            epoch,
+            entries_to_query,
+        });
     }
 
     fn candidates(&self, now: Moment) -> Vec<Candidate> {
--- a/components/members/tests/ownership.rs
+++ b/components/members/tests/ownership.rs
@@ -152,10 +152,14 @@
         self.instances[n].members.handle(now, input, &mut out);
         for change in out {
             match change {
-                Change::Own { epoch, ask, shard } => {
+                Change::Own {
+                    epoch,
+                    entries_to_query,
+                    shard,
+                } => {
                     self.instances[n].owns = Some(epoch);
                     self.instances[n].exclusive = false;
-                    self.query(n, &ask, &shard, epoch);
+                    self.query(n, &entries_to_query, &shard, epoch);
                 }
                 Change::Follow { .. } => {
                     self.instances[n].owns = None;
--- a/components/node/src/admitted.rs
+++ b/components/node/src/admitted.rs
@@ -39,7 +39,7 @@
     fn drop(&mut self) {
         if !self.placed {
             self.core.unregister(self.id);
-            self.core.decide(Event::Leave { request: self.id });
+            self.core.decide(Event::CallerLeft { request: self.id });
         }
     }
 }
@@ -91,7 +91,7 @@
         self.core.decide(Event::Ended {
             request: self.id,
             outcome,
-            again: false,
+            retry: false,
         });
     }
 }
@@ -148,7 +148,7 @@
         let event = Event::Ended {
             request: self.id,
             outcome: ending,
-            again: true,
+            retry: true,
         };
         self.core.decide(event);
         wait(&self.core, waiter).await
@@ -195,7 +195,7 @@
 
     async fn admit(&self, wanted: Wanted) -> Result<Box<dyn Admitted>, Refusal> {
         let waiter = self.core.register(None);
-        self.core.decide(Event::Arrive(request(waiter.id, wanted)));
+        self.core.decide(Event::Arrived(request(waiter.id, wanted)));
         wait(&self.core, waiter).await
     }
 
@@ -229,7 +229,7 @@
         class: wanted.class,
         deadline: wanted.deadline,
         idempotent: wanted.idempotent,
-        prompt: wanted.prompt,
+        prompt_tokens: wanted.prompt,
         max_output: wanted.max_output,
         prefix: wanted.prefix,
         true_output: wanted.true_output,
--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -12,7 +12,7 @@
 use events::Event as Log;
 use members::{Change, Input, Membership, times::PAUSE};
 use parking_lot::Mutex;
-use policy::{Action, Decide, Event, RequestId, ShardRole, Used, View};
+use policy::{Action, DispatchPermit, Event, Policy, RequestId, ShardRole, View};
 use quarantine::QuarantineState;
 use smol::channel::{Receiver, Sender, bounded};
 use timer::{Pauses, Timer};
@@ -22,7 +22,7 @@
 use crate::outbox::Outbox;
 
 /// What a waiting request is told.
-pub type Verdict = Result<Used, Refusal>;
+pub type Verdict = Result<DispatchPermit, Refusal>;
 
 /// A request's ends of the channels to the decisions.
 struct Waiting {
@@ -57,7 +57,7 @@
     /// Which life of it this is.
     pub incarnation: Incarnation,
     members: Mutex<Membership>,
-    policy: Mutex<Box<dyn Decide>>,
+    policy: Mutex<Box<dyn Policy>>,
     waiting: Mutex<HashMap<RequestId, Waiting>>,
     pauses: Mutex<Pauses>,
     view: Mutex<Arc<View>>,
@@ -76,7 +76,7 @@
     pub fn new(
         timer: Timer,
         me: &members::Identity,
-        policy: Box<dyn Decide>,
+        policy: Box<dyn Policy>,
         outbox: Outbox,
         config_hints: Sender<ConfigHint>,
     ) -> Self {
@@ -176,7 +176,7 @@
     pub fn set_view(&self, view: View) {
         let view = Arc::new(view);
         *self.view.lock() = Arc::clone(&view);
-        self.decide(Event::Changed((*view).clone()));
+        self.decide(Event::ViewChanged((*view).clone()));
     }
 
     /// The view in force.
@@ -243,15 +243,22 @@
 
     fn apply(&self, change: Change) {
         match change {
-            Change::Own { shard, epoch, ask } => {
+            Change::Own {
+                shard,
+                epoch,
+                entries_to_query,
+            } => {
                 self.owned.lock().insert(shard.clone());
                 events::emit(&Log::Owning {
                     shard: shard.clone(),
                     epoch,
                 });
-                self.feed(Event::Role {
+                self.feed(Event::RoleChanged {
                     shard,
-                    role: ShardRole::Own { epoch, ask },
+                    role: ShardRole::Own {
+                        epoch,
+                        entries_to_query,
+                    },
                 });
             }
             Change::Follow {
@@ -263,13 +270,13 @@
                     let shard = shard.clone();
                     events::emit(&Log::Disowned { shard });
                 }
-                self.feed(Event::Role {
+                self.feed(Event::RoleChanged {
                     shard,
                     role: ShardRole::Follow { owner, epoch },
                 });
             }
             Change::Exclusive { shard, exclusive } => {
-                self.feed(Event::Exclusive { shard, exclusive });
+                self.feed(Event::ExclusivityChanged { shard, exclusive });
             }
             Change::Heard { peer } => events::emit(&Log::PeerHeard { peer }),
             Change::Silent { peer } => events::emit(&Log::PeerSilent { peer }),
@@ -295,12 +302,12 @@
     fn perform(&self, action: Action) {
         match action {
             Action::Send { to, message } => self.outbox.push(&to, message),
-            Action::Dispatch { request, used } => self.tell(request, Ok(used)),
+            Action::Dispatch { request, permit } => self.tell(request, Ok(permit)),
             Action::Refuse { request, refusal } => {
                 self.tell(request, Err(refusal));
                 self.unregister(request);
             }
-            Action::PullBack { request } => {
+            Action::Revoke { request } => {
                 if let Some(waiting) = self.waiting.lock().get(&request) {
                     // Told already if full.
                     let _ = waiting.pull_back.try_send(());
--- a/components/node/src/parts.rs
+++ b/components/node/src/parts.rs
@@ -8,8 +8,8 @@
 use gateway::{Gateway, GatewayParts, Metrics};
 use net::Client;
 use policy::{
-    Decide,
-    baseline::{Alone, FixedShare, LeastLoaded, RoundRobin},
+    Policy,
+    baseline::{FixedShare, LeastLoaded, LocalPolicy, RoundRobin},
 };
 use prometheus_client::registry::Registry;
 use settings::{Settings, Strategy};
@@ -183,7 +183,7 @@
     }
 }
 
-fn decider(settings: &Settings, me: &members::Identity) -> Box<dyn Decide> {
+fn decider(settings: &Settings, me: &members::Identity) -> Box<dyn Policy> {
     match settings.instance.strategy {
         Strategy::Owner | Strategy::Oracle => {
             let identity = policy::Identity {
@@ -193,13 +193,15 @@
             };
             let instance = policy::Instance::new(identity, me.incarnation);
             if settings.instance.strategy == Strategy::Oracle {
-                Box::new(instance.with_told_lengths())
+                Box::new(instance.with_known_lengths())
             } else {
                 Box::new(instance)
             }
         }
-        Strategy::RoundRobin => Box::new(Alone::new(Box::new(RoundRobin::default()))),
-        Strategy::LeastLoaded => Box::new(Alone::new(Box::new(LeastLoaded))),
-        Strategy::FixedShare => Box::new(Alone::new(Box::new(FixedShare { instances: SHARING }))),
+        Strategy::RoundRobin => Box::new(LocalPolicy::new(Box::new(RoundRobin::default()))),
+        Strategy::LeastLoaded => Box::new(LocalPolicy::new(Box::new(LeastLoaded))),
+        Strategy::FixedShare => Box::new(LocalPolicy::new(Box::new(FixedShare {
+            instances: SHARING,
+        }))),
     }
 }
--- a/components/node/src/reports.rs
+++ b/components/node/src/reports.rs
@@ -93,7 +93,7 @@
             // The report may be older than the target says by the time of the way.
             let way = self.core.timer.now().saturating_sub(begun);
             let report = engine_report(&report, way);
-            self.core.decide(Event::Reported {
+            self.core.decide(Event::TargetReported {
                 target: target.id,
                 report,
             });
--- a/components/node/src/view.rs
+++ b/components/node/src/view.rs
@@ -31,7 +31,7 @@
     View {
         targets,
         limits,
-        out: rules.out(),
+        data_centres_out: rules.out(),
         instances: u32::try_from(listing.members.len()).unwrap_or(u32::MAX),
     }
 }
@@ -51,7 +51,7 @@
         kind: rule.kind,
         cold_limit: knobs.cold_limit.unwrap_or(FALLBACK_LIMIT),
         warm_limit: knobs.warm_limit.unwrap_or(FALLBACK_LIMIT),
-        memory: knobs.memory.unwrap_or_default(),
+        memory_tokens: knobs.memory.unwrap_or_default(),
         warm_after: knobs.warm_after.unwrap_or(FALLBACK_LIMIT),
         queue_limit: knobs.queue_limit.unwrap_or(FALLBACK_LIMIT),
         retry_percent: knobs.retry_percent.unwrap_or_default(),
--- a/components/policy/src/account.rs
+++ b/components/policy/src/account.rs
@@ -7,13 +7,13 @@
 
 use crate::{
     api::{EngineReport, TargetLimits, View},
-    length::{Lengths, Source},
-    limit::Limiter,
-    line::TOKENS_MOST,
-    memory::{Projection, Running},
+    length::{GenerationSource, LengthEstimator},
+    limiter::ConcurrencyLimiter,
+    memory::{MemoryProjection, RunningGeneration},
     permit::{Permit, PermitKey},
     prefixes::Prefixes,
     tuning::Tuning,
+    wait_queue::TOKENS_MOST,
 };
 
 /// Age at which a projection is made anew from what has been produced since.
@@ -34,7 +34,7 @@
 
 /// One target and what runs there.
 #[derive(Debug)]
-pub struct Account {
+pub struct TargetAccount {
     /// The target as listed; `None` while it isn't listed.
     pub listed: Option<Target>,
     /// Which life of the target this account is of.
@@ -42,7 +42,7 @@
     /// Its permits.
     pub permits: BTreeMap<PermitKey, Permit>,
     /// Its limit.
-    pub limiter: Limiter,
+    pub limiter: ConcurrencyLimiter,
     /// Its newest report.
     pub report: Option<Report>,
     /// Prompts it has seen lately.
@@ -60,11 +60,11 @@
     pub(crate) created: Moment,
     pub(crate) hold_until: Moment,
     rate: f64,
-    projection: Projection,
+    projection: MemoryProjection,
     pub(crate) projected: Option<Moment>,
 }
 
-impl Account {
+impl TargetAccount {
     /// Starts with nothing known to run.
     #[must_use]
     pub fn new(now: Moment) -> Self {
@@ -72,7 +72,7 @@
             listed: None,
             life: None,
             permits: BTreeMap::new(),
-            limiter: Limiter::new(now),
+            limiter: ConcurrencyLimiter::new(now),
             report: None,
             prefixes: Prefixes::new(),
             may_trust: false,
@@ -82,7 +82,7 @@
             created: now,
             hold_until: Moment::ZERO,
             rate: 0.0,
-            projection: Projection::new(),
+            projection: MemoryProjection::new(),
             projected: None,
         }
     }
@@ -127,7 +127,8 @@
     #[must_use]
     pub fn is_staying(&self, view: &View) -> bool {
         self.listed.as_ref().is_some_and(|listed| {
-            listed.standing == Standing::Live && !view.out.contains(&listed.data_centre)
+            listed.standing == Standing::Live
+                && !view.data_centres_out.contains(&listed.data_centre)
         })
     }
 
@@ -137,7 +138,7 @@
         self.report
             .map(|report| report.report.capacity)
             .filter(|&capacity| capacity > 0)
-            .unwrap_or(limits.memory)
+            .unwrap_or(limits.memory_tokens)
     }
 
     /// Share of the memory in use by the newest report, 0.0 without a fresh one.
@@ -163,7 +164,7 @@
         if self.life.replace(incarnation).is_none() {
             return;
         }
-        self.limiter = Limiter::new(now);
+        self.limiter = ConcurrencyLimiter::new(now);
         self.prefixes.clear();
         self.may_trust = false;
         self.strange = false;
@@ -241,25 +242,25 @@
         &mut self,
         now: Moment,
         service: &ServiceId,
-        lengths: &mut Lengths,
+        lengths: &mut LengthEstimator,
         tuning: &Tuning,
-    ) -> &Projection {
+    ) -> &MemoryProjection {
         let fresh = |at: Moment| now.saturating_sub(at) < PROJECTION_LIFE;
         if !self.projected.is_some_and(fresh) {
-            self.projection = Projection::new();
+            self.projection = MemoryProjection::new();
             for permit in self.permits.values() {
-                let source = Source {
+                let source = GenerationSource {
                     service,
                     route: &permit.route,
                     workspace: &permit.workspace,
                 };
-                let running = Running {
+                let running = RunningGeneration {
                     prompt: permit.prompt,
                     produced: permit.produced_by(now, self.rate),
                     max_output: permit.max_output,
                     curve: lengths.curve(&source),
                 };
-                self.projection.add(&running, tuning.admission);
+                self.projection.add(&running, tuning.memory_estimate);
             }
             self.projected = Some(now);
         }
@@ -268,7 +269,7 @@
 
     /// The projection as it was made last.
     #[must_use]
-    pub const fn last_projection(&self) -> &Projection {
+    pub const fn last_projection(&self) -> &MemoryProjection {
         &self.projection
     }
 
--- a/components/policy/src/api.rs
+++ b/components/policy/src/api.rs
@@ -31,7 +31,7 @@
     /// Whether it may be sent again when it is unknown whether it ran.
     pub idempotent: bool,
     /// Tokens in the prompt, 0 for plain calls.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// The most tokens to produce, 0 for plain calls.
     pub max_output: Tokens,
     /// Hashes of the prompt's leading blocks, longest last.
@@ -50,7 +50,7 @@
     /// Concurrent requests that a warm target bears at most.
     pub warm_limit: u32,
     /// Tokens of memory of an engine; a load report overrides it.
-    pub memory: Tokens,
+    pub memory_tokens: Tokens,
     /// Finished requests after which a cold target counts as warm.
     pub warm_after: u32,
     /// Asks that may wait at an owner for one shard.
@@ -88,7 +88,7 @@
         /// The term.
         epoch: Epoch,
         /// Entries whose answer to a `Query` is awaited before anything is granted.
-        ask: Vec<InstanceId>,
+        entries_to_query: Vec<InstanceId>,
     },
     /// Somebody else does, or nobody yet.
     Follow {
@@ -107,7 +107,7 @@
     /// Limits per service.
     pub limits: BTreeMap<ServiceId, Arc<TargetLimits>>,
     /// Data centres that operators have taken out.
-    pub out: Vec<DataCentreId>,
+    pub data_centres_out: Vec<DataCentreId>,
     /// Instances listed, this one included; 0 if unknown.
     pub instances: u32,
 }
@@ -116,14 +116,14 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A caller's request came in.
-    Arrive(Request),
+    Arrived(Request),
     /// A caller went away, or its request ended before a permit was used.
-    Leave {
+    CallerLeft {
         /// The request.
         request: RequestId,
     },
     /// The driver is about to send under a permit; answered by `Action::Send` of nothing, see
-    /// `Decide::may_send`.
+    /// `Policy::may_send`.
     Sent {
         /// The request.
         request: RequestId,
@@ -144,7 +144,7 @@
         /// How.
         outcome: Outcome,
         /// Whether the driver wants another try for the same request.
-        again: bool,
+        retry: bool,
     },
     /// A message of another instance, or of this one to itself.
     Received {
@@ -156,16 +156,16 @@
         message: Message,
     },
     /// A target's load report.
-    Reported {
+    TargetReported {
         /// The target.
         target: TargetId,
         /// What it says.
         report: EngineReport,
     },
     /// Configuration or the platform's list changed.
-    Changed(View),
+    ViewChanged(View),
     /// This instance's role for a shard changed.
-    Role {
+    RoleChanged {
         /// The shard.
         shard: Shard,
         /// The role.
@@ -185,7 +185,7 @@
     },
     /// For shards owned here: may cold targets get work now? False while another instance
     /// might own the shard too.
-    Exclusive {
+    ExclusivityChanged {
         /// The shard.
         shard: Shard,
         /// The answer.
@@ -202,13 +202,13 @@
 
 /// The right to send one request to one target, as the driver gets it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Used {
+pub struct DispatchPermit {
     /// The permit.
     pub permit: PermitId,
     /// Where to send.
     pub target: Target,
     /// The latest moment to send, on this process's clock.
-    pub until: Moment,
+    pub valid_until: Moment,
 }
 
 /// Something to do.
@@ -226,7 +226,7 @@
         /// The request.
         request: RequestId,
         /// The right to do so.
-        used: Used,
+        permit: DispatchPermit,
     },
     /// Refuse a request at once.
     Refuse {
@@ -237,14 +237,14 @@
     },
     /// Cancel a running request of which the caller has seen nothing; the driver cancels it at
     /// the target, then reports `Ended` with `again` set.
-    PullBack {
+    Revoke {
         /// The request.
         request: RequestId,
     },
 }
 
 /// The decisions of one instance: the product's own, or a baseline's.
-pub trait Decide: Send {
+pub trait Policy: Send {
     /// Takes one event and appends what has to be done to `out`.
     fn handle(&mut self, now: Moment, event: Event, out: &mut Vec<Action>);
 
@@ -258,5 +258,5 @@
     fn dump(&self, now: Moment) -> Vec<String>;
 
     /// The number of the newest ask, for tests and dumps.
-    fn last_ask(&self) -> AskId;
+    fn last_permit_request(&self) -> AskId;
 }
--- a/components/policy/src/baseline/alone.rs
+++ b/components/policy/src/baseline/local.rs
@@ -9,8 +9,8 @@
 use wire::{Outcome, ShardSummary};
 
 use crate::{
-    api::{Action, Decide, Event, Request, RequestId, Used, View},
-    baseline::pick::{Known, Pick},
+    api::{Action, DispatchPermit, Event, Policy, Request, RequestId, View},
+    baseline::pick::{LocalTarget, TargetPicker},
 };
 
 /// Tries of one request.
@@ -27,18 +27,18 @@
 }
 
 /// A baseline: places requests by what one instance alone knows.
-pub struct Alone {
-    pick: Box<dyn Pick>,
+pub struct LocalPolicy {
+    pick: Box<dyn TargetPicker>,
     view: View,
-    known: BTreeMap<TargetId, Known>,
+    known: BTreeMap<TargetId, LocalTarget>,
     running: BTreeMap<RequestId, Running>,
     waiting: VecDeque<(Request, u32)>,
 }
 
-impl Alone {
+impl LocalPolicy {
     /// Makes a baseline of a way to pick targets.
     #[must_use]
-    pub fn new(pick: Box<dyn Pick>) -> Self {
+    pub fn new(pick: Box<dyn TargetPicker>) -> Self {
         Self {
             pick,
             view: View::default(),
@@ -61,14 +61,14 @@
             return;
         };
         known.running += 1;
-        let used = Used {
+        let permit = DispatchPermit {
             permit: 0,
             target: known.target.clone(),
-            until: now + FOREVER,
+            valid_until: now + FOREVER,
         };
         out.push(Action::Dispatch {
             request: request.id,
-            used,
+            permit,
         });
         let target = known.target.id.clone();
         self.running.insert(
@@ -85,7 +85,7 @@
         let open = self.known.values().map(|k| &k.target).filter(|t| {
             t.service == request.service
                 && t.standing == Standing::Live
-                && !self.view.out.contains(&t.data_centre)
+                && !self.view.data_centres_out.contains(&t.data_centre)
         });
         open.map(|t| t.id.clone()).collect()
     }
@@ -111,7 +111,7 @@
         for target in &view.targets {
             let before = self.known.remove(&target.id);
             let (report, running) = before.map_or_else(Default::default, |k| (k.report, k.running));
-            let entry = Known {
+            let entry = LocalTarget {
                 target: target.clone(),
                 report,
                 running,
@@ -134,37 +134,37 @@
     out.push(Action::Refuse { request, refusal });
 }
 
-impl Decide for Alone {
+impl Policy for LocalPolicy {
     fn handle(&mut self, now: Moment, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Arrive(request) => self.place(now, request, 0, out),
-            Event::Leave { request } => {
+            Event::Arrived(request) => self.place(now, request, 0, out),
+            Event::CallerLeft { request } => {
                 self.end(request);
                 self.waiting.retain(|(r, _)| r.id != request);
             }
             Event::Ended {
                 request,
                 outcome,
-                again,
+                retry,
             } => {
                 let Some(running) = self.end(request) else {
                     return;
                 };
                 let counted = !matches!(outcome, Outcome::Unsent);
                 let tries = running.tries - u32::from(!counted);
-                if again && tries < TRIES {
+                if retry && tries < TRIES {
                     self.place(now, running.request, tries, out);
-                } else if again {
+                } else if retry {
                     refuse(request, out);
                 }
                 self.place_waiting(now, out);
             }
-            Event::Reported { target, report } => {
+            Event::TargetReported { target, report } => {
                 if let Some(known) = self.known.get_mut(&target) {
                     known.report = report;
                 }
             }
-            Event::Changed(view) => self.change(view),
+            Event::ViewChanged(view) => self.change(view),
             Event::Tick => self.place_waiting(now, out),
             _ => {}
         }
@@ -186,7 +186,7 @@
         )]
     }
 
-    fn last_ask(&self) -> AskId {
+    fn last_permit_request(&self) -> AskId {
         0
     }
 }
--- a/components/policy/src/baseline/mod.rs
+++ b/components/policy/src/baseline/mod.rs
@@ -1,7 +1,7 @@
 //! Simpler ways to place requests, to measure the product's own against.
 
-mod alone;
+mod local;
 mod pick;
 
-pub use alone::Alone;
-pub use pick::{FixedShare, LeastLoaded, Pick, RoundRobin};
+pub use local::LocalPolicy;
+pub use pick::{FixedShare, LeastLoaded, RoundRobin, TargetPicker};
--- a/components/policy/src/baseline/pick.rs
+++ b/components/policy/src/baseline/pick.rs
@@ -8,7 +8,7 @@
 
 /// What an instance alone knows of a target.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct LocalTarget {
     /// The target.
     pub target: Target,
     /// Its last report.
@@ -18,13 +18,13 @@
 }
 
 /// Picks a target for a request, or none if the request has to wait.
-pub trait Pick: Send {
+pub trait TargetPicker: Send {
     /// Picks among targets that may take work.
     fn pick(
         &mut self,
         request: &Request,
         limits: &TargetLimits,
-        known: &BTreeMap<TargetId, Known>,
+        known: &BTreeMap<TargetId, LocalTarget>,
         open: &[TargetId],
     ) -> Option<TargetId>;
 }
@@ -35,12 +35,12 @@
     next: usize,
 }
 
-impl Pick for RoundRobin {
+impl TargetPicker for RoundRobin {
     fn pick(
         &mut self,
         _request: &Request,
         _limits: &TargetLimits,
-        _known: &BTreeMap<TargetId, Known>,
+        _known: &BTreeMap<TargetId, LocalTarget>,
         open: &[TargetId],
     ) -> Option<TargetId> {
         self.next = self.next.wrapping_add(1);
@@ -52,12 +52,12 @@
 #[derive(Debug, Default)]
 pub struct LeastLoaded;
 
-impl Pick for LeastLoaded {
+impl TargetPicker for LeastLoaded {
     fn pick(
         &mut self,
         _request: &Request,
         _limits: &TargetLimits,
-        known: &BTreeMap<TargetId, Known>,
+        known: &BTreeMap<TargetId, LocalTarget>,
         open: &[TargetId],
     ) -> Option<TargetId> {
         let load = |id: &&TargetId| {
@@ -76,12 +76,12 @@
     pub instances: u32,
 }
 
-impl Pick for FixedShare {
+impl TargetPicker for FixedShare {
     fn pick(
         &mut self,
         _request: &Request,
         limits: &TargetLimits,
-        known: &BTreeMap<TargetId, Known>,
+        known: &BTreeMap<TargetId, LocalTarget>,
         open: &[TargetId],
     ) -> Option<TargetId> {
         let running = |id: &TargetId| known.get(id).map_or(0, |k| k.running);
--- a/components/policy/src/choose.rs
+++ b/components/policy/src/choose.rs
@@ -6,8 +6,8 @@
 use wire::Ask;
 
 use crate::{
-    account::Account, api::TargetLimits, length::Source, line::Waiting, memory::Running,
-    shard::ShardState, shared::Shared,
+    account::TargetAccount, api::TargetLimits, length::GenerationSource, memory::RunningGeneration,
+    owner_state::OwnerState, shard::ShardState, wait_queue::QueuedRequest,
 };
 
 /// Share of a target's capacity that full reuse of a cached prefix is worth. This is also the
@@ -20,7 +20,7 @@
     pub(crate) ask: &'a Ask,
     pub(crate) class: Class,
     /// What it will occupy; `None` for plain calls.
-    pub(crate) running: Option<Running>,
+    pub(crate) running: Option<RunningGeneration>,
 }
 
 /// A target that fits and how well; smaller is better.
@@ -32,20 +32,20 @@
 impl ShardState {
     pub(crate) fn need<'a>(
         &self,
-        waiting: &'a Waiting,
+        waiting: &'a QueuedRequest,
         limits: &TargetLimits,
-        shared: &mut Shared,
+        owner_state: &mut OwnerState,
     ) -> Need<'a> {
-        let source = Source {
+        let source = GenerationSource {
             service: &self.shard.service,
             route: &waiting.ask.route,
             workspace: &waiting.ask.workspace,
         };
-        let running = (limits.kind == ServiceKind::Model).then(|| Running {
+        let running = (limits.kind == ServiceKind::Model).then(|| RunningGeneration {
             prompt: waiting.ask.prompt,
             produced: 0,
             max_output: waiting.ask.max_output,
-            curve: shared.lengths.curve(&source),
+            curve: owner_state.lengths.curve(&source),
         });
         Need {
             ask: &waiting.ask,
@@ -61,18 +61,18 @@
         need: &Need<'_>,
         kept: &BTreeSet<TargetId>,
         limits: &TargetLimits,
-        shared: &Shared,
+        owner_state: &OwnerState,
     ) -> Option<TargetId> {
         self.accounts
             .iter()
             .filter(|(id, account)| {
                 !kept.contains(*id)
                     && !need.ask.avoid.contains(id)
-                    && account.is_open(&shared.view)
+                    && account.is_open(&owner_state.view)
                     && self.room(now, account, need.class, limits) > 0
             })
             .filter_map(|(id, account)| {
-                let load = load_with(now, account, need, limits, shared)?;
+                let load = load_with(now, account, need, limits, owner_state)?;
                 let reuse = account.prefixes.reuse(&need.ask.prefix);
                 Some(Choice {
                     target: id.clone(),
@@ -84,7 +84,13 @@
     }
 
     /// Slots of a target that a class may take.
-    fn room(&self, now: Moment, account: &Account, class: Class, limits: &TargetLimits) -> u32 {
+    fn room(
+        &self,
+        now: Moment,
+        account: &TargetAccount,
+        class: Class,
+        limits: &TargetLimits,
+    ) -> u32 {
         let slots = account.limiter.slots(limits);
         if account.limiter.is_cold() {
             if !self.cold_ready(now, account) {
@@ -106,12 +112,12 @@
         ask: &Ask,
         kept: &BTreeSet<TargetId>,
         limits: &TargetLimits,
-        shared: &Shared,
+        owner_state: &OwnerState,
     ) -> Option<TargetId> {
-        let open: Vec<(&TargetId, &Account)> = self
+        let open: Vec<(&TargetId, &TargetAccount)> = self
             .accounts
             .iter()
-            .filter(|(_, account)| account.is_open(&shared.view))
+            .filter(|(_, account)| account.is_open(&owner_state.view))
             .collect();
         if kept.len() >= (open.len() / 4).max(1) {
             return None;
@@ -119,8 +125,8 @@
         open.into_iter()
             .filter(|(id, _)| !kept.contains(*id) && !ask.avoid.contains(id))
             .min_by(|(_, a), (_, b)| {
-                let load = |account: &Account| {
-                    account.last_projection().peak(&shared.tuning)
+                let load = |account: &TargetAccount| {
+                    account.last_projection().peak(&owner_state.tuning)
                         / account.capacity(limits).max(1) as f64
                 };
                 load(a)
@@ -134,10 +140,10 @@
     pub(crate) fn slots_for(
         &self,
         now: Moment,
-        waiting: &Waiting,
-        account: &Account,
+        waiting: &QueuedRequest,
+        account: &TargetAccount,
         limits: &TargetLimits,
-        shared: &Shared,
+        owner_state: &OwnerState,
     ) -> u32 {
         let room = self.room(now, account, waiting.rank, limits).max(1);
         if waiting.ask.slots <= 1 {
@@ -146,7 +152,7 @@
         let total: u32 = self
             .accounts
             .values()
-            .filter(|account| account.is_open(&shared.view))
+            .filter(|account| account.is_open(&owner_state.view))
             .map(|account| account.limiter.slots(limits))
             .sum();
         let mut entries: BTreeSet<InstanceId> = self.line.entries();
@@ -168,10 +174,10 @@
 /// Share of a target's capacity that would be in use with one more; `None` if it doesn't fit.
 fn load_with(
     now: Moment,
-    account: &Account,
+    account: &TargetAccount,
     need: &Need<'_>,
     limits: &TargetLimits,
-    shared: &Shared,
+    owner_state: &OwnerState,
 ) -> Option<f64> {
     let occupied = account.occupied();
     let slots = account.limiter.slots(limits);
@@ -181,12 +187,13 @@
     };
     let capacity = account.capacity(limits).max(1);
     let mut projection = account.last_projection().clone();
-    projection.add(running, shared.tuning.admission);
-    let load = projection.peak(&shared.tuning) / capacity as f64;
+    projection.add(running, owner_state.tuning.memory_estimate);
+    let load = projection.peak(&owner_state.tuning) / capacity as f64;
     if occupied == 0 {
         // Nothing is gained by waiting for more room than an idle engine has.
         return (running.prompt < capacity).then_some(load);
     }
-    let fits = load <= shared.tuning.share && !account.is_stopped(now, &shared.tuning);
+    let fits =
+        load <= owner_state.tuning.admit_share && !account.is_stopped(now, &owner_state.tuning);
     fits.then_some(load)
 }
--- a/components/policy/src/journal.rs
+++ b/components/policy/src/decision_log.rs
@@ -9,12 +9,12 @@
 
 /// A ring of the newest events and actions.
 #[derive(Debug, Default)]
-pub struct Journal {
+pub struct DecisionLog {
     next: u64,
     lines: VecDeque<(u64, Moment, String)>,
 }
 
-impl Journal {
+impl DecisionLog {
     /// Starts empty.
     #[must_use]
     pub fn new() -> Self {
--- a/components/policy/src/dump.rs
+++ b/components/policy/src/dump.rs
@@ -2,11 +2,11 @@
 
 use types::Moment;
 
-use crate::{shard::ShardState, shared::Shared};
+use crate::{owner_state::OwnerState, shard::ShardState};
 
 impl ShardState {
     /// Appends a few lines about the shard and each of its targets.
-    pub fn dump(&self, now: Moment, shared: &Shared, lines: &mut Vec<String>) {
+    pub fn dump(&self, now: Moment, owner_state: &OwnerState, lines: &mut Vec<String>) {
         lines.push(format!(
             "owner of {} in term {}: granting {}, exclusive {}, {} waiting, awaiting {:?}",
             self.shard,
@@ -16,7 +16,7 @@
             self.line.len(),
             self.awaiting()
         ));
-        let Some(limits) = shared.view.limits.get(&self.shard.service) else {
+        let Some(limits) = owner_state.view.limits.get(&self.shard.service) else {
             return;
         };
         for (id, account) in &self.accounts {
@@ -25,8 +25,8 @@
                 account.occupied(),
                 account.limiter.slots(limits),
                 account.limiter.is_cold(),
-                account.is_open(&shared.view),
-                account.last_projection().peak(&shared.tuning),
+                account.is_open(&owner_state.view),
+                account.last_projection().peak(&owner_state.tuning),
                 account.capacity(limits), account.last_projection().now()
             ));
         }
--- a/components/policy/src/entry/late.rs
+++ b/components/policy/src/entry/deadlines.rs
@@ -6,15 +6,15 @@
     api::{Action, RequestId},
     entry::{
         machine::Entry,
-        pending::{NO_OWNER_LIMIT, NO_TARGET_LIMIT, Pending, Stage},
-        refuse,
+        pending::{NO_OWNER_LIMIT, NO_TARGET_LIMIT, PendingRequest, Stage},
+        refusals,
     },
 };
 
 impl Entry {
     /// What can't be served in time is told so at once, with the time to come back.
     pub(super) fn refuse_late(&mut self, now: Moment, out: &mut Vec<Action>) {
-        let late = |p: &&Pending| match p.stage {
+        let late = |p: &&PendingRequest| match p.stage {
             Stage::Placed(_) => false,
             Stage::Asked(_) => p.request.deadline <= now,
             Stage::Waiting => p.request.deadline <= now || self.waits_in_vain(now, p),
@@ -34,11 +34,11 @@
                 self.withdraw(ask, out);
             }
             let refusal = if expired {
-                refuse::too_late(self.shards.wait(&service))
+                refusals::too_late(self.shards.wait(&service))
             } else if self.shards.serves(&service) {
-                refuse::no_owner()
+                refusals::no_owner()
             } else {
-                refuse::no_target()
+                refusals::no_target()
             };
             self.refuse(id, refusal, out);
         }
@@ -46,7 +46,7 @@
 
     /// Whether a request that nobody could be asked for has waited long enough: the list of
     /// targets lags, and owners change hands, so neither is taken for the truth at once.
-    fn waits_in_vain(&self, now: Moment, pending: &Pending) -> bool {
+    fn waits_in_vain(&self, now: Moment, pending: &PendingRequest) -> bool {
         let serves = self.shards.serves(&pending.request.service);
         let limit = if serves {
             NO_OWNER_LIMIT
--- a/components/policy/src/entry/machine.rs
+++ b/components/policy/src/entry/machine.rs
@@ -8,13 +8,13 @@
 use crate::{
     api::{Action, Event, Request, RequestId, View},
     entry::{
-        calls::Calls,
-        pending::{Asks, Pending, Requests, Stage},
+        pending::{PendingRequest, PermitRequests, Requests, Stage},
         permit::Permits,
-        refuse,
-        shards::Shards,
+        plain_calls::CallDemand,
+        refusals,
+        shard_directory::ShardDirectory,
     },
-    retry::Budgets,
+    retry_budget::RetryBudgets,
 };
 
 /// One instance's entry side.
@@ -22,13 +22,13 @@
 pub struct Entry {
     pub(super) me: InstanceId,
     pub(super) view: View,
-    pub(super) shards: Shards,
+    pub(super) shards: ShardDirectory,
     pub(super) requests: Requests,
-    pub(super) asks: Asks,
+    pub(super) asks: PermitRequests,
     pub(super) permits: Permits,
-    pub(super) calls: Calls,
-    pub(super) budgets: Budgets,
-    /// Shards about which an owner still has to be told that nothing is held any more.
+    pub(super) calls: CallDemand,
+    pub(super) retry_budgets: RetryBudgets,
+    /// ShardDirectory about which an owner still has to be told that nothing is held any more.
     pub(super) reported: BTreeSet<Shard>,
     pub(super) last_report: Moment,
     /// Whether owners are told the true lengths; for the oracle baseline only.
@@ -43,12 +43,12 @@
         Self {
             me,
             view: View::default(),
-            shards: Shards::new(home),
+            shards: ShardDirectory::new(home),
             requests: Requests::new(),
-            asks: Asks::new(),
+            asks: PermitRequests::new(),
             permits: Permits::new(),
-            calls: Calls::default(),
-            budgets: Budgets::default(),
+            calls: CallDemand::default(),
+            retry_budgets: RetryBudgets::default(),
             reported: BTreeSet::new(),
             last_report: Moment::ZERO,
             told: false,
@@ -58,22 +58,22 @@
 
     /// Makes it the entry of the oracle baseline, which tells owners the true lengths.
     #[must_use]
-    pub const fn with_told_lengths(mut self) -> Self {
+    pub const fn with_known_lengths(mut self) -> Self {
         self.told = true;
         self
     }
 
     /// The number of the newest ask.
     #[must_use]
-    pub const fn last_ask(&self) -> AskId {
+    pub const fn last_permit_request(&self) -> AskId {
         self.next_ask
     }
 
     /// Takes one event and appends what has to be done to `out`.
     pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Vec<Action>) {
         match event {
-            Event::Arrive(request) => self.arrive(now, request, out),
-            Event::Leave { request } => self.leave(now, *request, Outcome::Unsent, out),
+            Event::Arrived(request) => self.arrive(now, request, out),
+            Event::CallerLeft { request } => self.leave(now, *request, Outcome::Unsent, out),
             Event::Progress {
                 request,
                 produced,
@@ -82,18 +82,18 @@
             Event::Ended {
                 request,
                 outcome,
-                again,
+                retry,
             } => {
-                self.ended(now, *request, *outcome, *again, out);
+                self.ended(now, *request, *outcome, *retry, out);
             }
             Event::Received { from, message, .. } => self.receive(now, from, message, out),
-            Event::Changed(view) => self.change(now, view, out),
-            Event::Role { shard, role } => self.role(now, shard, role, out),
+            Event::ViewChanged(view) => self.change(now, view, out),
+            Event::RoleChanged { shard, role } => self.role(now, shard, role, out),
             Event::Summary { owner, shards } => self.shards.hear(owner, shards),
             Event::PeerGone { peer } => self.lose_owner(now, peer, out),
             Event::Tick => self.tick(now, out),
             Event::Sent { .. } | Event::Paused { .. } => {}
-            Event::Reported { .. } | Event::Exclusive { .. } => {}
+            Event::TargetReported { .. } | Event::ExclusivityChanged { .. } => {}
         }
     }
 
@@ -138,9 +138,9 @@
 
     fn arrive(&mut self, now: Moment, request: &Request, out: &mut Vec<Action>) {
         let limits = self.view.limits.get(&request.service);
-        self.budgets
+        self.retry_budgets
             .earn(&request.service, limits.map_or(0, |l| l.retry_percent));
-        let pending = Pending {
+        let pending = PendingRequest {
             request: request.clone(),
             stage: Stage::Waiting,
             since: now,
@@ -233,8 +233,8 @@
             permit.until = permit.until.min(now);
         }
         self.release(now, key, id, outcome, out);
-        if failed && !self.budgets.spend(&service) {
-            self.refuse(id, refuse::no_retry(), out);
+        if failed && !self.retry_budgets.spend(&service) {
+            self.refuse(id, refusals::no_retry(), out);
             return;
         }
         self.place(now, id, out);
@@ -257,8 +257,8 @@
     }
 
     pub(super) fn place_waiting(&mut self, now: Moment, out: &mut Vec<Action>) {
-        let waiting = |p: &&Pending| p.stage == Stage::Waiting && p.pause_until <= now;
-        let mut ready: Vec<&Pending> = self.requests.values().filter(waiting).collect();
+        let waiting = |p: &&PendingRequest| p.stage == Stage::Waiting && p.pause_until <= now;
+        let mut ready: Vec<&PendingRequest> = self.requests.values().filter(waiting).collect();
         ready.sort_by_key(|p| (p.request.class, p.request.deadline));
         let ready: Vec<RequestId> = ready.iter().map(|p| p.request.id).collect();
         for id in ready {
@@ -281,7 +281,7 @@
             *t.id == *target
                 && t.incarnation == incarnation
                 && t.standing == Standing::Live
-                && !self.view.out.contains(&t.data_centre)
+                && !self.view.data_centres_out.contains(&t.data_centre)
         })
     }
 }
--- a/components/policy/src/entry/mod.rs
+++ b/components/policy/src/entry/mod.rs
@@ -1,16 +1,16 @@
 //! The entry: callers' requests, from arrival until a permit lets them be sent.
 
-mod asks;
-mod calls;
-mod changes;
-mod grants;
-mod late;
+mod deadlines;
+mod held_report;
 mod machine;
+mod owner_messages;
 mod pending;
 mod permit;
-mod refuse;
-mod report;
-mod shards;
+mod permit_requests;
+mod plain_calls;
+mod refusals;
+mod shard_directory;
+mod view_changes;
 
 pub use machine::Entry;
 pub use permit::PermitKey;
--- a/components/policy/src/entry/grants.rs
+++ b/components/policy/src/entry/owner_messages.rs
@@ -6,12 +6,12 @@
 use wire::{Deny, Done, Grant, Message, Outcome, Query, Recall};
 
 use crate::{
-    api::{Action, RequestId, Used},
+    api::{Action, DispatchPermit, RequestId},
     entry::{
         machine::Entry,
         pending::{DENIED_PAUSE, MOVE_AFTER, Stage},
         permit::{Permit, PermitKey, Tally},
-        refuse,
+        refusals,
     },
 };
 
@@ -86,7 +86,7 @@
             workspace: asker.map_or_else(|| WorkspaceId::from(""), |r| r.workspace.clone()),
             route: asker.map_or_else(|| RouteId::from(""), |r| r.route.clone()),
             class: asker.map_or_else(Default::default, |r| r.class),
-            prompt: asker.map_or(0, |r| r.prompt),
+            prompt: asker.map_or(0, |r| r.prompt_tokens),
             max_output: asker.map_or(0, |r| r.max_output),
             users: BTreeSet::new(),
             produced: 0,
@@ -97,25 +97,27 @@
 
     /// Places a request under a permit.
     pub(super) fn dispatch(&mut self, key: PermitKey, id: RequestId, out: &mut Vec<Action>) {
-        let (Some(permit), Some(pending)) =
-            (self.permits.get_mut(&key), self.requests.get_mut(&id))
+        let (Some(held), Some(pending)) = (self.permits.get_mut(&key), self.requests.get_mut(&id))
         else {
             return;
         };
-        permit.users.insert(id);
+        held.users.insert(id);
         assert!(
-            permit.users.len() <= permit.slots as usize,
+            held.users.len() <= held.slots as usize,
             "permit {key:?} covers {} calls and is used by {:?}",
-            permit.slots,
-            permit.users
+            held.slots,
+            held.users
         );
         pending.stage = Stage::Placed(key);
-        let used = Used {
+        let permit = DispatchPermit {
             permit: key.1,
-            target: permit.target.clone(),
-            until: permit.until,
+            target: held.target.clone(),
+            valid_until: held.until,
         };
-        out.push(Action::Dispatch { request: id, used });
+        out.push(Action::Dispatch {
+            request: id,
+            permit,
+        });
     }
 
     pub(super) fn denied(&mut self, now: Moment, deny: &Deny, out: &mut Vec<Action>) {
@@ -128,7 +130,7 @@
         };
         pending.stage = Stage::Waiting;
         match deny.retry_after {
-            Some(after) => self.refuse(id, refuse::overloaded(after), out),
+            Some(after) => self.refuse(id, refusals::overloaded(after), out),
             None => pending.pause_until = now + DENIED_PAUSE,
         }
     }
@@ -145,7 +147,7 @@
         }
         for id in &permit.users {
             if self.requests.get(id).is_some_and(|p| !p.seen) {
-                out.push(Action::PullBack { request: *id });
+                out.push(Action::Revoke { request: *id });
             }
         }
     }
--- a/components/policy/src/entry/pending.rs
+++ b/components/policy/src/entry/pending.rs
@@ -22,7 +22,7 @@
 
 /// One request.
 #[derive(Clone, Debug)]
-pub struct Pending {
+pub struct PendingRequest {
     /// The request.
     pub request: Request,
     /// How far it has come.
@@ -37,9 +37,9 @@
     pub pause_until: Moment,
 }
 
-/// An ask that is out. Asks without a request fetch plain calls' slots ahead of time.
+/// An ask that is out. PermitRequests without a request fetch plain calls' slots ahead of time.
 #[derive(Clone, Debug)]
-pub struct AskOut {
+pub struct OutstandingPermitRequest {
     /// The request that it is for.
     pub request: Option<RequestId>,
     /// Which shard.
@@ -51,9 +51,9 @@
 }
 
 /// All requests.
-pub type Requests = BTreeMap<RequestId, Pending>;
+pub type Requests = BTreeMap<RequestId, PendingRequest>;
 /// All asks.
-pub type Asks = BTreeMap<AskId, AskOut>;
+pub type PermitRequests = BTreeMap<AskId, OutstandingPermitRequest>;
 
 /// A request that nobody could be asked for is refused after this time: the owners should have
 /// settled by then, and the caller is better told to come back than left waiting.
--- a/components/policy/src/entry/asks.rs
+++ b/components/policy/src/entry/permit_requests.rs
@@ -7,7 +7,7 @@
     api::{Action, RequestId},
     entry::{
         machine::Entry,
-        pending::{ASK_AGAIN, AskOut, Stage},
+        pending::{ASK_AGAIN, OutstandingPermitRequest, Stage},
     },
 };
 
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Asks a shard's owner for a permit for a request.
+    /// PermitRequests a shard's owner for a permit for a request.
     pub(super) fn ask_at(
         &mut self,
         now: Moment,
@@ -48,14 +48,14 @@
             route: request.route.clone(),
             within: request.deadline.saturating_sub(now),
             waited: now.saturating_sub(pending.since),
-            prompt: request.prompt,
+            prompt: request.prompt_tokens,
             max_output: told.unwrap_or(request.max_output),
             slots: self.calls.slots(request),
             prefix: request.prefix.clone(),
             avoid: pending.avoid.clone(),
         };
         self.shards.note_ask(&shard, &request.prefix);
-        let sent = AskOut {
+        let sent = OutstandingPermitRequest {
             request: Some(id),
             shard,
             owner: owner.clone(),
--- a/components/policy/src/entry/calls.rs
+++ b/components/policy/src/entry/plain_calls.rs
@@ -9,7 +9,7 @@
     api::{Action, Request, RequestId},
     entry::{
         machine::Entry,
-        pending::{AskOut, Pending, Stage},
+        pending::{OutstandingPermitRequest, PendingRequest, Stage},
         permit::PermitKey,
     },
 };
@@ -36,11 +36,11 @@
 
 /// Demand of all plain services.
 #[derive(Debug, Default)]
-pub struct Calls {
+pub struct CallDemand {
     by_service: BTreeMap<ServiceId, Demand>,
 }
 
-impl Calls {
+impl CallDemand {
     /// Takes a call into account.
     pub fn arrive(&mut self, now: Moment, service: &ServiceId) {
         let demand = self.by_service.entry(service.clone()).or_insert(Demand {
@@ -145,7 +145,7 @@
         {
             return None;
         }
-        let waits = |p: &&Pending| {
+        let waits = |p: &&PendingRequest| {
             p.request.service == permit.shard.service
                 && !matches!(p.stage, Stage::Placed(_))
                 && !p.avoid.contains(&permit.target.id)
@@ -156,7 +156,7 @@
             .map(|p| p.request.id)
     }
 
-    /// Asks for new blocks before the ones in hand lapse.
+    /// PermitRequests for new blocks before the ones in hand lapse.
     pub(super) fn refill(&mut self, now: Moment, out: &mut Vec<Action>) {
         let services: Vec<ServiceId> = self.calls.by_service.keys().cloned().collect();
         for service in services {
@@ -210,7 +210,7 @@
         };
         self.asks.insert(
             ask,
-            AskOut {
+            OutstandingPermitRequest {
                 request: None,
                 shard,
                 owner: owner.clone(),
--- a/components/policy/src/entry/shards.rs
+++ b/components/policy/src/entry/shard_directory.rs
@@ -11,7 +11,7 @@
 const REMOTE: f32 = 0.05;
 /// Taken off the score of a shard that lately ran a request with the same prompt prefix.
 const AFFINITY: f32 = 0.3;
-/// Above this load a shared prefix no longer draws requests, or one popular prefix would fill
+/// Above this load a owner_state prefix no longer draws requests, or one popular prefix would fill
 /// one data centre while others idle.
 const AFFINITY_LOAD: f32 = 0.85;
 /// Part of the difference between two lines that moves at once.
@@ -30,7 +30,7 @@
     pub epoch: Epoch,
     /// What the owner said last.
     pub summary: Option<ShardSummary>,
-    /// Asks sent since the owner said so.
+    /// PermitRequests sent since the owner said so.
     pub asked_since: u32,
     /// Targets that may take work.
     pub targets: u32,
@@ -38,7 +38,7 @@
     pub fresh: bool,
 }
 
-/// Asks that should change shards.
+/// PermitRequests that should change shards.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Move {
     /// Where to.
@@ -51,14 +51,14 @@
 
 /// All shards that an entry knows.
 #[derive(Debug, Default)]
-pub struct Shards {
+pub struct ShardDirectory {
     home: Option<DataCentreId>,
     instances: u32,
     known: BTreeMap<Shard, ShardInfo>,
     prefixes: BTreeMap<u64, DataCentreId>,
 }
 
-impl Shards {
+impl ShardDirectory {
     /// Starts knowing none; `home` is this instance's data centre.
     #[must_use]
     pub fn new(home: DataCentreId) -> Self {
@@ -75,7 +75,8 @@
             info.targets = 0;
         }
         for target in &view.targets {
-            let open = target.standing == Standing::Live && !view.out.contains(&target.data_centre);
+            let open = target.standing == Standing::Live
+                && !view.data_centres_out.contains(&target.data_centre);
             let shard = Shard::new(&target.service, &target.data_centre);
             self.known.entry(shard).or_default().targets += u32::from(open);
         }
@@ -213,7 +214,7 @@
     queued as f32 / targets as f32
 }
 
-/// Asks that wait at a shard and its targets, as its owner said.
+/// PermitRequests that wait at a shard and its targets, as its owner said.
 fn line(info: &ShardInfo) -> Option<(f32, f32)> {
     let summary = info.summary.as_ref().filter(|s| s.granting)?;
     Some((summary.queued as f32, summary.targets.max(1) as f32))
--- a/components/policy/src/entry/changes.rs
+++ b/components/policy/src/entry/view_changes.rs
@@ -11,7 +11,7 @@
     pub(super) fn change(&mut self, now: Moment, view: &View, out: &mut Vec<Action>) {
         self.view = view.clone();
         self.shards.update(view);
-        // Asks to shards that no longer take work move on at once.
+        // PermitRequests to shards that no longer take work move on at once.
         let closed: Vec<(AskId, Option<RequestId>)> = self
             .asks
             .iter()
--- a/components/policy/src/pace.rs
+++ b/components/policy/src/grant_rate.rs
@@ -8,7 +8,7 @@
 const WEIGHT: f64 = 0.1;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct ClassPace {
+struct ClassRate {
     last: Option<Moment>,
     between: Option<f64>,
 }
@@ -16,11 +16,11 @@
 /// Time between two grants of each class while asks of that class wait. More urgent work that
 /// goes first is in it without being counted.
 #[derive(Debug, Default)]
-pub struct Pace {
-    classes: [ClassPace; 3],
+pub struct GrantRate {
+    classes: [ClassRate; 3],
 }
 
-impl Pace {
+impl GrantRate {
     /// Starts knowing nothing.
     #[must_use]
     pub fn new() -> Self {
--- a/components/policy/src/serve.rs
+++ b/components/policy/src/granting.rs
@@ -6,14 +6,14 @@
 use wire::{Ask, Grant};
 
 use crate::{
-    account::Account,
+    account::TargetAccount,
     api::{Action, TargetLimits},
-    line::Place,
-    memory::Running,
+    memory::RunningGeneration,
     outbox::send,
+    owner_state::{OwnerState, Peer},
     permit::{Permit, PermitKey},
     shard::{PERMIT_LIFE, ShardState},
-    shared::{Peer, Shared},
+    wait_queue::QueuePosition,
 };
 
 /// Asks that may go ahead of one that doesn't fit anywhere, before a target is kept free for it.
@@ -29,14 +29,14 @@
 
 impl ShardState {
     /// Grants permits as long as an ask fits somewhere.
-    pub fn serve(&mut self, now: Moment, shared: &mut Shared, out: &mut Vec<Action>) {
+    pub fn serve(&mut self, now: Moment, owner_state: &mut OwnerState, out: &mut Vec<Action>) {
         if self.line.is_empty() || !self.granting(now) {
             return;
         }
-        let Some(limits) = shared.view.limits.get(&self.shard.service).cloned() else {
+        let Some(limits) = owner_state.view.limits.get(&self.shard.service).cloned() else {
             return;
         };
-        while self.serve_next(now, &limits, shared, out) {}
+        while self.serve_next(now, &limits, owner_state, out) {}
     }
 
     /// Grants the first ask that fits somewhere.
@@ -44,28 +44,28 @@
         &mut self,
         now: Moment,
         limits: &TargetLimits,
-        shared: &mut Shared,
+        owner_state: &mut OwnerState,
         out: &mut Vec<Action>,
     ) -> bool {
-        self.project(now, limits, shared);
+        self.project(now, limits, owner_state);
         let mut kept: BTreeSet<TargetId> = BTreeSet::new();
-        let mut passed: Vec<Place> = Vec::new();
+        let mut passed: Vec<QueuePosition> = Vec::new();
         for place in self.line.order() {
             let Some(waiting) = self.line.get(place).cloned() else {
                 continue;
             };
-            let peer = shared.peers.get(&waiting.entry).copied();
+            let peer = owner_state.peers.get(&waiting.entry).copied();
             let Some(peer) = peer.filter(|peer| peer.is_heard(now)) else {
                 continue;
             };
-            let need = self.need(&waiting, limits, shared);
-            if let Some(target) = self.choose(now, &need, &kept, limits, shared) {
+            let need = self.need(&waiting, limits, owner_state);
+            if let Some(target) = self.choose(now, &need, &kept, limits, owner_state) {
                 self.bypass(&passed, waiting.rank);
-                self.grant(now, place, &target, peer, limits, shared, out);
+                self.grant(now, place, &target, peer, limits, owner_state, out);
                 return true;
             }
             if waiting.bypassed >= BYPASS_LIMIT {
-                kept.extend(self.keep_free(&waiting.ask, &kept, limits, shared));
+                kept.extend(self.keep_free(&waiting.ask, &kept, limits, owner_state));
             }
             passed.push(place);
         }
@@ -73,7 +73,7 @@
     }
 
     /// Takes note that an ask of class `rank` goes ahead of others.
-    fn bypass(&mut self, passed: &[Place], rank: Class) {
+    fn bypass(&mut self, passed: &[QueuePosition], rank: Class) {
         for place in passed {
             let less_urgent = self.line.get(*place).is_some_and(|w| w.rank < rank);
             let times = if less_urgent {
@@ -85,16 +85,16 @@
         }
     }
 
-    fn project(&mut self, now: Moment, limits: &TargetLimits, shared: &mut Shared) {
-        if !Account::is_model(limits) {
+    fn project(&mut self, now: Moment, limits: &TargetLimits, owner_state: &mut OwnerState) {
+        if !TargetAccount::is_model(limits) {
             return;
         }
         for account in self.accounts.values_mut() {
             account.projection(
                 now,
                 &self.shard.service,
-                &mut shared.lengths,
-                &shared.tuning,
+                &mut owner_state.lengths,
+                &owner_state.tuning,
             );
         }
     }
@@ -103,11 +103,11 @@
     fn grant(
         &mut self,
         now: Moment,
-        place: Place,
+        place: QueuePosition,
         id: &TargetId,
         peer: Peer,
         limits: &TargetLimits,
-        shared: &mut Shared,
+        owner_state: &mut OwnerState,
         out: &mut Vec<Action>,
     ) {
         let granting = self.granting(now);
@@ -115,7 +115,7 @@
             granting,
             "granted on {} before everybody told what it holds; last events:\n{}",
             self.shard,
-            shared.journal.tail()
+            owner_state.decision_log.tail()
         );
         let Some(waiting) = self.line.get(place).cloned() else {
             return;
@@ -123,10 +123,13 @@
         let Some(target) = self.accounts.get(id).and_then(|a| a.listed.clone()) else {
             return;
         };
-        let need = self.need(&waiting, limits, shared);
-        let slots = self.slots_for(now, &waiting, &self.accounts[id], limits, shared);
+        let need = self.need(&waiting, limits, owner_state);
+        let slots = self.slots_for(now, &waiting, &self.accounts[id], limits, owner_state);
         let calls = f64::from(slots) * CALL_TOKENS;
-        let tokens = need.running.as_ref().map_or(calls, Running::expected_final);
+        let tokens = need
+            .running
+            .as_ref()
+            .map_or(calls, RunningGeneration::expected_final);
         self.line.serve(place, tokens);
         self.pace
             .granted(now, waiting.rank, self.line.len_of(waiting.rank));
@@ -137,7 +140,7 @@
             shard: self.shard.clone(),
             epoch: self.epoch,
             ask: waiting.ask.ask,
-            permit: shared.next_permit(),
+            permit: owner_state.next_permit(),
             target: target.id.clone(),
             incarnation: target.incarnation,
             reserved: if need.running.is_some() {
@@ -150,7 +153,7 @@
             life: PERMIT_LIFE,
             cold: account.limiter.is_cold(),
         };
-        shared.journal.note(
+        owner_state.decision_log.note(
             now,
             format!(
                 "permit {} for ask {} of {} on {id}, {slots} slots, cold {}",
@@ -168,9 +171,9 @@
             earlier.is_none(),
             "permit {} was granted twice; last events:\n{}",
             grant.permit,
-            shared.journal.tail()
+            owner_state.decision_log.tail()
         );
-        check(account, &target, limits, shared);
+        check(account, &target, limits, owner_state);
         send(&waiting.entry, grant.into(), out);
     }
 }
@@ -200,19 +203,24 @@
 }
 
 /// What must hold right after a grant.
-fn check(account: &Account, target: &Target, limits: &TargetLimits, shared: &Shared) {
+fn check(
+    account: &TargetAccount,
+    target: &Target,
+    limits: &TargetLimits,
+    owner_state: &OwnerState,
+) {
     assert!(
         !account.limiter.is_cold() || account.bearing() <= limits.cold_limit,
         "cold target {} got {} of {} requests; last events:\n{}",
         target.id,
         account.bearing(),
         limits.cold_limit,
-        shared.journal.tail()
+        owner_state.decision_log.tail()
     );
     assert!(
-        account.is_open(&shared.view),
+        account.is_open(&owner_state.view),
         "target {} got work while leaving, out of service or restarted; last events:\n{}",
         target.id,
-        shared.journal.tail()
+        owner_state.decision_log.tail()
     );
 }
--- a/components/policy/src/instance.rs
+++ b/components/policy/src/instance.rs
@@ -4,7 +4,7 @@
 use wire::{Message, ShardSummary};
 
 use crate::{
-    api::{Action, Decide, Event, RequestId},
+    api::{Action, Event, Policy, RequestId},
     entry::Entry,
     owner::Owner,
     tuning::Tuning,
@@ -39,9 +39,9 @@
 
     /// Makes it the oracle baseline: owners are told the true lengths and decide by them.
     #[must_use]
-    pub fn with_told_lengths(mut self) -> Self {
-        self.entry = self.entry.with_told_lengths();
-        self.owner = self.owner.with_tuning(Tuning::told());
+    pub fn with_known_lengths(mut self) -> Self {
+        self.entry = self.entry.with_known_lengths();
+        self.owner = self.owner.with_tuning(Tuning::with_known_lengths());
         self
     }
 
@@ -79,7 +79,7 @@
     )
 }
 
-impl Decide for Instance {
+impl Policy for Instance {
     fn handle(&mut self, now: Moment, event: Event, out: &mut Vec<Action>) {
         self.feed(now, &event, out);
         loop {
@@ -114,7 +114,7 @@
         lines
     }
 
-    fn last_ask(&self) -> AskId {
-        self.entry.last_ask()
+    fn last_permit_request(&self) -> AskId {
+        self.entry.last_permit_request()
     }
 }
--- a/components/policy/src/length.rs
+++ b/components/policy/src/length.rs
@@ -1,6 +1,6 @@
 //! How long generations get, learned from what ended and from what still runs.
 //!
-//! Lengths are kept as hazards: of the generations that reached a bucket of lengths, how many
+//! LengthEstimator are kept as hazards: of the generations that reached a bucket of lengths, how many
 //! ended in it (Kaplan and Meier). Those that were cancelled or still run count as at risk in
 //! the buckets that they passed; without them long generations would be underestimated, because
 //! it's the long ones that are cut or still running. Route and workspace lean on the service as
@@ -53,7 +53,7 @@
 
 /// Where a generation comes from.
 #[derive(Clone, Copy, Debug)]
-pub struct Source<'a> {
+pub struct GenerationSource<'a> {
     /// The service.
     pub service: &'a ServiceId,
     /// The route within the service.
@@ -106,14 +106,14 @@
 
 /// Chance to outlive a length.
 #[derive(Clone, Debug)]
-pub struct Curve {
+pub struct SurvivalCurve {
     /// Cumulative hazard at each edge: minus the logarithm of the chance to get there.
     cumulative: [f64; BUCKETS],
     /// Cumulative hazard per token within each bucket.
     slope: [f64; BUCKETS],
 }
 
-impl Curve {
+impl SurvivalCurve {
     fn new(hazards: &[f64; BUCKETS]) -> Self {
         let mut cumulative = [0.0; BUCKETS];
         let mut slope = [0.0; BUCKETS];
@@ -164,7 +164,7 @@
 /// A curve and the number of observations it was built from.
 #[derive(Debug)]
 struct Built {
-    curve: Arc<Curve>,
+    curve: Arc<SurvivalCurve>,
     at: u64,
 }
 
@@ -220,11 +220,11 @@
 
 /// What is known of lengths, by service, route and workspace.
 #[derive(Debug, Default)]
-pub struct Lengths {
+pub struct LengthEstimator {
     services: BTreeMap<ServiceId, ServiceLengths>,
 }
 
-impl Lengths {
+impl LengthEstimator {
     /// Starts knowing nothing.
     #[must_use]
     pub fn new() -> Self {
@@ -232,7 +232,7 @@
     }
 
     /// Takes note that a generation runs that had produced `from` and now has produced `to`.
-    pub fn passed(&mut self, source: &Source<'_>, from: Tokens, to: Tokens) {
+    pub fn passed(&mut self, source: &GenerationSource<'_>, from: Tokens, to: Tokens) {
         let (from, to) = (bucket(from), bucket(to));
         if from < to {
             self.each(source, |table| table.pass(from, to));
@@ -240,7 +240,7 @@
     }
 
     /// Takes note that a generation ended by itself; `from` is what `passed` was told last.
-    pub fn ended(&mut self, source: &Source<'_>, from: Tokens, length: Tokens) {
+    pub fn ended(&mut self, source: &GenerationSource<'_>, from: Tokens, length: Tokens) {
         self.passed(source, from, length);
         let at = bucket(length);
         self.each(source, |table| table.end(at));
@@ -250,7 +250,7 @@
     }
 
     /// The curve for generations of one source.
-    pub fn curve(&mut self, source: &Source<'_>) -> Arc<Curve> {
+    pub fn curve(&mut self, source: &GenerationSource<'_>) -> Arc<SurvivalCurve> {
         let service = self
             .services
             .entry(source.service.clone())
@@ -266,7 +266,7 @@
         self.rebuild(source, observations)
     }
 
-    fn rebuild(&mut self, source: &Source<'_>, observations: u64) -> Arc<Curve> {
+    fn rebuild(&mut self, source: &GenerationSource<'_>, observations: u64) -> Arc<SurvivalCurve> {
         let prior = [PRIOR_HAZARD; BUCKETS];
         let service = self
             .services
@@ -278,7 +278,7 @@
         if let Some(table) = route.workspaces.get(source.workspace) {
             hazards = table.hazards(&hazards, PARENT_WEIGHT);
         }
-        let curve = Arc::new(Curve::new(&hazards));
+        let curve = Arc::new(SurvivalCurve::new(&hazards));
         let built = Built {
             curve: Arc::clone(&curve),
             at: observations,
@@ -287,7 +287,7 @@
         curve
     }
 
-    fn each(&mut self, source: &Source<'_>, mut change: impl FnMut(&mut Table)) {
+    fn each(&mut self, source: &GenerationSource<'_>, mut change: impl FnMut(&mut Table)) {
         let service = self
             .services
             .entry(source.service.clone())
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -5,36 +5,37 @@
 
 pub mod account;
 pub mod api;
-pub mod asks;
 pub mod baseline;
 pub mod choose;
+pub mod decision_log;
 pub mod dump;
 pub mod entry;
+pub mod grant_rate;
+pub mod granting;
 pub mod instance;
-pub mod journal;
 pub mod length;
-pub mod limit;
-pub mod line;
+pub mod limiter;
+pub mod load_reports;
 pub mod memory;
 pub mod outbox;
 pub mod owner;
-pub mod pace;
+pub mod owner_state;
 pub mod permit;
+pub mod permit_updates;
 pub mod prefixes;
-pub mod recall;
-pub mod reports;
-pub mod retry;
-pub mod returns;
-pub mod serve;
+pub mod queueing;
+pub mod retry_budget;
+pub mod revoke;
 pub mod shard;
-pub mod shared;
 pub mod summary;
 pub mod tuning;
+pub mod wait_queue;
 
 pub use api::{
-    Action, Decide, EngineReport, Event, Request, RequestId, ShardRole, TargetLimits, Used, View,
+    Action, DispatchPermit, EngineReport, Event, Policy, Request, RequestId, ShardRole,
+    TargetLimits, View,
 };
 pub use entry::Entry;
 pub use instance::{Identity, Instance};
 pub use owner::Owner;
-pub use tuning::{Admission, Tuning};
+pub use tuning::{MemoryEstimate, Tuning};
--- a/components/policy/src/limit.rs
+++ b/components/policy/src/limiter.rs
@@ -38,7 +38,7 @@
 /// samples was weighed too, but the time to the first token depends on the prompt's length and
 /// on what the cache holds, so single samples say little.
 #[derive(Clone, Debug)]
-pub struct Limiter {
+pub struct ConcurrencyLimiter {
     cold: bool,
     since: Moment,
     finished: u32,
@@ -49,7 +49,7 @@
     jumps: u32,
 }
 
-impl Limiter {
+impl ConcurrencyLimiter {
     /// Starts in cold start.
     #[must_use]
     pub const fn new(now: Moment) -> Self {
--- a/components/policy/src/reports.rs
+++ b/components/policy/src/load_reports.rs
@@ -5,7 +5,7 @@
 use types::Moment;
 
 use crate::{
-    account::{Account, Report},
+    account::{Report, TargetAccount},
     api::TargetLimits,
     permit::PermitKey,
     shard::LAPSE_MARGIN,
@@ -16,7 +16,7 @@
 /// How long nothing is admitted after a target reported preemptions.
 const PREEMPTED_HOLD: Duration = Duration::from_millis(500);
 
-impl Account {
+impl TargetAccount {
     /// Takes a report; tells whether it was news.
     pub fn reported(&mut self, now: Moment, report: Report, limits: &TargetLimits) -> bool {
         if self.report.is_some_and(|last| last.taken > report.taken) {
--- a/components/policy/src/memory.rs
+++ b/components/policy/src/memory.rs
@@ -10,8 +10,8 @@
 use types::Tokens;
 
 use crate::{
-    length::Curve,
-    tuning::{Admission, Tuning},
+    length::SurvivalCurve,
+    tuning::{MemoryEstimate, Tuning},
 };
 
 /// Horizons in tokens at which the occupation is projected.
@@ -22,7 +22,7 @@
 
 /// One generation as the projection sees it.
 #[derive(Clone, Debug)]
-pub struct Running {
+pub struct RunningGeneration {
     /// Tokens in the prompt.
     pub prompt: Tokens,
     /// Tokens produced.
@@ -30,10 +30,10 @@
     /// The most tokens to produce.
     pub max_output: Tokens,
     /// Chance to outlive a length.
-    pub curve: Arc<Curve>,
+    pub curve: Arc<SurvivalCurve>,
 }
 
-impl Running {
+impl RunningGeneration {
     /// Chance that it still runs `more` tokens later.
     fn alive(&self, more: Tokens) -> f64 {
         if self.produced + more >= self.max_output.max(1) {
@@ -58,15 +58,15 @@
 
 /// Projected occupation of one engine.
 #[derive(Clone, Debug, Default)]
-pub struct Projection {
+pub struct MemoryProjection {
     mean: [f64; HORIZONS.len()],
     variance: [f64; HORIZONS.len()],
     third: [f64; HORIZONS.len()],
     finals: f64,
-    told: Vec<Running>,
+    told: Vec<RunningGeneration>,
 }
 
-impl Projection {
+impl MemoryProjection {
     /// Starts with nothing running.
     #[must_use]
     pub fn new() -> Self {
@@ -74,15 +74,15 @@
     }
 
     /// Adds a generation.
-    pub fn add(&mut self, running: &Running, admission: Admission) {
+    pub fn add(&mut self, running: &RunningGeneration, admission: MemoryEstimate) {
         match admission {
-            Admission::ExpectedFinals => self.finals += running.expected_final(),
-            Admission::Told => self.told.push(running.clone()),
-            Admission::ProjectedPeak => self.add_curve(running),
+            MemoryEstimate::ExpectedFinals => self.finals += running.expected_final(),
+            MemoryEstimate::KnownLengths => self.told.push(running.clone()),
+            MemoryEstimate::ProjectedPeak => self.add_curve(running),
         }
     }
 
-    fn add_curve(&mut self, running: &Running) {
+    fn add_curve(&mut self, running: &RunningGeneration) {
         for (at, &horizon) in HORIZONS.iter().enumerate() {
             let alive = running.alive(horizon);
             if alive <= 0.0 {
@@ -99,10 +99,10 @@
     /// The highest occupation to expect, margin included.
     #[must_use]
     pub fn peak(&self, tuning: &Tuning) -> f64 {
-        match tuning.admission {
-            Admission::ExpectedFinals => self.finals,
-            Admission::Told => told_peak(&self.told),
-            Admission::ProjectedPeak => self.curve_peak(tuning.spread),
+        match tuning.memory_estimate {
+            MemoryEstimate::ExpectedFinals => self.finals,
+            MemoryEstimate::KnownLengths => told_peak(&self.told),
+            MemoryEstimate::ProjectedPeak => self.curve_peak(tuning.margin_deviations),
         }
     }
 
@@ -141,8 +141,8 @@
 }
 
 /// The exact peak where each generation runs to its limit: it lies right before one of them ends.
-fn told_peak(told: &[Running]) -> f64 {
-    let mut order: Vec<&Running> = told.iter().collect();
+fn told_peak(told: &[RunningGeneration]) -> f64 {
+    let mut order: Vec<&RunningGeneration> = told.iter().collect();
     order.sort_by_key(|running| running.most());
     let mut base: Tokens = order.iter().map(|r| r.prompt + r.produced).sum();
     let mut alive = order.len() as Tokens;
--- a/components/policy/src/owner.rs
+++ b/components/policy/src/owner.rs
@@ -9,8 +9,8 @@
 use crate::{
     api::{Action, EngineReport, Event, ShardRole, TargetLimits, View},
     outbox::deny,
+    owner_state::OwnerState,
     shard::ShardState,
-    shared::Shared,
     tuning::Tuning,
 };
 
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub struct Owner {
     shards: BTreeMap<Shard, ShardState>,
-    shared: Shared,
+    owner_state: OwnerState,
 }
 
 impl Owner {
@@ -27,14 +27,14 @@
     pub fn new(me: InstanceId, incarnation: Incarnation, seed: u64) -> Self {
         Self {
             shards: BTreeMap::new(),
-            shared: Shared::new(&me, incarnation, seed, Tuning::default()),
+            owner_state: OwnerState::new(&me, incarnation, seed, Tuning::default()),
         }
     }
 
     /// Replaces the figures that decisions about memory are tuned by.
     #[must_use]
     pub fn with_tuning(mut self, tuning: Tuning) -> Self {
-        self.shared.tuning = tuning;
+        self.owner_state.tuning = tuning;
         self
     }
 
@@ -47,11 +47,11 @@
                 incarnation,
                 message,
             } => self.received(now, from, *incarnation, message, out),
-            Event::Reported { target, report } => self.reported(now, target, *report, out),
-            Event::Changed(view) => self.changed(now, view, out),
-            Event::Role { shard, role } => self.role(now, shard, role, out),
+            Event::TargetReported { target, report } => self.reported(now, target, *report, out),
+            Event::ViewChanged(view) => self.changed(now, view, out),
+            Event::RoleChanged { shard, role } => self.role(now, shard, role, out),
             Event::PeerGone { peer } => self.peer_gone(now, peer, out),
-            Event::Exclusive { shard, exclusive } => {
+            Event::ExclusivityChanged { shard, exclusive } => {
                 self.exclusive(now, shard, *exclusive, out);
             }
             Event::Paused { gap } => self.paused(now, *gap, out),
@@ -65,7 +65,7 @@
     pub fn summaries(&self, now: Moment) -> Vec<ShardSummary> {
         self.shards
             .values()
-            .map(|state| state.summary(now, &self.shared))
+            .map(|state| state.summary(now, &self.owner_state))
             .collect()
     }
 
@@ -74,10 +74,16 @@
     pub fn dump(&self, now: Moment) -> Vec<String> {
         let mut lines = Vec::new();
         for state in self.shards.values() {
-            state.dump(now, &self.shared, &mut lines);
+            state.dump(now, &self.owner_state, &mut lines);
         }
         lines.push("last decisions:".to_owned());
-        lines.extend(self.shared.journal.tail().lines().map(str::to_owned));
+        lines.extend(
+            self.owner_state
+                .decision_log
+                .tail()
+                .lines()
+                .map(str::to_owned),
+        );
         lines
     }
 
@@ -111,7 +117,7 @@
 
     /// Takes a sign of an entry. The work of its earlier lives is orphaned by a new one.
     fn heard(&mut self, now: Moment, from: &InstanceId, incarnation: Incarnation, stamp: Moment) {
-        if self.shared.heard(now, from, incarnation, stamp) {
+        if self.owner_state.heard(now, from, incarnation, stamp) {
             for state in self.shards.values_mut() {
                 state.orphan(now, from, incarnation);
             }
@@ -123,19 +129,19 @@
             deny(from, &ask.shard, ask.ask, None, out);
             return;
         };
-        state.asked(now, from, ask, &mut self.shared, out);
-        state.serve(now, &mut self.shared, out);
+        state.asked(now, from, ask, &mut self.owner_state, out);
+        state.serve(now, &mut self.owner_state, out);
     }
 
     fn done(&mut self, now: Moment, from: &InstanceId, done: &Done, out: &mut Vec<Action>) {
         let Some(state) = self.shards.get_mut(&done.shard) else {
             return;
         };
-        let Some(limits) = limits(&self.shared, &done.shard) else {
+        let Some(limits) = limits(&self.owner_state, &done.shard) else {
             return;
         };
-        state.done(now, from, done, &limits, &mut self.shared);
-        state.serve(now, &mut self.shared, out);
+        state.done(now, from, done, &limits, &mut self.owner_state);
+        state.serve(now, &mut self.owner_state, out);
     }
 
     fn held(
@@ -149,11 +155,11 @@
         let Some(state) = self.shards.get_mut(&held.shard) else {
             return;
         };
-        let Some(limits) = limits(&self.shared, &held.shard) else {
+        let Some(limits) = limits(&self.owner_state, &held.shard) else {
             return;
         };
-        state.held(now, from, incarnation, held, &limits, &mut self.shared);
-        state.serve(now, &mut self.shared, out);
+        state.held(now, from, incarnation, held, &limits, &mut self.owner_state);
+        state.serve(now, &mut self.owner_state, out);
     }
 
     fn reported(
@@ -163,38 +169,42 @@
         report: EngineReport,
         out: &mut Vec<Action>,
     ) {
-        let report = self.shared.reported(now, target, report);
+        let report = self.owner_state.reported(now, target, report);
         for state in self.shards.values_mut() {
-            let Some(limits) = limits(&self.shared, &state.shard) else {
+            let Some(limits) = limits(&self.owner_state, &state.shard) else {
                 continue;
             };
             if state.reported(now, target, report, &limits) {
-                state.recall(now, &mut self.shared, out);
-                state.serve(now, &mut self.shared, out);
+                state.recall(now, &mut self.owner_state, out);
+                state.serve(now, &mut self.owner_state, out);
             }
         }
     }
 
     fn changed(&mut self, now: Moment, view: &View, out: &mut Vec<Action>) {
-        self.shared.changed(now, view);
+        self.owner_state.changed(now, view);
         for state in self.shards.values_mut() {
-            state.refresh(now, &self.shared);
-            state.send_on(&self.shared, out);
-            state.serve(now, &mut self.shared, out);
+            state.refresh(now, &self.owner_state);
+            state.send_on(&self.owner_state, out);
+            state.serve(now, &mut self.owner_state, out);
         }
     }
 
     fn role(&mut self, now: Moment, shard: &Shard, role: &ShardRole, out: &mut Vec<Action>) {
         match role {
             ShardRole::Follow { .. } => self.disown(now, shard, out),
-            ShardRole::Own { epoch, ask } => {
+            ShardRole::Own {
+                epoch,
+                entries_to_query,
+            } => {
                 if self.shards.get(shard).is_some_and(|s| s.epoch >= *epoch) {
                     return;
                 }
                 self.disown(now, shard, out);
-                let line = format!("owner of {shard} in term {epoch}, asks {ask:?}");
-                self.shared.journal.note(now, line);
-                let state = ShardState::new(now, shard, *epoch, ask, &self.shared, out);
+                let line = format!("owner of {shard} in term {epoch}, asks {entries_to_query:?}");
+                self.owner_state.decision_log.note(now, line);
+                let state =
+                    ShardState::new(now, shard, *epoch, entries_to_query, &self.owner_state, out);
                 self.shards.insert(shard.clone(), state);
             }
         }
@@ -205,18 +215,18 @@
             return;
         };
         let line = format!("no longer owner of {shard}");
-        self.shared.journal.note(now, line);
+        self.owner_state.decision_log.note(now, line);
         state.deny_all(out);
     }
 
     fn peer_gone(&mut self, now: Moment, peer: &InstanceId, out: &mut Vec<Action>) {
-        self.shared.peers.remove(peer);
+        self.owner_state.peers.remove(peer);
         let line = format!("entry {peer} is gone");
-        self.shared.journal.note(now, line);
+        self.owner_state.decision_log.note(now, line);
         for state in self.shards.values_mut() {
             state.peer_gone(peer);
             state.orphan(now, peer, Incarnation::MAX);
-            state.serve(now, &mut self.shared, out);
+            state.serve(now, &mut self.owner_state, out);
         }
     }
 
@@ -225,9 +235,9 @@
             return;
         };
         let line = format!("exclusive owner of {shard}: {exclusive}");
-        self.shared.journal.note(now, line);
+        self.owner_state.decision_log.note(now, line);
         state.exclusive = exclusive;
-        state.serve(now, &mut self.shared, out);
+        state.serve(now, &mut self.owner_state, out);
     }
 
     /// A process that did not run may have been replaced as owner. What it grants on waking
@@ -235,7 +245,7 @@
     /// gives up all shards before anything else.
     fn paused(&mut self, now: Moment, gap: Duration, out: &mut Vec<Action>) {
         let line = format!("paused for {gap:?}");
-        self.shared.journal.note(now, line);
+        self.owner_state.decision_log.note(now, line);
         let shards: Vec<Shard> = self.shards.keys().cloned().collect();
         for shard in shards {
             self.disown(now, &shard, out);
@@ -244,13 +254,13 @@
 
     fn tick(&mut self, now: Moment, out: &mut Vec<Action>) {
         for state in self.shards.values_mut() {
-            state.tick(now, &mut self.shared, out);
-            state.recall(now, &mut self.shared, out);
-            state.serve(now, &mut self.shared, out);
+            state.tick(now, &mut self.owner_state, out);
+            state.recall(now, &mut self.owner_state, out);
+            state.serve(now, &mut self.owner_state, out);
         }
     }
 }
 
-fn limits(shared: &Shared, shard: &Shard) -> Option<Arc<TargetLimits>> {
-    shared.view.limits.get(&shard.service).cloned()
+fn limits(owner_state: &OwnerState, shard: &Shard) -> Option<Arc<TargetLimits>> {
+    owner_state.view.limits.get(&shard.service).cloned()
 }
--- a/components/policy/src/shared.rs
+++ b/components/policy/src/owner_state.rs
@@ -8,8 +8,8 @@
 use crate::{
     account::Report,
     api::{EngineReport, View},
-    journal::Journal,
-    length::Lengths,
+    decision_log::DecisionLog,
+    length::LengthEstimator,
     tuning::Tuning,
 };
 
@@ -51,15 +51,15 @@
 
 /// What all shards of one owner share.
 #[derive(Debug)]
-pub struct Shared {
+pub struct OwnerState {
     /// Configuration and list in force.
     pub view: View,
     /// What is known of lengths.
-    pub lengths: Lengths,
+    pub lengths: LengthEstimator,
     /// What decisions about memory are tuned by.
     pub tuning: Tuning,
     /// The last events and actions.
-    pub journal: Journal,
+    pub decision_log: DecisionLog,
     /// Entries that were heard.
     pub peers: BTreeMap<InstanceId, Peer>,
     facts: BTreeMap<TargetId, Fact>,
@@ -68,15 +68,15 @@
     rng: fastrand::Rng,
 }
 
-impl Shared {
+impl OwnerState {
     /// Starts with nothing known.
     #[must_use]
     pub fn new(me: &InstanceId, incarnation: Incarnation, seed: u64, tuning: Tuning) -> Self {
         Self {
             view: View::default(),
-            lengths: Lengths::new(),
+            lengths: LengthEstimator::new(),
             tuning,
-            journal: Journal::new(),
+            decision_log: DecisionLog::new(),
             peers: BTreeMap::new(),
             facts: BTreeMap::new(),
             viewed: false,
@@ -127,11 +127,11 @@
 
     /// Takes a new view; remembers which targets are new, restarted or back in service.
     pub fn changed(&mut self, now: Moment, view: &View) {
-        let was_out = std::mem::take(&mut self.view.out);
+        let was_out = std::mem::take(&mut self.view.data_centres_out);
         let mut facts = BTreeMap::new();
         for target in &view.targets {
             let out = &target.data_centre;
-            let returned = was_out.contains(out) && !view.out.contains(out);
+            let returned = was_out.contains(out) && !view.data_centres_out.contains(out);
             let known = self.facts.get(&target.id).copied();
             let same = known.filter(|fact| fact.incarnation == target.incarnation);
             let started = same.is_none() && self.viewed;
--- a/components/policy/src/permit.rs
+++ b/components/policy/src/permit.rs
@@ -6,8 +6,8 @@
 use wire::HeldPermit;
 
 use crate::{
-    line::TOKENS_MOST,
     shard::{LAPSE_MARGIN, PERMIT_LIFE},
+    wait_queue::TOKENS_MOST,
 };
 
 /// Calls that one permit may cover; larger figures of a message are cut to this.
--- a/components/policy/src/returns.rs
+++ b/components/policy/src/permit_updates.rs
@@ -6,12 +6,12 @@
 use wire::{Done, Held, HeldPermit, Outcome};
 
 use crate::{
-    account::Account,
+    account::TargetAccount,
     api::TargetLimits,
-    length::Source,
+    length::GenerationSource,
+    owner_state::OwnerState,
     permit::{Permit, PermitKey},
     shard::ShardState,
-    shared::Shared,
 };
 
 impl ShardState {
@@ -22,7 +22,7 @@
         from: &InstanceId,
         done: &Done,
         limits: &TargetLimits,
-        shared: &mut Shared,
+        owner_state: &mut OwnerState,
     ) {
         let Some(account) = self.accounts.get_mut(&done.target) else {
             return;
@@ -45,28 +45,28 @@
             Outcome::Finished { produced, .. } | Outcome::Cancelled { produced } => produced,
             _ => permit.produced,
         };
-        if Account::is_model(limits) {
-            self.learn(&permit, length, &done.outcome, shared);
+        if TargetAccount::is_model(limits) {
+            self.learn(&permit, length, &done.outcome, owner_state);
         }
         let spent = match done.outcome {
             Outcome::Unsent | Outcome::Unreachable | Outcome::Overloaded => 0.0,
-            _ if Account::is_model(limits) => permit.prompt as f64 + length as f64,
+            _ if TargetAccount::is_model(limits) => permit.prompt as f64 + length as f64,
             _ => permit.charged,
         };
         self.line.settle(&permit.workspace, spent - permit.charged);
     }
 
-    fn learn(&self, permit: &Permit, length: u64, outcome: &Outcome, shared: &mut Shared) {
-        let source = Source {
+    fn learn(&self, permit: &Permit, length: u64, outcome: &Outcome, owner_state: &mut OwnerState) {
+        let source = GenerationSource {
             service: &self.shard.service,
             route: &permit.route,
             workspace: &permit.workspace,
         };
         let whole = matches!(outcome, Outcome::Finished { .. }) && length < permit.max_output;
         if whole {
-            shared.lengths.ended(&source, permit.produced, length);
+            owner_state.lengths.ended(&source, permit.produced, length);
         } else {
-            shared.lengths.passed(&source, permit.produced, length);
+            owner_state.lengths.passed(&source, permit.produced, length);
         }
     }
 
@@ -78,14 +78,22 @@
         incarnation: u64,
         held: &Held,
         limits: &TargetLimits,
-        shared: &mut Shared,
+        owner_state: &mut OwnerState,
     ) {
         if held.epoch == self.epoch {
             self.awaiting.remove(from);
         }
         self.drop_unlisted(from, incarnation, held);
         for permit in &held.permits {
-            self.held_one(now, from, incarnation, held.stamp, permit, limits, shared);
+            self.held_one(
+                now,
+                from,
+                incarnation,
+                held.stamp,
+                permit,
+                limits,
+                owner_state,
+            );
         }
     }
 
@@ -124,12 +132,12 @@
         stamp: Moment,
         held: &HeldPermit,
         limits: &TargetLimits,
-        shared: &mut Shared,
+        owner_state: &mut OwnerState,
     ) {
         let account = self
             .accounts
             .entry(held.target.clone())
-            .or_insert_with(|| Account::new(now));
+            .or_insert_with(|| TargetAccount::new(now));
         let key = PermitKey {
             entry: from.clone(),
             permit: held.permit,
@@ -145,15 +153,15 @@
             account.limiter.started(limits, busy);
         }
         account.progressed(now, stamp, &key, held);
-        if !Account::is_model(limits) {
+        if !TargetAccount::is_model(limits) {
             return;
         }
-        let source = Source {
+        let source = GenerationSource {
             service: &self.shard.service,
             route: &held.route,
             workspace: &held.workspace,
         };
-        shared.lengths.passed(&source, before, held.produced);
+        owner_state.lengths.passed(&source, before, held.produced);
         if held.produced == 0 && !late {
             let turned = account.limiter.late(now, now.saturating_sub(since));
             if let Some(permit) = account.permits.get_mut(&key) {
@@ -166,7 +174,7 @@
 /// What an ended request says about its target's limit.
 fn judge(
     now: Moment,
-    account: &mut Account,
+    account: &mut TargetAccount,
     permit: &Permit,
     occupied: u32,
     outcome: &Outcome,
--- a/components/policy/src/asks.rs
+++ b/components/policy/src/queueing.rs
@@ -5,7 +5,10 @@
 use types::{Class, InstanceId, Moment};
 use wire::{Ask, Withdraw};
 
-use crate::{api::Action, line::Waiting, outbox::deny, shard::ShardState, shared::Shared};
+use crate::{
+    api::Action, outbox::deny, owner_state::OwnerState, shard::ShardState,
+    wait_queue::QueuedRequest,
+};
 
 /// Time between two looks for asks that can't be served in time.
 const JUDGE_EVERY: Duration = Duration::from_millis(250);
@@ -20,26 +23,26 @@
         now: Moment,
         from: &InstanceId,
         ask: &Ask,
-        shared: &mut Shared,
+        owner_state: &mut OwnerState,
         out: &mut Vec<Action>,
     ) {
         if ask.class == Class::Urgent {
             self.urgent = Some(now);
         }
-        if self.refuses_all(shared) {
+        if self.refuses_all(owner_state) {
             deny(from, &self.shard, ask.ask, None, out);
             return;
         }
         self.line.remove(from, ask.ask);
         let ahead = self.line.len_of(ask.class);
         let wait = self.pace.wait(now, ask.class, ahead).unwrap_or_default();
-        if wait > ask.within || !self.make_place(now, ask.class, shared, out) {
-            let after = shared.jittered(wait);
+        if wait > ask.within || !self.make_place(now, ask.class, owner_state, out) {
+            let after = owner_state.jittered(wait);
             deny(from, &self.shard, ask.ask, Some(after), out);
             return;
         }
         self.pace.waits(now, ask.class);
-        self.line.push(Waiting::new(from, ask, now));
+        self.line.push(QueuedRequest::new(from, ask, now));
     }
 
     /// Makes sure that one more ask of a class may wait; a less urgent one gives way.
@@ -47,10 +50,10 @@
         &mut self,
         now: Moment,
         class: Class,
-        shared: &mut Shared,
+        owner_state: &mut OwnerState,
         out: &mut Vec<Action>,
     ) -> bool {
-        let limit = shared
+        let limit = owner_state
             .view
             .limits
             .get(&self.shard.service)
@@ -61,15 +64,21 @@
         let Some(displaced) = self.line.displace(class) else {
             return false;
         };
-        self.refuse(now, &displaced, shared, out);
+        self.refuse(now, &displaced, owner_state, out);
         true
     }
 
     /// Refuses an ask that waited, with the time to come back.
-    fn refuse(&self, now: Moment, waiting: &Waiting, shared: &mut Shared, out: &mut Vec<Action>) {
+    fn refuse(
+        &self,
+        now: Moment,
+        waiting: &QueuedRequest,
+        owner_state: &mut OwnerState,
+        out: &mut Vec<Action>,
+    ) {
         let ahead = self.line.len_of(waiting.rank);
         let wait = self.pace.wait(now, waiting.rank, ahead).unwrap_or_default();
-        let after = shared.jittered(wait);
+        let after = owner_state.jittered(wait);
         deny(
             &waiting.entry,
             &self.shard,
@@ -81,16 +90,16 @@
 
     /// Tells whether none of the shard's targets will take work, so that asks have to go
     /// elsewhere.
-    fn refuses_all(&self, shared: &Shared) -> bool {
+    fn refuses_all(&self, owner_state: &OwnerState) -> bool {
         !self
             .accounts
             .values()
-            .any(|account| account.is_staying(&shared.view))
+            .any(|account| account.is_staying(&owner_state.view))
     }
 
     /// Sends all waiting asks elsewhere if no target is left to wait for.
-    pub fn send_on(&mut self, shared: &Shared, out: &mut Vec<Action>) {
-        if !self.line.is_empty() && self.refuses_all(shared) {
+    pub fn send_on(&mut self, owner_state: &OwnerState, out: &mut Vec<Action>) {
+        if !self.line.is_empty() && self.refuses_all(owner_state) {
             self.deny_all(out);
         }
     }
@@ -109,7 +118,12 @@
 
     /// Refuses what can't be served in time any more, as soon as that is clear: whoever is told
     /// only at the end of its patience has waited for nothing and can't go elsewhere.
-    pub(crate) fn give_up(&mut self, now: Moment, shared: &mut Shared, out: &mut Vec<Action>) {
+    pub(crate) fn give_up(
+        &mut self,
+        now: Moment,
+        owner_state: &mut OwnerState,
+        out: &mut Vec<Action>,
+    ) {
         let mut hopeless = self.line.drain_if(|waiting| waiting.deadline <= now);
         if now.saturating_sub(self.judged) >= JUDGE_EVERY {
             self.judged = now;
@@ -120,7 +134,7 @@
             }
         }
         for waiting in hopeless {
-            self.refuse(now, &waiting, shared, out);
+            self.refuse(now, &waiting, owner_state, out);
         }
     }
 }
--- a/components/policy/src/retry.rs
+++ b/components/policy/src/retry_budget.rs
@@ -13,13 +13,13 @@
 /// Retries that a service has from the start.
 const SAVED_FIRST: f64 = 5.0;
 
-/// Retry budgets of all services.
+/// Retry retry_budgets of all services.
 #[derive(Clone, Debug, Default)]
-pub struct Budgets {
+pub struct RetryBudgets {
     saved: BTreeMap<ServiceId, f64>,
 }
 
-impl Budgets {
+impl RetryBudgets {
     /// Takes a first try into account; `percent` retries are earned by 100 of them.
     pub fn earn(&mut self, service: &ServiceId, percent: u32) {
         let saved = self.saved.entry(service.clone()).or_insert(SAVED_FIRST);
--- a/components/policy/src/recall.rs
+++ b/components/policy/src/revoke.rs
@@ -10,12 +10,12 @@
 use wire::Recall;
 
 use crate::{
-    account::Account,
+    account::TargetAccount,
     api::{Action, TargetLimits},
     outbox::send,
+    owner_state::OwnerState,
     permit::PermitKey,
     shard::ShardState,
-    shared::Shared,
 };
 
 /// Time between two recalls from one target, so that the first shows its effect.
@@ -23,21 +23,21 @@
 
 impl ShardState {
     /// Asks for the cheapest unseen permit of each target that is about to run out of memory.
-    pub fn recall(&mut self, now: Moment, shared: &mut Shared, out: &mut Vec<Action>) {
-        let Some(limits) = shared.view.limits.get(&self.shard.service).cloned() else {
+    pub fn recall(&mut self, now: Moment, owner_state: &mut OwnerState, out: &mut Vec<Action>) {
+        let Some(limits) = owner_state.view.limits.get(&self.shard.service).cloned() else {
             return;
         };
-        if !Account::is_model(&limits) {
+        if !TargetAccount::is_model(&limits) {
             return;
         }
         for (id, account) in &mut self.accounts {
             account.projection(
                 now,
                 &self.shard.service,
-                &mut shared.lengths,
-                &shared.tuning,
+                &mut owner_state.lengths,
+                &owner_state.tuning,
             );
-            if !is_short(now, account, &limits, shared) {
+            if !is_short(now, account, &limits, owner_state) {
                 continue;
             }
             let Some(key) = cheapest(account) else {
@@ -48,7 +48,7 @@
                 permit.recalled = true;
             }
             let line = format!("permit {} recalled from {id}", key.permit);
-            shared.journal.note(now, line);
+            owner_state.decision_log.note(now, line);
             let recall = Recall {
                 shard: self.shard.clone(),
                 permit: key.permit,
@@ -58,18 +58,23 @@
     }
 }
 
-fn is_short(now: Moment, account: &Account, limits: &TargetLimits, shared: &Shared) -> bool {
+fn is_short(
+    now: Moment,
+    account: &TargetAccount,
+    limits: &TargetLimits,
+    owner_state: &OwnerState,
+) -> bool {
     if now.saturating_sub(account.recalled) < BETWEEN {
         return false;
     }
-    let recall_share = shared.tuning.recall_share;
+    let recall_share = owner_state.tuning.revoke_share;
     let soon = account.last_projection().soon() / account.capacity(limits).max(1) as f64;
     account.used_share(now) >= recall_share || soon >= recall_share
 }
 
 /// The unseen permit whose loss costs least: background first, then the fewest tokens to be
 /// computed again. Urgent work stays.
-fn cheapest(account: &Account) -> Option<PermitKey> {
+fn cheapest(account: &TargetAccount) -> Option<PermitKey> {
     account
         .permits
         .iter()
--- a/components/policy/src/shard.rs
+++ b/components/policy/src/shard.rs
@@ -10,13 +10,13 @@
 use wire::Query;
 
 use crate::{
-    account::{Account, Report},
+    account::{Report, TargetAccount},
     api::{Action, TargetLimits},
-    limit::urgent_part,
-    line::Line,
+    grant_rate::GrantRate,
+    limiter::urgent_part,
     outbox::send,
-    pace::Pace,
-    shared::Shared,
+    owner_state::OwnerState,
+    wait_queue::WaitQueue,
 };
 
 /// Added to a permit's life where an owner waits for permits to lapse, for clocks that run at
@@ -39,11 +39,11 @@
     /// Whether cold targets may get work.
     pub exclusive: bool,
     /// Asks that wait.
-    pub line: Line,
+    pub line: WaitQueue,
     /// Accounts of the targets.
-    pub accounts: BTreeMap<TargetId, Account>,
+    pub accounts: BTreeMap<TargetId, TargetAccount>,
     /// How fast each class is served.
-    pub pace: Pace,
+    pub pace: GrantRate,
     pub(crate) awaiting: BTreeSet<InstanceId>,
     queried: Moment,
     began: Moment,
@@ -58,16 +58,16 @@
         shard: &Shard,
         epoch: Epoch,
         ask: &[InstanceId],
-        shared: &Shared,
+        owner_state: &OwnerState,
         out: &mut Vec<Action>,
     ) -> Self {
         let mut state = Self {
             shard: shard.clone(),
             epoch,
             exclusive: false,
-            line: Line::new(),
+            line: WaitQueue::new(),
             accounts: BTreeMap::new(),
-            pace: Pace::new(),
+            pace: GrantRate::new(),
             awaiting: ask.iter().cloned().collect(),
             queried: now,
             began: now,
@@ -75,7 +75,7 @@
             urgent: None,
         };
         state.query(now, out);
-        state.refresh(now, shared);
+        state.refresh(now, owner_state);
         state
     }
 
@@ -106,7 +106,7 @@
     /// entries have there, and the target has reported since the term began. Work of an entry
     /// that died shows nowhere else; its former life may even have been this very instance.
     #[must_use]
-    pub fn cold_ready(&self, now: Moment, account: &Account) -> bool {
+    pub fn cold_ready(&self, now: Moment, account: &TargetAccount) -> bool {
         let reported = account
             .report
             .is_some_and(|report| report.taken >= self.began);
@@ -153,26 +153,26 @@
     }
 
     /// Takes note of what is listed now.
-    pub fn refresh(&mut self, now: Moment, shared: &Shared) {
+    pub fn refresh(&mut self, now: Moment, owner_state: &OwnerState) {
         for account in self.accounts.values_mut() {
             account.listed = None;
         }
-        for target in &shared.view.targets {
+        for target in &owner_state.view.targets {
             if !self.shard.holds(target) {
                 continue;
             }
             let account = self
                 .accounts
                 .entry(target.id.clone())
-                .or_insert_with(|| Self::open(now, &target.id, shared));
+                .or_insert_with(|| Self::open(now, &target.id, owner_state));
             account.listed = Some(target.clone());
             if account.life != Some(target.incarnation) {
                 account.begin_life(now, target.incarnation);
             }
-            if shared.is_fresh_now(now, &target.id) {
+            if owner_state.is_fresh_now(now, &target.id) {
                 account.chill(now);
             }
-            if let Some(limits) = shared.view.limits.get(&self.shard.service) {
+            if let Some(limits) = owner_state.view.limits.get(&self.shard.service) {
                 account.judge(now, limits);
             }
         }
@@ -180,16 +180,16 @@
             .retain(|_, account| account.listed.is_some() || !account.permits.is_empty());
     }
 
-    fn open(now: Moment, target: &TargetId, shared: &Shared) -> Account {
-        let mut account = Account::new(now);
-        account.may_trust = !shared.is_fresh(now, target);
-        account.report = shared.report(target);
+    fn open(now: Moment, target: &TargetId, owner_state: &OwnerState) -> TargetAccount {
+        let mut account = TargetAccount::new(now);
+        account.may_trust = !owner_state.is_fresh(now, target);
+        account.report = owner_state.report(target);
         account
     }
 
     /// Time passed: ends what has waited too long.
-    pub fn tick(&mut self, now: Moment, shared: &mut Shared, out: &mut Vec<Action>) {
-        self.give_up(now, shared, out);
+    pub fn tick(&mut self, now: Moment, owner_state: &mut OwnerState, out: &mut Vec<Action>) {
+        self.give_up(now, owner_state, out);
         self.line.age(now);
         if !self.awaiting.is_empty() && now >= self.queried + QUERY_PERIOD {
             self.query(now, out);
--- a/components/policy/src/summary.rs
+++ b/components/policy/src/summary.rs
@@ -3,26 +3,26 @@
 use types::{Class, Moment};
 use wire::ShardSummary;
 
-use crate::{account::Account, shard::ShardState, shared::Shared};
+use crate::{account::TargetAccount, owner_state::OwnerState, shard::ShardState};
 
 impl ShardState {
     /// What others should know.
     #[must_use]
-    pub fn summary(&self, now: Moment, shared: &Shared) -> ShardSummary {
-        let Some(limits) = shared.view.limits.get(&self.shard.service) else {
+    pub fn summary(&self, now: Moment, owner_state: &OwnerState) -> ShardSummary {
+        let Some(limits) = owner_state.view.limits.get(&self.shard.service) else {
             return self.summary_of(now, 0.0, 0);
         };
-        let open: Vec<&Account> = self
+        let open: Vec<&TargetAccount> = self
             .accounts
             .values()
-            .filter(|account| account.is_open(&shared.view))
+            .filter(|account| account.is_open(&owner_state.view))
             .collect();
         let slots: u32 = open.iter().map(|a| a.limiter.slots(limits)).sum();
         let occupied: u32 = open.iter().map(|a| a.occupied()).sum();
         let memory: u64 = open.iter().map(|a| a.capacity(limits)).sum();
         let peaks: f64 = open
             .iter()
-            .map(|a| a.last_projection().peak(&shared.tuning))
+            .map(|a| a.last_projection().peak(&owner_state.tuning))
             .sum();
         let by_slots = f64::from(occupied) / f64::from(slots.max(1));
         let by_memory = peaks / memory.max(1) as f64;
--- a/components/policy/src/tuning.rs
+++ b/components/policy/src/tuning.rs
@@ -2,7 +2,7 @@
 
 /// How much memory a set of generations is taken to need.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Admission {
+pub enum MemoryEstimate {
     /// The sum of expected final sizes; a variant to measure against.
     ExpectedFinals,
     /// The highest projected occupation over the coming tokens.
@@ -10,33 +10,33 @@
     ProjectedPeak,
     /// The exact highest occupation, taking each request's limit as its true length; the bound
     /// to measure against.
-    Told,
+    KnownLengths,
 }
 
 /// What the decisions about memory are tuned by.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tuning {
     /// How memory needs are worked out.
-    pub admission: Admission,
+    pub memory_estimate: MemoryEstimate,
     /// Share of an engine's memory up to which work is admitted.
-    pub share: f64,
+    pub admit_share: f64,
     /// Standard deviations that are kept free on top of the mean, before the correction for
     /// skewness.
-    pub spread: f64,
+    pub margin_deviations: f64,
     /// Share of memory in use from which nothing is admitted, whatever the projection says.
     pub stop_share: f64,
     /// Share of memory in use from which unseen work is pulled back.
-    pub recall_share: f64,
+    pub revoke_share: f64,
 }
 
 impl Default for Tuning {
     fn default() -> Self {
         Self {
-            admission: Admission::ProjectedPeak,
-            share: 0.9,
-            spread: 2.5,
+            memory_estimate: MemoryEstimate::ProjectedPeak,
+            admit_share: 0.9,
+            margin_deviations: 2.5,
             stop_share: 0.95,
-            recall_share: 0.97,
+            revoke_share: 0.97,
         }
     }
 }
@@ -44,10 +44,10 @@
 impl Tuning {
     /// The figures that do best where the true lengths are told: only lags are left to allow for.
     #[must_use]
-    pub fn told() -> Self {
+    pub fn with_known_lengths() -> Self {
         Self {
-            admission: Admission::Told,
-            share: 0.95,
+            memory_estimate: MemoryEstimate::KnownLengths,
+            admit_share: 0.95,
             ..Self::default()
         }
     }
--- a/components/policy/src/line.rs
+++ b/components/policy/src/wait_queue.rs
@@ -29,11 +29,11 @@
 pub const TOKENS_MOST: Tokens = 1 << 32;
 
 /// Number of a waiting ask within its line.
-pub type Place = u64;
+pub type QueuePosition = u64;
 
 /// An ask that waits.
 #[derive(Clone, Debug)]
-pub struct Waiting {
+pub struct QueuedRequest {
     /// Who asks.
     pub entry: InstanceId,
     /// What it asks for.
@@ -48,7 +48,7 @@
     pub rank: Class,
 }
 
-impl Waiting {
+impl QueuedRequest {
     /// Takes an ask that has just come.
     #[must_use]
     pub fn new(entry: &InstanceId, ask: &Ask, now: Moment) -> Self {
@@ -77,7 +77,7 @@
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Turn {
     deadline: Moment,
-    place: Place,
+    place: QueuePosition,
 }
 
 /// Where an ask stands among those of its class.
@@ -87,21 +87,21 @@
     turn: Turn,
 }
 
-type ClassLine = BTreeMap<WorkspaceId, BTreeSet<Turn>>;
+type ClassQueue = BTreeMap<WorkspaceId, BTreeSet<Turn>>;
 
 /// Asks that wait for one shard.
 #[derive(Debug, Default)]
-pub struct Line {
-    next: Place,
-    waiting: BTreeMap<Place, Waiting>,
-    places: BTreeMap<AskKey, Place>,
-    classes: [ClassLine; 3],
+pub struct WaitQueue {
+    next: QueuePosition,
+    waiting: BTreeMap<QueuePosition, QueuedRequest>,
+    places: BTreeMap<AskKey, QueuePosition>,
+    classes: [ClassQueue; 3],
     lengths: [usize; 3],
     finish: BTreeMap<WorkspaceId, f64>,
     virtual_time: f64,
 }
 
-impl Line {
+impl WaitQueue {
     /// Starts empty.
     #[must_use]
     pub fn new() -> Self {
@@ -133,7 +133,7 @@
     }
 
     /// Adds an ask; an earlier one with the same number of the same entry is replaced.
-    pub fn push(&mut self, waiting: Waiting) {
+    pub fn push(&mut self, waiting: QueuedRequest) {
         self.remove(&waiting.entry.clone(), waiting.ask.ask);
         let place = self.next;
         self.next += 1;
@@ -147,7 +147,7 @@
     }
 
     /// Takes an ask out.
-    pub fn remove(&mut self, entry: &InstanceId, ask: AskId) -> Option<Waiting> {
+    pub fn remove(&mut self, entry: &InstanceId, ask: AskId) -> Option<QueuedRequest> {
         let key = AskKey {
             entry: entry.clone(),
             ask,
@@ -157,8 +157,8 @@
     }
 
     /// Takes out all asks for which `gone` holds.
-    pub fn drain_if(&mut self, mut gone: impl FnMut(&Waiting) -> bool) -> Vec<Waiting> {
-        let places: Vec<Place> = self
+    pub fn drain_if(&mut self, mut gone: impl FnMut(&QueuedRequest) -> bool) -> Vec<QueuedRequest> {
+        let places: Vec<QueuePosition> = self
             .waiting
             .iter()
             .filter(|(_, waiting)| gone(waiting))
@@ -173,7 +173,12 @@
     /// Takes out the asks of a class that will not be served before their deadline, if one is
     /// served every `between` and the earliest deadline goes first. They give their places to
     /// those behind them.
-    pub fn drain_hopeless(&mut self, now: Moment, class: Class, between: Duration) -> Vec<Waiting> {
+    pub fn drain_hopeless(
+        &mut self,
+        now: Moment,
+        class: Class,
+        between: Duration,
+    ) -> Vec<QueuedRequest> {
         let mut turns: Vec<Turn> = self.classes[class as usize]
             .values()
             .flatten()
@@ -196,7 +201,7 @@
     }
 
     /// Takes out the youngest ask of the least urgent class below `class`.
-    pub fn displace(&mut self, class: Class) -> Option<Waiting> {
+    pub fn displace(&mut self, class: Class) -> Option<QueuedRequest> {
         let place = *self
             .waiting
             .iter()
@@ -208,7 +213,7 @@
 
     /// Lets background asks that have waited long count as normal.
     pub fn age(&mut self, now: Moment) {
-        let aged: Vec<Place> = self
+        let aged: Vec<QueuePosition> = self
             .waiting
             .iter()
             .filter(|(_, w)| w.rank == Class::Background)
@@ -228,7 +233,7 @@
 
     /// The first places in the order in which they should be served.
     #[must_use]
-    pub fn order(&self) -> Vec<Place> {
+    pub fn order(&self) -> Vec<QueuePosition> {
         let mut order = Vec::new();
         for class in &self.classes {
             let mut ranks: Vec<Rank> = Vec::new();
@@ -245,19 +250,19 @@
 
     /// The ask at a place.
     #[must_use]
-    pub fn get(&self, place: Place) -> Option<&Waiting> {
+    pub fn get(&self, place: QueuePosition) -> Option<&QueuedRequest> {
         self.waiting.get(&place)
     }
 
     /// Takes note that an ask behind this one was served.
-    pub fn bypass(&mut self, place: Place, times: u32) {
+    pub fn bypass(&mut self, place: QueuePosition, times: u32) {
         if let Some(waiting) = self.waiting.get_mut(&place) {
             waiting.bypassed += times;
         }
     }
 
     /// Takes the ask at a place out and charges its workspace with `tokens`.
-    pub fn serve(&mut self, place: Place, tokens: f64) -> Option<Waiting> {
+    pub fn serve(&mut self, place: QueuePosition, tokens: f64) -> Option<QueuedRequest> {
         let waiting = self.take(place)?;
         let start = self.start(&waiting.ask.workspace);
         self.virtual_time = self.virtual_time.max(start);
@@ -288,7 +293,7 @@
         }
     }
 
-    fn take(&mut self, place: Place) -> Option<Waiting> {
+    fn take(&mut self, place: QueuePosition) -> Option<QueuedRequest> {
         let waiting = self.waiting.remove(&place)?;
         let key = AskKey {
             entry: waiting.entry.clone(),
@@ -299,7 +304,7 @@
         Some(waiting)
     }
 
-    fn enter(&mut self, place: Place, waiting: &Waiting) {
+    fn enter(&mut self, place: QueuePosition, waiting: &QueuedRequest) {
         let turn = Turn {
             deadline: waiting.deadline,
             place,
@@ -311,7 +316,7 @@
         self.lengths[waiting.rank as usize] += 1;
     }
 
-    fn leave(&mut self, place: Place, waiting: &Waiting) {
+    fn leave(&mut self, place: QueuePosition, waiting: &QueuedRequest) {
         let turn = Turn {
             deadline: waiting.deadline,
             place,
--- a/components/policy/tests/faults.rs
+++ b/components/policy/tests/faults.rs
@@ -169,7 +169,7 @@
             used: std::collections::BTreeSet::new(),
         };
         let view = world.view();
-        world.tell_all(&Event::Changed(view));
+        world.tell_all(&Event::ViewChanged(view));
         world.replace();
         world
     }
@@ -253,7 +253,7 @@
         };
         self.tell(
             old,
-            Event::Role {
+            Event::RoleChanged {
                 shard: shard(),
                 role: follow,
             },
@@ -261,11 +261,11 @@
         let alive = (0..ENTRIES).filter(|&entry| !self.counts_as_gone(entry));
         let own = ShardRole::Own {
             epoch: self.epoch,
-            ask: alive.map(entry_name).collect(),
+            entries_to_query: alive.map(entry_name).collect(),
         };
         self.tell(
             self.leader,
-            Event::Role {
+            Event::RoleChanged {
                 shard: shard(),
                 role: own,
             },
@@ -340,7 +340,7 @@
             .is_some_and(|(at, _)| *at <= self.now)
             && let Some((_, view)) = self.pending_view.take()
         {
-            self.tell_all(&Event::Changed(view));
+            self.tell_all(&Event::ViewChanged(view));
         }
         let leader_awake = self.processes[self.leader].asleep_until.is_none();
         if self.exclusive_at.is_some_and(|at| at <= self.now) && leader_awake {
@@ -348,7 +348,7 @@
             let exclusive = true;
             self.tell(
                 self.leader,
-                Event::Exclusive {
+                Event::ExclusivityChanged {
                     shard: shard(),
                     exclusive,
                 },
@@ -588,7 +588,7 @@
         };
         let due = self.now + REPORT_LAG;
         let target = engine_name(target).as_str().into();
-        let event = Event::Reported { target, report };
+        let event = Event::TargetReported { target, report };
         for owner in 0..OWNERS {
             let to = Place::Owner(owner);
             let mail = Mail {
--- a/components/policy/tests/lengths.rs
+++ b/components/policy/tests/lengths.rs
@@ -1,9 +1,9 @@
 //! Learned lengths and the memory that is projected from them.
 
 use policy::{
-    Admission, Tuning,
-    length::{Lengths, Source},
-    memory::{Projection, Running},
+    MemoryEstimate, Tuning,
+    length::{GenerationSource, LengthEstimator},
+    memory::{MemoryProjection, RunningGeneration},
 };
 use types::{RouteId, ServiceId, WorkspaceId};
 
@@ -22,8 +22,8 @@
         }
     }
 
-    fn source(&self) -> Source<'_> {
-        Source {
+    fn source(&self) -> GenerationSource<'_> {
+        GenerationSource {
             service: &self.service,
             route: &self.route,
             workspace: &self.workspace,
@@ -31,7 +31,7 @@
     }
 }
 
-fn learn(lengths: &mut Lengths, names: &Names, seen: impl IntoIterator<Item = u64>) {
+fn learn(lengths: &mut LengthEstimator, names: &Names, seen: impl IntoIterator<Item = u64>) {
     for length in seen {
         lengths.ended(&names.source(), 0, length);
     }
@@ -39,7 +39,7 @@
 
 #[test]
 fn the_expected_length_is_near_what_was_seen() {
-    let mut lengths = Lengths::new();
+    let mut lengths = LengthEstimator::new();
     let names = Names::new("draft", "signs");
     learn(&mut lengths, &names, (0..400).map(|n| 100 + n % 200));
     let expected = lengths.curve(&names.source()).remaining(0, 4096);
@@ -48,7 +48,7 @@
 
 #[test]
 fn what_remains_is_judged_by_those_that_got_as_far() {
-    let mut lengths = Lengths::new();
+    let mut lengths = LengthEstimator::new();
     let names = Names::new("draft", "signs");
     learn(
         &mut lengths,
@@ -65,8 +65,8 @@
 #[test]
 fn cancelled_generations_count_as_at_least_as_long_as_they_got() {
     let names = Names::new("draft", "signs");
-    let mut whole = Lengths::new();
-    let mut all = Lengths::new();
+    let mut whole = LengthEstimator::new();
+    let mut all = LengthEstimator::new();
     for n in 0..400 {
         if n % 2 == 0 {
             whole.ended(&names.source(), 0, 100);
@@ -83,7 +83,7 @@
 
 #[test]
 fn a_new_workspace_leans_on_its_route_until_it_has_seen_enough() {
-    let mut lengths = Lengths::new();
+    let mut lengths = LengthEstimator::new();
     let old = Names::new("draft", "signs");
     let new = Names::new("draft", "films");
     learn(&mut lengths, &old, (0..400).map(|_| 300));
@@ -97,7 +97,7 @@
 
 #[test]
 fn an_old_habit_is_forgotten() {
-    let mut lengths = Lengths::new();
+    let mut lengths = LengthEstimator::new();
     let names = Names::new("draft", "signs");
     learn(&mut lengths, &names, (0..3000).map(|_| 50));
     learn(&mut lengths, &names, (0..6000).map(|_| 400));
@@ -105,9 +105,14 @@
     assert!(survival > 0.8, "{survival}");
 }
 
-fn running(lengths: &mut Lengths, prompt: u64, produced: u64, max_output: u64) -> Running {
+fn running(
+    lengths: &mut LengthEstimator,
+    prompt: u64,
+    produced: u64,
+    max_output: u64,
+) -> RunningGeneration {
     let names = Names::new("draft", "signs");
-    Running {
+    RunningGeneration {
         prompt,
         produced,
         max_output,
@@ -117,22 +122,22 @@
 
 #[test]
 fn the_peak_lies_between_what_is_used_now_and_the_sum_of_largest_sizes() {
-    let mut lengths = Lengths::new();
+    let mut lengths = LengthEstimator::new();
     learn(
         &mut lengths,
         &Names::new("draft", "signs"),
         (0..400).map(|n| 50 + n),
     );
     let tuning = Tuning::default();
-    let mut projection = Projection::new();
+    let mut projection = MemoryProjection::new();
     for n in 0..10 {
         let one = running(&mut lengths, 100, n * 20, 1000);
-        projection.add(&one, tuning.admission);
+        projection.add(&one, tuning.memory_estimate);
     }
     let peak = projection.peak(&tuning);
     assert!(projection.now() < peak && peak < 11_000.0, "{peak}");
     let wider = Tuning {
-        spread: 4.0,
+        margin_deviations: 4.0,
         ..tuning
     };
     assert!(projection.peak(&wider) > peak);
@@ -142,13 +147,13 @@
 // 2 x 150 and before the last 300 tokens are in use.
 #[test]
 fn told_lengths_give_the_exact_peak() {
-    let mut lengths = Lengths::new();
-    let tuning = Tuning::told();
-    assert_eq!(tuning.admission, Admission::Told);
-    let mut projection = Projection::new();
+    let mut lengths = LengthEstimator::new();
+    let tuning = Tuning::with_known_lengths();
+    assert_eq!(tuning.memory_estimate, MemoryEstimate::KnownLengths);
+    let mut projection = MemoryProjection::new();
     for length in [10, 50, 200] {
         let one = running(&mut lengths, 100, 0, length);
-        projection.add(&one, tuning.admission);
+        projection.add(&one, tuning.memory_estimate);
     }
     assert!((projection.peak(&tuning) - 330.0).abs() < 0.5);
 }
--- a/components/policy/tests/limits.rs
+++ b/components/policy/tests/limits.rs
@@ -11,7 +11,7 @@
 
 fn wide() -> TargetLimits {
     TargetLimits {
-        memory: 1_000_000,
+        memory_tokens: 1_000_000,
         queue_limit: 1000,
         ..limits()
     }
@@ -111,7 +111,7 @@
 #[test]
 fn a_new_life_of_a_target_starts_cold() {
     let (mut bed, before) = warmed_up();
-    bed.event(Event::Changed(view(vec![target("a", 2)], wide())));
+    bed.event(Event::ViewChanged(view(vec![target("a", 2)], wide())));
     let mut granted = bed.grants();
     // Permits of the former life may still be on their way, so they count until their entries
     // have told that they are lost and the new life reports that it has none of them.
@@ -187,13 +187,13 @@
 fn targets_of_a_data_centre_that_returns_start_cold() {
     let (mut bed, grants) = warmed_up();
     let mut out = view(vec![target("a", 1)], wide());
-    out.out.push(DATA_CENTRE.into());
-    bed.event(Event::Changed(out));
+    out.data_centres_out.push(DATA_CENTRE.into());
+    bed.event(Event::ViewChanged(out));
     for grant in grants {
         bed.done("entry", &grant, finished(10));
         assert!(bed.grants().is_empty());
     }
-    bed.event(Event::Changed(view(vec![target("a", 1)], wide())));
+    bed.event(Event::ViewChanged(view(vec![target("a", 1)], wide())));
     bed.report("a", roomy(0));
     let mut number = 9000;
     let granted = saturate(&mut bed, &mut number);
@@ -205,7 +205,10 @@
     let (mut bed, grants) = warmed_up();
     let mut leaving = target("a", 1);
     leaving.standing = Standing::Leaving;
-    bed.event(Event::Changed(view(vec![leaving, target("b", 1)], wide())));
+    bed.event(Event::ViewChanged(view(
+        vec![leaving, target("b", 1)],
+        wide(),
+    )));
     let next = finish(&mut bed, grants, 50);
     assert!(next.iter().all(|grant| &*grant.target == "b"));
 }
--- a/components/policy/tests/lost_asks.rs
+++ b/components/policy/tests/lost_asks.rs
@@ -21,7 +21,7 @@
         class: Class::Normal,
         deadline: 60 * SECOND,
         idempotent: false,
-        prompt: 100,
+        prompt_tokens: 100,
         max_output: 400,
         prefix: Vec::new(),
         true_output: None,
@@ -63,18 +63,18 @@
     let mut now = SECOND;
     let mut out = Vec::new();
     let known = view(vec![target("a", 1)], limits());
-    entry.handle(now, &Event::Changed(known), &mut out);
+    entry.handle(now, &Event::ViewChanged(known), &mut out);
     let role = ShardRole::Follow {
         owner: Some("owner".into()),
         epoch: 1,
     };
-    let follow = Event::Role {
+    let follow = Event::RoleChanged {
         shard: shard(),
         role,
     };
     entry.handle(now, &follow, &mut out);
     out.clear();
-    entry.handle(now, &Event::Arrive(request()), &mut out);
+    entry.handle(now, &Event::Arrived(request()), &mut out);
     assert_eq!(asks(&out), 1);
     let again = pass(&mut entry, &mut now) + pass(&mut entry, &mut now);
     assert!(again >= 1, "nobody was asked again");
--- a/components/policy/tests/lost_links.rs
+++ b/components/policy/tests/lost_links.rs
@@ -108,7 +108,7 @@
     bed.ask("entry", 1);
     let first = bed.grants()[0].clone();
     bed.ask("entry", 2);
-    bed.event(Event::Changed(view(vec![target("a", 2)], limits())));
+    bed.event(Event::ViewChanged(view(vec![target("a", 2)], limits())));
     bed.ask("entry", 3);
     assert!(bed.grants().is_empty(), "two may still be on their way");
     bed.done("entry", &first, Outcome::Unsent);
@@ -123,7 +123,7 @@
     bed.ask("entry", 1);
     let first = bed.grants()[0].clone();
     bed.held("entry", 1, vec![support::held(first.permit, "a", 5)]);
-    bed.event(Event::Changed(view(vec![target("a", 2)], limits())));
+    bed.event(Event::ViewChanged(view(vec![target("a", 2)], limits())));
     bed.ask("entry", 2);
     assert_eq!(bed.grants().len(), 1);
     bed.ask("entry", 3);
--- a/components/policy/tests/order.rs
+++ b/components/policy/tests/order.rs
@@ -306,7 +306,7 @@
     assert!(bed.denials().is_empty());
 }
 
-// When service slows down, some of those that wait will not be served in time. Told only at the
+// When service slows down, some of those that wait will not be served in time. KnownLengths only at the
 // end of their patience they would have waited for nothing.
 #[test]
 fn a_waiting_ask_is_refused_as_soon_as_it_can_not_be_met() {
--- a/components/policy/tests/owner.rs
+++ b/components/policy/tests/owner.rs
@@ -81,7 +81,7 @@
     assert_eq!(bed.grants().len(), 1);
 }
 
-// An entry that died can't answer. Waiting for it for good would leave the shard without
+// An entry that died can't answer. QueuedRequest for it for good would leave the shard without
 // service, so the wait ends once whatever it could still use has lapsed.
 #[test]
 fn a_new_owner_waits_no_longer_than_a_permit_lives() {
@@ -201,8 +201,8 @@
         bed.ask("entry", number);
     }
     let mut view = view(vec![target("a", 1)], limits());
-    view.out.push(support::DATA_CENTRE.into());
-    bed.event(Event::Changed(view));
+    view.data_centres_out.push(support::DATA_CENTRE.into());
+    bed.event(Event::ViewChanged(view));
     assert_eq!(bed.denials(), [(3, None)]);
     bed.ask("entry", 4);
     assert_eq!(bed.denials(), [(4, None)]);
@@ -231,7 +231,7 @@
     for number in 1..=4 {
         bed.ask("entry", number);
     }
-    bed.event(Event::Role {
+    bed.event(Event::RoleChanged {
         shard: shard(),
         role: ShardRole::Follow {
             owner: None,
--- a/components/policy/tests/support/mod.rs
+++ b/components/policy/tests/support/mod.rs
@@ -41,7 +41,7 @@
         kind: ServiceKind::Model,
         cold_limit: 2,
         warm_limit: 16,
-        memory: 10_000,
+        memory_tokens: 10_000,
         warm_after: 4,
         queue_limit: 8,
         retry_percent: 10,
@@ -53,7 +53,7 @@
     View {
         targets,
         limits: BTreeMap::from([(ServiceId::from(SERVICE), Arc::new(limits))]),
-        out: Vec::new(),
+        data_centres_out: Vec::new(),
         instances: 0,
     }
 }
@@ -96,7 +96,7 @@
             now: Duration::from_secs(1),
             out: Vec::new(),
         };
-        bed.event(Event::Changed(view));
+        bed.event(Event::ViewChanged(view));
         bed
     }
 
@@ -123,17 +123,23 @@
     }
 
     /// Makes it own the shard.
-    pub fn own(&mut self, epoch: Epoch, ask: &[&str]) {
-        let ask = ask.iter().map(|&name| InstanceId::from(name)).collect();
-        self.event(Event::Role {
+    pub fn own(&mut self, epoch: Epoch, entries_to_query: &[&str]) {
+        let entries_to_query = entries_to_query
+            .iter()
+            .map(|&name| InstanceId::from(name))
+            .collect();
+        self.event(Event::RoleChanged {
             shard: shard(),
-            role: ShardRole::Own { epoch, ask },
+            role: ShardRole::Own {
+                epoch,
+                entries_to_query,
+            },
         });
     }
 
     /// Says whether cold targets may get work.
     pub fn exclusive(&mut self, exclusive: bool) {
-        self.event(Event::Exclusive {
+        self.event(Event::ExclusivityChanged {
             shard: shard(),
             exclusive,
         });
@@ -163,7 +169,7 @@
 
     /// A target's report, taken just now.
     pub fn report(&mut self, id: &str, report: EngineReport) {
-        self.event(Event::Reported {
+        self.event(Event::TargetReported {
             target: id.into(),
             report,
         });
