--- a/components/front/src/generations/generation.rs
+++ b/components/front/src/generations/generation.rs
@@ -7,7 +7,7 @@
 use hyper::{Response, http};
 use net::{Body, fed};
 use placing::{Answer, Ask, Note, Shard};
-use rates::Slot;
+use rates::Reservation;
 use smol::future;
 use timer::boot_time;
 use types::TargetId;
@@ -24,10 +24,10 @@
         relay::Relay,
         silence::{Silence, Verdict, look_into},
     },
-    limited,
     quarantine::{ends, keeping},
     send::{Sent, collect, send},
     state::Front,
+    target_rates,
 };
 
 /// When a caller may come back whose generation found no engine that would take it.
@@ -226,7 +226,7 @@
     avoid: &mut Vec<TargetId>,
 ) -> Attempt {
     let mut place = Place::new(front, live(call, &target));
-    if let Slot::Full { after } = wait_for_slot(front, call, &target.id).await {
+    if let Reservation::Rejected { after } = wait_for_rate(front, call, &target.id).await {
         // Nothing was sent, so that no budget of repeats is drawn on.
         avoid.push(Arc::clone(&target.id));
         place.give_up().await;
@@ -283,13 +283,13 @@
 }
 
 /// Waits for a slot of the rate that an engine in need has named.
-async fn wait_for_slot(front: &Arc<Front>, call: &Call, target: &TargetId) -> Slot {
+async fn wait_for_rate(front: &Arc<Front>, call: &Call, target: &TargetId) -> Reservation {
     let patience = call.aim_left().mul_f64(SLOT_PART);
-    let slot = limited::slot(front, target, patience).await;
-    if let Slot::At { after } = slot {
+    let reservation = target_rates::reserve(front, target, patience).await;
+    if let Reservation::Granted { after } = reservation {
         smol::Timer::after(after).await;
     }
-    slot
+    reservation
 }
 
 /// Waits until an engine that owes the first event is known to be gone. Its caller would wait for
--- a/components/front/src/instances/membership.rs
+++ b/components/front/src/instances/membership.rs
@@ -233,8 +233,14 @@
         }
         let targets = front.view.targets();
         front.choice.lock().retain(|id| targets.contains_key(id));
-        front.limits.lock().retain(|id| targets.contains_key(id));
-        front.slots.lock().retain(|id| targets.contains_key(id));
+        front
+            .rate_limits
+            .lock()
+            .retain(|id| targets.contains_key(id));
+        front
+            .rate_allocator
+            .lock()
+            .retain(|id| targets.contains_key(id));
         let mut owner = front.placement.owner.lock();
         owner.retain(|id| targets.contains_key(id));
     }
--- a/components/front/src/instances/message.rs
+++ b/components/front/src/instances/message.rs
@@ -15,10 +15,10 @@
         peers::{MESSAGE_LIMIT, MESSAGES_PATH, Members},
         wire::{Message, Reply, Topic},
     },
-    limited,
     quarantine::keeping,
     state::{Front, age},
     store::follow::{self, PEER_AGE},
+    target_rates,
 };
 
 /// Time for a message to arrive whole.
@@ -85,12 +85,12 @@
                 keeping::learn(front, &words);
                 Reply::Noted
             }
-            Message::Limit(word) => {
-                limited::learn(front, &word);
+            Message::RateReport(report) => {
+                target_rates::apply(front, &report);
                 Reply::Noted
             }
-            Message::Slot { limit, patience } => {
-                Reply::Slot(limited::take(front, &limit, patience))
+            Message::ReserveRate { report, max_wait } => {
+                Reply::Reservation(target_rates::allocate(front, &report, max_wait))
             }
             Message::Carry(order) => Reply::Carried(self.carry(order).await),
         }
--- a/components/front/src/instances/wire.rs
+++ b/components/front/src/instances/wire.rs
@@ -5,7 +5,7 @@
 use derive_more::Display;
 use placing::{Answer, Ask, Carried, Carry, Note, Sync};
 use quarantine::{Evidence, Verdict};
-use rates::{self, Slot};
+use rates::{RateReport, Reservation};
 use serde::{Deserialize, Serialize};
 use types::{DataCentreId, InstanceId, TargetId};
 
@@ -113,13 +113,17 @@
     /// How requests are taken under which targets ended.
     Words(Vec<Verdict>),
     /// What a target has said of the rate that it takes from all instances together.
-    Limit(rates::Word),
+    #[serde(rename = "Limit")]
+    RateReport(RateReport),
     /// An ask for a slot of that rate, to the one that hands it out.
-    Slot {
+    #[serde(rename = "Slot")]
+    ReserveRate {
         /// What the sender knows of the rate.
-        limit: rates::Word,
+        #[serde(rename = "limit")]
+        report: RateReport,
         /// How long the request can wait.
-        patience: Duration,
+        #[serde(rename = "patience")]
+        max_wait: Duration,
     },
     /// An order to carry a generation over.
     Carry(Carry),
@@ -155,7 +159,7 @@
             Self::Leaving(_) => "leaving",
             Self::Hello { .. } => "hello",
             Self::Ended(_) | Self::Words(_) => "quarantine",
-            Self::Limit(_) | Self::Slot { .. } => "rates",
+            Self::RateReport(_) | Self::ReserveRate { .. } => "rates",
             Self::Follow { topic, .. } => topic.name(),
         }
     }
@@ -167,7 +171,8 @@
     /// To an ask.
     Answer(Answer),
     /// To an ask for a slot.
-    Slot(Slot),
+    #[serde(rename = "Slot")]
+    Reservation(Reservation),
     /// To notes, to word of requests that crash targets or of rates, and to a hello that asks nothing.
     Noted,
     /// To a sync: members that were heard lately; to a hello that asks: those that lead.
--- a/components/front/src/lib.rs
+++ b/components/front/src/lib.rs
@@ -11,7 +11,6 @@
 pub mod gate;
 pub mod generations;
 pub mod instances;
-pub mod limited;
 pub mod metrics;
 pub mod plain_calls;
 pub mod quarantine;
@@ -20,6 +19,7 @@
 pub mod send;
 pub mod state;
 pub mod store;
+pub mod target_rates;
 
 pub use config::{Bounds, Config};
 pub use decisions::{Decisions, Parts};
--- a/components/front/src/plain_calls/plain.rs
+++ b/components/front/src/plain_calls/plain.rs
@@ -5,7 +5,7 @@
 use events::{Event, emit};
 use hyper::Response;
 use net::Body;
-use rates::Slot;
+use rates::Reservation;
 use timer::boot_time;
 use types::{Moment, TargetId};
 use view::{Kind, Target};
@@ -15,11 +15,11 @@
         call::Call,
         refuse::{Refusal, millis},
     },
-    limited::slot,
     plain_calls::choice::connection_share,
     quarantine::{ends, keeping},
     send::{Sent, collect, log_failure, send},
     state::Front,
+    target_rates,
 };
 
 /// How long an idempotent call waits for one target before it is tried at another, as a multiple
@@ -188,12 +188,12 @@
         let now = boot_time();
         let picked = pick(front, call, &passed_over, now);
         if let Some(target) = picked.filter(|target| front.take_cold(&call.service, target)) {
-            match slot(front, &target.id, until.saturating_sub(now)).await {
-                Slot::At { after } => {
+            match target_rates::reserve(front, &target.id, until.saturating_sub(now)).await {
+                Reservation::Granted { after } => {
                     smol::Timer::after(after).await;
                     return Ok(target);
                 }
-                Slot::Full { after } => {
+                Reservation::Rejected { after } => {
                     passed_over.push(Arc::clone(&target.id));
                     limited = Some(limited.map_or(after, |least| least.min(after)));
                     continue;
--- a/components/front/src/send.rs
+++ b/components/front/src/send.rs
@@ -16,9 +16,9 @@
         refuse::{QUARANTINED, millis},
     },
     face::{Heading, Resume, Sending},
-    limited,
     quarantine::ends,
     state::Front,
+    target_rates,
 };
 
 /// What came of a sending.
@@ -132,7 +132,7 @@
         return unknown("the answer belongs to another request".into());
     }
     if heading.sealed || heading.not_run {
-        limited::heard(front, target, sent, heading.limit);
+        target_rates::observe(front, target, sent, heading.limit);
     }
     if heading.not_run {
         return Sent::NotRun {
--- a/components/front/src/state.rs
+++ b/components/front/src/state.rs
@@ -1,8 +1,8 @@
 //! What all parts of one instance share.
 //!
 //! Locks, in the order in which they may be held together: `bounds`, `budget`, `cold`, `choice`, then those
-//! inside `live`, `placement`, `peers` and `view`. `limits` comes after all of
-//! these; `quarantine` and `slots` are held alone. None is held over an await.
+//! inside `live`, `placement`, `peers` and `view`. `rate_limits` comes after all of
+//! these; `quarantine` and `rate_allocator` are held alone. None is held over an await.
 
 use std::{
     sync::{Arc, atomic::AtomicBool},
@@ -12,7 +12,7 @@
 use net::{Client, Terms};
 use parking_lot::{Mutex, RwLock};
 use quarantine::QuarantineState;
-use rates::{Limits, Slots};
+use rates::{RateAllocator, RateLimits};
 use timer::{Timer, boot_time};
 use types::Moment;
 use view::{Service, Target, View};
@@ -75,9 +75,9 @@
     /// Cold targets.
     pub cold: Mutex<ColdTargets>,
     /// Rates that targets have named for all instances.
-    pub limits: Mutex<Limits>,
+    pub rate_limits: Mutex<RateLimits>,
     /// The rates that this instance hands out.
-    pub slots: Mutex<Slots>,
+    pub rate_allocator: Mutex<RateAllocator>,
     /// Requests under which targets ended.
     pub quarantine: Mutex<QuarantineState>,
     /// Targets that have ended lately.
--- a/components/rates/src/slots.rs
+++ b/components/rates/src/allocator.rs
@@ -8,32 +8,34 @@
 use crate::limits::Rate;
 
 /// Part of a rate that is handed out: for a moment two instances may keep the same account.
-const USED_PART: f64 = 0.75;
+const ALLOCATED_SHARE: f64 = 0.75;
 /// Requests that may be sent at once after a pause.
 const BURST: f64 = 2.0;
 /// The least rate, in requests a second: a target that takes none could never say that it takes some.
-const LEAST: Rate = 0.1;
+const MIN_RATE: Rate = 0.1;
 /// The longest time after which a caller is told to come back.
-const RETURN_MOST: Duration = Duration::from_secs(5);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Slot {
+pub enum Reservation {
     /// It may, and nobody else in its place.
-    At {
+    #[serde(rename = "At")]
+    Granted {
         /// From when on.
         after: Duration,
     },
     /// The rate is used up for longer than it can wait.
-    Full {
+    #[serde(rename = "Full")]
+    Rejected {
         /// When its caller should come back.
         after: Duration,
     },
 }
 
-impl Slot {
+impl Reservation {
     /// It may be sent at once.
-    pub const NOW: Self = Self::At {
+    pub const NOW: Self = Self::Granted {
         after: Duration::ZERO,
     };
 }
@@ -49,20 +51,26 @@
 
 /// The accounts that this instance keeps.
 #[derive(Debug, Default)]
-pub struct Slots {
+pub struct RateAllocator {
     accounts: HashMap<TargetId, Account>,
 }
 
-impl Slots {
+impl RateAllocator {
     /// Keeps none yet.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Hands out a slot of a target's rate to a request that can wait for `patience`.
-    pub fn take(&mut self, now: Moment, target: &TargetId, rate: Rate, patience: Duration) -> Slot {
-        let spacing = Duration::from_secs_f64(1.0 / (rate.max(LEAST) * USED_PART));
+    /// Hands out a slot of a target's rate to a request that can wait for `max_wait`.
+    pub fn reserve(
+        &mut self,
+        now: Moment,
+        target: &TargetId,
+        rate: Rate,
+        max_wait: Duration,
+    ) -> Reservation {
+        let spacing = Duration::from_secs_f64(1.0 / (rate.max(MIN_RATE) * ALLOCATED_SHARE));
         let account = self.accounts.entry(target.clone());
         // Another instance may have handed out what a new account does not know of.
         let account = account.or_insert(Account {
@@ -72,13 +80,13 @@
         account.until = account.until.max(now);
         let free = account.until.saturating_sub(spacing.mul_f64(BURST - 1.0));
         let after = free.saturating_sub(now);
-        if after <= patience {
+        if after <= max_wait {
             account.until += spacing;
-            return Slot::At { after };
+            return Reservation::Granted { after };
         }
-        account.back = account.back.max(free).min(now + RETURN_MOST) + spacing;
-        Slot::Full {
-            after: account.back.saturating_sub(now).min(RETURN_MOST),
+        account.back = account.back.max(free).min(now + MAX_RETRY_AFTER) + spacing;
+        Reservation::Rejected {
+            after: account.back.saturating_sub(now).min(MAX_RETRY_AFTER),
         }
     }
 
--- a/components/rates/src/lib.rs
+++ b/components/rates/src/lib.rs
@@ -1,7 +1,7 @@
 //! Rates that targets name for all instances together. No I/O and no clock.
 
+pub mod allocator;
 pub mod limits;
-pub mod slots;
 
-pub use limits::{Limits, Rate, Word};
-pub use slots::{Slot, Slots};
+pub use allocator::{RateAllocator, Reservation};
+pub use limits::{Rate, RateLimits, RateReport};
--- a/components/rates/src/limits.rs
+++ b/components/rates/src/limits.rs
@@ -9,11 +9,11 @@
 pub type Rate = f64;
 
 /// Part of a rate by which it must change before other instances are told.
-const NEWS: f64 = 0.1;
+const REPORT_THRESHOLD: f64 = 0.1;
 
 /// What a target has said of its rate, as instances tell one another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Word {
+pub struct RateReport {
     /// The target.
     pub target: TargetId,
     /// The rate; none if it has named none any more.
@@ -23,18 +23,18 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Said {
+struct LastReport {
     rate: Option<Rate>,
     at: Moment,
 }
 
 /// The rates that targets have named.
 #[derive(Debug, Default)]
-pub struct Limits {
-    said: HashMap<TargetId, Said>,
+pub struct RateLimits {
+    said: HashMap<TargetId, LastReport>,
 }
 
-impl Limits {
+impl RateLimits {
     /// Knows of none.
     #[must_use]
     pub fn new() -> Self {
@@ -49,13 +49,13 @@
 
     /// Takes what an answer says to a request that was sent at `sent`. Gives word for the others, if
     /// that changes much.
-    pub fn heard(
+    pub fn observe(
         &mut self,
         now: Moment,
         sent: Moment,
         target: &TargetId,
         rate: Option<Rate>,
-    ) -> Option<Word> {
+    ) -> Option<RateReport> {
         let known = self.said.get(target).copied();
         // An answer that was under way while another one named a rate does not end it.
         if rate.is_none() && known.is_none_or(|known| known.rate.is_none() || sent < known.at) {
@@ -65,24 +65,24 @@
         let said = self
             .said
             .entry(target.clone())
-            .or_insert(Said { rate, at: now });
+            .or_insert(LastReport { rate, at: now });
         said.at = now;
         if same(before, rate) {
             return None;
         }
         said.rate = rate;
-        self.word(now, target)
+        self.report(now, target)
     }
 
     /// Takes another instance's word; tells whether it is news.
-    pub fn learn(&mut self, now: Moment, word: &Word) -> bool {
+    pub fn apply(&mut self, now: Moment, word: &RateReport) -> bool {
         let at = now.saturating_sub(word.age);
         let known = self.said.get(&word.target);
         if known.is_some_and(|known| known.at >= at) {
             return false;
         }
         let before = known.and_then(|known| known.rate);
-        let said = Said {
+        let said = LastReport {
             rate: word.rate,
             at,
         };
@@ -92,9 +92,9 @@
 
     /// What is known of a target.
     #[must_use]
-    pub fn word(&self, now: Moment, target: &TargetId) -> Option<Word> {
+    pub fn report(&self, now: Moment, target: &TargetId) -> Option<RateReport> {
         let said = self.said.get(target)?;
-        Some(Word {
+        Some(RateReport {
             target: target.clone(),
             rate: said.rate,
             age: now.saturating_sub(said.at),
@@ -110,7 +110,7 @@
 /// Whether two rates are so close that nobody need be told.
 fn same(before: Option<Rate>, now: Option<Rate>) -> bool {
     match (before, now) {
-        (Some(before), Some(now)) => (before - now).abs() <= before * NEWS,
+        (Some(before), Some(now)) => (before - now).abs() <= before * REPORT_THRESHOLD,
         (None, None) => true,
         _ => false,
     }
--- a/components/rates/tests/fleet.rs
+++ b/components/rates/tests/fleet.rs
@@ -5,7 +5,7 @@
 
 use fastrand::Rng;
 use proptest::prelude::*;
-use rates::{Limits, Slot, Slots, Word};
+use rates::{RateAllocator, RateLimits, RateReport, Reservation};
 use types::{Moment, TargetId};
 
 /// Time from the target's first naming until its limit is kept.
@@ -25,8 +25,8 @@
 const SUSPECT: Duration = Duration::from_millis(1_500);
 
 struct Instance {
-    limits: Limits,
-    slots: Slots,
+    limits: RateLimits,
+    slots: RateAllocator,
     /// It can't be reached, and reaches nobody but the target, until then.
     cut_until: Moment,
     /// It was cut off or started again last.
@@ -45,7 +45,7 @@
     /// Answers and words under way: when they arrive, at whom, and the moment at which the request
     /// of an answer was sent.
     answers: Vec<(Moment, usize, Moment)>,
-    words: Vec<(Moment, usize, Word)>,
+    words: Vec<(Moment, usize, RateReport)>,
     /// Requests that count.
     counted: Vec<Moment>,
     sent: usize,
@@ -57,8 +57,8 @@
 
 fn instance(count: usize) -> Instance {
     Instance {
-        limits: Limits::new(),
-        slots: Slots::new(),
+        limits: RateLimits::new(),
+        slots: RateAllocator::new(),
         cut_until: Duration::ZERO,
         harmed: Duration::ZERO,
         told: None,
@@ -112,18 +112,18 @@
         for (_, number, sent) in due {
             let instance = &mut self.instances[number];
             instance.told.get_or_insert(now);
-            let word = instance.limits.heard(now, sent, &target(), Some(rate));
+            let word = instance.limits.observe(now, sent, &target(), Some(rate));
             if let Some(word) = word {
                 self.tell_all(number, &word);
             }
         }
         let due: Vec<_> = self.words.extract_if(.., |(at, ..)| *at <= now).collect();
         for (_, number, word) in due {
-            self.instances[number].limits.learn(now, &word);
+            self.instances[number].limits.apply(now, &word);
         }
     }
 
-    fn tell_all(&mut self, from: usize, word: &Word) {
+    fn tell_all(&mut self, from: usize, word: &RateReport) {
         for to in 0..self.instances.len() {
             if self.reaches(from, to) {
                 let at = self.soon();
@@ -141,10 +141,10 @@
         let now = self.now;
         let rate = self.instances[number].limits.rate(&target());
         let slot = match rate {
-            None => Slot::NOW,
+            None => Reservation::NOW,
             Some(rate) => self.ask(number, rate),
         };
-        let Slot::At { after } = slot else {
+        let Reservation::Granted { after } = slot else {
             return;
         };
         self.sent += 1;
@@ -160,18 +160,18 @@
     }
 
     /// Asks the first that answers, as an instance sees it.
-    fn ask(&mut self, number: usize, rate: f64) -> Slot {
+    fn ask(&mut self, number: usize, rate: f64) -> Reservation {
         let now = self.now;
         let passed_over = &self.instances[number].passed_over;
         let keeper = (0..self.instances.len()).find(|to| *to == number || passed_over[*to] <= now);
         let keeper = keeper.unwrap_or(number);
         if !self.reaches(number, keeper) {
             self.instances[number].passed_over[keeper] = now + SUSPECT;
-            return Slot::Full { after: SUSPECT };
+            return Reservation::Rejected { after: SUSPECT };
         }
         self.instances[keeper]
             .slots
-            .take(now, &target(), rate, Duration::from_millis(100))
+            .reserve(now, &target(), rate, Duration::from_millis(100))
     }
 
     /// The most requests that count in one window.
