--- a/components/front/src/face.rs
+++ b/components/front/src/adapters.rs
@@ -12,24 +12,24 @@
 use view::{Rules, Target};
 
 use crate::{
-    instances::wire::{Member, News, Row, Topic},
+    instances::wire::{Member, Row, Topic, TopicUpdate},
     quarantine::kept::Kept,
 };
 
 /// Sizes that a caller declares for a generation.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Sizes {
+pub struct GenerationSizes {
     /// Tokens of the prompt.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Tokens of the longest answer allowed.
-    pub longest: Tokens,
+    pub max_tokens: Tokens,
     /// The caller's estimate of the answer's tokens.
-    pub hint: Option<Tokens>,
+    pub length_hint: Option<Tokens>,
 }
 
 /// What a caller asks, as far as it decides anything. Body and other headers stay as they are.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
+pub struct CallerRequest {
     /// Id of this try.
     pub id: RunId,
     /// The host it addresses.
@@ -37,11 +37,11 @@
     /// The path without the query.
     pub path: Arc<str>,
     /// How long the caller waits, if it says so.
-    pub left: Option<Duration>,
+    pub time_left: Option<Duration>,
     /// Its key, if it has one.
     pub key: Option<Arc<str>>,
     /// Sizes of a generation, if it declares them.
-    pub sizes: Option<Sizes>,
+    pub sizes: Option<GenerationSizes>,
 }
 
 /// Why a request is not served at all.
@@ -68,7 +68,7 @@
 
 /// One sending of a request to a target.
 #[derive(Clone, Copy, Debug)]
-pub struct Sending<'a> {
+pub struct OutgoingRequest<'a> {
     /// The caller's request.
     pub head: &'a http::request::Parts,
     /// Its body.
@@ -76,7 +76,7 @@
     /// The target.
     pub target: &'a Target,
     /// Time that the caller still waits.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The caller's workspace.
     pub workspace: Option<&'a str>,
     /// Set where a generation goes on.
@@ -85,7 +85,7 @@
 
 /// A target's load, as it says in its answers.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct SaidLoad {
+pub struct ReportedLoad {
     /// Requests that it works on.
     pub running: u32,
     /// Requests in its queue.
@@ -94,9 +94,9 @@
 
 /// What the head of a target's answer says.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Heading {
+pub struct ResponseHead {
     /// It answers the request that was sent.
-    pub ours: bool,
+    pub id_matches: bool,
     /// The target says that it did not run the request.
     pub not_run: bool,
     /// It bears the target's proof.
@@ -104,55 +104,55 @@
     /// Its body is not the target's own.
     pub encoded: bool,
     /// The target's load.
-    pub load: Option<SaidLoad>,
+    pub load: Option<ReportedLoad>,
     /// Requests a second that the target takes from all instances together, while it is in need.
-    pub limit: Option<f64>,
+    pub rate_limit: Option<f64>,
 }
 
 /// Speaks with callers and targets.
-pub trait Face: Send + Sync {
+pub trait ProtocolAdapter: Send + Sync {
     /// Reads a caller's request.
     ///
     /// # Errors
     /// Tells what it lacks.
-    fn read(&self, head: &http::request::Parts) -> Result<Asked, BadRequest>;
+    fn parse_request(&self, head: &http::request::Parts) -> Result<CallerRequest, BadRequest>;
 
     /// Makes the request that goes to a target.
-    fn request(&self, sending: &Sending<'_>) -> Request<Full<Bytes>>;
+    fn build_request(&self, outgoing: &OutgoingRequest<'_>) -> Request<Full<Bytes>>;
 
     /// Reads the head of a target's answer to a request.
-    fn heading(&self, id: &str, head: &http::response::Parts) -> Heading;
+    fn parse_response_head(&self, id: &str, head: &http::response::Parts) -> ResponseHead;
 
     /// The headers of a target's answer that go to the caller.
-    fn passed(&self, head: &http::response::Parts) -> HeaderMap;
+    fn forwarded_headers(&self, head: &http::response::Parts) -> HeaderMap;
 
     /// Headers of an answer of our own to a request.
-    fn own(&self, id: Option<&str>) -> HeaderMap;
+    fn own_headers(&self, id: Option<&str>) -> HeaderMap;
 
     /// Whether a path asks whether this instance takes callers.
-    fn asks_ready(&self, path: &str) -> bool;
+    fn is_readiness_path(&self, path: &str) -> bool;
 }
 
 /// An order to copy a running generation's memory.
 #[derive(Clone, Copy, Debug)]
-pub struct CopyOrder<'a> {
+pub struct KvCopyRequest<'a> {
     /// The generation.
-    pub run: &'a str,
+    pub generation: &'a str,
     /// Where it runs.
     pub from: SocketAddr,
     /// Where the copy goes.
     pub to: SocketAddr,
     /// Stop the generation first, so that the copy is complete.
-    pub last: bool,
+    pub is_final: bool,
     /// How long to wait for the copy.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// How copying ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Copied {
+pub enum KvCopyOutcome {
     /// The copy is complete.
-    Whole {
+    Complete {
         /// Its name at the source.
         copy: Arc<str>,
     },
@@ -163,7 +163,7 @@
         copy: Option<Arc<str>>,
     },
     /// No such generation runs there: not begun, or ended.
-    NoRun,
+    NotRunning,
     /// Another copy of it is under way.
     Busy,
     /// No answer; whether anything was done is unknown.
@@ -184,9 +184,9 @@
 
 /// What an engine says of one generation.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct RunReport {
+pub struct GenerationReport {
     /// The generation.
-    pub run: RunId,
+    pub generation: RunId,
     /// Events that it has made.
     pub events: u64,
 }
@@ -199,20 +199,20 @@
     /// What it holds.
     pub load: Report,
     /// Its generations.
-    pub runs: Vec<RunReport>,
+    pub generations: Vec<GenerationReport>,
 }
 
 /// Gives engines orders, and asks them.
 #[async_trait]
-pub trait Engines: Send + Sync {
+pub trait EngineControl: Send + Sync {
     /// Copies a running generation's memory to another engine.
-    async fn copy(&self, order: &CopyOrder<'_>) -> Copied;
+    async fn copy_kv(&self, request: &KvCopyRequest<'_>) -> KvCopyOutcome;
 
     /// Asks an engine for its report.
     ///
     /// # Errors
     /// Tells why there is none.
-    async fn report(&self, addr: SocketAddr, patience: Duration) -> Result<EngineReport, Arc<str>>;
+    async fn report(&self, addr: SocketAddr, timeout: Duration) -> Result<EngineReport, Arc<str>>;
 }
 
 /// One thing that the store says.
@@ -255,14 +255,14 @@
     HistoryGone,
     /// No answer; a change may have been made.
     #[display("no answer from the store: {reason}")]
-    Silent {
+    NoAnswer {
         /// Why.
         #[error(not(source))]
         reason: Arc<str>,
     },
     /// An answer that makes no sense.
     #[display("an answer of the store can't be read: {reason}")]
-    Garbled {
+    Malformed {
         /// Why.
         #[error(not(source))]
         reason: Arc<str>,
@@ -273,7 +273,7 @@
 #[async_trait]
 pub trait Store: Send + Sync {
     /// Reads all there is on a topic. `patience` is the time to the head of each answer.
-    async fn read(&self, topic: Topic, patience: Duration) -> Result<News, StoreError>;
+    async fn read(&self, topic: Topic, timeout: Duration) -> Result<TopicUpdate, StoreError>;
 
     /// Waits for what has changed since a version, for `wait` at most. `patience` is the time to
     /// the head of the answer.
@@ -282,8 +282,8 @@
         topic: Topic,
         after: u64,
         wait: Duration,
-        patience: Duration,
-    ) -> Result<News, StoreError>;
+        timeout: Duration,
+    ) -> Result<TopicUpdate, StoreError>;
 
     /// What a row says, if it is of any use to us.
     fn decode(&self, topic: Topic, row: &Row) -> Option<Record>;
@@ -292,8 +292,8 @@
     async fn announce(&self, member: &Member) -> Result<(), StoreError>;
 
     /// Keeps a rejection of a request, among the instances.
-    async fn keep(&self, kept: &Kept) -> Result<(), StoreError>;
+    async fn put_quarantine_record(&self, kept: &Kept) -> Result<(), StoreError>;
 
     /// Drops a rejection.
-    async fn drop_kept(&self, kept: &Kept) -> Result<(), StoreError>;
+    async fn delete_quarantine_record(&self, kept: &Kept) -> Result<(), StoreError>;
 }
--- a/components/front/src/admin.rs
+++ b/components/front/src/admin.rs
@@ -32,7 +32,7 @@
 #[async_trait]
 impl Handler for Readiness {
     async fn handle(&self, _peer: SocketAddr, req: Request<Incoming>) -> Response<Body> {
-        if !self.front.face.asks_ready(req.uri().path()) {
+        if !self.front.adapter.is_readiness_path(req.uri().path()) {
             return Reply::new(404).done();
         }
         let status = if self.front.is_ready() { 200 } else { 503 };
--- a/components/front/src/callers/call.rs
+++ b/components/front/src/callers/call.rs
@@ -16,13 +16,13 @@
 use types::{Moment, WorkspaceId};
 use view::{Kind, Route, Service};
 
-use crate::face::Asked;
+use crate::adapters::CallerRequest;
 
 /// One request while it is served.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// What it asks.
-    pub asked: Asked,
+    pub asked: CallerRequest,
     /// What stays the same when its caller sends it again.
     pub fingerprint: Fingerprint,
     /// Its head as it came.
--- a/components/front/src/callers/handler.rs
+++ b/components/front/src/callers/handler.rs
@@ -19,12 +19,12 @@
 use view::{Identity, Kind};
 
 use crate::{
+    adapters::CallerRequest,
     callers::{
         call::Call,
         refuse::{ELSEWHERE_RETRY, Refusal},
         retry_after::come_back_after,
     },
-    face::Asked,
     generations::generation,
     plain_calls::plain,
     state::{Front, age},
@@ -72,7 +72,7 @@
         // Read to its end before any answer: a connection that is closed with unread bytes is
         // reset, and the answer may be lost with it.
         let body = self.read_body(body).await;
-        let asked = match self.front.face.read(&head) {
+        let asked = match self.front.adapter.parse_request(&head) {
             Ok(asked) => asked,
             Err(e) => {
                 let refusal = Refusal::new(StatusCode::BAD_REQUEST, e.to_string());
@@ -161,7 +161,7 @@
 
     fn admit(
         &self,
-        asked: Asked,
+        asked: CallerRequest,
         head: http::request::Parts,
         body: HeldBody,
         arrived: Moment,
@@ -169,7 +169,7 @@
         let front = &self.front;
         let rules = front.view.rules();
         let ignorant = |reason: &str| {
-            let after = come_back_after(front.ignorant_for(), asked.left, fastrand::f64());
+            let after = come_back_after(front.ignorant_for(), asked.time_left, fastrand::f64());
             Refusal::not_run(reason, after)
         };
         let rules = rules.ok_or_else(|| ignorant("no configuration is known yet"))?;
@@ -194,7 +194,7 @@
             .pick(fastrand::f64())
             .and_then(|name| rules.service(name))
             .ok_or_else(|| ignorant("the route's service is not configured"))?;
-        let left = asked.left.unwrap_or(route.timeout);
+        let left = asked.time_left.unwrap_or(route.timeout);
         let rank = rank(&identity, route.rank);
         let workspace = workspace(identity);
         Ok(Call {
--- a/components/front/src/callers/refuse.rs
+++ b/components/front/src/callers/refuse.rs
@@ -110,7 +110,7 @@
         let text = serde_json::to_vec(&problem).unwrap_or_default();
         let mut resp = Response::new(full(text));
         *resp.status_mut() = refusal.status;
-        *resp.headers_mut() = self.face.own(id);
+        *resp.headers_mut() = self.adapter.own_headers(id);
         let kind = HeaderValue::from_static("application/problem+json");
         resp.headers_mut().insert(CONTENT_TYPE, kind);
         if let Some(after) = refusal.retry {
--- a/components/front/src/callers/shutdown.rs
+++ b/components/front/src/callers/shutdown.rs
@@ -6,7 +6,7 @@
 use timer::boot_time;
 use types::Moment;
 
-use crate::gate::Gate;
+use crate::latch::Latch;
 
 /// The end of an instance's life.
 #[derive(Debug, Default)]
@@ -14,7 +14,7 @@
     /// Until when it serves what it has taken, once it was told to stop.
     at: Mutex<Option<Moment>>,
     /// Open once what is still at work is given up.
-    over: Gate,
+    over: Latch,
 }
 
 impl Ending {
@@ -37,6 +37,6 @@
 
     /// Waits until what is still at work is given up.
     pub async fn over(&self) {
-        self.over.passed().await;
+        self.over.wait().await;
     }
 }
--- a/components/front/src/generations/carry.rs
+++ b/components/front/src/generations/carry.rs
@@ -10,8 +10,8 @@
 use view::Target;
 
 use crate::{
+    adapters::{KvCopyOutcome, KvCopyRequest, Resume},
     callers::refuse::millis,
-    face::{Copied, CopyOrder, Resume},
     generations::live::{Live, Order},
     metrics::CarryEnding,
     state::Front,
@@ -128,22 +128,22 @@
         .view
         .target(&order.to)
         .ok_or_else(|| Failure::new(Carried::NoRoom, "the destination is not listed"))?;
-    let first = CopyOrder {
-        run: &order.run,
+    let first = KvCopyRequest {
+        generation: &order.run,
         from: source.addr,
         to: to.addr,
-        last: false,
-        patience: COPY_PATIENCE,
+        is_final: false,
+        timeout: COPY_PATIENCE,
     };
-    let copy = whole(front.engines.copy(&first).await)?;
+    let copy = whole(front.engines.copy_kv(&first).await)?;
     live.copied(Arc::clone(&to), resume(source, copy));
     let stopped = boot_time();
     if !live.order(Order::Expect) {
         return Err(Failure::new(Carried::Nothing, "it has ended"));
     }
-    let last = CopyOrder {
-        last: true,
-        patience: LAST_PATIENCE,
+    let last = KvCopyRequest {
+        is_final: true,
+        timeout: LAST_PATIENCE,
         ..first
     };
     let splice = |target: &Arc<Target>, copy| Splice {
@@ -152,15 +152,15 @@
         from,
         stopped,
     };
-    match front.engines.copy(&last).await {
-        Copied::Whole { copy } => Ok(splice(&to, copy)),
-        Copied::NoRoom { copy: Some(copy) } => {
+    match front.engines.copy_kv(&last).await {
+        KvCopyOutcome::Complete { copy } => Ok(splice(&to, copy)),
+        KvCopyOutcome::NoRoom { copy: Some(copy) } => {
             // It has stopped, and can only go on where it was.
             go_on(live, splice(source, copy)).await?;
             Err(Failure::new(Carried::NoRoom, "no room for the final copy"))
         }
         other => {
-            if matches!(other, Copied::Unknown { .. }) {
+            if matches!(other, KvCopyOutcome::Unknown { .. }) {
                 // Fails only where the relay has ended.
                 let _ = live.order(Order::Doubt);
             }
@@ -178,13 +178,13 @@
 }
 
 /// The name of a whole copy.
-fn whole(copied: Copied) -> Result<Arc<str>, Failure> {
+fn whole(copied: KvCopyOutcome) -> Result<Arc<str>, Failure> {
     match copied {
-        Copied::Whole { copy } => Ok(copy),
-        Copied::NoRoom { .. } => Err(Failure::new(Carried::NoRoom, "no room for the copy")),
-        Copied::NoRun => Err(Failure::new(Carried::Nothing, "it does not run there")),
-        Copied::Busy => Err(Failure::new(Carried::Nothing, "it is being copied already")),
-        Copied::Unknown { reason } => Err(Failure::new(Carried::Lost, reason)),
+        KvCopyOutcome::Complete { copy } => Ok(copy),
+        KvCopyOutcome::NoRoom { .. } => Err(Failure::new(Carried::NoRoom, "no room for the copy")),
+        KvCopyOutcome::NotRunning => Err(Failure::new(Carried::Nothing, "it does not run there")),
+        KvCopyOutcome::Busy => Err(Failure::new(Carried::Nothing, "it is being copied already")),
+        KvCopyOutcome::Unknown { reason } => Err(Failure::new(Carried::Lost, reason)),
     }
 }
 
--- a/components/front/src/generations/generation.rs
+++ b/components/front/src/generations/generation.rs
@@ -14,11 +14,11 @@
 use view::Target;
 
 use crate::{
+    adapters::GenerationSizes,
     callers::{
         call::Call,
         refuse::{ELSEWHERE_RETRY, Refusal, millis},
     },
-    face::Sizes,
     generations::{
         live::Live,
         relay::Relay,
@@ -40,10 +40,10 @@
 /// Part of its aim that a generation waits for an engine in need.
 const SLOT_PART: f64 = 0.25;
 /// Sizes of a generation that declares none: that of a short question.
-const UNKNOWN_SIZES: Sizes = Sizes {
-    prompt: 1_000,
-    longest: 1_000,
-    hint: None,
+const UNKNOWN_SIZES: GenerationSizes = GenerationSizes {
+    prompt_tokens: 1_000,
+    max_tokens: 1_000,
+    length_hint: None,
 };
 
 /// A generation's place on an engine, as its owner counts it. The owner is told when it is given
@@ -202,9 +202,9 @@
         data_centre: Arc::clone(&front.cfg.data_centre),
         shard,
         route: Arc::clone(&call.route.name),
-        prompt: sizes.prompt,
-        longest: sizes.longest,
-        hint: sizes.hint,
+        prompt: sizes.prompt_tokens,
+        longest: sizes.max_tokens,
+        hint: sizes.length_hint,
         rank: call.rank,
         aim_left: call.aim_left(),
         left: call.until_due(),
@@ -352,6 +352,6 @@
     let relay = Relay::new(Arc::clone(front), call.clone(), place, head, body);
     let mut resp = Response::new(fed(move |tx| relay.run(tx)));
     *resp.status_mut() = head.status;
-    *resp.headers_mut() = front.face.passed(head);
+    *resp.headers_mut() = front.adapter.forwarded_headers(head);
     resp
 }
--- a/components/front/src/generations/live.rs
+++ b/components/front/src/generations/live.rs
@@ -14,7 +14,7 @@
 use types::{RouteId, ServiceId, Tokens};
 use view::Target;
 
-use crate::face::{Resume, Sizes};
+use crate::adapters::{GenerationSizes, Resume};
 
 /// An order to the task that relays a generation.
 #[derive(Debug)]
@@ -89,10 +89,10 @@
 
     /// Sets its sizes, and the tokens in one event.
     #[must_use]
-    pub const fn with_sizes(mut self, sizes: Sizes, per_event: Tokens) -> Self {
-        self.prompt = sizes.prompt;
-        self.longest = sizes.longest;
-        self.hint = sizes.hint;
+    pub const fn with_sizes(mut self, sizes: GenerationSizes, per_event: Tokens) -> Self {
+        self.prompt = sizes.prompt_tokens;
+        self.longest = sizes.max_tokens;
+        self.hint = sizes.length_hint;
         self.per_event = per_event;
         self
     }
--- a/components/front/src/generations/probing.rs
+++ b/components/front/src/generations/probing.rs
@@ -19,7 +19,7 @@
 use view::Target;
 
 use crate::{
-    face::EngineState,
+    adapters::EngineState,
     state::{Front, age},
     store::follow,
 };
--- a/components/front/src/generations/relay.rs
+++ b/components/front/src/generations/relay.rs
@@ -18,8 +18,8 @@
 use view::Target;
 
 use crate::{
+    adapters::Resume,
     callers::{call::Call, refuse::millis},
-    face::Resume,
     generations::{
         generation::Place,
         live::Order,
--- a/components/front/src/generations/rescue.rs
+++ b/components/front/src/generations/rescue.rs
@@ -11,8 +11,8 @@
 use view::Target;
 
 use crate::{
+    adapters::{KvCopyOutcome, KvCopyRequest, Resume},
     callers::{call::Call, refuse::millis},
-    face::{Copied, CopyOrder, Resume},
     generations::{generation, live::Live},
     state::Front,
 };
@@ -37,20 +37,20 @@
         // The engine itself can go on too, and tells under which name when a copy finds no room.
         Err(why) => another(front, live, &source).ok_or(why)?,
     };
-    let order = CopyOrder {
-        run: &live.run,
+    let order = KvCopyRequest {
+        generation: &live.run,
         from: source.addr,
         to: to.addr,
-        last: true,
-        patience: COPY_PATIENCE.min(call.until_due()),
+        is_final: true,
+        timeout: COPY_PATIENCE.min(call.until_due()),
     };
     let resume = |copy| Resume {
         source: source.addr,
         copy,
         after: None,
     };
-    match front.engines.copy(&order).await {
-        Copied::Whole { copy } => {
+    match front.engines.copy_kv(&order).await {
+        KvCopyOutcome::Complete { copy } => {
             emit(&Event::GenerationRescued {
                 id: Arc::clone(&live.run),
                 from: Arc::clone(&source.id),
@@ -60,11 +60,11 @@
             Ok((to, resume(copy)))
         }
         // It has stopped, and can only go on where it was.
-        Copied::NoRoom { copy: Some(copy) } => Ok((Arc::clone(&source), resume(copy))),
-        Copied::NoRoom { copy: None } => Err("no room for its copy".into()),
-        Copied::NoRun => Err("its engine has dropped it".into()),
-        Copied::Busy => Err("it is being copied already".into()),
-        Copied::Unknown { reason } => Err(reason),
+        KvCopyOutcome::NoRoom { copy: Some(copy) } => Ok((Arc::clone(&source), resume(copy))),
+        KvCopyOutcome::NoRoom { copy: None } => Err("no room for its copy".into()),
+        KvCopyOutcome::NotRunning => Err("its engine has dropped it".into()),
+        KvCopyOutcome::Busy => Err("it is being copied already".into()),
+        KvCopyOutcome::Unknown { reason } => Err(reason),
     }
 }
 
--- a/components/front/src/generations/silence.rs
+++ b/components/front/src/generations/silence.rs
@@ -11,7 +11,7 @@
 use timer::boot_time;
 use types::Moment;
 
-use crate::{face::EngineReport, generations::live::Live, state::Front};
+use crate::{adapters::EngineReport, generations::live::Live, state::Front};
 
 /// Silence after which the engine is asked: five times the longest pause that callers' sheets
 /// allow, 180 ms. Events come every 36 ms as a rule.
@@ -85,7 +85,7 @@
         self.asked = Some(now);
         let made = evidence
             .report
-            .and_then(|report| report.runs.iter().find(|it| *it.run == *run));
+            .and_then(|report| report.generations.iter().find(|it| *it.generation == *run));
         // A report is older than what arrived after it; more events in it can't be on their way.
         let ahead = made.is_some_and(|it| it.events > evidence.heard);
         let dead = evidence.report.is_none() && !evidence.listed;
--- a/components/front/src/instances/membership.rs
+++ b/components/front/src/instances/membership.rs
@@ -7,7 +7,7 @@
 use types::InstanceId;
 
 use crate::{
-    face::{Record, Store},
+    adapters::{Record, Store},
     instances::{
         joining,
         wire::{Message, Reply, Topic},
@@ -71,10 +71,10 @@
             };
             workers::spawn(asking).detach();
         }
-        Some(_) => front.introduced.open(),
+        Some(_) => front.peers_known.open(),
         None => {
             // Whoever follows the store must find another source at once.
-            front.introduced.open();
+            front.peers_known.open();
             greet_seeds(&front);
         }
     }
@@ -168,7 +168,7 @@
                 keeping::learn(&front, words);
             }
             learn_members(&front, None, Some(reply));
-            front.introduced.open();
+            front.peers_known.open();
             return;
         }
         smol::Timer::after(MEMBERS_PAUSE).await;
--- a/components/front/src/instances/peers.rs
+++ b/components/front/src/instances/peers.rs
@@ -127,7 +127,7 @@
         let mut known = self.known.lock();
         let newer = known
             .get(&member.id)
-            .is_none_or(|known| known.member.born < member.born);
+            .is_none_or(|known| known.member.started_at < member.started_at);
         if newer {
             let fresh = Known {
                 member: member.clone(),
--- a/components/front/src/instances/wire.rs
+++ b/components/front/src/instances/wire.rs
@@ -17,7 +17,8 @@
     /// Where it listens for other instances.
     pub addr: SocketAddr,
     /// When this life of it began, in Unix milliseconds.
-    pub born: u64,
+    #[serde(rename = "born")]
+    pub started_at: u64,
     /// Its strength in thousandths of a core: its share of processors, or less where its link is
     /// narrow.
     pub capacity: u32,
@@ -79,7 +80,7 @@
 
 /// What one read of a topic brought.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct News {
+pub struct TopicUpdate {
     /// Rows that changed, or all.
     pub rows: Vec<Row>,
     /// Changes up to here are in.
@@ -87,7 +88,8 @@
     /// Changes from here on are in, where not all rows are.
     pub after: u64,
     /// All rows there are.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub is_full: bool,
 }
 
 /// What one instance sends to another.
@@ -193,7 +195,7 @@
     /// both clocks have in common.
     News {
         /// It.
-        news: News,
+        news: TopicUpdate,
         /// The read was sent so long before the question arrived, if it was.
         before: Duration,
         /// The read was sent so long after the question arrived, if it was.
--- a/components/front/src/lib.rs
+++ b/components/front/src/lib.rs
@@ -2,15 +2,15 @@
 //! configuration: who may ask what, where it goes, what comes back, and what happens when
 //! something on the way fails.
 
+pub mod adapters;
 pub mod admin;
 pub mod callers;
 pub mod config;
 pub mod decisions;
 pub mod dump;
-pub mod face;
-pub mod gate;
 pub mod generations;
 pub mod instances;
+pub mod latch;
 pub mod metrics;
 pub mod plain_calls;
 pub mod quarantine;
@@ -21,12 +21,13 @@
 pub mod store;
 pub mod target_rates;
 
+pub use adapters::{
+    BadRequest, CallerRequest, EngineControl, EngineReport, EngineState, GenerationReport,
+    GenerationSizes, KvCopyOutcome, KvCopyRequest, OutgoingRequest, ProtocolAdapter, Record,
+    ReportedLoad, ResponseHead, Resume, Store, StoreError,
+};
 pub use config::{Bounds, Config};
 pub use decisions::{Decisions, Parts};
-pub use face::{
-    Asked, BadRequest, Copied, CopyOrder, EngineReport, EngineState, Engines, Face, Heading,
-    Record, Resume, RunReport, SaidLoad, Sending, Sizes, Store, StoreError,
-};
-pub use instances::wire::{Member, News, Row, Topic};
+pub use instances::wire::{Member, Row, Topic, TopicUpdate};
 pub use quarantine::kept::Kept;
-pub use run::{Outside, serve};
+pub use run::{Adapters, serve};
--- a/components/front/src/plain_calls/choice.rs
+++ b/components/front/src/plain_calls/choice.rs
@@ -10,7 +10,7 @@
 use types::{DataCentreId, Moment, TargetId};
 use view::Target;
 
-use crate::face::SaidLoad;
+use crate::adapters::ReportedLoad;
 
 /// How long a load that was said counts.
 const SAID_LIFE: Duration = Duration::from_millis(1_000);
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Default)]
 struct Known {
     mine: u32,
-    said: Option<(Moment, SaidLoad)>,
+    said: Option<(Moment, ReportedLoad)>,
     failures: u32,
     aside_until: Moment,
 }
@@ -132,7 +132,7 @@
     }
 
     /// Notes the load that a target said.
-    pub fn said(&mut self, now: Moment, target: &TargetId, load: SaidLoad) {
+    pub fn said(&mut self, now: Moment, target: &TargetId, load: ReportedLoad) {
         self.entry(target).said = Some((now, load));
     }
 
--- a/components/front/src/quarantine/kept.rs
+++ b/components/front/src/quarantine/kept.rs
@@ -38,8 +38,10 @@
     let keeping = async move {
         for _ in 0..TRIES {
             let done = match verdict.kind {
-                VerdictKind::Rejected => front.store.keep(&kept).await,
-                VerdictKind::Suspected | VerdictKind::Cleared => front.store.drop_kept(&kept).await,
+                VerdictKind::Rejected => front.store.put_quarantine_record(&kept).await,
+                VerdictKind::Suspected | VerdictKind::Cleared => {
+                    front.store.delete_quarantine_record(&kept).await
+                }
             };
             if done.is_ok() {
                 return;
--- a/components/front/src/run.rs
+++ b/components/front/src/run.rs
@@ -18,11 +18,10 @@
 use view::View;
 
 use crate::{
+    adapters::{EngineControl, ProtocolAdapter, Store},
     admin::{Admin, Readiness},
     callers::{drain, handler::Callers, open::OpenRequests, shutdown::Ending},
     config::Config,
-    face::{Engines, Face, Store},
-    gate::Gate,
     generations::{live::LiveRuns, placement::Placement, probing},
     instances::{
         membership,
@@ -30,6 +29,7 @@
         peers::Peers,
         wire::{Member, Topic},
     },
+    latch::Latch,
     metrics::Metrics,
     plain_calls::{budget::Budget, choice::Choice, cold::ColdTargets},
     quarantine::ends::Endings,
@@ -49,11 +49,11 @@
 /// is known.
 const IDLE_TIME: Duration = Duration::from_secs(16);
 /// What an instance talks to.
-pub struct Outside {
+pub struct Adapters {
     /// Speaks with callers and targets.
-    pub face: Arc<dyn Face>,
+    pub protocol: Arc<dyn ProtocolAdapter>,
     /// Gives engines orders, over the connections given.
-    pub engines: Arc<dyn Engines>,
+    pub engines: Arc<dyn EngineControl>,
     /// The store.
     pub store: Arc<dyn Store>,
     /// Reads the settings again.
@@ -64,23 +64,23 @@
 ///
 /// # Errors
 /// Tells why it could not start.
-pub fn serve(cfg: Config, outside: Outside) -> Result<()> {
+pub fn serve(cfg: Config, adapters: Adapters) -> Result<()> {
     let stop = Arc::new(AtomicBool::new(false));
     let signal = Arc::new(AtomicBool::new(false));
     for end in [SIGTERM, SIGINT] {
         signal_hook::flag::register(end, Arc::clone(&stop)).context("signals")?;
     }
     signal_hook::flag::register(SIGHUP, Arc::clone(&signal)).context("signals")?;
-    smol::block_on(run(cfg, outside, stop, signal))
+    smol::block_on(run(cfg, adapters, stop, signal))
 }
 
 async fn run(
     cfg: Config,
-    outside: Outside,
+    adapters: Adapters,
     stop: Arc<AtomicBool>,
     signal: Arc<AtomicBool>,
 ) -> Result<()> {
-    let front = Arc::new(front(cfg, &outside));
+    let front = Arc::new(front(cfg, &adapters));
     let callers = listen(
         front.cfg.callers,
         limits(&front),
@@ -115,18 +115,18 @@
     emit(&Event::Started {
         instance: Arc::clone(&front.cfg.instance),
     });
-    reload::watch(&front, &outside.reload, &stop, &signal).await;
+    reload::watch(&front, &adapters.reload, &stop, &signal).await;
     retire.store(true, Ordering::Release);
     drain::drain(&front, &mut callers).await;
     drain::tell_end(&front, &callers);
     Ok(())
 }
 
-fn front(cfg: Config, outside: &Outside) -> Front {
+fn front(cfg: Config, adapters: &Adapters) -> Front {
     let me = Member {
         id: Arc::clone(&cfg.instance),
         addr: cfg.peers,
-        born: unix_millis(),
+        started_at: unix_millis(),
         capacity: cfg.capacity,
         data_centre: Arc::clone(&cfg.data_centre),
     };
@@ -140,9 +140,9 @@
     let calls = metrics.store_calls.clone();
     Front {
         view: View::new(),
-        face: Arc::clone(&outside.face),
-        engines: Arc::clone(&outside.engines),
-        store: Arc::new(CountedStore::new(Arc::clone(&outside.store), calls)),
+        adapter: Arc::clone(&adapters.protocol),
+        engines: Arc::clone(&adapters.engines),
+        store: Arc::new(CountedStore::new(Arc::clone(&adapters.store), calls)),
         client: Client::new().with_connect_limit(CONNECT_LIMIT),
         peers: Peers::new(me, Client::new().with_connect_limit(CONNECT_LIMIT))
             .with_strong_first(cfg.decisions.parts.strong_first)
@@ -168,8 +168,8 @@
         endings: Endings::default(),
         bodies: net::Budget::new(cfg.memory / BODIES_PART),
         ending: Ending::default(),
-        introduced: Gate::default(),
-        informed: Gate::default(),
+        peers_known: Latch::default(),
+        state_known: Latch::default(),
         open: OpenRequests::default(),
         metrics,
         terms: Arc::new(Terms::new(&terms)),
--- a/components/front/src/send.rs
+++ b/components/front/src/send.rs
@@ -11,11 +11,11 @@
 use view::Target;
 
 use crate::{
+    adapters::{OutgoingRequest, ResponseHead, Resume},
     callers::{
         call::Call,
         refuse::{QUARANTINED, millis},
     },
-    face::{Heading, Resume, Sending},
     quarantine::ends,
     state::Front,
     target_rates,
@@ -29,7 +29,7 @@
         /// The head.
         head: Box<http::response::Parts>,
         /// What it says.
-        heading: Heading,
+        heading: ResponseHead,
         /// The body as it comes.
         body: Incoming,
     },
@@ -65,15 +65,15 @@
             reason: QUARANTINED.into(),
         };
     }
-    let sending = Sending {
+    let sending = OutgoingRequest {
         head: &call.head,
         body: &call.body,
         target,
-        left: call.left(),
+        time_left: call.left(),
         workspace: call.workspace.as_deref(),
         resume,
     };
-    let req = front.face.request(&sending);
+    let req = front.adapter.build_request(&sending);
     call.begin_sending();
     let from = boot_time();
     let answer = Timer::new()
@@ -123,16 +123,16 @@
     resp: Response<Incoming>,
 ) -> Sent {
     let (head, body) = resp.into_parts();
-    let heading = front.face.heading(&call.asked.id, &head);
+    let heading = front.adapter.parse_response_head(&call.asked.id, &head);
     let unknown = |reason: String| Sent::Unknown {
         reason: reason.into(),
         late: false,
     };
-    if !heading.ours {
+    if !heading.id_matches {
         return unknown("the answer belongs to another request".into());
     }
     if heading.sealed || heading.not_run {
-        target_rates::observe(front, target, sent, heading.limit);
+        target_rates::observe(front, target, sent, heading.rate_limit);
     }
     if heading.not_run {
         return Sent::NotRun {
@@ -183,6 +183,6 @@
     };
     let mut resp = Response::new(full(bytes));
     *resp.status_mut() = head.status;
-    *resp.headers_mut() = front.face.passed(head);
+    *resp.headers_mut() = front.adapter.forwarded_headers(head);
     Ok(resp)
 }
--- a/components/front/src/state.rs
+++ b/components/front/src/state.rs
@@ -18,12 +18,12 @@
 use view::{Service, Target, View};
 
 use crate::{
+    adapters::{EngineControl, ProtocolAdapter, Store},
     callers::{open::OpenRequests, shutdown::Ending},
     config::{Bounds, Config},
-    face::{Engines, Face, Store},
-    gate::Gate,
     generations::{live::LiveRuns, placement::Placement},
     instances::{peers::Peers, wire::Topic},
+    latch::Latch,
     metrics::Metrics,
     plain_calls::{budget::Budget, choice::Choice, cold::ColdTargets},
     quarantine::ends::Endings,
@@ -49,9 +49,9 @@
     /// What it believes.
     pub view: View,
     /// Speaks with callers and targets.
-    pub face: Arc<dyn Face>,
+    pub adapter: Arc<dyn ProtocolAdapter>,
     /// Gives engines orders.
-    pub engines: Arc<dyn Engines>,
+    pub engines: Arc<dyn EngineControl>,
     /// The platform's store.
     pub store: Arc<dyn Store>,
     /// Connections to targets.
@@ -87,11 +87,11 @@
     /// The end of its life.
     pub ending: Ending,
     /// Open once it has looked for the other instances, or can't.
-    pub introduced: Gate,
+    pub peers_known: Latch,
     /// Requests that were read and have no answer yet.
     pub open: OpenRequests,
     /// Open once it has known enough to take callers.
-    pub informed: Gate,
+    pub state_known: Latch,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Limits of callers' connections, as the configuration in force sets them.
@@ -144,7 +144,7 @@
         let left = START_PATIENCE.saturating_sub(age(self.since));
         if !left.is_zero() {
             // Where it does not get there in time, the request is judged as at any other time.
-            let _ = Timer::new().within(left, self.informed.passed()).await;
+            let _ = Timer::new().within(left, self.state_known.wait()).await;
         }
     }
 
--- a/components/front/src/store/counted.rs
+++ b/components/front/src/store/counted.rs
@@ -6,8 +6,8 @@
 use prometheus_client::metrics::{counter::Counter, family::Family};
 
 use crate::{
-    face::{Record, Store, StoreError},
-    instances::wire::{Member, News, Row, Topic},
+    adapters::{Record, Store, StoreError},
+    instances::wire::{Member, Row, Topic, TopicUpdate},
     metrics::StoreCall,
     quarantine::kept::Kept,
 };
@@ -29,7 +29,7 @@
         let outcome = match answer {
             Ok(_) | Err(StoreError::HistoryGone) => "answered",
             Err(StoreError::Refused { .. }) => "refused",
-            Err(StoreError::Silent { .. } | StoreError::Garbled { .. }) => "silent",
+            Err(StoreError::NoAnswer { .. } | StoreError::Malformed { .. }) => "silent",
         };
         let call = StoreCall {
             topic: topic.name(),
@@ -42,8 +42,8 @@
 
 #[async_trait]
 impl Store for CountedStore {
-    async fn read(&self, topic: Topic, patience: Duration) -> Result<News, StoreError> {
-        let answer = self.inner.read(topic, patience).await;
+    async fn read(&self, topic: Topic, timeout: Duration) -> Result<TopicUpdate, StoreError> {
+        let answer = self.inner.read(topic, timeout).await;
         self.count(topic, "read", &answer);
         answer
     }
@@ -53,9 +53,9 @@
         topic: Topic,
         after: u64,
         wait: Duration,
-        patience: Duration,
-    ) -> Result<News, StoreError> {
-        let answer = self.inner.follow(topic, after, wait, patience).await;
+        timeout: Duration,
+    ) -> Result<TopicUpdate, StoreError> {
+        let answer = self.inner.follow(topic, after, wait, timeout).await;
         self.count(topic, "follow", &answer);
         answer
     }
@@ -70,14 +70,14 @@
         answer
     }
 
-    async fn keep(&self, kept: &Kept) -> Result<(), StoreError> {
-        let answer = self.inner.keep(kept).await;
+    async fn put_quarantine_record(&self, kept: &Kept) -> Result<(), StoreError> {
+        let answer = self.inner.put_quarantine_record(kept).await;
         self.count(Topic::Members, "write", &answer);
         answer
     }
 
-    async fn drop_kept(&self, kept: &Kept) -> Result<(), StoreError> {
-        let answer = self.inner.drop_kept(kept).await;
+    async fn delete_quarantine_record(&self, kept: &Kept) -> Result<(), StoreError> {
+        let answer = self.inner.delete_quarantine_record(kept).await;
         self.count(Topic::Members, "write", &answer);
         answer
     }
--- a/components/front/src/store/follow.rs
+++ b/components/front/src/store/follow.rs
@@ -16,10 +16,10 @@
 use view::Change;
 
 use crate::{
+    adapters::{Record, Store, StoreError},
     callers::refuse::millis,
-    face::{Record, Store, StoreError},
     generations::evacuation,
-    instances::wire::{Message, News, Reply, Row, Topic},
+    instances::wire::{Message, Reply, Row, Topic, TopicUpdate},
     quarantine::kept,
     state::{Front, age},
     store::{
@@ -60,7 +60,7 @@
 
 /// What a source has told.
 struct Told {
-    news: News,
+    news: TopicUpdate,
     /// When the read was sent that confirmed it.
     read: Moment,
     /// The source itself reads the store.
@@ -98,8 +98,8 @@
     /// Follows.
     pub async fn run(mut self) {
         // An instance that knows no other would read the store itself: O(n) calls at a cold start.
-        let introduced = self.front.introduced.passed();
-        let _ = Timer::new().within(INTRODUCTION, introduced).await;
+        let peers_known = self.front.peers_known.wait();
+        let _ = Timer::new().within(INTRODUCTION, peers_known).await;
         let parts = self.front.cfg.decisions.parts;
         loop {
             let me = &self.front.cfg.instance;
@@ -135,8 +135,8 @@
 
     /// Lets changes that come together come in one answer. Engines are reclaimed several at a time,
     /// and each row of theirs would be a call of its own to the store.
-    async fn gather(&self, source: &Source, news: &News) {
-        if *source == Source::Store && !news.whole && !news.rows.is_empty() {
+    async fn gather(&self, source: &Source, news: &TopicUpdate) {
+        if *source == Source::Store && !news.is_full && !news.rows.is_empty() {
             smol::Timer::after(GATHER).await;
         }
     }
@@ -263,7 +263,7 @@
             Topic::Members => {}
         }
         if self.front.is_ready() {
-            self.front.informed.open();
+            self.front.state_known.open();
         }
     }
 
@@ -357,7 +357,7 @@
     after: Option<u64>,
     wait: Duration,
     patience: Duration,
-) -> Result<News, StoreError> {
+) -> Result<TopicUpdate, StoreError> {
     let Some(after) = after else {
         return store.read(topic, patience).await;
     };
@@ -411,7 +411,7 @@
 }
 
 fn silent(reason: String) -> StoreError {
-    StoreError::Silent {
+    StoreError::NoAnswer {
         reason: reason.into(),
     }
 }
--- a/components/front/src/store/topic_cache.rs
+++ b/components/front/src/store/topic_cache.rs
@@ -8,7 +8,7 @@
 use timer::{Timer, boot_time};
 use types::Moment;
 
-use crate::instances::wire::{News, Row};
+use crate::instances::wire::{Row, TopicUpdate};
 
 /// How long it is remembered that a row was dropped. One who follows from further back is told
 /// everything anew.
@@ -58,9 +58,9 @@
 
     /// Takes news that was true at `read`; tells which rows it changed. Older news changes
     /// nothing, whoever brings it: knowledge never goes back.
-    pub fn take(&self, news: &News, read: Moment) -> Vec<Row> {
+    pub fn take(&self, news: &TopicUpdate, read: Moment) -> Vec<Row> {
         let mut rows = self.rows.lock();
-        let changed = if news.whole {
+        let changed = if news.is_full {
             take_whole(&mut rows, news)
         } else {
             take_changes(&mut rows, news)
@@ -100,7 +100,7 @@
     /// What has changed since a version, or everything; and when the read was sent that
     /// confirmed it.
     #[must_use]
-    pub fn news(&self, after: Option<u64>) -> Option<(News, Moment)> {
+    pub fn news(&self, after: Option<u64>) -> Option<(TopicUpdate, Moment)> {
         let rows = self.rows.lock();
         let read = rows.read?;
         let since = after.filter(|after| *after >= rows.forgotten && *after <= rows.version);
@@ -109,11 +109,11 @@
             Some(after) => list.filter(|row| row.version > after).cloned().collect(),
             None => list.filter(|row| row.value.is_some()).cloned().collect(),
         };
-        let news = News {
+        let news = TopicUpdate {
             rows: chosen,
             version: rows.version,
             after: since.unwrap_or_default(),
-            whole: since.is_none(),
+            is_full: since.is_none(),
         };
         Some((news, read))
     }
@@ -141,7 +141,7 @@
     }
 }
 
-fn take_whole(rows: &mut Rows, news: &News) -> Vec<Row> {
+fn take_whole(rows: &mut Rows, news: &TopicUpdate) -> Vec<Row> {
     if news.version < rows.version {
         return Vec::new();
     }
@@ -165,7 +165,7 @@
     changed
 }
 
-fn take_changes(rows: &mut Rows, news: &News) -> Vec<Row> {
+fn take_changes(rows: &mut Rows, news: &TopicUpdate) -> Vec<Row> {
     // From further on than what is known: something between would be missed.
     if news.after > rows.version || news.version < rows.version {
         return Vec::new();
--- a/components/front/tests/aims.rs
+++ b/components/front/tests/aims.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use front::{Asked, callers::call::Call};
+use front::{CallerRequest, callers::call::Call};
 use quarantine::Fingerprint;
 use timer::boot_time;
 use view::{Kind, Route, Service};
@@ -35,11 +35,11 @@
     let left = Duration::from_secs(33);
     let (head, ()) = hyper::Request::new(()).into_parts();
     let call = Call {
-        asked: Asked {
+        asked: CallerRequest {
             id: "a-request".into(),
             host: "host.example".into(),
             path: "/drafts/1".into(),
-            left: Some(left),
+            time_left: Some(left),
             key: None,
             sizes: None,
         },
--- a/components/front/tests/decisions.rs
+++ b/components/front/tests/decisions.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use front::{
-    SaidLoad,
+    ReportedLoad,
     generations::split::{Event, Splitter},
     plain_calls::{
         budget::Budget,
@@ -76,7 +76,7 @@
             .map(|t| t.id.to_string())
     };
     assert_eq!(pick(&choice).as_deref(), Some("near"));
-    let load = SaidLoad {
+    let load = ReportedLoad {
         running: 6,
         waiting: 2,
     };
--- a/components/front/tests/peers.rs
+++ b/components/front/tests/peers.rs
@@ -12,7 +12,7 @@
     Member {
         id: name.into(),
         addr: SocketAddr::from(([127, 0, 0, 1], 1)),
-        born,
+        started_at: born,
         capacity: 250,
         data_centre: "a".into(),
     }
--- a/components/front/tests/silence.rs
+++ b/components/front/tests/silence.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use front::{
-    EngineReport, EngineState, RunReport,
+    EngineReport, EngineState, GenerationReport,
     generations::silence::{Evidence, QUIET, Silence, Verdict},
 };
 use placing::Report;
@@ -15,8 +15,8 @@
     EngineReport {
         state: EngineState::Ready,
         load: Report::default(),
-        runs: vec![RunReport {
-            run: "g-1".into(),
+        generations: vec![GenerationReport {
+            generation: "g-1".into(),
             events,
         }],
     }
--- a/components/front/tests/topic_cache.rs
+++ b/components/front/tests/topic_cache.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use front::{News, Row, store::topic_cache::TopicCache};
+use front::{Row, TopicUpdate, store::topic_cache::TopicCache};
 use proptest::prelude::*;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -15,21 +15,21 @@
     }
 }
 
-fn whole(version: u64, rows: Vec<Row>) -> News {
-    News {
+fn whole(version: u64, rows: Vec<Row>) -> TopicUpdate {
+    TopicUpdate {
         rows,
         version,
         after: 0,
-        whole: true,
+        is_full: true,
     }
 }
 
-fn changes(after: u64, version: u64, rows: Vec<Row>) -> News {
-    News {
+fn changes(after: u64, version: u64, rows: Vec<Row>) -> TopicUpdate {
+    TopicUpdate {
         rows,
         version,
         after,
-        whole: false,
+        is_full: false,
     }
 }
 
@@ -88,11 +88,11 @@
     assert_eq!(news, changes(5, 6, vec![row("b", Some("2"), 6)]));
     assert_eq!(read, 2 * SECOND);
     let (news, _) = cache.news(None).expect("news");
-    assert!(news.whole);
+    assert!(news.is_full);
     assert_eq!(news.rows.len(), 2);
     // One who knows more than this instance, from a store that was set back, is told everything.
     let (news, _) = cache.news(Some(70)).expect("news");
-    assert!(news.whole);
+    assert!(news.is_full);
 }
 
 /// What a store of one table went through: for each version, the key that was written or dropped.
--- a/src/cmd/platform.rs
+++ b/src/cmd/platform.rs
@@ -9,9 +9,9 @@
 use clap::ArgMatches;
 use errors::Context;
 use events::{Format, Level, Output};
-use front::{Decisions, Outside};
+use front::{Adapters, Decisions};
 use net::Client;
-use platform::{EngineClient, HttpFace, RowStore};
+use platform::{EngineClient, HttpAdapter, RowStore};
 
 use crate::failure::{Failure, FailureKind, Outcome};
 
@@ -35,13 +35,13 @@
         cfg.decisions = decisions(path)?;
     }
     workers::start(WORKERS);
-    let outside = Outside {
-        face: Arc::new(HttpFace::new()),
+    let adapters = Adapters {
+        protocol: Arc::new(HttpAdapter::new()),
         engines: Arc::new(EngineClient::new(Client::new())),
         store: Arc::new(RowStore::new(Client::new(), cfg.store)),
         reload: Box::new(move || platform::load(&path).context(path.display().to_string())),
     };
-    let result = front::serve(cfg, outside);
+    let result = front::serve(cfg, adapters);
     events::finish();
     Ok(result?)
 }
--- a/src/cmd/try_platform.rs
+++ b/src/cmd/try_platform.rs
@@ -4,9 +4,9 @@
 
 use bench::process::free_addr;
 use errors::{Context, Error};
-use front::{Config, Outside};
+use front::{Adapters, Config};
 use net::Client;
-use platform::{EngineClient, HttpFace, RowStore};
+use platform::{EngineClient, HttpAdapter, RowStore};
 use platform_standin::{
     caller::{Caller, Got, all_events, read},
     deployment::{Deployment, settings},
@@ -49,13 +49,13 @@
     output::line("One instance, two engines, a plain service and a store, in one process.")?;
     output::line(format_args!("  callers    http://{}", cfg.callers))?;
     let (callers, kept) = (cfg.callers, cfg.clone());
-    let outside = Outside {
-        face: Arc::new(HttpFace::new()),
+    let adapters = Adapters {
+        protocol: Arc::new(HttpAdapter::new()),
         engines: Arc::new(EngineClient::new(Client::new())),
         store: Arc::new(RowStore::new(Client::new(), cfg.store)),
         reload: Box::new(move || Ok(kept.clone())),
     };
-    let instance = thread::spawn(move || front::serve(cfg, outside));
+    let instance = thread::spawn(move || front::serve(cfg, adapters));
     smol::block_on(demonstrate(&deployment, callers))?;
     if once {
         return Ok(());
--- a/tests/platform/starting.rs
+++ b/tests/platform/starting.rs
@@ -93,7 +93,7 @@
         let me = Member {
             id: "asker".into(),
             addr: instance.peers,
-            born: 1,
+            started_at: 1,
             capacity: 0,
             data_centre: "dc-0".into(),
         };
