--- a/components/gateway/src/admission.rs
+++ b/components/gateway/src/admission.rs
@@ -5,7 +5,7 @@
 
 /// A request waiting for a target.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wanted {
+pub struct AdmissionRequest {
     /// Which service.
     pub service: ServiceId,
     /// What the service's targets are.
@@ -21,7 +21,7 @@
     /// Whether it may be sent again when it is unknown whether it ran.
     pub idempotent: bool,
     /// Tokens in the prompt, 0 for plain calls.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// The most tokens to produce, 0 for plain calls.
     pub max_output: Tokens,
     /// Hashes of the prompt's leading blocks, longest last.
@@ -31,11 +31,11 @@
 }
 
 /// How work under a permit ended, as the gateway sees it.
-pub type Ending = wire::Outcome;
+pub type WorkOutcome = wire::Outcome;
 
 /// A request that holds a permit. Dropping it reports the work as cancelled.
 #[async_trait]
-pub trait Admitted: Send + Sync {
+pub trait PermitHandle: Send + Sync {
     /// Where to send.
     fn target(&self) -> &Target;
 
@@ -44,24 +44,25 @@
     fn may_send(&self) -> bool;
 
     /// Reports that the answer has `produced` tokens by now and that the caller sees them.
-    fn progress(&self, produced: Tokens);
+    fn report_progress(&self, produced: Tokens);
 
     /// Reports that the engine has produced this many tokens by now, none of which a caller has
     /// seen: the answer is being gathered to be sent whole, so it may still be pulled back.
-    fn gathered(&self, produced: Tokens) {
+    fn report_buffered(&self, produced: Tokens) {
         let _ = produced;
     }
 
     /// Completes when the permit is pulled back: no token has reached the caller yet, and none
     /// may from now on; cancel at the engine, then call `again`.
-    async fn pulled_back(&self);
+    async fn revoked(&self);
 
     /// Reports how it ended.
-    fn end(self: Box<Self>, ending: Ending);
+    fn finish(self: Box<Self>, outcome: WorkOutcome);
 
     /// Reports how this try ended and waits for another permit for the same request, with the
     /// retry budget, the deadline and the failed targets taken into account.
-    async fn again(self: Box<Self>, ending: Ending) -> Result<Box<dyn Admitted>, Refusal>;
+    async fn retry(self: Box<Self>, outcome: WorkOutcome)
+    -> Result<Box<dyn PermitHandle>, Refusal>;
 }
 
 /// Admission of requests.
@@ -71,16 +72,21 @@
     fn now(&self) -> Moment;
 
     /// Waits until the request may be sent, or is refused.
-    async fn admit(&self, wanted: Wanted) -> Result<Box<dyn Admitted>, Refusal>;
+    async fn admit(&self, request: AdmissionRequest) -> Result<Box<dyn PermitHandle>, Refusal>;
 
     /// Finds the target that runs a stream which a caller wants to go on with; `None` if the
     /// platform's list no longer has it.
-    fn find(&self, target: &str) -> Option<Target>;
+    fn find_target(&self, target: &str) -> Option<Target>;
 
     /// Takes over the account of a stream that a caller goes on with here.
-    fn adopt(&self, target: &Target, wanted: Wanted, produced: Tokens) -> Box<dyn Admitted>;
+    fn adopt(
+        &self,
+        target: &Target,
+        request: AdmissionRequest,
+        produced: Tokens,
+    ) -> Box<dyn PermitHandle>;
 
     /// Whether new requests are taken: false before the first configuration and in the last
     /// part of a shutdown.
-    fn ready(&self) -> bool;
+    fn is_ready(&self) -> bool;
 }
--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -1,12 +1,12 @@
 //! One try of a generation: what can happen until its caller has seen a token.
 
 use futures_lite::future;
-use relay::Running;
+use relay::ActiveStream;
 use targets::{Piece, TargetError};
 use types::{Refusal, Run};
 
 use crate::{
-    admission::{Admitted, Ending},
+    admission::{PermitHandle, WorkOutcome},
     refusals,
 };
 
@@ -20,7 +20,7 @@
     /// It gave nothing; another try may be made.
     Again {
         /// How it ended.
-        ending: Ending,
+        outcome: WorkOutcome,
         /// Whether the engine may have run any of it.
         ran: bool,
     },
@@ -28,7 +28,7 @@
     Over {
         /// How it ended; `None` if it is still to be stopped, which must not keep the caller
         /// waiting.
-        ending: Option<Ending>,
+        outcome: Option<WorkOutcome>,
         /// What to tell the caller.
         refusal: Refusal,
     },
@@ -55,16 +55,16 @@
 /// put other work on top: a cold engine would get more than it bears. So if this is dropped, the
 /// work is cancelled first and then the permit is ended.
 pub struct Work {
-    permit: Option<Box<dyn Admitted>>,
+    permit: Option<Box<dyn PermitHandle>>,
     /// The generation, once the engine has named it.
-    pub running: Option<Running>,
+    pub running: Option<ActiveStream>,
     /// Whether a request for it may have left.
     pub sent: bool,
 }
 
 impl Work {
     /// Nothing was sent yet.
-    pub const fn new(permit: Box<dyn Admitted>) -> Self {
+    pub const fn new(permit: Box<dyn PermitHandle>) -> Self {
         Self {
             permit: Some(permit),
             running: None,
@@ -73,7 +73,7 @@
     }
 
     /// The permit.
-    pub fn permit(&self) -> &dyn Admitted {
+    pub fn permit(&self) -> &dyn PermitHandle {
         let permit = self.permit.as_deref();
         permit.expect("the permit is there until the work is taken apart")
     }
@@ -99,18 +99,18 @@
     pub async fn give_up<T>(&mut self, step: Step) -> Tried<T> {
         match step {
             Step::Piece(_) | Step::PulledBack => Tried::Again {
-                ending: stop(self.running.take(), self.sent).await,
+                outcome: stop(self.running.take(), self.sent).await,
                 ran: true,
             },
             Step::Late => Tried::Over {
-                ending: None,
+                outcome: None,
                 refusal: refusals::deadline(Run::Unknown),
             },
             Step::Broken => {
                 // Whether the engine can still be told matters to nobody who waits.
                 self.running = None;
                 Tried::Again {
-                    ending: Ending::Failed,
+                    outcome: WorkOutcome::Failed,
                     ran: true,
                 }
             }
@@ -119,7 +119,7 @@
     }
 
     /// Takes it apart: from now on the caller of this answers for both.
-    pub fn take(mut self) -> (Box<dyn Admitted>, Option<Running>) {
+    pub fn take(mut self) -> (Box<dyn PermitHandle>, Option<ActiveStream>) {
         let permit = self.permit.take();
         let permit = permit.expect("the permit is there until the work is taken apart");
         (permit, self.running.take())
@@ -133,24 +133,24 @@
         };
         let running = self.running.take();
         if running.is_none() {
-            permit.end(unnamed(self.sent));
+            permit.finish(unnamed(self.sent));
             return;
         }
         let sent = self.sent;
-        workers::spawn(async move { permit.end(stop(running, sent).await) }).detach();
+        workers::spawn(async move { permit.finish(stop(running, sent).await) }).detach();
     }
 }
 
 /// Waits for a step until the permit is pulled back.
-pub async fn guarded(permit: &dyn Admitted, step: impl Future<Output = Step>) -> Step {
+pub async fn guarded(permit: &dyn PermitHandle, step: impl Future<Output = Step>) -> Step {
     let pulled = async {
-        permit.pulled_back().await;
+        permit.revoked().await;
         Step::PulledBack
     };
     future::or(pulled, step).await
 }
 
-async fn stop(running: Option<Running>, sent: bool) -> Ending {
+async fn stop(running: Option<ActiveStream>, sent: bool) -> WorkOutcome {
     match running {
         Some(running) => cancelled(running).await,
         None => unnamed(sent),
@@ -158,37 +158,41 @@
 }
 
 /// A request that was sent and not answered may run without anybody knowing its name.
-const fn unnamed(sent: bool) -> Ending {
-    if sent { Ending::Failed } else { Ending::Unsent }
+const fn unnamed(sent: bool) -> WorkOutcome {
+    if sent {
+        WorkOutcome::Failed
+    } else {
+        WorkOutcome::Unsent
+    }
 }
 
 /// Cancels a generation. The engine's memory must be free again before the account says so; if
 /// the engine could not be told, the work may run on, and the account has to go on counting it.
-pub async fn cancelled(running: Running) -> Ending {
+pub async fn cancelled(running: ActiveStream) -> WorkOutcome {
     let produced = running.produced();
     if running.cancel().await {
-        Ending::Cancelled { produced }
+        WorkOutcome::Cancelled { produced }
     } else {
-        Ending::Failed
+        WorkOutcome::Failed
     }
 }
 
 fn not_started<T>(error: TargetError) -> Tried<T> {
     match error {
         TargetError::Unsent { .. } => Tried::Again {
-            ending: Ending::Unreachable,
+            outcome: WorkOutcome::Unreachable,
             ran: false,
         },
         TargetError::Turned { .. } => Tried::Again {
-            ending: Ending::Overloaded,
+            outcome: WorkOutcome::Overloaded,
             ran: false,
         },
         TargetError::Wrong { status, body } => Tried::Over {
-            ending: Some(Ending::Cancelled { produced: 0 }),
+            outcome: Some(WorkOutcome::Cancelled { produced: 0 }),
             refusal: engine_refusal(status, &body),
         },
         TargetError::Lost { .. } | TargetError::Gone => Tried::Again {
-            ending: Ending::Failed,
+            outcome: WorkOutcome::Failed,
             ran: true,
         },
     }
--- a/components/gateway/src/whole.rs
+++ b/components/gateway/src/buffered.rs
@@ -12,16 +12,17 @@
 use types::{Refusal, Tokens};
 
 use crate::{
-    admission::Ending,
+    admission::WorkOutcome,
     attempt::{Step, Tried, Work},
-    call::Api,
+    completion_request::Api,
+    delivery,
+    gateway::Core,
     generate::{Begun, Generation},
-    linger,
     merge::merge,
     metrics::Outcome,
-    pace::Pace,
-    parts::Core,
-    problem, refusals,
+    problem,
+    progress::Pace,
+    refusals,
 };
 
 /// Bytes of events gathered for one answer at most.
@@ -75,7 +76,7 @@
 }
 
 /// A generation gathered to its end.
-struct Gathered {
+struct BufferedAnswer {
     request: Arc<str>,
     data: Vec<Bytes>,
     /// Memory that the data takes up.
@@ -93,8 +94,8 @@
         .tries(|mut work| async move {
             let tried = match ask.begin(&mut work).await {
                 Tried::Good(begun) => gather(ask, &mut work, begun, cut_off).await,
-                Tried::Again { ending, ran } => Tried::Again { ending, ran },
-                Tried::Over { ending, refusal } => Tried::Over { ending, refusal },
+                Tried::Again { outcome, ran } => Tried::Again { outcome, ran },
+                Tried::Over { outcome, refusal } => Tried::Over { outcome, refusal },
             };
             (work, tried)
         })
@@ -106,7 +107,7 @@
     let produced = finish(&core, work);
     let sum = Sum::of(&gathered.data).inspect_err(|e| generation.flight.note(e.run.into()))?;
     generation.flight.note(Outcome::Whole);
-    core.quarantine.served(&generation.fingerprint);
+    core.quarantine.record_success(&generation.fingerprint);
     let document = sum.document(&generation, produced);
     Ok(Reply::json(200, &document)
         .with_header(REQUEST_ID, &gathered.request)
@@ -119,12 +120,12 @@
     let Some(running) = running else {
         return 0;
     };
-    linger::tell_resumes(core, &running);
+    delivery::tell_resumes(core, &running);
     let produced = running.produced();
-    permit.end(Ending::Finished {
+    permit.finish(WorkOutcome::Finished {
         produced,
-        first: running.first().unwrap_or_default(),
-        took: running.took(),
+        first: running.time_to_first_token().unwrap_or_default(),
+        took: running.elapsed(),
     });
     produced
 }
@@ -153,7 +154,7 @@
     work: &mut Work,
     begun: Begun,
     cut: &Mutex<Vec<Bytes>>,
-) -> Tried<Gathered> {
+) -> Tried<BufferedAnswer> {
     let core = &ask.core;
     let arrived = ask.caller.arrived;
     core.metrics
@@ -167,7 +168,7 @@
         let (first, more) = match piece {
             Piece::Tokens { first, data, .. } => (first, data),
             Piece::End => {
-                return Tried::Good(Gathered {
+                return Tried::Good(BufferedAnswer {
                     request,
                     data,
                     _share: share,
@@ -187,12 +188,12 @@
         };
         if let Some(refusal) = refusal {
             return Tried::Over {
-                ending: None,
+                outcome: None,
                 refusal,
             };
         }
         if pace.due(produced, core.timer.now()) {
-            work.permit().gathered(produced);
+            work.permit().report_buffered(produced);
         }
         piece = match work.next().await {
             Step::Piece(piece) => piece,
--- a/components/gateway/src/linger.rs
+++ b/components/gateway/src/delivery.rs
@@ -5,13 +5,13 @@
 use ::quarantine::Fingerprint;
 use events::Event;
 use futures_lite::future;
-use relay::{Broken, End, Running, Sink};
+use relay::{ActiveStream, StreamEnd, StreamError, TokenSink};
 use targets::Piece;
 use types::{ServiceKind, WorkspaceId};
 
 use crate::{
-    admission::Ending, attempt, flight::Flight, metrics::Outcome, parts::Core, refusals,
-    streams::Superseded, writer::Writer,
+    admission::WorkOutcome, attempt, gateway::Core, in_flight::InFlightGuard, metrics::Outcome,
+    refusals, streams::Superseded, writer::Writer,
 };
 
 /// How long a generation runs on for a caller that went away, so that it can come back. After
@@ -23,7 +23,7 @@
     /// The gateway.
     pub core: Arc<Core>,
     /// The generation.
-    pub running: Running,
+    pub running: ActiveStream,
     /// Who asked.
     pub workspace: WorkspaceId,
     /// What stays the same of the request when it is sent again, where it is known: not where its
@@ -32,7 +32,7 @@
     /// The way to the caller.
     pub writer: Writer,
     /// Counts it as in flight; `None` once the request as such is over here.
-    pub flight: Option<Flight>,
+    pub flight: Option<InFlightGuard>,
 }
 
 impl Carried {
@@ -42,11 +42,11 @@
         }
     }
 
-    fn finished(&self) -> Ending {
-        Ending::Finished {
+    fn finished(&self) -> WorkOutcome {
+        WorkOutcome::Finished {
             produced: self.running.produced(),
-            first: self.running.first().unwrap_or_default(),
-            took: self.running.took(),
+            first: self.running.time_to_first_token().unwrap_or_default(),
+            took: self.running.elapsed(),
         }
     }
 }
@@ -54,7 +54,7 @@
 /// How carrying ended.
 enum Stop {
     /// The generation ended, or its caller went away.
-    End(End),
+    End(StreamEnd),
     /// The caller goes on with it over another connection.
     Superseded,
 }
@@ -65,7 +65,7 @@
     let target = carried.running.target().id.clone();
     let held = core.streams.hold(&target, carried.running.id());
     let stop = pump(&mut carried, piece, held.superseded()).await;
-    if !matches!(stop, Stop::End(End::Closed)) {
+    if !matches!(stop, Stop::End(StreamEnd::Closed)) {
         drop(held);
         return finish(carried, stop, false).await;
     }
@@ -80,13 +80,13 @@
     } = carried;
     let work = async {
         let written = match piece {
-            Some(Piece::Tokens { first, data, .. }) => writer.tokens(first, data).await,
-            Some(Piece::End) => return Stop::End(End::Finished),
+            Some(Piece::Tokens { first, data, .. }) => writer.write_tokens(first, data).await,
+            Some(Piece::End) => return Stop::End(StreamEnd::Finished),
             None => Ok(()),
         };
         match written {
-            Ok(()) => Stop::End(running.pump(writer).await),
-            Err(_) => Stop::End(End::Closed),
+            Ok(()) => Stop::End(running.forward_to(writer).await),
+            Err(_) => Stop::End(StreamEnd::Closed),
         }
     };
     or_superseded(work, superseded).await
@@ -98,25 +98,25 @@
     let grace = carried.core.grace;
     let read = async {
         match read_on(carried).await {
-            Ok(()) => Stop::End(End::Finished),
+            Ok(()) => Stop::End(StreamEnd::Finished),
             // Whether the link broke or the engine did, the caller may still come back.
             Err(_) => future::pending().await,
         }
     };
     let over = async {
         timer.sleep(grace).await;
-        Stop::End(End::Closed)
+        Stop::End(StreamEnd::Closed)
     };
     or_superseded(future::or(read, over), superseded).await
 }
 
 /// Reads a stream to its end for its account only. A broken link is not mended: maybe it broke
 /// because the caller goes on at another instance, and resuming here would take it from there.
-async fn read_on(carried: &mut Carried) -> Result<(), Broken> {
+async fn read_on(carried: &mut Carried) -> Result<(), StreamError> {
     let Carried {
         running, writer, ..
     } = carried;
-    running.stay_passive();
+    running.disable_resume();
     while let Piece::Tokens { .. } = running.next().await? {
         writer.note(running.produced());
     }
@@ -134,16 +134,16 @@
 async fn finish(carried: Carried, stop: Stop, left: bool) {
     tell_resumes(&carried.core, &carried.running);
     match stop {
-        Stop::End(End::Finished) => finished(carried, left).await,
-        Stop::End(End::Broken(broken)) => broke_off(carried, &broken).await,
-        Stop::End(End::Closed) => cancelled(carried).await,
+        Stop::End(StreamEnd::Finished) => finished(carried, left).await,
+        Stop::End(StreamEnd::Failed(broken)) => broke_off(carried, &broken).await,
+        Stop::End(StreamEnd::Closed) => cancelled(carried).await,
         Stop::Superseded => superseded(carried).await,
     }
 }
 
 /// Counts and logs the new connections that a stream needed.
-pub fn tell_resumes(core: &Core, running: &Running) {
-    let times = running.resumes();
+pub fn tell_resumes(core: &Core, running: &ActiveStream) {
+    let times = running.resume_count();
     if times == 0 {
         return;
     }
@@ -156,24 +156,27 @@
 
 async fn finished(mut carried: Carried, left: bool) {
     if let Some(fingerprint) = &carried.fingerprint {
-        carried.core.quarantine.served(fingerprint);
+        carried.core.quarantine.record_success(fingerprint);
     }
-    let ending = carried.finished();
+    let outcome = carried.finished();
     // First, as a slow caller may take a while to read the rest.
-    carried.writer.end(ending);
+    carried.writer.finish(outcome);
     let gone = left || carried.writer.done().await.is_err();
     carried.note(if gone { Outcome::Left } else { Outcome::Whole });
 }
 
-async fn broke_off(mut carried: Carried, broken: &Broken) {
+async fn broke_off(mut carried: Carried, broken: &StreamError) {
     let produced = carried.running.produced();
     if let Some(fingerprint) = carried.fingerprint {
         let (core, target) = (&carried.core, carried.running.target());
-        let sent = core.admission.now().saturating_sub(carried.running.took());
+        let sent = core
+            .admission
+            .now()
+            .saturating_sub(carried.running.elapsed());
         core.look_into(fingerprint, ServiceKind::Model, target, sent);
     }
     let refusal = refusals::partial(&format!("{broken}; {produced} tokens were produced"));
-    carried.writer.end(Ending::Failed);
+    carried.writer.finish(WorkOutcome::Failed);
     carried.core.metrics.refused(&refusal.code);
     carried.note(Outcome::Partial);
     events::emit(&Event::AnswerCut {
@@ -192,8 +195,8 @@
         flight,
         ..
     } = carried;
-    let ending = attempt::cancelled(running).await;
-    writer.end(ending);
+    let outcome = attempt::cancelled(running).await;
+    writer.finish(outcome);
     drop(flight);
 }
 
@@ -204,10 +207,10 @@
     carried.writer.close();
     carried.flight = None;
     let ended = read_on(&mut carried).await;
-    let ending = match ended {
+    let outcome = match ended {
         Ok(()) => carried.finished(),
-        Err(_) => Ending::Failed,
+        Err(_) => WorkOutcome::Failed,
     };
-    carried.writer.end(ending);
-    carried.running.release();
+    carried.writer.finish(outcome);
+    carried.running.detach();
 }
--- a/components/gateway/src/parts.rs
+++ b/components/gateway/src/gateway.rs
@@ -20,14 +20,14 @@
 use types::{InstanceId, Moment, Refusal, Run, TargetId};
 
 use crate::{
-    admission::{Admission, Admitted},
-    flight::Flights,
-    linger,
+    admission::{Admission, PermitHandle},
+    delivery,
+    in_flight::InFlightRequests,
     metrics::Metrics,
     quarantine::Quarantine,
     refusals,
+    resume_handle::ResumeHandleCodec,
     streams::Streams,
-    ticket::Tickets,
 };
 
 /// Bytes of request bodies held at once.
@@ -68,11 +68,11 @@
 ///
 /// An instance whose caller went away cancels the generation after a while. If the caller has
 /// come back at another instance by then, that would cut its new stream; so the new instance
-/// tells the old one, whose gateway takes it by `Gateway::taken_over`.
+/// tells the old one, whose gateway takes it by `Gateway::handle_takeover`.
 #[async_trait]
 pub trait Takeover: Send + Sync {
     /// Tells `holder`, with a few tries of its own; a holder that is gone needs no telling.
-    async fn tell(&self, holder: &InstanceId, target: &TargetId, stream: &StreamId);
+    async fn notify(&self, holder: &InstanceId, target: &TargetId, stream: &StreamId);
 }
 
 /// Answers callers. Clones share everything.
@@ -93,11 +93,11 @@
     pub instance: InstanceId,
     pub metrics: Metrics,
     pub relay: Relay,
-    pub flights: Flights,
+    pub flights: InFlightRequests,
     pub bodies: Budget,
     pub answers: Budget,
     pub streams: Streams,
-    pub tickets: Tickets,
+    pub tickets: ResumeHandleCodec,
     pub takeover: Option<Arc<dyn Takeover>>,
     pub grace: Duration,
     /// Tells the requests of two lives of this instance apart.
@@ -133,7 +133,7 @@
 
     /// Requests that are running or waiting, for a graceful shutdown.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_requests(&self) -> usize {
         self.core.flights.open()
     }
 
@@ -152,7 +152,7 @@
     }
 
     /// Another instance reads this stream for its caller now: let go of it without cancelling.
-    pub fn taken_over(&self, target: &TargetId, stream: &StreamId) {
+    pub fn handle_takeover(&self, target: &TargetId, stream: &StreamId) {
         self.core.streams.supersede(target, stream);
     }
 }
@@ -163,11 +163,11 @@
             relay: Relay::new(Arc::clone(&parts.engine), parts.timer),
             engine: parts.engine,
             quarantine: parts.quarantine,
-            flights: Flights::new(parts.metrics.clone()),
+            flights: InFlightRequests::new(parts.metrics.clone()),
             bodies: Budget::new(BODIES),
             answers: Budget::new(ANSWERS),
             streams: Streams::default(),
-            tickets: Tickets::new(&parts.stream_key),
+            tickets: ResumeHandleCodec::new(&parts.stream_key),
             admission: parts.admission,
             plain: parts.plain,
             claims: parts.claims,
@@ -177,7 +177,7 @@
             instance: parts.instance,
             metrics: parts.metrics,
             takeover,
-            grace: linger::GRACE,
+            grace: delivery::GRACE,
             life: fastrand::u64(..),
             requests: AtomicU64::new(0),
         }
@@ -185,7 +185,7 @@
 
     /// The configuration in force, while requests are taken.
     pub fn current(&self) -> Result<Arc<Current>, Refusal> {
-        if !self.admission.ready() {
+        if !self.admission.is_ready() {
             return Err(refusals::not_ready());
         }
         let current = self.config.current().ok_or_else(refusals::not_ready)?;
@@ -201,8 +201,8 @@
     pub async fn permit(
         &self,
         deadline: Moment,
-        decided: impl Future<Output = Result<Box<dyn Admitted>, Refusal>>,
-    ) -> Result<Box<dyn Admitted>, Refusal> {
+        decided: impl Future<Output = Result<Box<dyn PermitHandle>, Refusal>>,
+    ) -> Result<Box<dyn PermitHandle>, Refusal> {
         let undecided = async {
             let left = self.left(deadline).saturating_add(UNDECIDED);
             self.timer.sleep(left).await;
--- a/components/gateway/src/generate.rs
+++ b/components/gateway/src/generate.rs
@@ -6,20 +6,21 @@
 use futures_lite::future;
 use hyper::{Request, Response, body::Incoming};
 use net::{Body, Share};
-use relay::Running;
+use relay::ActiveStream;
 use targets::{EngineCall, Piece};
 use tree::RouteRule;
 use types::{Class, Moment, Refusal, Tokens};
 
 use crate::{
-    admission::{Ending, Wanted},
+    admission::{AdmissionRequest, WorkOutcome},
     attempt::{self, Step, Tried, Work, truthful},
-    call::{Api, Call},
-    flight::Flight,
-    parts::Core,
+    buffered,
+    completion_request::{Api, Call},
+    gateway::Core,
+    in_flight::InFlightGuard,
     prefix, refusals,
     request::{self, Caller, Wishes},
-    whole, writer,
+    writer,
 };
 
 /// Tokens of an answer where neither caller nor configuration says.
@@ -48,7 +49,7 @@
     /// Memory that the body takes up.
     pub _share: Share,
     /// Counts it as in flight.
-    pub flight: Flight,
+    pub flight: InFlightGuard,
 }
 
 /// Answers a request for a generation.
@@ -91,14 +92,14 @@
     if generation.call.stream {
         writer::answer(generation).await
     } else {
-        whole::answer(generation).await
+        buffered::answer(generation).await
     }
 }
 
 impl Generation {
     /// What admission needs to know.
-    pub fn wanted(&self) -> Wanted {
-        Wanted {
+    pub fn wanted(&self) -> AdmissionRequest {
+        AdmissionRequest {
             service: self.rule.service.clone(),
             kind: self.rule.kind,
             workspace: self.caller.workspace.clone(),
@@ -107,7 +108,7 @@
             deadline: self.deadline,
             // No token out means that it may run again.
             idempotent: true,
-            prompt: self.call.prompt_tokens,
+            prompt_tokens: self.call.prompt_tokens,
             max_output: self.max_output,
             prefix: prefix::hashes(&self.call.prompt),
             true_output: self.call.true_output,
@@ -127,7 +128,7 @@
     pub async fn begin(&self, work: &mut Work) -> Tried<Begun> {
         if !work.permit().may_send() {
             return Tried::Again {
-                ending: Ending::Unsent,
+                outcome: WorkOutcome::Unsent,
                 ran: false,
             };
         }
@@ -164,7 +165,7 @@
     async fn started(
         &self,
         work: &mut Work,
-        start: impl Future<Output = Result<Running, Step>>,
+        start: impl Future<Output = Result<ActiveStream, Step>>,
     ) -> Result<(), Step> {
         let mut running = None;
         let step = attempt::guarded(work.permit(), async {
@@ -212,25 +213,25 @@
             let (work, tried) = attempt(Work::new(permit)).await;
             match tried {
                 Tried::Good(good) => return Ok((work, good)),
-                Tried::Over { ending, refusal } => {
-                    if let Some(ending) = ending {
-                        work.take().0.end(ending);
+                Tried::Over { outcome, refusal } => {
+                    if let Some(outcome) = outcome {
+                        work.take().0.finish(outcome);
                     }
                     return Err(truthful(refusal, ever_ran));
                 }
-                Tried::Again { ending, ran } => {
+                Tried::Again { outcome, ran } => {
                     ever_ran |= ran;
-                    if ran && ending == Ending::Failed {
+                    if ran && outcome == WorkOutcome::Failed {
                         let kind = self.rule.kind;
                         self.core.look_into(self.fingerprint, kind, &target, sent);
                     }
                     let checked = self.core.check(&self.fingerprint);
                     if let Err(refusal) = checked {
-                        work.take().0.end(ending);
+                        work.take().0.finish(outcome);
                         return Err(truthful(refusal, ever_ran));
                     }
                     self.core.metrics.retried();
-                    let again = work.take().0.again(ending);
+                    let again = work.take().0.retry(outcome);
                     let again = self.core.permit(self.deadline, again).await;
                     permit = again.map_err(|refusal| truthful(refusal, ever_ran))?;
                 }
--- a/components/gateway/src/handler.rs
+++ b/components/gateway/src/handler.rs
@@ -8,7 +8,8 @@
 use types::Refusal;
 
 use crate::{
-    call::Api, generate, parts::Gateway, plain, problem, refusals, request::Caller, streams,
+    completion_request::Api, gateway::Gateway, generate, plain, problem, refusals, request::Caller,
+    streams,
 };
 
 /// Path by which callers go on with a stream.
--- a/components/gateway/src/keyed.rs
+++ b/components/gateway/src/idempotency.rs
@@ -82,7 +82,7 @@
 
 async fn run(request: PlainRequest, call: KeyedCall, tx: Sender<Outcome>) {
     let claims = Arc::clone(&request.core.claims);
-    let patience = request.core.left(request.wanted.deadline);
+    let patience = request.core.left(request.admission_request.deadline);
     let claimed = claims.claim(&call, patience).await;
     if !matches!(claimed, Ok(Claimed::Mine)) {
         let outcome = settled(claimed);
--- a/components/gateway/src/flight.rs
+++ b/components/gateway/src/in_flight.rs
@@ -18,13 +18,13 @@
 
 /// Counts requests in flight. Clones share the counts.
 #[derive(Clone)]
-pub struct Flights {
+pub struct InFlightRequests {
     all: Arc<AtomicUsize>,
     by_workspace: Arc<Mutex<HashMap<WorkspaceId, u32>>>,
     metrics: Metrics,
 }
 
-impl Flights {
+impl InFlightRequests {
     /// Starts at zero.
     pub fn new(metrics: Metrics) -> Self {
         Self {
@@ -45,7 +45,7 @@
         workspace: &WorkspaceId,
         limit: u32,
         class: Class,
-    ) -> Result<Flight, Refusal> {
+    ) -> Result<InFlightGuard, Refusal> {
         let mut by_workspace = self.by_workspace.lock();
         let count = by_workspace
             .entry(WorkspaceId::clone(workspace))
@@ -57,7 +57,7 @@
         drop(by_workspace);
         self.all.fetch_add(1, Ordering::AcqRel);
         self.metrics.entered();
-        Ok(Flight {
+        Ok(InFlightGuard {
             flights: self.clone(),
             workspace: WorkspaceId::clone(workspace),
             class,
@@ -75,22 +75,22 @@
 }
 
 /// One request in flight; over when dropped.
-pub struct Flight {
-    flights: Flights,
+pub struct InFlightGuard {
+    flights: InFlightRequests,
     workspace: WorkspaceId,
     class: Class,
     /// A request dropped without a word is one whose caller went away.
     outcome: Mutex<Outcome>,
 }
 
-impl Flight {
+impl InFlightGuard {
     /// Notes how the request ends.
     pub fn note(&self, outcome: Outcome) {
         *self.outcome.lock() = outcome;
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut by_workspace = self.flights.by_workspace.lock();
         if let Some(count) = by_workspace.get_mut(&self.workspace) {
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -11,14 +11,14 @@
 use types::{Class, Moment, Refusal, Run};
 
 use crate::{
-    admission::{Admitted, Ending, Wanted},
+    admission::{AdmissionRequest, PermitHandle, WorkOutcome},
     attempt::truthful,
-    flight::Flight,
     forward,
+    gateway::Core,
     generate::DEFAULT_IN_FLIGHT,
-    keyed,
+    idempotency,
+    in_flight::InFlightGuard,
     metrics::Outcome,
-    parts::Core,
     refusals,
     request::{self, Caller, Wishes},
 };
@@ -31,7 +31,7 @@
     /// The gateway.
     pub core: Arc<Core>,
     /// What admission needs to know.
-    pub wanted: Wanted,
+    pub admission_request: AdmissionRequest,
     /// The call for the service.
     pub call: PlainCall,
     /// What stays the same of it when it is sent again.
@@ -39,7 +39,7 @@
     /// Memory that the body takes up.
     pub _share: Share,
     /// Counts it as in flight.
-    pub flight: Flight,
+    pub flight: InFlightGuard,
 }
 
 /// Answers a plain call.
@@ -73,7 +73,7 @@
     let request = PlainRequest {
         core: Arc::clone(core),
         fingerprint,
-        wanted: wanted(&caller, &rule, class, deadline, idempotent),
+        admission_request: admission_request(&caller, &rule, class, deadline, idempotent),
         call: PlainCall {
             method: method.as_str().into(),
             path,
@@ -85,7 +85,7 @@
         flight,
     };
     match key {
-        Some(key) if !idempotent => keyed::answer(request, &caller, &key).await,
+        Some(key) if !idempotent => idempotency::answer(request, &caller, &key).await,
         // Without a key a caller that goes away drops all of this.
         _ => {
             let answer = request.run(future::pending()).await?;
@@ -94,14 +94,14 @@
     }
 }
 
-fn wanted(
+fn admission_request(
     caller: &Caller,
     rule: &tree::RouteRule,
     class: Class,
     deadline: Moment,
     idempotent: bool,
-) -> Wanted {
-    Wanted {
+) -> AdmissionRequest {
+    AdmissionRequest {
         service: rule.service.clone(),
         kind: rule.kind,
         workspace: caller.workspace.clone(),
@@ -109,7 +109,7 @@
         class,
         deadline,
         idempotent,
-        prompt: 0,
+        prompt_tokens: 0,
         max_output: 0,
         prefix: Vec::new(),
         true_output: None,
@@ -135,49 +135,51 @@
     async fn try_on(&self, gone: impl Future<Output = ()>) -> Result<PlainAnswer, Refusal> {
         let mut gone = pin!(gone);
         self.core.check(&self.fingerprint)?;
-        let admit = self.core.admission.admit(self.wanted.clone());
-        let admit = self.core.permit(self.wanted.deadline, admit);
+        let admit = self.core.admission.admit(self.admission_request.clone());
+        let admit = self.core.permit(self.admission_request.deadline, admit);
         let mut permit = unless(gone.as_mut(), admit).await?;
         let mut ever_ran = false;
         loop {
             let sent = self.core.admission.now();
             let tried = self.attempt(permit.as_ref()).await;
-            if matches!(tried, Err((Ending::Failed, true))) {
-                let (kind, target) = (self.wanted.kind, permit.target());
+            if matches!(tried, Err((WorkOutcome::Failed, true))) {
+                let (kind, target) = (self.admission_request.kind, permit.target());
                 self.core.look_into(self.fingerprint, kind, target, sent);
             }
-            let ending = match tried {
-                Ok((ending, answer)) => {
-                    self.core.quarantine.served(&self.fingerprint);
-                    permit.end(ending);
+            let outcome = match tried {
+                Ok((outcome, answer)) => {
+                    self.core.quarantine.record_success(&self.fingerprint);
+                    permit.finish(outcome);
                     return Ok(answer);
                 }
-                Err((ending, ran)) if ran && !self.wanted.idempotent => {
+                Err((outcome, ran)) if ran && !self.admission_request.idempotent => {
                     self.tell_lost(permit.as_ref());
-                    permit.end(ending);
+                    permit.finish(outcome);
                     return Err(refusals::lost(
                         "the call was sent once and may have run; it was not sent again",
                     ));
                 }
-                Err((ending, ran)) => {
+                Err((outcome, ran)) => {
                     ever_ran |= ran;
-                    ending
+                    outcome
                 }
             };
             if let Err(refusal) = self.core.check(&self.fingerprint) {
-                permit.end(ending);
+                permit.finish(outcome);
                 return Err(truthful(refusal, ever_ran));
             }
             self.core.metrics.retried();
-            let again = self.core.permit(self.wanted.deadline, permit.again(ending));
+            let again = self
+                .core
+                .permit(self.admission_request.deadline, permit.retry(outcome));
             let again = unless(gone.as_mut(), again).await;
             permit = again.map_err(|refusal| truthful(refusal, ever_ran))?;
         }
     }
 
-    fn tell_lost(&self, permit: &dyn Admitted) {
+    fn tell_lost(&self, permit: &dyn PermitHandle) {
         events::emit(&Event::CallLost {
-            workspace: self.wanted.workspace.clone(),
+            workspace: self.admission_request.workspace.clone(),
             target: permit.target().id.clone(),
             request: Arc::clone(&self.call.request),
         });
@@ -186,23 +188,23 @@
     /// One try. Without an answer: how it ended, and whether it may have run.
     async fn attempt(
         &self,
-        permit: &dyn Admitted,
-    ) -> Result<(Ending, PlainAnswer), (Ending, bool)> {
-        let patience = self.core.left(self.wanted.deadline);
+        permit: &dyn PermitHandle,
+    ) -> Result<(WorkOutcome, PlainAnswer), (WorkOutcome, bool)> {
+        let patience = self.core.left(self.admission_request.deadline);
         if patience.is_zero() || !permit.may_send() {
-            return Err((Ending::Unsent, false));
+            return Err((WorkOutcome::Unsent, false));
         }
         let begun = self.core.timer.now();
         let call = self.core.plain.call(permit.target(), &self.call, patience);
         match call.await {
             Ok(answer) => {
                 let took = self.core.timer.now().saturating_sub(begun);
-                let ending = Ending::Finished {
+                let outcome = WorkOutcome::Finished {
                     produced: 0,
                     first: took,
                     took,
                 };
-                Ok((ending, answer))
+                Ok((outcome, answer))
             }
             Err(TargetError::Wrong { status, body }) => {
                 let answer = PlainAnswer {
@@ -210,11 +212,11 @@
                     headers: Vec::new(),
                     body,
                 };
-                Ok((Ending::Cancelled { produced: 0 }, answer))
+                Ok((WorkOutcome::Cancelled { produced: 0 }, answer))
             }
-            Err(TargetError::Unsent { .. }) => Err((Ending::Unreachable, false)),
-            Err(TargetError::Turned { .. }) => Err((Ending::Overloaded, false)),
-            Err(TargetError::Lost { .. } | TargetError::Gone) => Err((Ending::Failed, true)),
+            Err(TargetError::Unsent { .. }) => Err((WorkOutcome::Unreachable, false)),
+            Err(TargetError::Turned { .. }) => Err((WorkOutcome::Overloaded, false)),
+            Err(TargetError::Lost { .. } | TargetError::Gone) => Err((WorkOutcome::Failed, true)),
         }
     }
 }
@@ -222,8 +224,8 @@
 /// Waits for a permit as long as the caller is there.
 async fn unless(
     gone: impl Future<Output = ()>,
-    permit: impl Future<Output = Result<Box<dyn Admitted>, Refusal>>,
-) -> Result<Box<dyn Admitted>, Refusal> {
+    permit: impl Future<Output = Result<Box<dyn PermitHandle>, Refusal>>,
+) -> Result<Box<dyn PermitHandle>, Refusal> {
     let left = async {
         gone.await;
         Err(refusals::caller_left())
--- a/components/gateway/src/quarantine.rs
+++ b/components/gateway/src/quarantine.rs
@@ -7,7 +7,7 @@
 use targets::{Report, TargetError};
 use types::{Moment, Refusal, ServiceKind, Standing, Target};
 
-use crate::{parts::Core, refusals};
+use crate::{gateway::Core, refusals};
 
 /// Times that a target is asked whether it has ended, and the pause between two.
 const ASKED: u32 = 8;
@@ -21,10 +21,10 @@
     fn rejects(&self, fingerprint: &Fingerprint) -> bool;
 
     /// Takes evidence that a target ended while it ran a request.
-    fn ended(&self, evidence: Evidence);
+    fn record_crash(&self, evidence: Evidence);
 
     /// Notes that a target has served a request whole.
-    fn served(&self, fingerprint: &Fingerprint);
+    fn record_success(&self, fingerprint: &Fingerprint);
 }
 
 impl Core {
@@ -45,7 +45,7 @@
         target: &Target,
         sent: Moment,
     ) {
-        let listed = self.admission.find(&target.id);
+        let listed = self.admission.find_target(&target.id);
         // One that was about to leave has left.
         if listed.is_none_or(|listed| listed.standing == Standing::Leaving) {
             return;
@@ -66,7 +66,7 @@
                 target: target.id,
                 started_at: Some(target.incarnation),
             };
-            core.quarantine.ended(Evidence {
+            core.quarantine.record_crash(Evidence {
                 fingerprint,
                 incarnation,
                 age: core.admission.now().saturating_sub(lost),
--- a/components/gateway/src/request.rs
+++ b/components/gateway/src/request.rs
@@ -8,7 +8,7 @@
 use net::{BodyError, Share, SharedError, read_shared};
 use types::{Class, Moment, Refusal, WorkspaceId};
 
-use crate::{auth, parts::Core, refusals};
+use crate::{auth, gateway::Core, refusals};
 
 /// Names a route of the service.
 pub const ROUTE: &str = "x-route";
--- a/components/gateway/src/ticket.rs
+++ b/components/gateway/src/resume_handle.rs
@@ -18,7 +18,7 @@
 
 /// What a ticket says.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Ticket {
+pub struct ResumeHandle {
     /// Where the generation runs.
     pub target: TargetId,
     /// Its name there.
@@ -30,18 +30,19 @@
     /// Its urgency.
     pub class: Class,
     /// Tokens in the prompt.
-    pub prompt: Tokens,
+    #[serde(rename = "prompt")]
+    pub prompt_tokens: Tokens,
     /// The most tokens to produce.
     pub max_output: Tokens,
 }
 
 /// Makes and checks tickets with the deployment's key.
 #[derive(Clone)]
-pub struct Tickets {
+pub struct ResumeHandleCodec {
     mac: Hmac<Sha256>,
 }
 
-impl Tickets {
+impl ResumeHandleCodec {
     /// Uses this key, the same at all instances.
     #[must_use]
     pub fn new(key: &str) -> Self {
@@ -53,7 +54,7 @@
 
     /// Writes a ticket for a workspace's caller.
     #[must_use]
-    pub fn write(&self, workspace: &str, ticket: &Ticket) -> String {
+    pub fn write(&self, workspace: &str, ticket: &ResumeHandle) -> String {
         // A ticket has strings and numbers only, which always have an encoding.
         let mut content = rmp_serde::to_vec(ticket).expect("a ticket can be encoded");
         let code = self.code(workspace, &content);
@@ -64,7 +65,7 @@
     /// Reads an event id: the ticket and the event's offset. `None` if it is none of ours or
     /// belongs to another workspace.
     #[must_use]
-    pub fn read(&self, workspace: &str, id: &str) -> Option<(Ticket, Tokens)> {
+    pub fn read(&self, workspace: &str, id: &str) -> Option<(ResumeHandle, Tokens)> {
         if id.len() > ID_LIMIT {
             return None;
         }
--- a/components/gateway/src/streams.rs
+++ b/components/gateway/src/streams.rs
@@ -16,13 +16,13 @@
 use types::{Refusal, ServiceKind, Target, TargetId, Tokens};
 
 use crate::{
-    admission::Wanted,
+    admission::AdmissionRequest,
+    gateway::Core,
     generate::DEFAULT_IN_FLIGHT,
     metrics::Outcome,
-    parts::Core,
     refusals,
     request::{self, Caller, Wishes},
-    ticket::Ticket,
+    resume_handle::ResumeHandle,
     writer::{self, Account},
 };
 
@@ -129,7 +129,7 @@
     let wishes = Wishes::read(req.headers())?;
     let target = core
         .admission
-        .find(&ticket.target)
+        .find_target(&ticket.target)
         .ok_or_else(refusals::stream_gone)?;
     let rule = caller.current.in_force.service(&target.service);
     let rule = rule.ok_or_else(refusals::stream_gone)?;
@@ -151,7 +151,7 @@
         workspace: caller.workspace,
         route: ticket.route,
         class: ticket.class,
-        prompt: ticket.prompt,
+        prompt_tokens: ticket.prompt_tokens,
         max_output: ticket.max_output,
         fingerprint: None,
     };
@@ -160,7 +160,7 @@
 }
 
 /// Whoever held the stream must not cancel it now.
-fn tell_holder(core: &Arc<Core>, ticket: &Ticket) {
+fn tell_holder(core: &Arc<Core>, ticket: &ResumeHandle) {
     if ticket.holder == core.instance {
         core.streams.supersede(&ticket.target, &ticket.stream);
         return;
@@ -171,14 +171,19 @@
     let ticket = ticket.clone();
     let tell = async move {
         takeover
-            .tell(&ticket.holder, &ticket.target, &ticket.stream)
+            .notify(&ticket.holder, &ticket.target, &ticket.stream)
             .await;
     };
     workers::spawn(tell).detach();
 }
 
-fn wanted(caller: &Caller, target: &Target, ticket: &Ticket, deadline: types::Moment) -> Wanted {
-    Wanted {
+fn wanted(
+    caller: &Caller,
+    target: &Target,
+    ticket: &ResumeHandle,
+    deadline: types::Moment,
+) -> AdmissionRequest {
+    AdmissionRequest {
         service: target.service.clone(),
         kind: ServiceKind::Model,
         workspace: caller.workspace.clone(),
@@ -186,7 +191,7 @@
         class: ticket.class,
         deadline,
         idempotent: false,
-        prompt: ticket.prompt,
+        prompt_tokens: ticket.prompt_tokens,
         max_output: ticket.max_output,
         prefix: Vec::new(),
         true_output: None::<Tokens>,
--- a/components/gateway/src/writer.rs
+++ b/components/gateway/src/writer.rs
@@ -7,23 +7,23 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use hyper::Response;
 use net::{Body, BodySender, Reply, channel};
-use relay::{Closed, Running, Sink};
+use relay::{ActiveStream, ReceiverClosed, TokenSink};
 use smol::channel::TrySendError;
 use targets::{Piece, openai::REQUEST_ID};
 use timer::Timer;
 use types::{Class, Moment, Refusal, Tokens, WorkspaceId};
 
 use crate::{
-    admission::{Admitted, Ending},
+    admission::{PermitHandle, WorkOutcome},
     attempt::Tried,
-    flight::Flight,
+    delivery::{self, Carried},
+    gateway::Core,
     generate::{Begun, Generation},
-    linger::{self, Carried},
+    in_flight::InFlightGuard,
     metrics::Metrics,
-    pace::Pace,
-    parts::Core,
     problem,
-    ticket::Ticket,
+    progress::Pace,
+    resume_handle::ResumeHandle,
 };
 
 /// A caller that takes nothing for this long counts as gone. Its stream would otherwise hold
@@ -44,7 +44,7 @@
             let tried = ask.begin(&mut work).await;
             if let Tried::Good(begun) = &tried {
                 // Before any token goes out: from now on the permit can't be pulled back.
-                work.permit().progress(begun.produced());
+                work.permit().report_progress(begun.produced());
             }
             (work, tried)
         })
@@ -70,7 +70,7 @@
     /// Its urgency.
     pub class: Class,
     /// Tokens in the prompt.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// The most tokens to produce.
     pub max_output: Tokens,
     /// What stays the same of the request when it is sent again, where it is known.
@@ -83,20 +83,20 @@
             workspace: generation.caller.workspace.clone(),
             route: generation.rule.route.clone(),
             class: generation.class,
-            prompt: generation.call.prompt_tokens,
+            prompt_tokens: generation.call.prompt_tokens,
             max_output: generation.max_output,
             fingerprint: Some(generation.fingerprint),
         }
     }
 
-    fn ticket(&self, core: &Core, running: &Running) -> String {
-        let ticket = Ticket {
+    fn ticket(&self, core: &Core, running: &ActiveStream) -> String {
+        let ticket = ResumeHandle {
             target: running.target().id.clone(),
             stream: running.id().clone(),
             holder: core.instance.clone(),
             route: self.route.clone(),
             class: self.class,
-            prompt: self.prompt,
+            prompt_tokens: self.prompt_tokens,
             max_output: self.max_output,
         };
         core.tickets.write(&self.workspace, &ticket)
@@ -108,10 +108,10 @@
 pub fn carry(
     core: &Arc<Core>,
     account: &Account,
-    permit: Box<dyn Admitted>,
-    running: Running,
+    permit: Box<dyn PermitHandle>,
+    running: ActiveStream,
     piece: Option<Piece>,
-    flight: Flight,
+    flight: InFlightGuard,
 ) -> Reply {
     let (tx, body) = channel();
     let ticket = account.ticket(core, &running);
@@ -124,7 +124,7 @@
         writer,
         flight: Some(flight),
     };
-    workers::spawn(linger::carry(carried, piece)).detach();
+    workers::spawn(delivery::carry(carried, piece)).detach();
     Reply::new(200)
         .with_header("content-type", "text/event-stream")
         .with_header("cache-control", "no-cache")
@@ -138,14 +138,14 @@
     /// `id: TICKET.`
     head: Bytes,
     /// Until the work under it has ended.
-    permit: Option<Box<dyn Admitted>>,
+    permit: Option<Box<dyn PermitHandle>>,
     metrics: Metrics,
     pace: Pace,
     last: Moment,
 }
 
 impl Writer {
-    fn new(core: &Core, tx: BodySender, ticket: &str, permit: Box<dyn Admitted>) -> Self {
+    fn new(core: &Core, tx: BodySender, ticket: &str, permit: Box<dyn PermitHandle>) -> Self {
         let now = core.timer.now();
         Self {
             timer: core.timer,
@@ -159,12 +159,12 @@
     }
 
     /// Writes the stream's end.
-    pub async fn done(&self) -> Result<(), Closed> {
+    pub async fn done(&self) -> Result<(), ReceiverClosed> {
         self.send_last(Bytes::from_static(DONE)).await
     }
 
     /// Writes that the answer stops short.
-    pub async fn partial(&self, refusal: &Refusal) -> Result<(), Closed> {
+    pub async fn partial(&self, refusal: &Refusal) -> Result<(), ReceiverClosed> {
         let mut buf = BytesMut::new();
         buf.put_slice(b"event: partial\ndata: ");
         buf.put_slice(&problem::json(refusal));
@@ -177,7 +177,7 @@
         if let Some(permit) = &self.permit
             && self.pace.due(produced, self.timer.now())
         {
-            permit.progress(produced);
+            permit.report_progress(produced);
         }
     }
 
@@ -187,35 +187,39 @@
     }
 
     /// Reports how the work under the permit ended.
-    pub fn end(&mut self, ending: Ending) {
+    pub fn finish(&mut self, outcome: WorkOutcome) {
         if let Some(permit) = self.permit.take() {
-            permit.end(ending);
+            permit.finish(outcome);
         }
     }
 
     /// Sends what tells of the stream's end. Without it the connection ends as one that broke.
-    async fn send_last(&self, buf: Bytes) -> Result<(), Closed> {
+    async fn send_last(&self, buf: Bytes) -> Result<(), ReceiverClosed> {
         self.send(buf).await?;
         self.tx.finish();
         Ok(())
     }
 
-    async fn send(&self, buf: Bytes) -> Result<(), Closed> {
+    async fn send(&self, buf: Bytes) -> Result<(), ReceiverClosed> {
         let buf = match self.tx.try_send(buf) {
             Ok(()) => return Ok(()),
-            Err(TrySendError::Closed(_)) => return Err(Closed),
+            Err(TrySendError::Closed(_)) => return Err(ReceiverClosed),
             Err(TrySendError::Full(buf)) => buf,
         };
         match self.timer.within(WRITE_STALL, self.tx.send(buf)).await {
             Some(Ok(())) => Ok(()),
-            Some(Err(_)) | None => Err(Closed),
+            Some(Err(_)) | None => Err(ReceiverClosed),
         }
     }
 }
 
 #[async_trait]
-impl Sink for Writer {
-    async fn tokens(&mut self, first: Tokens, data: Vec<Bytes>) -> Result<(), Closed> {
+impl TokenSink for Writer {
+    async fn write_tokens(
+        &mut self,
+        first: Tokens,
+        data: Vec<Bytes>,
+    ) -> Result<(), ReceiverClosed> {
         let now = self.timer.now();
         self.metrics
             .tokens(data.len() as u64, now.saturating_sub(self.last));
--- a/components/gateway/tests/fakes/admission.rs
+++ b/components/gateway/tests/fakes/admission.rs
@@ -3,7 +3,7 @@
 use std::{collections::VecDeque, sync::Arc};
 
 use async_trait::async_trait;
-use gateway::{Admission, Admitted, Ending, Wanted};
+use gateway::{Admission, AdmissionRequest, PermitHandle, WorkOutcome};
 use parking_lot::Mutex;
 use timer::Timer;
 use types::{Moment, Refusal, Target, Tokens};
@@ -28,11 +28,11 @@
 /// What happened.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Note {
-    Admit(Wanted),
+    Admit(AdmissionRequest),
     Adopt(Tokens),
     Progress(Tokens),
-    Again(Ending),
-    End(Ending),
+    Again(WorkOutcome),
+    End(WorkOutcome),
     /// Waiting for a permit, or the permit itself, was dropped.
     Dropped,
 }
@@ -85,7 +85,7 @@
     }
 
     /// The first request that was asked for.
-    pub fn wanted(&self) -> Wanted {
+    pub fn wanted(&self) -> AdmissionRequest {
         let wanted = self.notes().into_iter().find_map(|note| match note {
             Note::Admit(wanted) => Some(wanted),
             _ => None,
@@ -108,7 +108,7 @@
     }
 }
 
-async fn say(shared: Arc<Shared>) -> Result<Box<dyn Admitted>, Refusal> {
+async fn say(shared: Arc<Shared>) -> Result<Box<dyn PermitHandle>, Refusal> {
     let say = shared.script.lock().pop_front().unwrap_or(Say::Go("t1"));
     let mut guard = Guard {
         shared,
@@ -146,7 +146,7 @@
 }
 
 #[async_trait]
-impl Admitted for FakeAdmitted {
+impl PermitHandle for FakeAdmitted {
     fn target(&self) -> &Target {
         &self.target
     }
@@ -155,24 +155,27 @@
         self.may_send
     }
 
-    fn progress(&self, produced: Tokens) {
+    fn report_progress(&self, produced: Tokens) {
         self.note(Note::Progress(produced));
     }
 
-    async fn pulled_back(&self) {
+    async fn revoked(&self) {
         while !(self.pulled && *self.guard.shared.pull.lock()) {
             smol::Timer::after(std::time::Duration::from_millis(2)).await;
         }
     }
 
-    fn end(mut self: Box<Self>, ending: Ending) {
+    fn finish(mut self: Box<Self>, outcome: WorkOutcome) {
         self.guard.ended = true;
-        self.note(Note::End(ending));
+        self.note(Note::End(outcome));
     }
 
-    async fn again(mut self: Box<Self>, ending: Ending) -> Result<Box<dyn Admitted>, Refusal> {
+    async fn retry(
+        mut self: Box<Self>,
+        outcome: WorkOutcome,
+    ) -> Result<Box<dyn PermitHandle>, Refusal> {
         self.guard.ended = true;
-        self.note(Note::Again(ending));
+        self.note(Note::Again(outcome));
         say(Arc::clone(&self.guard.shared)).await
     }
 }
@@ -183,17 +186,22 @@
         self.timer.now()
     }
 
-    async fn admit(&self, wanted: Wanted) -> Result<Box<dyn Admitted>, Refusal> {
-        self.shared.notes.lock().push(Note::Admit(wanted));
+    async fn admit(&self, request: AdmissionRequest) -> Result<Box<dyn PermitHandle>, Refusal> {
+        self.shared.notes.lock().push(Note::Admit(request));
         say(Arc::clone(&self.shared)).await
     }
 
-    fn find(&self, id: &str) -> Option<Target> {
+    fn find_target(&self, id: &str) -> Option<Target> {
         let gone = self.shared.gone.lock().iter().any(|gone| **gone == *id);
         (!gone).then(|| target(id))
     }
 
-    fn adopt(&self, target: &Target, _: Wanted, produced: Tokens) -> Box<dyn Admitted> {
+    fn adopt(
+        &self,
+        target: &Target,
+        _: AdmissionRequest,
+        produced: Tokens,
+    ) -> Box<dyn PermitHandle> {
         self.shared.notes.lock().push(Note::Adopt(produced));
         Box::new(FakeAdmitted {
             target: target.clone(),
@@ -206,7 +214,7 @@
         })
     }
 
-    fn ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         true
     }
 }
--- a/components/gateway/tests/fakes/mod.rs
+++ b/components/gateway/tests/fakes/mod.rs
@@ -38,11 +38,11 @@
         self.state.lock().rejects(Duration::ZERO, fingerprint)
     }
 
-    fn ended(&self, evidence: Evidence) {
+    fn record_crash(&self, evidence: Evidence) {
         self.state.lock().record_crash(Duration::ZERO, evidence);
     }
 
-    fn served(&self, fingerprint: &Fingerprint) {
+    fn record_success(&self, fingerprint: &Fingerprint) {
         self.state
             .lock()
             .record_success(Duration::ZERO, fingerprint);
@@ -198,7 +198,7 @@
 
     /// Waits until nothing is in flight.
     pub async fn idle(&self) {
-        until(|| self.gateway.open() == 0).await;
+        until(|| self.gateway.open_requests() == 0).await;
     }
 }
 
@@ -359,9 +359,9 @@
 
 #[async_trait::async_trait]
 impl Takeover for FakeTakeover {
-    async fn tell(&self, holder: &InstanceId, target: &TargetId, stream: &StreamId) {
+    async fn notify(&self, holder: &InstanceId, target: &TargetId, stream: &StreamId) {
         if let Some(gateway) = &*self.holder.lock() {
-            gateway.taken_over(target, stream);
+            gateway.handle_takeover(target, stream);
         }
         let told = (holder.clone(), target.clone(), stream.clone());
         self.told.lock().push(told);
--- a/components/gateway/tests/generations.rs
+++ b/components/gateway/tests/generations.rs
@@ -15,7 +15,7 @@
     engine::{FakeEngine, Step, token},
     events, in_time, problem, read, until,
 };
-use gateway::Ending;
+use gateway::WorkOutcome;
 use http_body_util::BodyExt;
 use hyper::{Response, body::Incoming};
 use targets::TargetError;
@@ -60,7 +60,7 @@
 }
 
 fn produced(count: Tokens) -> impl Fn(&Note) -> bool {
-    move |note| matches!(note, Note::End(Ending::Finished { produced, .. }) if *produced == count)
+    move |note| matches!(note, Note::End(WorkOutcome::Finished { produced, .. }) if *produced == count)
 }
 
 #[test]
@@ -140,7 +140,7 @@
         let answer = bed.send("POST", "/v1/completions", &headers, &body).await;
         assert_eq!(answer.status, 200);
         let wanted = bed.admission.wanted();
-        assert_eq!((wanted.prompt, wanted.max_output), (150, 100));
+        assert_eq!((wanted.prompt_tokens, wanted.max_output), (150, 100));
         assert_eq!(
             (wanted.class, wanted.true_output),
             (Class::Background, Some(7))
@@ -225,7 +225,7 @@
         let answer = bed.complete(true, &[]).await;
         assert_eq!(answer.problem(), problem(503, "full", "not-run"));
         assert_eq!(bed.engine.started(), 0);
-        assert_eq!(bed.admission.endings(), [Note::Again(Ending::Unsent)]);
+        assert_eq!(bed.admission.endings(), [Note::Again(WorkOutcome::Unsent)]);
     });
 }
 
@@ -251,7 +251,7 @@
                 assert_eq!(answer.json()["choices"][0]["text"], "t0 t1 ");
             }
             assert_eq!(bed.engine.cancels(), 1);
-            let again = Note::Again(Ending::Cancelled { produced: tokens });
+            let again = Note::Again(WorkOutcome::Cancelled { produced: tokens });
             assert_eq!(bed.admission.endings()[0], again);
         });
     }
@@ -275,7 +275,7 @@
             (&"partial".into(), &502.into())
         );
         bed.idle().await;
-        assert_eq!(bed.admission.endings(), [Note::End(Ending::Failed)]);
+        assert_eq!(bed.admission.endings(), [Note::End(WorkOutcome::Failed)]);
     });
 }
 
@@ -318,7 +318,7 @@
         bed.engine.deaf.store(false, Ordering::Release);
         until(|| !bed.admission.endings().is_empty()).await;
         assert_eq!(bed.engine.cancels(), 1);
-        let ending = Ending::Cancelled { produced: 0 };
+        let ending = WorkOutcome::Cancelled { produced: 0 };
         assert_eq!(bed.admission.endings(), [Note::End(ending)]);
     });
 }
@@ -405,7 +405,7 @@
             futures_lite::future::or(asking, leaving).await;
             until(|| !bed.admission.endings().is_empty()).await;
             assert_eq!(bed.engine.cancels(), 1);
-            let ending = Ending::Cancelled { produced: 0 };
+            let ending = WorkOutcome::Cancelled { produced: 0 };
             assert_eq!(bed.admission.endings(), [Note::End(ending)]);
         }
     });
@@ -431,7 +431,7 @@
         bed.idle().await;
         let endings = bed.admission.endings();
         assert!(
-            matches!(endings[..], [Note::End(Ending::Cancelled { .. })]),
+            matches!(endings[..], [Note::End(WorkOutcome::Cancelled { .. })]),
             "{endings:?}"
         );
     });
--- a/components/gateway/tests/inputs.rs
+++ b/components/gateway/tests/inputs.rs
@@ -3,7 +3,7 @@
 mod fakes;
 
 use fakes::{Bed, KEY_A, admission::Say, body, problem, read, until};
-use gateway::ticket::{Ticket, Tickets};
+use gateway::resume_handle::{ResumeHandle, ResumeHandleCodec};
 use proptest::prelude::{ProptestConfig, any, prop, prop_assert, prop_assert_eq, proptest};
 use smol::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -148,7 +148,7 @@
         let first = bed.complete(true, &[]);
         let second = bed.complete(true, &[]);
         let third = async {
-            until(|| bed.gateway.open() == 2).await;
+            until(|| bed.gateway.open_requests() == 2).await;
             let answer = bed.complete(true, &[]).await;
             assert_eq!(answer.problem(), problem(429, "in-flight", "not-run"));
             assert_eq!(answer.headers["retry-after"], "1");
@@ -164,27 +164,27 @@
     });
 }
 
-fn ticket() -> Ticket {
-    Ticket {
+fn ticket() -> ResumeHandle {
+    ResumeHandle {
         target: "t1".into(),
         stream: "s1".into(),
         holder: "entry-1".into(),
         route: "default".into(),
         class: Class::Background,
-        prompt: 12,
+        prompt_tokens: 12,
         max_output: 400,
     }
 }
 
 #[test]
 fn an_event_id_is_safe_in_urls_and_says_the_same_again() {
-    let tickets = Tickets::new("key");
+    let tickets = ResumeHandleCodec::new("key");
     let id = format!("{}.41", tickets.write("a", &ticket()));
     let safe = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
     assert!(id.bytes().all(safe));
     assert_eq!(tickets.read("a", &id), Some((ticket(), 41)));
     assert_eq!(tickets.read("b", &id), None);
-    assert_eq!(Tickets::new("other").read("a", &id), None);
+    assert_eq!(ResumeHandleCodec::new("other").read("a", &id), None);
 }
 
 proptest! {
@@ -192,7 +192,7 @@
 
     #[test]
     fn no_text_makes_the_event_id_decoder_panic(id in ".{0,200}", tail in any::<u64>()) {
-        let tickets = Tickets::new("key");
+        let tickets = ResumeHandleCodec::new("key");
         prop_assert!(tickets.read("a", &id).is_none());
         let id = format!("{id}.{tail}");
         prop_assert!(tickets.read("a", &id).is_none());
@@ -200,7 +200,7 @@
 
     #[test]
     fn a_changed_event_id_is_refused(at in any::<prop::sample::Index>(), with in "[A-Za-z0-9_-]") {
-        let tickets = Tickets::new("key");
+        let tickets = ResumeHandleCodec::new("key");
         let text = tickets.write("a", &ticket());
         let at = at.index(text.len());
         let mut changed = text.clone();
--- a/components/gateway/tests/plain_calls.rs
+++ b/components/gateway/tests/plain_calls.rs
@@ -10,7 +10,7 @@
     plain::{Settled, answer},
     problem, until,
 };
-use gateway::Ending;
+use gateway::WorkOutcome;
 use targets::TargetError;
 use types::Refusal;
 
@@ -119,7 +119,7 @@
         let answer = bed.send("POST", ORDER, &[], "sheet").await;
         assert_eq!(answer.problem(), problem(504, "answer-lost", "unknown"));
         assert_eq!(bed.plain.called(), 1);
-        assert_eq!(bed.admission.endings(), [Note::End(Ending::Failed)]);
+        assert_eq!(bed.admission.endings(), [Note::End(WorkOutcome::Failed)]);
     });
 }
 
@@ -134,8 +134,8 @@
         let answer = bed.send("POST", ORDER, &[], "sheet").await;
         assert_eq!((answer.status, answer.body.as_str()), (200, "ordered"));
         let endings = bed.admission.endings();
-        assert_eq!(endings[0], Note::Again(Ending::Unreachable));
-        assert_eq!(endings[1], Note::Again(Ending::Overloaded));
+        assert_eq!(endings[0], Note::Again(WorkOutcome::Unreachable));
+        assert_eq!(endings[1], Note::Again(WorkOutcome::Overloaded));
     });
 }
 
--- a/components/node/src/admitted.rs
+++ b/components/node/src/admitted.rs
@@ -4,8 +4,8 @@
 
 use async_trait::async_trait;
 use gateway::{
-    Admission, Admitted,
-    admission::{Ending, Wanted},
+    Admission, PermitHandle,
+    admission::{AdmissionRequest, WorkOutcome},
 };
 use policy::{Event, Request, RequestId};
 use smol::channel::Receiver;
@@ -44,7 +44,7 @@
     }
 }
 
-async fn wait(core: &Arc<Core>, waiter: Waiter) -> Result<Box<dyn Admitted>, Refusal> {
+async fn wait(core: &Arc<Core>, waiter: Waiter) -> Result<Box<dyn PermitHandle>, Refusal> {
     let mut waits = Waits {
         core: Arc::clone(core),
         id: waiter.id,
@@ -85,7 +85,7 @@
 }
 
 impl Placed {
-    fn finish(&mut self, outcome: Outcome) {
+    fn report_outcome(&mut self, outcome: Outcome) {
         self.ended = true;
         self.core.unregister(self.id);
         self.core.decide(Event::Ended {
@@ -100,13 +100,13 @@
     fn drop(&mut self) {
         if !self.ended {
             // Nobody knows how far it came, so it may still run.
-            self.finish(Outcome::Failed);
+            self.report_outcome(Outcome::Failed);
         }
     }
 }
 
 #[async_trait]
-impl Admitted for Placed {
+impl PermitHandle for Placed {
     fn target(&self) -> &Target {
         &self.target
     }
@@ -115,7 +115,7 @@
         self.core.may_send(self.id)
     }
 
-    fn progress(&self, produced: Tokens) {
+    fn report_progress(&self, produced: Tokens) {
         self.core.decide(Event::Progress {
             request: self.id,
             produced,
@@ -123,7 +123,7 @@
         });
     }
 
-    fn gathered(&self, produced: Tokens) {
+    fn report_buffered(&self, produced: Tokens) {
         self.core.decide(Event::Progress {
             request: self.id,
             produced,
@@ -131,23 +131,26 @@
         });
     }
 
-    async fn pulled_back(&self) {
+    async fn revoked(&self) {
         if self.pull_back.recv().await.is_err() {
             // The request is no longer known to the decisions; nothing is pulled back any more.
             std::future::pending::<()>().await;
         }
     }
 
-    fn end(mut self: Box<Self>, ending: Ending) {
-        self.finish(ending);
+    fn finish(mut self: Box<Self>, outcome: WorkOutcome) {
+        self.report_outcome(outcome);
     }
 
-    async fn again(mut self: Box<Self>, ending: Ending) -> Result<Box<dyn Admitted>, Refusal> {
+    async fn retry(
+        mut self: Box<Self>,
+        outcome: WorkOutcome,
+    ) -> Result<Box<dyn PermitHandle>, Refusal> {
         self.ended = true;
         let waiter = self.core.register(Some(self.id));
         let event = Event::Ended {
             request: self.id,
-            outcome: ending,
+            outcome,
             retry: true,
         };
         self.core.decide(event);
@@ -161,7 +164,7 @@
 }
 
 #[async_trait]
-impl Admitted for Adopted {
+impl PermitHandle for Adopted {
     fn target(&self) -> &Target {
         &self.target
     }
@@ -170,15 +173,18 @@
         true
     }
 
-    fn progress(&self, _produced: Tokens) {}
+    fn report_progress(&self, _produced: Tokens) {}
 
-    async fn pulled_back(&self) {
+    async fn revoked(&self) {
         std::future::pending::<()>().await;
     }
 
-    fn end(self: Box<Self>, _ending: Ending) {}
+    fn finish(self: Box<Self>, _outcome: WorkOutcome) {}
 
-    async fn again(self: Box<Self>, _ending: Ending) -> Result<Box<dyn Admitted>, Refusal> {
+    async fn retry(
+        self: Box<Self>,
+        _outcome: WorkOutcome,
+    ) -> Result<Box<dyn PermitHandle>, Refusal> {
         let detail = "a stream that began elsewhere can't be run again";
         Err(
             Refusal::new(502, "not-repeatable", "Not repeatable", detail)
@@ -193,13 +199,14 @@
         self.core.timer.now()
     }
 
-    async fn admit(&self, wanted: Wanted) -> Result<Box<dyn Admitted>, Refusal> {
+    async fn admit(&self, request: AdmissionRequest) -> Result<Box<dyn PermitHandle>, Refusal> {
         let waiter = self.core.register(None);
-        self.core.decide(Event::Arrived(request(waiter.id, wanted)));
+        self.core
+            .decide(Event::Arrived(policy_request(waiter.id, request)));
         wait(&self.core, waiter).await
     }
 
-    fn find(&self, target: &str) -> Option<Target> {
+    fn find_target(&self, target: &str) -> Option<Target> {
         self.core
             .view()
             .targets
@@ -208,30 +215,35 @@
             .cloned()
     }
 
-    fn adopt(&self, target: &Target, _wanted: Wanted, _produced: Tokens) -> Box<dyn Admitted> {
+    fn adopt(
+        &self,
+        target: &Target,
+        _request: AdmissionRequest,
+        _produced: Tokens,
+    ) -> Box<dyn PermitHandle> {
         Box::new(Adopted {
             target: target.clone(),
         })
     }
 
-    fn ready(&self) -> bool {
+    fn is_ready(&self) -> bool {
         (self.ready)()
     }
 }
 
-fn request(id: RequestId, wanted: Wanted) -> Request {
+fn policy_request(id: RequestId, request: AdmissionRequest) -> Request {
     Request {
         id,
-        service: wanted.service,
-        kind: wanted.kind,
-        workspace: wanted.workspace,
-        route: wanted.route,
-        class: wanted.class,
-        deadline: wanted.deadline,
-        idempotent: wanted.idempotent,
-        prompt_tokens: wanted.prompt,
-        max_output: wanted.max_output,
-        prefix: wanted.prefix,
-        true_output: wanted.true_output,
+        service: request.service,
+        kind: request.kind,
+        workspace: request.workspace,
+        route: request.route,
+        class: request.class,
+        deadline: request.deadline,
+        idempotent: request.idempotent,
+        prompt_tokens: request.prompt_tokens,
+        max_output: request.max_output,
+        prefix: request.prefix,
+        true_output: request.true_output,
     }
 }
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -144,7 +144,7 @@
     }
 
     fn let_go(&self, word: &TakenOver) -> Reply {
-        self.gateway.taken_over(&word.target, &word.stream);
+        self.gateway.handle_takeover(&word.target, &word.stream);
         Reply::new(204)
     }
 
@@ -240,7 +240,7 @@
 
 #[async_trait]
 impl Takeover for PeerClient {
-    async fn tell(&self, holder: &InstanceId, target: &TargetId, stream: &StreamId) {
+    async fn notify(&self, holder: &InstanceId, target: &TargetId, stream: &StreamId) {
         let word = TakenOver {
             to: holder.clone(),
             target: target.clone(),
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -36,14 +36,14 @@
         self.core.quarantine.lock().rejects(now, fingerprint)
     }
 
-    fn ended(&self, evidence: Evidence) {
+    fn record_crash(&self, evidence: Evidence) {
         for keeper in self.core.keepers(&evidence.fingerprint) {
             self.core.push(&keeper, Message::Ended(evidence.clone()));
         }
         self.core.take_evidence(evidence);
     }
 
-    fn served(&self, fingerprint: &Fingerprint) {
+    fn record_success(&self, fingerprint: &Fingerprint) {
         let now = self.core.timer.now();
         let served = self.core.quarantine.lock().record_success(now, fingerprint);
         let Some((verdict, recipients)) = served else {
--- a/components/node/src/serve.rs
+++ b/components/node/src/serve.rs
@@ -94,7 +94,7 @@
             operators,
         } = self.serving;
         events::emit(&Log::Draining {
-            open: self.gateway.open(),
+            open: self.gateway.open_requests(),
         });
         self.draining.store(true, Ordering::Release);
         callers.retire();
@@ -102,10 +102,10 @@
         self.core.timer.sleep(self.grace).await;
         events::emit(&Log::DrainClosing {
             connections: callers.open(),
-            open: self.gateway.open(),
+            open: self.gateway.open_requests(),
         });
         callers.stop().await;
-        shutdown::until_idle(self.core.timer, || self.gateway.open()).await;
+        shutdown::until_idle(self.core.timer, || self.gateway.open_requests()).await;
         self.claims.drain(DRAIN_CLAIMS).await;
         // Until here operators may look at the shutdown, and requests may need what peers send.
         future::zip(operators.stop(), peers.stop()).await;
--- a/components/relay/examples/resume.rs
+++ b/components/relay/examples/resume.rs
@@ -1,5 +1,5 @@
-//! Measures over TCP how long a caller waits when a link falls silent, with everything in it:
-//! noticing, connecting, asking for the next token.
+//! Measures over TCP how long a caller waits when the connection to an engine goes silent:
+//! detection, reconnection and the request for the next token together.
 
 use std::{
     net::SocketAddr,
@@ -17,24 +17,25 @@
 use types::{Standing, Target};
 
 const STREAMS: u64 = 200;
-const BEFORE: u64 = 40;
+/// Tokens sent before the connection goes silent.
+const TOKENS_BEFORE_SILENCE: u64 = 40;
 
-/// Sends `BEFORE` tokens and falls silent; a resumed stream goes on and ends.
-struct Falls {
+/// Sends `TOKENS_BEFORE_SILENCE` tokens and goes silent; a resumed stream continues and ends.
+struct SilentEngine {
     gap: Duration,
 }
 
 #[async_trait]
-impl Handler for Falls {
+impl Handler for SilentEngine {
     async fn handle(&self, _: SocketAddr, req: Request<Incoming>) -> Response<Body> {
         let resumed = req.method() == Method::GET;
         let (tx, body) = channel();
         let gap = self.gap;
-        let feed = async move {
+        let send_events = async move {
             let range = if resumed {
-                BEFORE..BEFORE + 5
+                TOKENS_BEFORE_SILENCE..TOKENS_BEFORE_SILENCE + 5
             } else {
-                0..BEFORE
+                0..TOKENS_BEFORE_SILENCE
             };
             for offset in range {
                 smol::Timer::after(gap).await;
@@ -51,7 +52,7 @@
             smol::Timer::after(Duration::from_secs(60)).await;
             drop(tx);
         };
-        workers::spawn(feed).detach();
+        workers::spawn(send_events).detach();
         Reply::new(200)
             .with_header("x-stream-id", "s")
             .with_body(body)
@@ -65,25 +66,29 @@
         body: Bytes::from_static(b"{}"),
         request: "r".into(),
     };
-    let mut running = relay.start(&target, &call).await.expect("it starts");
+    let mut stream = relay
+        .start(&target, &call)
+        .await
+        .expect("the generation starts");
     let mut last = None;
     let mut longest = Duration::ZERO;
-    while let Piece::Tokens { .. } = running.next().await.expect("it goes on") {
+    while let Piece::Tokens { .. } = stream.next().await.expect("the generation continues") {
         let now = Instant::now();
         longest = longest.max(last.map_or(Duration::ZERO, |last| now - last));
         last = Some(now);
     }
-    assert_eq!(running.produced(), BEFORE + 5);
+    assert_eq!(stream.produced(), TOKENS_BEFORE_SILENCE + 5);
     longest
 }
 
 fn main() {
-    println!("| time between tokens | longest gap that a caller sees, median | p99 | most |");
+    println!("| time between tokens | longest gap that a caller sees, median | p99 | max |");
     println!("|---|---|---|---|");
     for gap in [10, 58, 150].map(Duration::from_millis) {
         smol::block_on(async {
             let any = SocketAddr::from(([127, 0, 0, 1], 0));
-            let server = Server::bind(any, ServeLimits::default(), Arc::new(Falls { gap })).await;
+            let server =
+                Server::bind(any, ServeLimits::default(), Arc::new(SilentEngine { gap })).await;
             let server = server.expect("a port");
             let target = Target {
                 id: "engine".into(),
@@ -104,12 +109,12 @@
                 gaps.push(task.await.as_millis());
             }
             gaps.sort_unstable();
-            let at = |share: usize| gaps[(gaps.len() - 1) * share / 100];
+            let percentile = |percent: usize| gaps[(gaps.len() - 1) * percent / 100];
             println!(
                 "| {gap:?} | {} ms | {} ms | {} ms |",
-                at(50),
-                at(99),
-                at(100)
+                percentile(50),
+                percentile(99),
+                percentile(100)
             );
         });
     }
--- a/components/relay/examples/silence.rs
+++ b/components/relay/examples/silence.rs
@@ -1,67 +1,68 @@
-//! Compares ways to judge the silence of a link, for streams of different rhythms.
+//! Compares idle timeouts for streams whose tokens arrive at different intervals.
 //!
-//! For each rhythm and way: how often a good link is suspected, and how long a link that falls
-//! silent stays unnoticed.
+//! Prints for each stream and each timeout how often a working connection is considered lost, and
+//! how long a silent connection stays undetected.
 
 use std::time::Duration;
 
 use relay::{
-    Rhythm,
-    rhythm::{Bounds, GAP},
+    GapEstimator,
+    gap_estimator::{TOKEN_GAP_BOUNDS, TimeoutBounds},
 };
 
 const TOKENS: usize = 200_000;
 
-/// A source of gaps between tokens, in milliseconds.
-struct Source {
+/// A generator of gaps between tokens.
+struct GapSource {
     name: &'static str,
-    gap: fn(&mut fastrand::Rng, usize) -> f64,
+    /// Returns the gap before the token at an index, in milliseconds.
+    gap_ms: fn(&mut fastrand::Rng, usize) -> f64,
 }
 
-/// A way to judge.
-enum Way {
+/// An idle timeout under comparison.
+enum IdleTimeout {
     Fixed(Duration),
-    Rhythm(Rhythm),
+    Estimated(GapEstimator),
 }
 
-impl Way {
-    fn limit(&self) -> Duration {
+impl IdleTimeout {
+    fn current(&self) -> Duration {
         match self {
-            Self::Fixed(limit) => *limit,
-            Self::Rhythm(rhythm) => rhythm.limit(),
+            Self::Fixed(timeout) => *timeout,
+            Self::Estimated(estimator) => estimator.timeout(),
         }
     }
 
     fn observe(&mut self, gap: Duration) {
-        if let Self::Rhythm(rhythm) = self {
-            rhythm.observe(gap);
+        if let Self::Estimated(estimator) = self {
+            estimator.observe(gap);
         }
     }
 }
 
-/// About log-normal around 1.
+/// Returns a factor with about a log-normal distribution around 1.
 fn spread(rng: &mut fastrand::Rng, sigma: f64) -> f64 {
     let sum: f64 = (0..12).map(|_| rng.f64()).sum();
     ((sum - 6.0) * sigma).exp()
 }
 
-fn sources() -> Vec<Source> {
+fn sources() -> Vec<GapSource> {
     vec![
-        Source {
+        GapSource {
             name: "steady, 10 ms",
-            gap: |rng, _| 10.0 * spread(rng, 0.1),
+            gap_ms: |rng, _| 10.0 * spread(rng, 0.1),
         },
-        Source {
+        GapSource {
             name: "steady, 58 ms",
-            gap: |rng, _| 58.0 * spread(rng, 0.1),
+            gap_ms: |rng, _| 58.0 * spread(rng, 0.1),
         },
-        Source {
+        GapSource {
             name: "uneven, 58 ms",
-            gap: |rng, _| 58.0 * spread(rng, 0.8),
+            gap_ms: |rng, _| 58.0 * spread(rng, 0.8),
         },
-        Source {
+        GapSource {
             name: "bursts of 32 every 2 s",
-            gap: |rng, at| {
+            gap_ms: |rng, at| {
                 if at.is_multiple_of(32) {
                     2000.0 * spread(rng, 0.1)
                 } else {
@@ -69,9 +70,9 @@
                 }
             },
         },
-        Source {
-            name: "58 ms, 1 in 500 stands 1 to 3 s",
-            gap: |rng, _| {
+        GapSource {
+            name: "58 ms, 1 in 500 takes 1 to 3 s",
+            gap_ms: |rng, _| {
                 if rng.usize(..500) == 0 {
                     rng.f64().mul_add(2000.0, 1000.0)
                 } else {
@@ -82,44 +83,53 @@
     ]
 }
 
-fn ways() -> Vec<(&'static str, Way)> {
-    let no_floor = Bounds {
-        floor: Duration::from_millis(1),
-        ..GAP
+fn timeouts() -> Vec<(&'static str, IdleTimeout)> {
+    let no_min = TimeoutBounds {
+        min: Duration::from_millis(1),
+        ..TOKEN_GAP_BOUNDS
     };
     vec![
-        ("fixed 500 ms", Way::Fixed(Duration::from_millis(500))),
-        ("fixed 5 s", Way::Fixed(Duration::from_secs(5))),
-        ("fixed 30 s", Way::Fixed(Duration::from_secs(30))),
-        ("rhythm without a floor", Way::Rhythm(Rhythm::new(no_floor))),
-        ("rhythm", Way::Rhythm(Rhythm::new(GAP))),
+        (
+            "fixed 500 ms",
+            IdleTimeout::Fixed(Duration::from_millis(500)),
+        ),
+        ("fixed 5 s", IdleTimeout::Fixed(Duration::from_secs(5))),
+        ("fixed 30 s", IdleTimeout::Fixed(Duration::from_secs(30))),
+        (
+            "estimated, no minimum",
+            IdleTimeout::Estimated(GapEstimator::new(no_min)),
+        ),
+        (
+            "estimated",
+            IdleTimeout::Estimated(GapEstimator::new(TOKEN_GAP_BOUNDS)),
+        ),
     ]
 }
 
 fn main() {
     println!(
-        "| rhythm of the stream | way | good links suspected per 1,000 tokens | silence unnoticed, median | p99 |"
+        "| stream | idle timeout | false detections per 1,000 tokens | silence undetected, median | p99 |"
     );
     println!("|---|---|---|---|---|");
     for source in sources() {
-        for (name, mut way) in ways() {
+        for (name, mut timeout) in timeouts() {
             let mut rng = fastrand::Rng::with_seed(7);
-            let mut suspected = 0;
-            let mut limits = Vec::with_capacity(TOKENS);
+            let mut false_detections = 0;
+            let mut history = Vec::with_capacity(TOKENS);
             for at in 0..TOKENS {
-                let gap = Duration::from_secs_f64((source.gap)(&mut rng, at) / 1000.0);
-                let limit = way.limit();
-                suspected += usize::from(gap > limit);
-                limits.push(limit);
-                way.observe(gap);
+                let gap = Duration::from_secs_f64((source.gap_ms)(&mut rng, at) / 1000.0);
+                let current = timeout.current();
+                false_detections += usize::from(gap > current);
+                history.push(current);
+                timeout.observe(gap);
             }
-            limits.sort_unstable();
+            history.sort_unstable();
             println!(
                 "| {} | {name} | {:.2} | {:?} | {:?} |",
                 source.name,
-                1000.0 * suspected as f64 / TOKENS as f64,
-                round(limits[TOKENS / 2]),
-                round(limits[TOKENS * 99 / 100]),
+                1000.0 * false_detections as f64 / TOKENS as f64,
+                round(history[TOKENS / 2]),
+                round(history[TOKENS * 99 / 100]),
             );
         }
     }
--- a/components/relay/src/lib.rs
+++ b/components/relay/src/lib.rs
@@ -1,14 +1,15 @@
-//! Carrying a generation from its engine to a caller, across broken and silent links.
+//! Relays a generation from its engine to a receiver, and resumes it when the connection to the
+//! engine breaks or goes silent. Each token is handed out once and in order.
 
-pub mod end;
-pub mod first;
+pub mod active_stream;
+pub mod first_token;
+pub mod gap_estimator;
 pub mod relay;
-pub mod rhythm;
-pub mod running;
-mod tries;
+mod retry;
+pub mod sink;
 
-pub use end::{Broken, Closed, End, Sink};
-pub use first::FirstTokens;
+pub use active_stream::ActiveStream;
+pub use first_token::FirstTokenEstimator;
+pub use gap_estimator::GapEstimator;
 pub use relay::Relay;
-pub use rhythm::Rhythm;
-pub use running::Running;
+pub use sink::{ReceiverClosed, StreamEnd, StreamError, TokenSink};
--- a/components/relay/src/relay.rs
+++ b/components/relay/src/relay.rs
@@ -1,4 +1,4 @@
-//! Starting generations and going on with them.
+//! Starts generations at engines and takes over generations that already run.
 
 use std::sync::Arc;
 
@@ -6,49 +6,53 @@
 use timer::Timer;
 use types::{Target, Tokens};
 
-use crate::{first::FirstTokens, running::Running};
+use crate::{active_stream::ActiveStream, first_token::FirstTokenEstimator};
 
-/// Starts generations at engines and keeps what is learned about their timing. Clones share it.
+/// Starts generations and shares their timing estimates. Clones share the estimates.
 #[derive(Clone)]
 pub struct Relay {
     pub(crate) engine: Arc<dyn Engine>,
     pub(crate) timer: Timer,
-    pub(crate) firsts: Arc<FirstTokens>,
+    pub(crate) first_token: Arc<FirstTokenEstimator>,
 }
 
 impl Relay {
-    /// Makes a relay over an engine client.
+    /// Creates a relay that reaches engines through `engine`.
     #[must_use]
     pub fn new(engine: Arc<dyn Engine>, timer: Timer) -> Self {
         Self {
             engine,
             timer,
-            firsts: Arc::default(),
+            first_token: Arc::default(),
         }
     }
 
-    /// Starts a generation.
+    /// Starts a generation and waits for the engine to accept it.
     ///
     /// # Errors
-    /// Tells what the engine said or how the link failed. A silent engine counts as a lost link
-    /// once the service's usual first-token time is well over.
-    pub async fn start(&self, target: &Target, call: &EngineCall) -> Result<Running, TargetError> {
-        let begun = self.timer.now();
-        let patience = self.firsts.limit(&target.service);
-        let link = self
+    /// Returns the engine's refusal or the connection error. An engine that does not answer
+    /// within the first-token timeout of the service counts as a lost connection.
+    pub async fn start(
+        &self,
+        target: &Target,
+        call: &EngineCall,
+    ) -> Result<ActiveStream, TargetError> {
+        let started_at = self.timer.now();
+        let timeout = self.first_token.timeout(&target.service);
+        let connection = self
             .timer
-            .within(patience, self.engine.start(target, call))
+            .within(timeout, self.engine.start(target, call))
             .await
             .ok_or_else(|| TargetError::Lost {
-                reason: format!("no answer within {patience:?}").into(),
+                reason: format!("no answer within {timeout:?}").into(),
             })??;
-        Ok(Running::new(self, target, link, 0, begun))
+        Ok(ActiveStream::new(self, target, connection, 0, started_at))
     }
 
-    /// Goes on with a generation of which the caller has `at` tokens. The first wait for a
-    /// piece connects.
+    /// Takes over a running generation of which the caller already has the first `at` tokens.
+    /// Does not connect yet: the first read does.
     #[must_use]
-    pub fn adopt(&self, target: &Target, stream: &StreamId, at: Tokens) -> Running {
-        Running::detached(self, target, stream, at, self.timer.now())
+    pub fn adopt(&self, target: &Target, stream: &StreamId, at: Tokens) -> ActiveStream {
+        ActiveStream::detached(self, target, stream, at, self.timer.now())
     }
 }
--- a/components/relay/tests/scripted/mod.rs
+++ b/components/relay/tests/scripted_engine/mod.rs
@@ -1,4 +1,4 @@
-//! An engine whose links follow a script.
+//! An engine whose connections follow a script.
 
 use std::{collections::VecDeque, net::SocketAddr, sync::Arc};
 
@@ -8,30 +8,30 @@
 use targets::{Engine, EngineCall, Order, Piece, Report, Stream, StreamId, TargetError};
 use types::{Standing, Target, Tokens};
 
-/// What a link does next.
+/// One step of a connection.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// Sends this many tokens from an offset on.
+    /// Sends tokens: the offset of the first, and their number.
     Tokens(Tokens, Tokens),
-    /// Breaks off.
-    Cut,
-    /// Stays open and sends nothing.
+    /// Breaks the connection.
+    Break,
+    /// Keeps the connection open and sends nothing.
     Silent,
-    /// Belongs to another stream.
-    Other,
+    /// Makes the connection carry another stream's id.
+    OtherStream,
     /// Ends the stream.
     End,
 }
 
-/// A link, or why there is none.
-pub type Link = Result<Vec<Step>, TargetError>;
+/// The steps of a connection, or the error that it fails with.
+pub type ConnectionScript = Result<Vec<Step>, TargetError>;
 
-/// The text of a token.
+/// Returns the data of the token at an offset.
 pub fn token(offset: Tokens) -> Bytes {
     format!("t{offset}").into()
 }
 
-/// Any engine.
+/// Returns a target; its address is never used.
 pub fn target() -> Target {
     Target {
         id: "engine".into(),
@@ -43,7 +43,7 @@
     }
 }
 
-/// Any call.
+/// Returns a call; its content is never used.
 pub fn call() -> EngineCall {
     EngineCall {
         path: "/v1/completions".into(),
@@ -52,56 +52,56 @@
     }
 }
 
-/// The engine.
-pub struct Scripted {
-    links: Mutex<VecDeque<Link>>,
+/// An engine that plays back one script per connection.
+pub struct ScriptedEngine {
+    connections: Mutex<VecDeque<ConnectionScript>>,
     resumed: Mutex<Vec<Tokens>>,
     cancelled: Mutex<Vec<StreamId>>,
 }
 
-impl Scripted {
-    pub fn new(links: Vec<Link>) -> Self {
+impl ScriptedEngine {
+    pub fn new(connections: Vec<ConnectionScript>) -> Self {
         Self {
-            links: Mutex::new(links.into()),
+            connections: Mutex::new(connections.into()),
             resumed: Mutex::default(),
             cancelled: Mutex::default(),
         }
     }
 
-    /// Offsets at which it was resumed.
+    /// Returns the offsets at which streams were resumed.
     pub fn resumed(&self) -> Vec<Tokens> {
         self.resumed.lock().clone()
     }
 
-    /// Streams that were cancelled.
+    /// Returns the ids of the cancelled streams.
     pub fn cancelled(&self) -> Vec<StreamId> {
         self.cancelled.lock().clone()
     }
 
-    fn link(&self) -> Result<Box<dyn Stream>, TargetError> {
-        let link = self.links.lock().pop_front();
-        let steps = link.unwrap_or(Err(TargetError::Gone))?;
-        let other = steps.iter().any(|step| matches!(step, Step::Other));
-        Ok(Box::new(Scene {
+    fn next_connection(&self) -> Result<Box<dyn Stream>, TargetError> {
+        let script = self.connections.lock().pop_front();
+        let steps = script.unwrap_or(Err(TargetError::Gone))?;
+        let other = steps.iter().any(|step| matches!(step, Step::OtherStream));
+        Ok(Box::new(ScriptedStream {
             id: if other { "other" } else { "stream" }.into(),
             steps: steps.into(),
         }))
     }
 }
 
-struct Scene {
+struct ScriptedStream {
     id: StreamId,
     steps: VecDeque<Step>,
 }
 
 #[async_trait]
-impl Stream for Scene {
+impl Stream for ScriptedStream {
     fn id(&self) -> StreamId {
         Arc::clone(&self.id)
     }
 
     async fn next(&mut self) -> Result<Piece, TargetError> {
-        self.steps.retain(|step| !matches!(step, Step::Other));
+        self.steps.retain(|step| !matches!(step, Step::OtherStream));
         match self.steps.pop_front() {
             Some(Step::Tokens(first, count)) => Ok(Piece::Tokens {
                 first,
@@ -110,7 +110,7 @@
             }),
             Some(Step::End) => Ok(Piece::End),
             Some(Step::Silent) => std::future::pending().await,
-            Some(Step::Cut | Step::Other) | None => Err(TargetError::Lost {
+            Some(Step::Break | Step::OtherStream) | None => Err(TargetError::Lost {
                 reason: "cut".into(),
             }),
         }
@@ -118,9 +118,9 @@
 }
 
 #[async_trait]
-impl Engine for Scripted {
+impl Engine for ScriptedEngine {
     async fn start(&self, _: &Target, _: &EngineCall) -> Result<Box<dyn Stream>, TargetError> {
-        self.link()
+        self.next_connection()
     }
 
     async fn resume(
@@ -130,7 +130,7 @@
         at: Tokens,
     ) -> Result<Box<dyn Stream>, TargetError> {
         self.resumed.lock().push(at);
-        self.link()
+        self.next_connection()
     }
 
     async fn cancel(&self, _: &Target, stream: &StreamId) -> Result<(), TargetError> {
