--- a/components/policy/src/baseline/local.rs
+++ b/components/policy/src/baseline/local.rs
@@ -14,13 +14,13 @@
 };
 
 /// Tries of one request.
-const TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 /// When to come back after a refusal.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 /// A baseline's permits don't lapse within a run.
-const FOREVER: Duration = Duration::from_secs(1 << 30);
+const PERMIT_LIFETIME: Duration = Duration::from_secs(1 << 30);
 
-struct Running {
+struct RunningRequest {
     request: Request,
     target: TargetId,
     tries: u32,
@@ -31,7 +31,7 @@
     pick: Box<dyn TargetPicker>,
     view: View,
     known: BTreeMap<TargetId, LocalTarget>,
-    running: BTreeMap<RequestId, Running>,
+    running: BTreeMap<RequestId, RunningRequest>,
     waiting: VecDeque<(Request, u32)>,
 }
 
@@ -64,7 +64,7 @@
         let permit = DispatchPermit {
             permit: 0,
             target: known.target.clone(),
-            valid_until: now + FOREVER,
+            valid_until: now + PERMIT_LIFETIME,
         };
         out.push(Action::Dispatch {
             request: request.id,
@@ -73,7 +73,7 @@
         let target = known.target.id.clone();
         self.running.insert(
             request.id,
-            Running {
+            RunningRequest {
                 request,
                 target,
                 tries: tries + 1,
@@ -90,7 +90,7 @@
         open.map(|t| t.id.clone()).collect()
     }
 
-    fn end(&mut self, id: RequestId) -> Option<Running> {
+    fn end(&mut self, id: RequestId) -> Option<RunningRequest> {
         let running = self.running.remove(&id)?;
         if let Some(known) = self.known.get_mut(&running.target) {
             known.running = known.running.saturating_sub(1);
@@ -152,7 +152,7 @@
                 };
                 let counted = !matches!(outcome, Outcome::Unsent);
                 let tries = running.tries - u32::from(!counted);
-                if retry && tries < TRIES {
+                if retry && tries < MAX_ATTEMPTS {
                     self.place(now, running.request, tries, out);
                 } else if retry {
                     refuse(request, out);
--- a/components/policy/src/choose.rs
+++ b/components/policy/src/choose.rs
@@ -13,44 +13,44 @@
 /// Share of a target's capacity that full reuse of a cached prefix is worth. This is also the
 /// cap on affinity: a target gets work for its cache only while its load is less than this above
 /// the least loaded one's, so that one hot prefix can't overload it.
-const REUSE_WORTH: f64 = 0.15;
+const MAX_CACHE_BONUS: f64 = 0.15;
 /// What an ask needs.
 #[derive(Debug)]
-pub(crate) struct Need<'a> {
+pub(crate) struct Demand<'a> {
     pub(crate) ask: &'a Ask,
     pub(crate) class: Class,
     /// What it will occupy; `None` for plain calls.
-    pub(crate) running: Option<RunningGeneration>,
+    pub(crate) generation: Option<RunningGeneration>,
 }
 
 /// A target that fits and how well; smaller is better.
-struct Choice {
+struct Candidate {
     target: TargetId,
     score: f64,
 }
 
 impl ShardState {
-    pub(crate) fn need<'a>(
+    pub(crate) fn demand<'a>(
         &self,
         waiting: &'a QueuedRequest,
         limits: &TargetLimits,
         owner_state: &mut OwnerState,
-    ) -> Need<'a> {
+    ) -> Demand<'a> {
         let source = GenerationSource {
             service: &self.shard.service,
             route: &waiting.ask.route,
             workspace: &waiting.ask.workspace,
         };
-        let running = (limits.kind == ServiceKind::Model).then(|| RunningGeneration {
-            prompt: waiting.ask.prompt,
+        let generation = (limits.kind == ServiceKind::Model).then(|| RunningGeneration {
+            prompt_tokens: waiting.ask.prompt,
             produced: 0,
             max_output: waiting.ask.max_output,
             curve: owner_state.lengths.curve(&source),
         });
-        Need {
+        Demand {
             ask: &waiting.ask,
-            class: waiting.rank,
-            running,
+            class: waiting.effective_class,
+            generation,
         }
     }
 
@@ -58,7 +58,7 @@
     pub(crate) fn choose(
         &self,
         now: Moment,
-        need: &Need<'_>,
+        need: &Demand<'_>,
         kept: &BTreeSet<TargetId>,
         limits: &TargetLimits,
         owner_state: &OwnerState,
@@ -68,15 +68,15 @@
             .filter(|(id, account)| {
                 !kept.contains(*id)
                     && !need.ask.avoid.contains(id)
-                    && account.is_open(&owner_state.view)
-                    && self.room(now, account, need.class, limits) > 0
+                    && account.accepts_work(&owner_state.view)
+                    && self.free_slots(now, account, need.class, limits) > 0
             })
             .filter_map(|(id, account)| {
                 let load = load_with(now, account, need, limits, owner_state)?;
-                let reuse = account.prefixes.reuse(&need.ask.prefix);
-                Some(Choice {
+                let reuse = account.prefixes.cached_share(&need.ask.prefix);
+                Some(Candidate {
                     target: id.clone(),
-                    score: load - REUSE_WORTH * reuse,
+                    score: load - MAX_CACHE_BONUS * reuse,
                 })
             })
             .min_by(|a, b| a.score.total_cmp(&b.score))
@@ -84,7 +84,7 @@
     }
 
     /// Slots of a target that a class may take.
-    fn room(
+    fn free_slots(
         &self,
         now: Moment,
         account: &TargetAccount,
@@ -93,21 +93,21 @@
     ) -> u32 {
         let slots = account.limiter.slots(limits);
         if account.limiter.is_cold() {
-            if !self.cold_ready(now, account) {
+            if !self.can_grant_cold(now, account) {
                 return 0;
             }
-            return slots.saturating_sub(account.bearing());
+            return slots.saturating_sub(account.max_occupied_slots());
         }
         let reserve = match class {
             Class::Urgent => 0,
             _ => self.urgent_reserve(now, slots),
         };
-        slots.saturating_sub(account.occupied() + reserve)
+        slots.saturating_sub(account.occupied_slots() + reserve)
     }
 
     /// A target to be kept free for an ask that others have gone ahead of: the least loaded.
     /// At most a quarter of the targets are kept free at a time.
-    pub(crate) fn keep_free(
+    pub(crate) fn reserve_target(
         &self,
         ask: &Ask,
         kept: &BTreeSet<TargetId>,
@@ -117,7 +117,7 @@
         let open: Vec<(&TargetId, &TargetAccount)> = self
             .accounts
             .iter()
-            .filter(|(_, account)| account.is_open(&owner_state.view))
+            .filter(|(_, account)| account.accepts_work(&owner_state.view))
             .collect();
         if kept.len() >= (open.len() / 4).max(1) {
             return None;
@@ -131,7 +131,7 @@
                 };
                 load(a)
                     .total_cmp(&load(b))
-                    .then(a.occupied().cmp(&b.occupied()))
+                    .then(a.occupied_slots().cmp(&b.occupied_slots()))
             })
             .map(|(id, _)| id.clone())
     }
@@ -145,17 +145,19 @@
         limits: &TargetLimits,
         owner_state: &OwnerState,
     ) -> u32 {
-        let room = self.room(now, account, waiting.rank, limits).max(1);
+        let room = self
+            .free_slots(now, account, waiting.effective_class, limits)
+            .max(1);
         if waiting.ask.slots <= 1 {
             return 1;
         }
         let total: u32 = self
             .accounts
             .values()
-            .filter(|account| account.is_open(&owner_state.view))
+            .filter(|account| account.accepts_work(&owner_state.view))
             .map(|account| account.limiter.slots(limits))
             .sum();
-        let mut entries: BTreeSet<InstanceId> = self.line.entries();
+        let mut entries: BTreeSet<InstanceId> = self.queue.entries();
         let mut held = 0;
         for account in self.accounts.values() {
             for (key, permit) in &account.permits {
@@ -175,14 +177,14 @@
 fn load_with(
     now: Moment,
     account: &TargetAccount,
-    need: &Need<'_>,
+    need: &Demand<'_>,
     limits: &TargetLimits,
     owner_state: &OwnerState,
 ) -> Option<f64> {
-    let occupied = account.occupied();
+    let occupied = account.occupied_slots();
     let slots = account.limiter.slots(limits);
     let by_slots = f64::from(occupied + 1) / f64::from(slots.max(1));
-    let Some(running) = &need.running else {
+    let Some(running) = &need.generation else {
         return Some(by_slots);
     };
     let capacity = account.capacity(limits).max(1);
@@ -191,9 +193,9 @@
     let load = projection.peak(&owner_state.tuning) / capacity as f64;
     if occupied == 0 {
         // Nothing is gained by waiting for more room than an idle engine has.
-        return (running.prompt < capacity).then_some(load);
+        return (running.prompt_tokens < capacity).then_some(load);
     }
-    let fits =
-        load <= owner_state.tuning.admit_share && !account.is_stopped(now, &owner_state.tuning);
+    let fits = load <= owner_state.tuning.admit_share
+        && !account.is_admission_paused(now, &owner_state.tuning);
     fits.then_some(load)
 }
--- a/components/policy/src/decision_log.rs
+++ b/components/policy/src/decision_log.rs
@@ -5,7 +5,7 @@
 use types::Moment;
 
 /// How many entries are kept.
-const KEPT: usize = 48;
+const RETAINED_LINES: usize = 48;
 
 /// A ring of the newest events and actions.
 #[derive(Debug, Default)]
@@ -22,8 +22,8 @@
     }
 
     /// Appends one line and drops the oldest when the ring is full.
-    pub fn note(&mut self, now: Moment, line: String) {
-        if self.lines.len() == KEPT {
+    pub fn record(&mut self, now: Moment, line: String) {
+        if self.lines.len() == RETAINED_LINES {
             self.lines.pop_front();
         }
         self.lines.push_back((self.next, now, line));
@@ -32,7 +32,7 @@
 
     /// Writes the ring, oldest first.
     #[must_use]
-    pub fn tail(&self) -> String {
+    pub fn to_text(&self) -> String {
         let mut text = String::new();
         for (number, at, line) in &self.lines {
             let _ = writeln!(text, "#{number} {:.3}s {line}", at.as_secs_f64());
--- a/components/policy/src/dump.rs
+++ b/components/policy/src/dump.rs
@@ -11,10 +11,10 @@
             "owner of {} in term {}: granting {}, exclusive {}, {} waiting, awaiting {:?}",
             self.shard,
             self.epoch,
-            self.granting(now),
+            self.can_grant(now),
             self.exclusive,
-            self.line.len(),
-            self.awaiting()
+            self.queue.len(),
+            self.unanswered_queries()
         ));
         let Some(limits) = owner_state.view.limits.get(&self.shard.service) else {
             return;
@@ -22,12 +22,12 @@
         for (id, account) in &self.accounts {
             lines.push(format!(
                 "  target {id}: {} of {} running, cold {}, open {}, {:.0} of {} tokens at the peak, {:.0} now",
-                account.occupied(),
+                account.occupied_slots(),
                 account.limiter.slots(limits),
                 account.limiter.is_cold(),
-                account.is_open(&owner_state.view),
+                account.accepts_work(&owner_state.view),
                 account.last_projection().peak(&owner_state.tuning),
-                account.capacity(limits), account.last_projection().now()
+                account.capacity(limits), account.last_projection().current()
             ));
         }
     }
--- a/components/policy/src/entry/deadlines.rs
+++ b/components/policy/src/entry/deadlines.rs
@@ -6,18 +6,18 @@
     api::{Action, RequestId},
     entry::{
         machine::Entry,
-        pending::{NO_OWNER_LIMIT, NO_TARGET_LIMIT, PendingRequest, Stage},
+        pending::{NO_OWNER_TIMEOUT, NO_TARGET_TIMEOUT, PendingRequest, Stage},
         refusals,
     },
 };
 
 impl Entry {
     /// What can't be served in time is told so at once, with the time to come back.
-    pub(super) fn refuse_late(&mut self, now: Moment, out: &mut Vec<Action>) {
+    pub(super) fn refuse_expired(&mut self, now: Moment, out: &mut Vec<Action>) {
         let late = |p: &&PendingRequest| match p.stage {
             Stage::Placed(_) => false,
             Stage::Asked(_) => p.request.deadline <= now,
-            Stage::Waiting => p.request.deadline <= now || self.waits_in_vain(now, p),
+            Stage::Waiting => p.request.deadline <= now || self.has_waited_too_long(now, p),
         };
         let late: Vec<RequestId> = self
             .requests
@@ -34,25 +34,25 @@
                 self.withdraw(ask, out);
             }
             let refusal = if expired {
-                refusals::too_late(self.shards.wait(&service))
-            } else if self.shards.serves(&service) {
+                refusals::too_late(self.shards.retry_after(&service))
+            } else if self.shards.has_targets(&service) {
                 refusals::no_owner()
             } else {
                 refusals::no_target()
             };
-            self.refuse(id, refusal, out);
+            self.refuse_request(id, refusal, out);
         }
     }
 
     /// Whether a request that nobody could be asked for has waited long enough: the list of
     /// targets lags, and owners change hands, so neither is taken for the truth at once.
-    fn waits_in_vain(&self, now: Moment, pending: &PendingRequest) -> bool {
-        let serves = self.shards.serves(&pending.request.service);
+    fn has_waited_too_long(&self, now: Moment, pending: &PendingRequest) -> bool {
+        let serves = self.shards.has_targets(&pending.request.service);
         let limit = if serves {
-            NO_OWNER_LIMIT
+            NO_OWNER_TIMEOUT
         } else {
-            NO_TARGET_LIMIT
+            NO_TARGET_TIMEOUT
         };
-        now.saturating_sub(pending.since) >= limit
+        now.saturating_sub(pending.arrived_at) >= limit
     }
 }
--- a/components/policy/src/entry/held_report.rs
+++ b/components/policy/src/entry/held_report.rs
@@ -31,26 +31,26 @@
         };
         permit.users.remove(&id);
         permit.tally.add(outcome);
-        self.fill(now, key, out);
-        if self.permits.get(&key).is_some_and(|p| p.spent(now)) {
-            self.give_up(key, out);
+        self.fill_block(now, key, out);
+        if self.permits.get(&key).is_some_and(|p| p.is_idle(now)) {
+            self.return_permit(key, out);
         }
     }
 
     /// Gives back what nothing uses and nothing can use any more.
-    pub(super) fn return_spent(&mut self, now: Moment, out: &mut Vec<Action>) {
+    pub(super) fn return_idle_permits(&mut self, now: Moment, out: &mut Vec<Action>) {
         let spent: Vec<PermitKey> = self
             .permits
             .values()
-            .filter(|p| p.spent(now))
+            .filter(|p| p.is_idle(now))
             .map(|p| p.key)
             .collect();
         for key in spent {
-            self.give_up(key, out);
+            self.return_permit(key, out);
         }
     }
 
-    fn give_up(&mut self, key: PermitKey, out: &mut Vec<Action>) {
+    fn return_permit(&mut self, key: PermitKey, out: &mut Vec<Action>) {
         let Some(permit) = self.permits.remove(&key) else {
             return;
         };
@@ -69,14 +69,14 @@
     /// Tells each owner all that is held of it. A lost `Done` or `Grant` would otherwise leave
     /// memory reserved for good.
     pub(super) fn report_held(&mut self, now: Moment, out: &mut Vec<Action>) {
-        if now.saturating_sub(self.last_report) < REPORT_PERIOD {
+        if now.saturating_sub(self.last_report_at) < REPORT_PERIOD {
             return;
         }
-        self.last_report = now;
+        self.last_report_at = now;
         let mut shards: BTreeSet<Shard> = self.permits.values().map(|p| p.shard.clone()).collect();
-        shards.extend(self.asks.values().map(|a| a.shard.clone()));
+        shards.extend(self.permit_requests.values().map(|a| a.shard.clone()));
         // Once more after the last permit, so that the owner sees that there is none.
-        let reported = std::mem::replace(&mut self.reported, shards.clone());
+        let reported = std::mem::replace(&mut self.reported_shards, shards.clone());
         shards.extend(reported);
         for shard in shards {
             let Some(info) = self.shards.get(&shard) else {
--- a/components/policy/src/entry/machine.rs
+++ b/components/policy/src/entry/machine.rs
@@ -24,16 +24,16 @@
     pub(super) view: View,
     pub(super) shards: ShardDirectory,
     pub(super) requests: Requests,
-    pub(super) asks: PermitRequests,
+    pub(super) permit_requests: PermitRequests,
     pub(super) permits: Permits,
-    pub(super) calls: CallDemand,
+    pub(super) call_demand: CallDemand,
     pub(super) retry_budgets: RetryBudgets,
     /// ShardDirectory about which an owner still has to be told that nothing is held any more.
-    pub(super) reported: BTreeSet<Shard>,
-    pub(super) last_report: Moment,
+    pub(super) reported_shards: BTreeSet<Shard>,
+    pub(super) last_report_at: Moment,
     /// Whether owners are told the true lengths; for the oracle baseline only.
-    pub(super) told: bool,
-    pub(super) next_ask: AskId,
+    pub(super) known_lengths: bool,
+    pub(super) last_permit_request: AskId,
 }
 
 impl Entry {
@@ -45,52 +45,54 @@
             view: View::default(),
             shards: ShardDirectory::new(home),
             requests: Requests::new(),
-            asks: PermitRequests::new(),
+            permit_requests: PermitRequests::new(),
             permits: Permits::new(),
-            calls: CallDemand::default(),
+            call_demand: CallDemand::default(),
             retry_budgets: RetryBudgets::default(),
-            reported: BTreeSet::new(),
-            last_report: Moment::ZERO,
-            told: false,
-            next_ask: 0,
+            reported_shards: BTreeSet::new(),
+            last_report_at: Moment::ZERO,
+            known_lengths: false,
+            last_permit_request: 0,
         }
     }
 
     /// Makes it the entry of the oracle baseline, which tells owners the true lengths.
     #[must_use]
     pub const fn with_known_lengths(mut self) -> Self {
-        self.told = true;
+        self.known_lengths = true;
         self
     }
 
     /// The number of the newest ask.
     #[must_use]
     pub const fn last_permit_request(&self) -> AskId {
-        self.next_ask
+        self.last_permit_request
     }
 
     /// Takes one event and appends what has to be done to `out`.
     pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Vec<Action>) {
         match event {
-            Event::Arrived(request) => self.arrive(now, request, out),
-            Event::CallerLeft { request } => self.leave(now, *request, Outcome::Unsent, out),
+            Event::Arrived(request) => self.add_request(now, request, out),
+            Event::CallerLeft { request } => {
+                self.remove_request(now, *request, Outcome::Unsent, out)
+            }
             Event::Progress {
                 request,
                 produced,
                 seen,
-            } => self.progress(*request, *produced, *seen),
+            } => self.record_progress(*request, *produced, *seen),
             Event::Ended {
                 request,
                 outcome,
                 retry,
             } => {
-                self.ended(now, *request, *outcome, *retry, out);
+                self.end_request(now, *request, *outcome, *retry, out);
             }
-            Event::Received { from, message, .. } => self.receive(now, from, message, out),
-            Event::ViewChanged(view) => self.change(now, view, out),
-            Event::RoleChanged { shard, role } => self.role(now, shard, role, out),
-            Event::Summary { owner, shards } => self.shards.hear(owner, shards),
-            Event::PeerGone { peer } => self.lose_owner(now, peer, out),
+            Event::Received { from, message, .. } => self.handle_message(now, from, message, out),
+            Event::ViewChanged(view) => self.apply_view(now, view, out),
+            Event::RoleChanged { shard, role } => self.apply_role(now, shard, role, out),
+            Event::Summary { owner, shards } => self.shards.apply_summaries(owner, shards),
+            Event::PeerGone { peer } => self.remove_owner(now, peer, out),
             Event::Tick => self.tick(now, out),
             Event::Sent { .. } | Event::Paused { .. } => {}
             Event::TargetReported { .. } | Event::ExclusivityChanged { .. } => {}
@@ -110,7 +112,7 @@
         let Some(permit) = self.permits.get(key) else {
             return false;
         };
-        permit.until > now && self.open(&permit.target.id, permit.target.incarnation)
+        permit.valid_until > now && self.accepts_work(&permit.target.id, permit.target.incarnation)
     }
 
     /// Lines for a dump.
@@ -118,7 +120,7 @@
     pub fn dump(&self, now: Moment) -> Vec<String> {
         let mut lines = Vec::new();
         for (id, pending) in &self.requests {
-            let age = now.saturating_sub(pending.since).as_millis();
+            let age = now.saturating_sub(pending.arrived_at).as_millis();
             let class = pending.request.class;
             lines.push(format!(
                 "request {id} {class} {:?} since {age} ms",
@@ -136,22 +138,22 @@
         lines
     }
 
-    fn arrive(&mut self, now: Moment, request: &Request, out: &mut Vec<Action>) {
+    fn add_request(&mut self, now: Moment, request: &Request, out: &mut Vec<Action>) {
         let limits = self.view.limits.get(&request.service);
         self.retry_budgets
-            .earn(&request.service, limits.map_or(0, |l| l.retry_percent));
+            .deposit(&request.service, limits.map_or(0, |l| l.retry_percent));
         let pending = PendingRequest {
             request: request.clone(),
             stage: Stage::Waiting,
-            since: now,
+            arrived_at: now,
             avoid: Vec::new(),
             seen: false,
-            pause_until: Moment::ZERO,
+            not_before: Moment::ZERO,
         };
         let before = self.requests.insert(request.id, pending);
         assert!(before.is_none(), "request {} arrived twice", request.id);
         if request.kind == ServiceKind::Plain {
-            self.calls.arrive(now, &request.service);
+            self.call_demand.arrive(now, &request.service);
         }
         self.place(now, request.id, out);
     }
@@ -164,10 +166,15 @@
         if pending.request.kind == ServiceKind::Plain && self.place_on_block(now, id, out) {
             return;
         }
-        self.ask(now, id, out);
+        self.request_permit(now, id, out);
     }
 
-    pub(super) fn refuse(&mut self, id: RequestId, refusal: types::Refusal, out: &mut Vec<Action>) {
+    pub(super) fn refuse_request(
+        &mut self,
+        id: RequestId,
+        refusal: types::Refusal,
+        out: &mut Vec<Action>,
+    ) {
         self.requests.remove(&id);
         out.push(Action::Refuse {
             request: id,
@@ -176,7 +183,13 @@
     }
 
     /// A caller went away before its request was sent.
-    fn leave(&mut self, now: Moment, id: RequestId, outcome: Outcome, out: &mut Vec<Action>) {
+    fn remove_request(
+        &mut self,
+        now: Moment,
+        id: RequestId,
+        outcome: Outcome,
+        out: &mut Vec<Action>,
+    ) {
         let Some(pending) = self.requests.remove(&id) else {
             return;
         };
@@ -187,7 +200,7 @@
         }
     }
 
-    fn progress(&mut self, id: RequestId, produced: types::Tokens, seen: bool) {
+    fn record_progress(&mut self, id: RequestId, produced: types::Tokens, seen: bool) {
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
@@ -200,7 +213,7 @@
         }
     }
 
-    fn ended(
+    fn end_request(
         &mut self,
         now: Moment,
         id: RequestId,
@@ -209,7 +222,7 @@
         out: &mut Vec<Action>,
     ) {
         if !again {
-            self.leave(now, id, outcome, out);
+            self.remove_request(now, id, outcome, out);
             return;
         }
         let Some(pending) = self.requests.get_mut(&id) else {
@@ -230,17 +243,17 @@
         if failed && let Some(permit) = self.permits.get_mut(&key) {
             pending.avoid.push(permit.target.id.clone());
             // The target may have died and come back cold: no further call under this permit.
-            permit.until = permit.until.min(now);
+            permit.valid_until = permit.valid_until.min(now);
         }
         self.release(now, key, id, outcome, out);
-        if failed && !self.retry_budgets.spend(&service) {
-            self.refuse(id, refusals::no_retry(), out);
+        if failed && !self.retry_budgets.try_spend(&service) {
+            self.refuse_request(id, refusals::no_retry(), out);
             return;
         }
         self.place(now, id, out);
     }
 
-    fn receive(
+    fn handle_message(
         &mut self,
         now: Moment,
         from: &InstanceId,
@@ -248,16 +261,16 @@
         out: &mut Vec<Action>,
     ) {
         match message {
-            Message::Grant(grant) => self.granted(now, from, grant, out),
-            Message::Deny(deny) => self.denied(now, deny, out),
-            Message::Recall(recall) => self.recalled(from, recall, out),
-            Message::Query(query) => self.queried(now, from, query, out),
+            Message::Grant(grant) => self.handle_grant(now, from, grant, out),
+            Message::Deny(deny) => self.handle_deny(now, deny, out),
+            Message::Recall(recall) => self.handle_revoke(from, recall, out),
+            Message::Query(query) => self.handle_query(now, from, query, out),
             _ => {}
         }
     }
 
     pub(super) fn place_waiting(&mut self, now: Moment, out: &mut Vec<Action>) {
-        let waiting = |p: &&PendingRequest| p.stage == Stage::Waiting && p.pause_until <= now;
+        let waiting = |p: &&PendingRequest| p.stage == Stage::Waiting && p.not_before <= now;
         let mut ready: Vec<&PendingRequest> = self.requests.values().filter(waiting).collect();
         ready.sort_by_key(|p| (p.request.class, p.request.deadline));
         let ready: Vec<RequestId> = ready.iter().map(|p| p.request.id).collect();
@@ -267,16 +280,16 @@
     }
 
     fn tick(&mut self, now: Moment, out: &mut Vec<Action>) {
-        self.refuse_late(now, out);
-        self.repeat_asks(now, out);
+        self.refuse_expired(now, out);
+        self.retry_unanswered(now, out);
         self.place_waiting(now, out);
-        self.move_asks(now, out);
-        self.return_spent(now, out);
+        self.rebalance(now, out);
+        self.return_idle_permits(now, out);
         self.refill(now, out);
         self.report_held(now, out);
     }
 
-    pub(super) fn open(&self, target: &str, incarnation: types::Incarnation) -> bool {
+    pub(super) fn accepts_work(&self, target: &str, incarnation: types::Incarnation) -> bool {
         self.view.targets.iter().any(|t| {
             *t.id == *target
                 && t.incarnation == incarnation
--- a/components/policy/src/entry/owner_messages.rs
+++ b/components/policy/src/entry/owner_messages.rs
@@ -9,14 +9,14 @@
     api::{Action, DispatchPermit, RequestId},
     entry::{
         machine::Entry,
-        pending::{DENIED_PAUSE, MOVE_AFTER, Stage},
+        pending::{DENIED_RETRY_DELAY, MOVE_AFTER, Stage},
         permit::{Permit, PermitKey, Tally},
         refusals,
     },
 };
 
 impl Entry {
-    pub(super) fn granted(
+    pub(super) fn handle_grant(
         &mut self,
         now: Moment,
         from: &InstanceId,
@@ -32,39 +32,39 @@
             return;
         }
         let until = grant.stamp + grant.life;
-        let request = self.asks.remove(&grant.ask).map(|a| a.request);
-        let target = self.target(grant);
+        let request = self.permit_requests.remove(&grant.ask).map(|a| a.request);
+        let target = self.granted_target(grant);
         let (Some(request), Some(target), true) = (request, target, until > now) else {
-            give_back(from, grant, out);
-            self.ask_again(now, request.flatten(), out);
+            return_unused(from, grant, out);
+            self.retry_request(now, request.flatten(), out);
             return;
         };
         let asker = request.and_then(|id| self.requests.get(&id));
-        let block = self.calls.known(&grant.shard.service);
+        let block = self.call_demand.contains(&grant.shard.service);
         if asker.is_none() && !block {
-            give_back(from, grant, out);
+            return_unused(from, grant, out);
             return;
         }
         if grant.cold && request.is_none() {
-            self.calls.pause(now, &grant.shard.service);
+            self.call_demand.pause_refill(now, &grant.shard.service);
         }
-        let permit = self.permit(from, grant, request, target);
+        let permit = self.new_permit(from, grant, request, target);
         let key = permit.key;
         self.permits.insert(key, permit);
         if let Some(id) = request.filter(|id| self.requests.contains_key(id)) {
             self.dispatch(key, id, out);
         }
-        self.fill(now, key, out);
+        self.fill_block(now, key, out);
     }
 
-    fn target(&self, grant: &Grant) -> Option<Target> {
+    fn granted_target(&self, grant: &Grant) -> Option<Target> {
         let mut targets = self.view.targets.iter();
         let found = targets.find(|t| t.id == grant.target)?;
-        self.open(&grant.target, grant.incarnation)
+        self.accepts_work(&grant.target, grant.incarnation)
             .then(|| found.clone())
     }
 
-    fn permit(
+    fn new_permit(
         &self,
         from: &InstanceId,
         grant: &Grant,
@@ -79,14 +79,14 @@
             shard: grant.shard.clone(),
             owner: from.clone(),
             target,
-            until: grant.stamp + grant.life,
+            valid_until: grant.stamp + grant.life,
             slots: grant.slots,
             cold: grant.cold,
             kind: asker.map_or(ServiceKind::Plain, |r| r.kind),
             workspace: asker.map_or_else(|| WorkspaceId::from(""), |r| r.workspace.clone()),
             route: asker.map_or_else(|| RouteId::from(""), |r| r.route.clone()),
             class: asker.map_or_else(Default::default, |r| r.class),
-            prompt: asker.map_or(0, |r| r.prompt_tokens),
+            prompt_tokens: asker.map_or(0, |r| r.prompt_tokens),
             max_output: asker.map_or(0, |r| r.max_output),
             users: BTreeSet::new(),
             produced: 0,
@@ -112,7 +112,7 @@
         let permit = DispatchPermit {
             permit: key.1,
             target: held.target.clone(),
-            valid_until: held.until,
+            valid_until: held.valid_until,
         };
         out.push(Action::Dispatch {
             request: id,
@@ -120,8 +120,8 @@
         });
     }
 
-    pub(super) fn denied(&mut self, now: Moment, deny: &Deny, out: &mut Vec<Action>) {
-        let Some(sent) = self.asks.remove(&deny.ask) else {
+    pub(super) fn handle_deny(&mut self, now: Moment, deny: &Deny, out: &mut Vec<Action>) {
+        let Some(sent) = self.permit_requests.remove(&deny.ask) else {
             return;
         };
         let Some(id) = sent.request else { return };
@@ -130,13 +130,18 @@
         };
         pending.stage = Stage::Waiting;
         match deny.retry_after {
-            Some(after) => self.refuse(id, refusals::overloaded(after), out),
-            None => pending.pause_until = now + DENIED_PAUSE,
+            Some(after) => self.refuse_request(id, refusals::overloaded(after), out),
+            None => pending.not_before = now + DENIED_RETRY_DELAY,
         }
     }
 
     /// Gives work back of which the caller has seen nothing, so that the engine need not preempt.
-    pub(super) fn recalled(&mut self, from: &InstanceId, recall: &Recall, out: &mut Vec<Action>) {
+    pub(super) fn handle_revoke(
+        &mut self,
+        from: &InstanceId,
+        recall: &Recall,
+        out: &mut Vec<Action>,
+    ) {
         let permit = self
             .permits
             .values()
@@ -153,7 +158,7 @@
     }
 
     /// A new owner: from here on only its permits are taken, and it learns of those in hand.
-    pub(super) fn queried(
+    pub(super) fn handle_query(
         &mut self,
         now: Moment,
         from: &InstanceId,
@@ -177,26 +182,30 @@
     }
 
     /// Moves asks from long lines to shorter ones, those first that would wait longest.
-    pub(super) fn move_asks(&mut self, now: Moment, out: &mut Vec<Action>) {
-        let shards: BTreeSet<Shard> = self.asks.values().map(|a| a.shard.clone()).collect();
+    pub(super) fn rebalance(&mut self, now: Moment, out: &mut Vec<Action>) {
+        let shards: BTreeSet<Shard> = self
+            .permit_requests
+            .values()
+            .map(|a| a.shard.clone())
+            .collect();
         for from in shards {
-            let mut mine = self.movable(now, &from);
-            let Some(plan) = self.shards.plan_move(&from, mine.len()) else {
+            let mut mine = self.movable_requests(now, &from);
+            let Some(plan) = self.shards.plan_rebalance(&from, mine.len()) else {
                 continue;
             };
             mine.truncate(plan.count);
             for (ask, id) in mine {
                 self.withdraw(ask, out);
-                self.ask_at(now, id, plan.to.clone(), plan.owner.clone(), out);
+                self.request_permit_from(now, id, plan.to.clone(), plan.owner.clone(), out);
             }
         }
     }
 
     /// This entry's asks that have waited at a shard for a while, the last in line first.
-    fn movable(&self, now: Moment, shard: &Shard) -> Vec<(AskId, RequestId)> {
+    fn movable_requests(&self, now: Moment, shard: &Shard) -> Vec<(AskId, RequestId)> {
         let mut found = Vec::new();
-        for (ask, sent) in &self.asks {
-            let waits = now.saturating_sub(sent.at) >= MOVE_AFTER;
+        for (ask, sent) in &self.permit_requests {
+            let waits = now.saturating_sub(sent.sent_at) >= MOVE_AFTER;
             if let Some(id) = sent.request.filter(|_| waits && sent.shard == *shard)
                 && let Some(pending) = self.requests.get(&id)
             {
@@ -208,7 +217,7 @@
     }
 }
 
-fn give_back(to: &InstanceId, grant: &Grant, out: &mut Vec<Action>) {
+fn return_unused(to: &InstanceId, grant: &Grant, out: &mut Vec<Action>) {
     let done = Done {
         shard: grant.shard.clone(),
         permit: grant.permit,
--- a/components/policy/src/entry/pending.rs
+++ b/components/policy/src/entry/pending.rs
@@ -28,13 +28,13 @@
     /// How far it has come.
     pub stage: Stage,
     /// When it came in.
-    pub since: Moment,
+    pub arrived_at: Moment,
     /// Targets that have failed it.
     pub avoid: Vec<TargetId>,
     /// Whether the caller has seen any of the answer.
     pub seen: bool,
     /// Not asked for again before this moment.
-    pub pause_until: Moment,
+    pub not_before: Moment,
 }
 
 /// An ask that is out. PermitRequests without a request fetch plain calls' slots ahead of time.
@@ -47,7 +47,7 @@
     /// Who was asked.
     pub owner: InstanceId,
     /// When.
-    pub at: Moment,
+    pub sent_at: Moment,
 }
 
 /// All requests.
@@ -57,14 +57,14 @@
 
 /// A request that nobody could be asked for is refused after this time: the owners should have
 /// settled by then, and the caller is better told to come back than left waiting.
-pub const NO_OWNER_LIMIT: Duration = Duration::from_secs(4);
+pub const NO_OWNER_TIMEOUT: Duration = Duration::from_secs(4);
 /// A request whose service has no target that takes work is refused after this time.
-pub const NO_TARGET_LIMIT: Duration = Duration::from_millis(500);
+pub const NO_TARGET_TIMEOUT: Duration = Duration::from_millis(500);
 /// An ask that waits longer than this may move to another shard.
 pub const MOVE_AFTER: Duration = Duration::from_millis(300);
 /// An ask without an answer is made again after this time. It may wait in a line, and keeps its
 /// place there by how long its request has waited; but it may also be lost, on a connection to a
 /// peer's former life for instance, and then nobody would ever answer it.
-pub const ASK_AGAIN: Duration = Duration::from_millis(1_500);
+pub const PERMIT_REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// After a denial without a time, an ask is made again after this long.
-pub const DENIED_PAUSE: Duration = Duration::from_millis(50);
+pub const DENIED_RETRY_DELAY: Duration = Duration::from_millis(50);
--- a/components/policy/src/entry/permit.rs
+++ b/components/policy/src/entry/permit.rs
@@ -27,7 +27,7 @@
     /// Where work may go.
     pub target: Target,
     /// The latest moment to send work.
-    pub until: Moment,
+    pub valid_until: Moment,
     /// Concurrent calls it covers.
     pub slots: u32,
     /// Whether the target is in cold start.
@@ -41,7 +41,7 @@
     /// Urgency it was asked with.
     pub class: types::Class,
     /// Tokens in the prompt.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// The most tokens to produce.
     pub max_output: Tokens,
     /// Requests that use it now.
@@ -58,13 +58,14 @@
     /// Whether one more call may use it.
     #[must_use]
     pub fn has_room(&self, now: Moment) -> bool {
-        self.until > now && self.users.len() < self.slots as usize
+        self.valid_until > now && self.users.len() < self.slots as usize
     }
 
     /// Whether it is of no more use.
     #[must_use]
-    pub fn spent(&self, now: Moment) -> bool {
-        self.users.is_empty() && (self.until <= now || self.cold || self.kind == ServiceKind::Model)
+    pub fn is_idle(&self, now: Moment) -> bool {
+        self.users.is_empty()
+            && (self.valid_until <= now || self.cold || self.kind == ServiceKind::Model)
     }
 
     /// What the owner is told about it. A lapsed block covers only what still runs under it.
@@ -79,10 +80,10 @@
             class: self.class,
             workspace: self.workspace.clone(),
             route: self.route.clone(),
-            prompt: self.prompt,
+            prompt: self.prompt_tokens,
             max_output: self.max_output,
             produced: self.produced,
-            slots: if self.until > now {
+            slots: if self.valid_until > now {
                 self.slots
             } else {
                 running
--- a/components/policy/src/entry/permit_requests.rs
+++ b/components/policy/src/entry/permit_requests.rs
@@ -7,23 +7,23 @@
     api::{Action, RequestId},
     entry::{
         machine::Entry,
-        pending::{ASK_AGAIN, OutstandingPermitRequest, Stage},
+        pending::{OutstandingPermitRequest, PERMIT_REQUEST_TIMEOUT, Stage},
     },
 };
 
 impl Entry {
-    pub(super) fn ask(&mut self, now: Moment, id: RequestId, out: &mut Vec<Action>) {
+    pub(super) fn request_permit(&mut self, now: Moment, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else {
             return;
         };
         let request = &pending.request;
         if let Some((shard, owner)) = self.shards.choose(&request.service, &request.prefix) {
-            self.ask_at(now, id, shard, owner, out);
+            self.request_permit_from(now, id, shard, owner, out);
         }
     }
 
     /// PermitRequests a shard's owner for a permit for a request.
-    pub(super) fn ask_at(
+    pub(super) fn request_permit_from(
         &mut self,
         now: Moment,
         id: RequestId,
@@ -31,13 +31,13 @@
         owner: InstanceId,
         out: &mut Vec<Action>,
     ) {
-        let ask = self.new_ask();
+        let ask = self.next_permit_request();
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
         pending.stage = Stage::Asked(ask);
         let request = &pending.request;
-        let told = request.true_output.filter(|_| self.told);
+        let told = request.true_output.filter(|_| self.known_lengths);
         let message = Ask {
             shard: shard.clone(),
             ask,
@@ -47,35 +47,35 @@
             workspace: request.workspace.clone(),
             route: request.route.clone(),
             within: request.deadline.saturating_sub(now),
-            waited: now.saturating_sub(pending.since),
+            waited: now.saturating_sub(pending.arrived_at),
             prompt: request.prompt_tokens,
             max_output: told.unwrap_or(request.max_output),
-            slots: self.calls.slots(request),
+            slots: self.call_demand.slots(request),
             prefix: request.prefix.clone(),
             avoid: pending.avoid.clone(),
         };
-        self.shards.note_ask(&shard, &request.prefix);
+        self.shards.record_permit_request(&shard, &request.prefix);
         let sent = OutstandingPermitRequest {
             request: Some(id),
             shard,
             owner: owner.clone(),
-            at: now,
+            sent_at: now,
         };
-        self.asks.insert(ask, sent);
+        self.permit_requests.insert(ask, sent);
         out.push(Action::Send {
             to: owner,
             message: message.into(),
         });
     }
 
-    pub(super) const fn new_ask(&mut self) -> AskId {
-        self.next_ask += 1;
-        self.next_ask
+    pub(super) const fn next_permit_request(&mut self) -> AskId {
+        self.last_permit_request += 1;
+        self.last_permit_request
     }
 
     /// Takes an ask back. A grant that crosses this is given back when it comes.
     pub(super) fn withdraw(&mut self, ask: AskId, out: &mut Vec<Action>) {
-        let Some(sent) = self.asks.remove(&ask) else {
+        let Some(sent) = self.permit_requests.remove(&ask) else {
             return;
         };
         let message = Withdraw {
@@ -89,20 +89,20 @@
     }
 
     /// Makes asks again that nobody has answered for long.
-    pub(super) fn repeat_asks(&mut self, now: Moment, out: &mut Vec<Action>) {
+    pub(super) fn retry_unanswered(&mut self, now: Moment, out: &mut Vec<Action>) {
         let silent: Vec<(AskId, Option<RequestId>)> = self
-            .asks
+            .permit_requests
             .iter()
-            .filter(|(_, sent)| now.saturating_sub(sent.at) >= ASK_AGAIN)
+            .filter(|(_, sent)| now.saturating_sub(sent.sent_at) >= PERMIT_REQUEST_TIMEOUT)
             .map(|(ask, sent)| (*ask, sent.request))
             .collect();
         for (ask, request) in silent {
             self.withdraw(ask, out);
-            self.ask_again(now, request, out);
+            self.retry_request(now, request, out);
         }
     }
 
-    pub(super) fn ask_again(
+    pub(super) fn retry_request(
         &mut self,
         now: Moment,
         request: Option<RequestId>,
--- a/components/policy/src/entry/plain_calls.rs
+++ b/components/policy/src/entry/plain_calls.rs
@@ -15,18 +15,18 @@
 };
 
 /// A block is replaced when it can be used for less than this.
-const REFILL_BEFORE: Duration = Duration::from_millis(500);
+const MIN_BLOCK_LIFETIME: Duration = Duration::from_millis(500);
 /// A service without calls for this long gets no blocks ahead of time.
-const QUIET: Duration = Duration::from_secs(2);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 /// After a refill that brought a place at a cold target the next one waits this long.
-const COLD_PAUSE: Duration = Duration::from_millis(500);
+const COLD_REFILL_DELAY: Duration = Duration::from_millis(500);
 /// Slots of one block at most.
-const SLOTS_MOST: u32 = 8;
+const MAX_SLOTS: u32 = 8;
 
 /// What an entry knows about the plain calls of one service.
 #[derive(Clone, Debug)]
 struct Demand {
-    last: Moment,
+    last_call_at: Moment,
     last_request: Option<Request>,
     /// The most calls at once since the last refill.
     peak: u32,
@@ -44,25 +44,25 @@
     /// Takes a call into account.
     pub fn arrive(&mut self, now: Moment, service: &ServiceId) {
         let demand = self.by_service.entry(service.clone()).or_insert(Demand {
-            last: now,
+            last_call_at: now,
             last_request: None,
             peak: 1,
             pause_until: Moment::ZERO,
         });
-        demand.last = now;
+        demand.last_call_at = now;
     }
 
     /// Whether a service is one of plain calls.
     #[must_use]
-    pub fn known(&self, service: &ServiceId) -> bool {
+    pub fn contains(&self, service: &ServiceId) -> bool {
         self.by_service.contains_key(service)
     }
 
     /// Takes note that a refill brought a place at a cold target. It is given back unused, as
     /// such places are few; asking again at once would only pass it to and fro.
-    pub fn pause(&mut self, now: Moment, service: &ServiceId) {
+    pub fn pause_refill(&mut self, now: Moment, service: &ServiceId) {
         if let Some(demand) = self.by_service.get_mut(service) {
-            demand.pause_until = now + COLD_PAUSE;
+            demand.pause_until = now + COLD_REFILL_DELAY;
         }
     }
 
@@ -73,7 +73,7 @@
             return 1;
         }
         let peak = self.by_service.get(&request.service).map_or(1, |d| d.peak);
-        peak.clamp(1, SLOTS_MOST)
+        peak.clamp(1, MAX_SLOTS)
     }
 }
 
@@ -93,21 +93,21 @@
                 && p.shard.service == pending.request.service
                 && p.has_room(now)
                 && !pending.avoid.contains(&p.target.id)
-                && self.open(&p.target.id, p.target.incarnation)
+                && self.accepts_work(&p.target.id, p.target.incarnation)
         });
         // The least used first: spreads calls over targets.
         let Some(key) = usable
-            .min_by_key(|p| (p.users.len(), p.until))
+            .min_by_key(|p| (p.users.len(), p.valid_until))
             .map(|p| p.key)
         else {
             return false;
         };
         self.dispatch(key, id, out);
-        self.note_peak(id);
+        self.record_peak(id);
         true
     }
 
-    fn note_peak(&mut self, id: RequestId) {
+    fn record_peak(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get(&id) else {
             return;
         };
@@ -117,31 +117,29 @@
             .values()
             .filter(|p| p.shard.service == request.service);
         let running: usize = blocks.map(|p| p.users.len()).sum();
-        if let Some(demand) = self.calls.by_service.get_mut(&request.service) {
-            demand.peak = demand
-                .peak
-                .max(u32::try_from(running).unwrap_or(SLOTS_MOST));
+        if let Some(demand) = self.call_demand.by_service.get_mut(&request.service) {
+            demand.peak = demand.peak.max(u32::try_from(running).unwrap_or(MAX_SLOTS));
             demand.last_request = Some(request);
         }
     }
 
     /// Places waiting plain calls under the free slots of a block, most urgent first.
-    pub(super) fn fill(&mut self, now: Moment, key: PermitKey, out: &mut Vec<Action>) {
-        while let Some(id) = self.next_for(now, key) {
+    pub(super) fn fill_block(&mut self, now: Moment, key: PermitKey, out: &mut Vec<Action>) {
+        while let Some(id) = self.next_call_for(now, key) {
             let stage = self.requests.get(&id).map(|p| p.stage.clone());
             if let Some(Stage::Asked(ask)) = stage {
                 self.withdraw(ask, out);
             }
             self.dispatch(key, id, out);
-            self.note_peak(id);
+            self.record_peak(id);
         }
     }
 
-    fn next_for(&self, now: Moment, key: PermitKey) -> Option<RequestId> {
+    fn next_call_for(&self, now: Moment, key: PermitKey) -> Option<RequestId> {
         let permit = self.permits.get(&key)?;
         if permit.kind != ServiceKind::Plain
             || !permit.has_room(now)
-            || !self.open(&permit.target.id, permit.target.incarnation)
+            || !self.accepts_work(&permit.target.id, permit.target.incarnation)
         {
             return None;
         }
@@ -158,40 +156,39 @@
 
     /// PermitRequests for new blocks before the ones in hand lapse.
     pub(super) fn refill(&mut self, now: Moment, out: &mut Vec<Action>) {
-        let services: Vec<ServiceId> = self.calls.by_service.keys().cloned().collect();
+        let services: Vec<ServiceId> = self.call_demand.by_service.keys().cloned().collect();
         for service in services {
-            self.refill_one(now, &service, out);
+            self.refill_service(now, &service, out);
         }
     }
 
-    fn refill_one(&mut self, now: Moment, service: &ServiceId, out: &mut Vec<Action>) {
+    fn refill_service(&mut self, now: Moment, service: &ServiceId, out: &mut Vec<Action>) {
         let out_already = self
-            .asks
+            .permit_requests
             .values()
             .any(|a| a.request.is_none() && a.shard.service == *service);
-        let fresh = self
-            .permits
-            .values()
-            .any(|p| p.shard.service == *service && p.until > now + REFILL_BEFORE && !p.cold);
-        let Some(demand) = self.calls.by_service.get_mut(service) else {
+        let fresh = self.permits.values().any(|p| {
+            p.shard.service == *service && p.valid_until > now + MIN_BLOCK_LIFETIME && !p.cold
+        });
+        let Some(demand) = self.call_demand.by_service.get_mut(service) else {
             return;
         };
         if fresh
             || out_already
             || now < demand.pause_until
-            || now.saturating_sub(demand.last) >= QUIET
+            || now.saturating_sub(demand.last_call_at) >= IDLE_TIMEOUT
         {
             return;
         }
         let Some(request) = demand.last_request.clone() else {
             return;
         };
-        let slots = demand.peak.clamp(1, SLOTS_MOST);
+        let slots = demand.peak.clamp(1, MAX_SLOTS);
         demand.peak = (demand.peak / 2).max(1);
         let Some((shard, owner)) = self.shards.choose(service, &[]) else {
             return;
         };
-        let ask = self.new_ask();
+        let ask = self.next_permit_request();
         let message = Ask {
             shard: shard.clone(),
             ask,
@@ -200,7 +197,7 @@
             class: request.class,
             workspace: request.workspace,
             route: request.route,
-            within: REFILL_BEFORE,
+            within: MIN_BLOCK_LIFETIME,
             waited: Duration::ZERO,
             prompt: 0,
             max_output: 0,
@@ -208,13 +205,13 @@
             prefix: Vec::new(),
             avoid: Vec::new(),
         };
-        self.asks.insert(
+        self.permit_requests.insert(
             ask,
             OutstandingPermitRequest {
                 request: None,
                 shard,
                 owner: owner.clone(),
-                at: now,
+                sent_at: now,
             },
         );
         out.push(Action::Send {
--- a/components/policy/src/entry/shard_directory.rs
+++ b/components/policy/src/entry/shard_directory.rs
@@ -8,18 +8,18 @@
 use crate::api::View;
 
 /// Added to the score of a shard in another data centre: the way there and back.
-const REMOTE: f32 = 0.05;
+const REMOTE_PENALTY: f32 = 0.05;
 /// Taken off the score of a shard that lately ran a request with the same prompt prefix.
-const AFFINITY: f32 = 0.3;
+const AFFINITY_BONUS: f32 = 0.3;
 /// Above this load a owner_state prefix no longer draws requests, or one popular prefix would fill
 /// one data centre while others idle.
-const AFFINITY_LOAD: f32 = 0.85;
+const MAX_AFFINITY_LOAD: f32 = 0.85;
 /// Part of the difference between two lines that moves at once.
-const MOVE_PART: f32 = 0.5;
+const REBALANCE_SHARE: f32 = 0.5;
 /// Callers are never told to come back sooner.
-const LEAST_WAIT: Duration = Duration::from_secs(1);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Prefixes remembered.
-const PREFIXES: usize = 4096;
+const MAX_PREFIXES: usize = 4096;
 
 /// One shard as an entry sees it.
 #[derive(Clone, Debug, Default)]
@@ -31,16 +31,16 @@
     /// What the owner said last.
     pub summary: Option<ShardSummary>,
     /// PermitRequests sent since the owner said so.
-    pub asked_since: u32,
+    pub requests_since_summary: u32,
     /// Targets that may take work.
     pub targets: u32,
     /// Whether the summary has come since asks were last moved away.
-    pub fresh: bool,
+    pub is_summary_new: bool,
 }
 
 /// PermitRequests that should change shards.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Move {
+pub struct Rebalance {
     /// Where to.
     pub to: Shard,
     /// Its owner.
@@ -54,7 +54,7 @@
 pub struct ShardDirectory {
     home: Option<DataCentreId>,
     instances: u32,
-    known: BTreeMap<Shard, ShardInfo>,
+    shards: BTreeMap<Shard, ShardInfo>,
     prefixes: BTreeMap<u64, DataCentreId>,
 }
 
@@ -71,26 +71,26 @@
     /// Takes targets and data centres from a new view.
     pub fn update(&mut self, view: &View) {
         self.instances = view.instances.max(1);
-        for info in self.known.values_mut() {
+        for info in self.shards.values_mut() {
             info.targets = 0;
         }
         for target in &view.targets {
             let open = target.standing == Standing::Live
                 && !view.data_centres_out.contains(&target.data_centre);
             let shard = Shard::new(&target.service, &target.data_centre);
-            self.known.entry(shard).or_default().targets += u32::from(open);
+            self.shards.entry(shard).or_default().targets += u32::from(open);
         }
     }
 
     /// One shard.
     #[must_use]
     pub fn get(&self, shard: &Shard) -> Option<&ShardInfo> {
-        self.known.get(shard)
+        self.shards.get(shard)
     }
 
     /// Follows an owner unless its term is older than the newest seen.
     pub fn follow(&mut self, shard: &Shard, owner: Option<InstanceId>, epoch: Epoch) {
-        let info = self.known.entry(shard.clone()).or_default();
+        let info = self.shards.entry(shard.clone()).or_default();
         if epoch < info.epoch {
             return;
         }
@@ -102,23 +102,23 @@
     }
 
     /// Takes what an owner says.
-    pub fn hear(&mut self, owner: &InstanceId, summaries: &[ShardSummary]) {
+    pub fn apply_summaries(&mut self, owner: &InstanceId, summaries: &[ShardSummary]) {
         for summary in summaries {
-            let info = self.known.entry(summary.shard.clone()).or_default();
+            let info = self.shards.entry(summary.shard.clone()).or_default();
             if info.owner.as_ref() == Some(owner) && info.epoch == summary.epoch {
                 info.summary = Some(summary.clone());
-                info.asked_since = 0;
-                info.fresh = true;
+                info.requests_since_summary = 0;
+                info.is_summary_new = true;
             }
         }
     }
 
     /// Takes note of an ask just sent.
-    pub fn note_ask(&mut self, shard: &Shard, prefix: &[u64]) {
-        if let Some(info) = self.known.get_mut(shard) {
-            info.asked_since += 1;
+    pub fn record_permit_request(&mut self, shard: &Shard, prefix: &[u64]) {
+        if let Some(info) = self.shards.get_mut(shard) {
+            info.requests_since_summary += 1;
         }
-        if self.prefixes.len() >= PREFIXES {
+        if self.prefixes.len() >= MAX_PREFIXES {
             self.prefixes.pop_first();
         }
         if let Some(block) = prefix.first() {
@@ -128,14 +128,14 @@
 
     /// Whether any target of a service may take work now.
     #[must_use]
-    pub fn serves(&self, service: &ServiceId) -> bool {
-        self.of(service).any(|(_, info)| info.targets > 0)
+    pub fn has_targets(&self, service: &ServiceId) -> bool {
+        self.shards_of(service).any(|(_, info)| info.targets > 0)
     }
 
     /// The shard to ask for a request, and its owner.
     #[must_use]
     pub fn choose(&self, service: &ServiceId, prefix: &[u64]) -> Option<(Shard, InstanceId)> {
-        let usable = self.of(service).filter(|(_, info)| info.targets > 0);
+        let usable = self.shards_of(service).filter(|(_, info)| info.targets > 0);
         let scored = usable.filter_map(|(shard, info)| {
             let owner = info.owner.clone()?;
             Some((self.score(shard, info, prefix), shard, owner))
@@ -146,12 +146,12 @@
 
     /// When a caller that was not served in time may come back with more hope.
     #[must_use]
-    pub fn wait(&self, service: &ServiceId) -> Duration {
+    pub fn retry_after(&self, service: &ServiceId) -> Duration {
         let summaries = self
-            .of(service)
+            .shards_of(service)
             .filter_map(|(_, info)| info.summary.as_ref());
         let shortest = summaries.map(|s| s.wait_ms).min().unwrap_or_default();
-        Duration::from_millis(u64::from(shortest)).max(LEAST_WAIT)
+        Duration::from_millis(u64::from(shortest)).max(MIN_RETRY_AFTER)
     }
 
     /// How many of `mine` asks that wait at a shard to move elsewhere, and where to.
@@ -160,29 +160,29 @@
     /// the line would jump from shard to shard; one would notice lines of hundreds beside empty
     /// ones, changing places every heartbeat. So each moves its part of half the difference, and
     /// only once for each summary.
-    pub fn plan_move(&mut self, from: &Shard, mine: usize) -> Option<Move> {
-        let here = self.known.get_mut(from)?;
-        if !std::mem::take(&mut here.fresh) {
+    pub fn plan_rebalance(&mut self, from: &Shard, mine: usize) -> Option<Rebalance> {
+        let here = self.shards.get_mut(from)?;
+        if !std::mem::take(&mut here.is_summary_new) {
             return None;
         }
-        let (queued, targets) = line(here)?;
+        let (queued, targets) = queue_and_targets(here)?;
         let (to, owner) = self.choose(&from.service, &[])?;
-        let (queued_there, targets_there) = line(self.known.get(&to)?)?;
+        let (queued_there, targets_there) = queue_and_targets(self.shards.get(&to)?)?;
         if to == *from {
             return None;
         }
         let level = (queued * targets_there - queued_there * targets) / (targets + targets_there);
         let part = mine as f32 / queued.max(1.0);
-        let count = (level * part * MOVE_PART).round();
-        (count >= 1.0).then_some(Move {
+        let count = (level * part * REBALANCE_SHARE).round();
+        (count >= 1.0).then_some(Rebalance {
             to,
             owner,
             count: count as usize,
         })
     }
 
-    fn of(&self, service: &ServiceId) -> impl Iterator<Item = (&Shard, &ShardInfo)> {
-        self.known
+    fn shards_of(&self, service: &ServiceId) -> impl Iterator<Item = (&Shard, &ShardInfo)> {
+        self.shards
             .iter()
             .filter(move |(shard, _)| shard.service == *service)
     }
@@ -192,30 +192,30 @@
         let load = summary.map_or(0.0, |s| s.load);
         // The other instances see the same summaries and choose alike meanwhile; without
         // counting them, all would rush to the same shard from one summary to the next.
-        let asked = info.asked_since * self.instances;
+        let asked = info.requests_since_summary * self.instances;
         let queued = summary.map_or(0, |s| s.queued) + asked;
         let targets = summary.map_or(info.targets, |s| s.targets).max(1);
-        let mut score = load + share(queued, targets);
+        let mut score = load + queued_per_target(queued, targets);
         if self.home.as_ref() != Some(&shard.data_centre) {
-            score += REMOTE;
+            score += REMOTE_PENALTY;
         }
         if summary.is_some_and(|s| !s.granting) {
             score += 1.0;
         }
         let seen = prefix.first().and_then(|block| self.prefixes.get(block));
-        if load < AFFINITY_LOAD && seen == Some(&shard.data_centre) {
-            score -= AFFINITY;
+        if load < MAX_AFFINITY_LOAD && seen == Some(&shard.data_centre) {
+            score -= AFFINITY_BONUS;
         }
         score
     }
 }
 
-fn share(queued: u32, targets: u32) -> f32 {
+fn queued_per_target(queued: u32, targets: u32) -> f32 {
     queued as f32 / targets as f32
 }
 
 /// PermitRequests that wait at a shard and its targets, as its owner said.
-fn line(info: &ShardInfo) -> Option<(f32, f32)> {
+fn queue_and_targets(info: &ShardInfo) -> Option<(f32, f32)> {
     let summary = info.summary.as_ref().filter(|s| s.granting)?;
     Some((summary.queued as f32, summary.targets.max(1) as f32))
 }
--- a/components/policy/src/entry/view_changes.rs
+++ b/components/policy/src/entry/view_changes.rs
@@ -8,24 +8,24 @@
 };
 
 impl Entry {
-    pub(super) fn change(&mut self, now: Moment, view: &View, out: &mut Vec<Action>) {
+    pub(super) fn apply_view(&mut self, now: Moment, view: &View, out: &mut Vec<Action>) {
         self.view = view.clone();
         self.shards.update(view);
         // PermitRequests to shards that no longer take work move on at once.
         let closed: Vec<(AskId, Option<RequestId>)> = self
-            .asks
+            .permit_requests
             .iter()
             .filter(|(_, a)| self.shards.get(&a.shard).is_none_or(|i| i.targets == 0))
             .map(|(ask, a)| (*ask, a.request))
             .collect();
         for (ask, request) in closed {
             self.withdraw(ask, out);
-            self.ask_again(now, request, out);
+            self.retry_request(now, request, out);
         }
         self.place_waiting(now, out);
     }
 
-    pub(super) fn role(
+    pub(super) fn apply_role(
         &mut self,
         now: Moment,
         shard: &Shard,
@@ -38,28 +38,28 @@
         };
         self.shards.follow(shard, owner, epoch);
         let lost: Vec<AskId> = self
-            .asks
+            .permit_requests
             .iter()
             .filter(|(_, a)| a.shard == *shard)
             .map(|(ask, _)| *ask)
             .collect();
         for ask in lost {
-            let request = self.asks.remove(&ask).and_then(|a| a.request);
-            self.ask_again(now, request, out);
+            let request = self.permit_requests.remove(&ask).and_then(|a| a.request);
+            self.retry_request(now, request, out);
         }
         self.place_waiting(now, out);
     }
 
-    pub(super) fn lose_owner(&mut self, now: Moment, peer: &InstanceId, out: &mut Vec<Action>) {
+    pub(super) fn remove_owner(&mut self, now: Moment, peer: &InstanceId, out: &mut Vec<Action>) {
         let lost: Vec<AskId> = self
-            .asks
+            .permit_requests
             .iter()
             .filter(|(_, a)| a.owner == *peer)
             .map(|(ask, _)| *ask)
             .collect();
         for ask in lost {
-            let request = self.asks.remove(&ask).and_then(|a| a.request);
-            self.ask_again(now, request, out);
+            let request = self.permit_requests.remove(&ask).and_then(|a| a.request);
+            self.retry_request(now, request, out);
         }
     }
 }
--- a/components/policy/src/grant_rate.rs
+++ b/components/policy/src/grant_rate.rs
@@ -9,8 +9,8 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassRate {
-    last: Option<Moment>,
-    between: Option<f64>,
+    last_grant: Option<Moment>,
+    mean_interval_s: Option<f64>,
 }
 
 /// Time between two grants of each class while asks of that class wait. More urgent work that
@@ -28,29 +28,29 @@
     }
 
     /// Takes note of a grant; `waiting` tells how many asks of the class wait still.
-    pub fn granted(&mut self, now: Moment, class: Class, waiting: usize) {
+    pub fn record_grant(&mut self, now: Moment, class: Class, waiting: usize) {
         let pace = &mut self.classes[class as usize];
-        if let Some(last) = pace.last {
+        if let Some(last) = pace.last_grant {
             let gap = now.saturating_sub(last).as_secs_f64();
-            let between = pace.between.get_or_insert(gap);
+            let between = pace.mean_interval_s.get_or_insert(gap);
             *between += WEIGHT * (gap - *between);
         }
-        pace.last = (waiting > 0).then_some(now);
+        pace.last_grant = (waiting > 0).then_some(now);
     }
 
     /// Takes note that an ask of a class waits from now on.
-    pub fn waits(&mut self, now: Moment, class: Class) {
-        self.classes[class as usize].last.get_or_insert(now);
+    pub fn record_waiting(&mut self, now: Moment, class: Class) {
+        self.classes[class as usize].last_grant.get_or_insert(now);
     }
 
     /// Expected time between two grants of a class while asks of it wait; `None` before anything
     /// is known.
     #[must_use]
-    pub fn between(&self, now: Moment, class: Class) -> Option<Duration> {
+    pub fn interval(&self, now: Moment, class: Class) -> Option<Duration> {
         let pace = &self.classes[class as usize];
-        let mut between = pace.between?;
+        let mut between = pace.mean_interval_s?;
         let stalled = pace
-            .last
+            .last_grant
             .map_or(0.0, |last| now.saturating_sub(last).as_secs_f64());
         between += WEIGHT * (stalled - between).max(0.0);
         Some(Duration::from_secs_f64(between))
@@ -58,10 +58,10 @@
 
     /// Expected wait behind `ahead` asks of the same class; `None` before anything is known.
     #[must_use]
-    pub fn wait(&self, now: Moment, class: Class, ahead: usize) -> Option<Duration> {
+    pub fn expected_wait(&self, now: Moment, class: Class, ahead: usize) -> Option<Duration> {
         if ahead == 0 {
             return Some(Duration::ZERO);
         }
-        Some(self.between(now, class)?.mul_f64(ahead as f64))
+        Some(self.interval(now, class)?.mul_f64(ahead as f64))
     }
 }
--- a/components/policy/src/granting.rs
+++ b/components/policy/src/granting.rs
@@ -10,8 +10,8 @@
     api::{Action, TargetLimits},
     memory::RunningGeneration,
     outbox::send,
-    owner_state::{OwnerState, Peer},
-    permit::{Permit, PermitKey},
+    owner_state::{EntryContact, OwnerState},
+    permit::{GrantedPermit, PermitKey},
     shard::{PERMIT_LIFE, ShardState},
     wait_queue::QueuePosition,
 };
@@ -22,50 +22,55 @@
 /// A less urgent ask that goes ahead counts as this many: urgent work goes first, and small
 /// background work would otherwise take up, piece by piece, the room that larger normal work
 /// waits for.
-const BYPASS_BY_LESS_URGENT: u32 = 4;
+const LESS_URGENT_BYPASS_WEIGHT: u32 = 4;
 
 /// Tokens that a plain call counts as in the fairness between workspaces.
-const CALL_TOKENS: f64 = 256.0;
+const TOKENS_PER_PLAIN_CALL: f64 = 256.0;
 
 impl ShardState {
     /// Grants permits as long as an ask fits somewhere.
-    pub fn serve(&mut self, now: Moment, owner_state: &mut OwnerState, out: &mut Vec<Action>) {
-        if self.line.is_empty() || !self.granting(now) {
+    pub fn grant_waiting(
+        &mut self,
+        now: Moment,
+        owner_state: &mut OwnerState,
+        out: &mut Vec<Action>,
+    ) {
+        if self.queue.is_empty() || !self.can_grant(now) {
             return;
         }
         let Some(limits) = owner_state.view.limits.get(&self.shard.service).cloned() else {
             return;
         };
-        while self.serve_next(now, &limits, owner_state, out) {}
+        while self.grant_next(now, &limits, owner_state, out) {}
     }
 
     /// Grants the first ask that fits somewhere.
-    fn serve_next(
+    fn grant_next(
         &mut self,
         now: Moment,
         limits: &TargetLimits,
         owner_state: &mut OwnerState,
         out: &mut Vec<Action>,
     ) -> bool {
-        self.project(now, limits, owner_state);
+        self.refresh_projections(now, limits, owner_state);
         let mut kept: BTreeSet<TargetId> = BTreeSet::new();
         let mut passed: Vec<QueuePosition> = Vec::new();
-        for place in self.line.order() {
-            let Some(waiting) = self.line.get(place).cloned() else {
+        for place in self.queue.service_order() {
+            let Some(waiting) = self.queue.get(place).cloned() else {
                 continue;
             };
-            let peer = owner_state.peers.get(&waiting.entry).copied();
-            let Some(peer) = peer.filter(|peer| peer.is_heard(now)) else {
+            let peer = owner_state.entries.get(&waiting.entry).copied();
+            let Some(peer) = peer.filter(|peer| peer.is_recent(now)) else {
                 continue;
             };
-            let need = self.need(&waiting, limits, owner_state);
+            let need = self.demand(&waiting, limits, owner_state);
             if let Some(target) = self.choose(now, &need, &kept, limits, owner_state) {
-                self.bypass(&passed, waiting.rank);
+                self.record_bypassed(&passed, waiting.effective_class);
                 self.grant(now, place, &target, peer, limits, owner_state, out);
                 return true;
             }
             if waiting.bypassed >= BYPASS_LIMIT {
-                kept.extend(self.keep_free(&waiting.ask, &kept, limits, owner_state));
+                kept.extend(self.reserve_target(&waiting.ask, &kept, limits, owner_state));
             }
             passed.push(place);
         }
@@ -73,24 +78,32 @@
     }
 
     /// Takes note that an ask of class `rank` goes ahead of others.
-    fn bypass(&mut self, passed: &[QueuePosition], rank: Class) {
+    fn record_bypassed(&mut self, passed: &[QueuePosition], rank: Class) {
         for place in passed {
-            let less_urgent = self.line.get(*place).is_some_and(|w| w.rank < rank);
+            let less_urgent = self
+                .queue
+                .get(*place)
+                .is_some_and(|w| w.effective_class < rank);
             let times = if less_urgent {
-                BYPASS_BY_LESS_URGENT
+                LESS_URGENT_BYPASS_WEIGHT
             } else {
                 1
             };
-            self.line.bypass(*place, times);
+            self.queue.record_bypass(*place, times);
         }
     }
 
-    fn project(&mut self, now: Moment, limits: &TargetLimits, owner_state: &mut OwnerState) {
+    fn refresh_projections(
+        &mut self,
+        now: Moment,
+        limits: &TargetLimits,
+        owner_state: &mut OwnerState,
+    ) {
         if !TargetAccount::is_model(limits) {
             return;
         }
         for account in self.accounts.values_mut() {
-            account.projection(
+            account.refresh_projection(
                 now,
                 &self.shard.service,
                 &mut owner_state.lengths,
@@ -105,34 +118,37 @@
         now: Moment,
         place: QueuePosition,
         id: &TargetId,
-        peer: Peer,
+        peer: EntryContact,
         limits: &TargetLimits,
         owner_state: &mut OwnerState,
         out: &mut Vec<Action>,
     ) {
-        let granting = self.granting(now);
+        let granting = self.can_grant(now);
         assert!(
             granting,
             "granted on {} before everybody told what it holds; last events:\n{}",
             self.shard,
-            owner_state.decision_log.tail()
+            owner_state.decision_log.to_text()
         );
-        let Some(waiting) = self.line.get(place).cloned() else {
+        let Some(waiting) = self.queue.get(place).cloned() else {
             return;
         };
         let Some(target) = self.accounts.get(id).and_then(|a| a.listed.clone()) else {
             return;
         };
-        let need = self.need(&waiting, limits, owner_state);
+        let need = self.demand(&waiting, limits, owner_state);
         let slots = self.slots_for(now, &waiting, &self.accounts[id], limits, owner_state);
-        let calls = f64::from(slots) * CALL_TOKENS;
+        let calls = f64::from(slots) * TOKENS_PER_PLAIN_CALL;
         let tokens = need
-            .running
+            .generation
             .as_ref()
-            .map_or(calls, RunningGeneration::expected_final);
-        self.line.serve(place, tokens);
-        self.pace
-            .granted(now, waiting.rank, self.line.len_of(waiting.rank));
+            .map_or(calls, RunningGeneration::expected_final_tokens);
+        self.queue.dequeue_and_charge(place, tokens);
+        self.grant_rate.record_grant(
+            now,
+            waiting.effective_class,
+            self.queue.len_of(waiting.effective_class),
+        );
         let Some(account) = self.accounts.get_mut(id) else {
             return;
         };
@@ -143,7 +159,7 @@
             permit: owner_state.next_permit(),
             target: target.id.clone(),
             incarnation: target.incarnation,
-            reserved: if need.running.is_some() {
+            reserved: if need.generation.is_some() {
                 tokens as u64
             } else {
                 0
@@ -153,7 +169,7 @@
             life: PERMIT_LIFE,
             cold: account.limiter.is_cold(),
         };
-        owner_state.decision_log.note(
+        owner_state.decision_log.record(
             now,
             format!(
                 "permit {} for ask {} of {} on {id}, {slots} slots, cold {}",
@@ -164,63 +180,69 @@
             entry: waiting.entry.clone(),
             permit: grant.permit,
         };
-        let permit = granted(now, &waiting.ask, &grant, peer.incarnation, tokens);
+        let permit = new_permit(now, &waiting.ask, &grant, peer.incarnation, tokens);
         let earlier = account.insert(key, permit);
-        account.prefixes.used(&waiting.ask.prefix);
+        account.prefixes.record(&waiting.ask.prefix);
         assert!(
             earlier.is_none(),
             "permit {} was granted twice; last events:\n{}",
             grant.permit,
-            owner_state.decision_log.tail()
+            owner_state.decision_log.to_text()
         );
-        check(account, &target, limits, owner_state);
+        assert_invariants(account, &target, limits, owner_state);
         send(&waiting.entry, grant.into(), out);
     }
 }
 
-fn granted(now: Moment, ask: &Ask, grant: &Grant, entry_incarnation: u64, charged: f64) -> Permit {
-    Permit {
+fn new_permit(
+    now: Moment,
+    ask: &Ask,
+    grant: &Grant,
+    entry_incarnation: u64,
+    charged_tokens: f64,
+) -> GrantedPermit {
+    GrantedPermit {
         epoch: grant.epoch,
         incarnation: grant.incarnation,
         entry_incarnation,
         class: ask.class,
         workspace: Arc::clone(&ask.workspace),
         route: Arc::clone(&ask.route),
-        prompt: ask.prompt,
+        prompt_tokens: ask.prompt,
         max_output: ask.max_output,
         produced: 0,
-        heard: now,
+        updated_at: now,
         slots: grant.slots,
         seen: false,
-        since: now,
-        lapses: grant.stamp.saturating_add(grant.life),
-        started: None,
-        orphaned: None,
-        recalled: false,
-        late: false,
-        charged,
+        granted_at: now,
+        expires_at: grant.stamp.saturating_add(grant.life),
+        started_at: None,
+        orphaned_at: None,
+        revoked: false,
+        slow_start_recorded: false,
+        charged_tokens,
     }
 }
 
 /// What must hold right after a grant.
-fn check(
+fn assert_invariants(
     account: &TargetAccount,
     target: &Target,
     limits: &TargetLimits,
     owner_state: &OwnerState,
 ) {
     assert!(
-        !account.limiter.is_cold() || account.bearing() <= limits.cold_limit,
+        !account.limiter.is_cold() || account.max_occupied_slots() <= limits.cold_limit,
         "cold target {} got {} of {} requests; last events:\n{}",
         target.id,
-        account.bearing(),
+        account.max_occupied_slots(),
         limits.cold_limit,
-        owner_state.decision_log.tail()
+        owner_state.decision_log.to_text()
     );
     assert!(
-        account.is_open(&owner_state.view),
+        account.accepts_work(&owner_state.view),
         "target {} got work while leaving, out of service or restarted; last events:\n{}",
         target.id,
-        owner_state.decision_log.tail()
+        owner_state.decision_log.to_text()
     );
 }
--- a/components/policy/src/length.rs
+++ b/components/policy/src/length.rs
@@ -31,7 +31,7 @@
 /// Observations after which a curve is built anew.
 const REBUILD_EVERY: u64 = 8;
 /// Below this many observations of a service every one rebuilds its curves.
-const FEW: u64 = 64;
+const ALWAYS_REBUILD_BELOW: u64 = 64;
 
 /// Lower edges of the buckets: each a fifth longer than the one before.
 const fn edges() -> [Tokens; BUCKETS] {
@@ -64,12 +64,12 @@
 
 /// Counts of generations at risk and ended, by bucket.
 #[derive(Clone, Debug)]
-struct Table {
+struct HazardTable {
     at_risk: [f64; BUCKETS],
     ended: [f64; BUCKETS],
 }
 
-impl Table {
+impl HazardTable {
     const fn new() -> Self {
         Self {
             at_risk: [0.0; BUCKETS],
@@ -77,13 +77,13 @@
         }
     }
 
-    fn pass(&mut self, from: usize, to: usize) {
+    fn add_passed(&mut self, from: usize, to: usize) {
         for count in &mut self.at_risk[from..to.max(from)] {
             *count += 1.0;
         }
     }
 
-    fn end(&mut self, at: usize) {
+    fn add_ended(&mut self, at: usize) {
         self.at_risk[at] += 1.0;
         self.ended[at] += 1.0;
     }
@@ -144,7 +144,7 @@
     /// Tokens that a generation that has produced this much is expected to produce still, of at
     /// most `most` in all.
     #[must_use]
-    pub fn remaining(&self, produced: Tokens, most: Tokens) -> f64 {
+    pub fn expected_remaining(&self, produced: Tokens, most: Tokens) -> f64 {
         let base = self.at(produced);
         let mut from = produced;
         let mut sum = 0.0;
@@ -163,21 +163,21 @@
 
 /// A curve and the number of observations it was built from.
 #[derive(Debug)]
-struct Built {
+struct CachedCurve {
     curve: Arc<SurvivalCurve>,
     at: u64,
 }
 
 #[derive(Debug)]
 struct RouteLengths {
-    table: Table,
-    workspaces: BTreeMap<WorkspaceId, Table>,
-    curves: BTreeMap<WorkspaceId, Built>,
+    table: HazardTable,
+    workspaces: BTreeMap<WorkspaceId, HazardTable>,
+    curves: BTreeMap<WorkspaceId, CachedCurve>,
 }
 
 #[derive(Debug)]
 struct ServiceLengths {
-    table: Table,
+    table: HazardTable,
     observations: u64,
     until_decay: u32,
     routes: BTreeMap<RouteId, RouteLengths>,
@@ -186,7 +186,7 @@
 impl ServiceLengths {
     const fn new() -> Self {
         Self {
-            table: Table::new(),
+            table: HazardTable::new(),
             observations: 0,
             until_decay: DECAY_EVERY,
             routes: BTreeMap::new(),
@@ -197,13 +197,13 @@
         self.routes
             .entry(route.clone())
             .or_insert_with(|| RouteLengths {
-                table: Table::new(),
+                table: HazardTable::new(),
                 workspaces: BTreeMap::new(),
                 curves: BTreeMap::new(),
             })
     }
 
-    fn observed(&mut self) {
+    fn count_observation(&mut self) {
         self.observations += 1;
         self.until_decay -= 1;
         if self.until_decay > 0 {
@@ -213,7 +213,7 @@
         self.table.decay();
         for route in self.routes.values_mut() {
             route.table.decay();
-            route.workspaces.values_mut().for_each(Table::decay);
+            route.workspaces.values_mut().for_each(HazardTable::decay);
         }
     }
 }
@@ -232,20 +232,20 @@
     }
 
     /// Takes note that a generation runs that had produced `from` and now has produced `to`.
-    pub fn passed(&mut self, source: &GenerationSource<'_>, from: Tokens, to: Tokens) {
+    pub fn record_progress(&mut self, source: &GenerationSource<'_>, from: Tokens, to: Tokens) {
         let (from, to) = (bucket(from), bucket(to));
         if from < to {
-            self.each(source, |table| table.pass(from, to));
+            self.update_tables(source, |table| table.add_passed(from, to));
         }
     }
 
     /// Takes note that a generation ended by itself; `from` is what `passed` was told last.
-    pub fn ended(&mut self, source: &GenerationSource<'_>, from: Tokens, length: Tokens) {
-        self.passed(source, from, length);
+    pub fn record_end(&mut self, source: &GenerationSource<'_>, from: Tokens, length: Tokens) {
+        self.record_progress(source, from, length);
         let at = bucket(length);
-        self.each(source, |table| table.end(at));
+        self.update_tables(source, |table| table.add_ended(at));
         if let Some(service) = self.services.get_mut(source.service) {
-            service.observed();
+            service.count_observation();
         }
     }
 
@@ -259,7 +259,7 @@
         let route = service.route(source.route);
         if let Some(built) = route.curves.get(source.workspace) {
             let age = observations - built.at;
-            if age == 0 || (age < REBUILD_EVERY && observations > FEW) {
+            if age == 0 || (age < REBUILD_EVERY && observations > ALWAYS_REBUILD_BELOW) {
                 return Arc::clone(&built.curve);
             }
         }
@@ -279,7 +279,7 @@
             hazards = table.hazards(&hazards, PARENT_WEIGHT);
         }
         let curve = Arc::new(SurvivalCurve::new(&hazards));
-        let built = Built {
+        let built = CachedCurve {
             curve: Arc::clone(&curve),
             at: observations,
         };
@@ -287,7 +287,11 @@
         curve
     }
 
-    fn each(&mut self, source: &GenerationSource<'_>, mut change: impl FnMut(&mut Table)) {
+    fn update_tables(
+        &mut self,
+        source: &GenerationSource<'_>,
+        mut change: impl FnMut(&mut HazardTable),
+    ) {
         let service = self
             .services
             .entry(source.service.clone())
@@ -298,7 +302,7 @@
         let workspace = route
             .workspaces
             .entry(source.workspace.clone())
-            .or_insert_with(Table::new);
+            .or_insert_with(HazardTable::new);
         change(workspace);
     }
 }
--- a/components/policy/src/load_reports.rs
+++ b/components/policy/src/load_reports.rs
@@ -5,58 +5,69 @@
 use types::Moment;
 
 use crate::{
-    account::{Report, TargetAccount},
+    account::{TargetAccount, TimedReport},
     api::TargetLimits,
     permit::PermitKey,
     shard::LAPSE_MARGIN,
 };
 
 /// How long work of a lost entry counts where the target reports nothing about it.
-const ORPHAN_BOUND: Duration = Duration::from_secs(300);
+const MAX_ORPHAN_AGE: Duration = Duration::from_secs(300);
 /// How long nothing is admitted after a target reported preemptions.
-const PREEMPTED_HOLD: Duration = Duration::from_millis(500);
+const PREEMPTION_PAUSE: Duration = Duration::from_millis(500);
 
 impl TargetAccount {
     /// Takes a report; tells whether it was news.
-    pub fn reported(&mut self, now: Moment, report: Report, limits: &TargetLimits) -> bool {
-        if self.report.is_some_and(|last| last.taken > report.taken) {
+    pub fn record_report(
+        &mut self,
+        now: Moment,
+        report: TimedReport,
+        limits: &TargetLimits,
+    ) -> bool {
+        if self
+            .report
+            .is_some_and(|last| last.taken_at > report.taken_at)
+        {
             return false;
         }
         let last = self.report.replace(report);
-        let same_life = |last: &Report| last.report.incarnation == report.report.incarnation;
+        let same_life = |last: &TimedReport| last.report.incarnation == report.report.incarnation;
         if let Some(last) = last.filter(same_life)
             && report.report.preemptions > last.report.preemptions
         {
-            self.hold_until = now + PREEMPTED_HOLD;
+            self.admission_paused_until = now + PREEMPTION_PAUSE;
         }
         let bears = report.report.running + report.report.waiting;
-        if bears == 0 && report.taken > self.created {
-            self.strange = false;
+        if bears == 0 && report.taken_at > self.created_at {
+            self.may_run_unknown_work = false;
         }
-        self.drop_orphans(now);
-        self.judge(now, limits);
+        self.drop_ended_orphans(now);
+        self.update_warmth(now, limits);
         true
     }
 
     /// Draws conclusions from the newest report on whether the target is cold.
-    pub fn judge(&mut self, now: Moment, limits: &TargetLimits) {
+    pub fn update_warmth(&mut self, now: Moment, limits: &TargetLimits) {
         let Some(report) = self.report else { return };
         if !report.report.warm {
-            if report.taken >= self.limiter.since() {
-                self.limiter.chill(now);
-                self.may_trust = false;
+            if report.taken_at >= self.limiter.since() {
+                self.limiter.mark_cold(now);
+                self.trusts_warm_report = false;
             }
-        } else if self.limiter.is_cold() && self.may_trust && self.is_believed(report) {
-            self.may_trust = false;
-            self.limiter.trust(now, limits, report.report.running);
+        } else if self.limiter.is_cold()
+            && self.trusts_warm_report
+            && self.is_trusted_report(report)
+        {
+            self.trusts_warm_report = false;
+            self.limiter.mark_warm(now, limits, report.report.running);
         } else {
-            self.limiter.consider(now, limits, true);
+            self.limiter.leave_cold_if_proven(now, limits, true);
         }
     }
 
     /// Tells whether the target doesn't deny being warm.
     #[must_use]
-    pub fn may_warm(&self) -> bool {
+    pub fn may_be_warm(&self) -> bool {
         self.report.is_none_or(|report| report.report.warm)
     }
 
@@ -67,19 +78,19 @@
     /// longer if that got lost. Taken for running, it would make lost work that still runs look
     /// ended, and a cold target would get one request too many; so only a permit that its entry
     /// listed well after the time of the report counts as running then.
-    pub fn drop_orphans(&mut self, now: Moment) {
+    pub fn drop_ended_orphans(&mut self, now: Moment) {
         let Some(report) = self.report else {
-            self.drop_old_orphans(now);
+            self.expire_orphans(now);
             return;
         };
-        let taken = report.taken;
+        let taken = report.taken_at;
         let mut lost: Vec<PermitKey> = Vec::new();
         let mut running = 0;
         for (key, permit) in &self.permits {
-            let listed_after = permit.heard >= taken + LAPSE_MARGIN;
-            match permit.orphaned {
+            let listed_after = permit.updated_at >= taken + LAPSE_MARGIN;
+            match permit.orphaned_at {
                 Some(since) if since < taken => lost.push(key.clone()),
-                None if listed_after && permit.started.is_some_and(|at| at <= taken) => {
+                None if listed_after && permit.started_at.is_some_and(|at| at <= taken) => {
                     running += permit.slots;
                 }
                 _ => {}
@@ -91,30 +102,31 @@
         for key in lost.iter().take(ended) {
             self.remove(key);
         }
-        self.drop_old_orphans(now);
+        self.expire_orphans(now);
     }
 
     /// Drops work of entries that were lost very long ago.
-    fn drop_old_orphans(&mut self, now: Moment) {
+    fn expire_orphans(&mut self, now: Moment) {
         let before = self.permits.len();
         self.permits.retain(|_, permit| {
             permit
-                .orphaned
-                .is_none_or(|since| now.saturating_sub(since) < ORPHAN_BOUND)
+                .orphaned_at
+                .is_none_or(|since| now.saturating_sub(since) < MAX_ORPHAN_AGE)
         });
         if self.permits.len() < before {
-            self.projected = None;
+            self.projected_at = None;
         }
-        if now.saturating_sub(self.created) > ORPHAN_BOUND {
-            self.strange = false;
+        if now.saturating_sub(self.created_at) > MAX_ORPHAN_AGE {
+            self.may_run_unknown_work = false;
         }
     }
 
-    fn is_believed(&self, report: Report) -> bool {
-        self.is_life(report) && self.doubted.is_none_or(|at| report.taken > at)
+    fn is_trusted_report(&self, report: TimedReport) -> bool {
+        self.is_current_incarnation(report)
+            && self.uncertain_since.is_none_or(|at| report.taken_at > at)
     }
 
-    fn is_life(&self, report: Report) -> bool {
+    fn is_current_incarnation(&self, report: TimedReport) -> bool {
         self.listed
             .as_ref()
             .is_some_and(|listed| listed.incarnation == report.report.incarnation)
--- a/components/policy/src/memory.rs
+++ b/components/policy/src/memory.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct RunningGeneration {
     /// Tokens in the prompt.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Tokens produced.
     pub produced: Tokens,
     /// The most tokens to produce.
@@ -35,7 +35,7 @@
 
 impl RunningGeneration {
     /// Chance that it still runs `more` tokens later.
-    fn alive(&self, more: Tokens) -> f64 {
+    fn survival(&self, more: Tokens) -> f64 {
         if self.produced + more >= self.max_output.max(1) {
             // The one that is due now still occupies its memory.
             return if more == 0 { 1.0 } else { 0.0 };
@@ -45,13 +45,15 @@
 
     /// Tokens that it is expected to occupy at its end.
     #[must_use]
-    pub fn expected_final(&self) -> f64 {
-        let now = (self.prompt + self.produced) as f64;
-        now + self.curve.remaining(self.produced, self.max_output)
+    pub fn expected_final_tokens(&self) -> f64 {
+        let now = (self.prompt_tokens + self.produced) as f64;
+        now + self
+            .curve
+            .expected_remaining(self.produced, self.max_output)
     }
 
     /// Tokens still to come if it runs to its limit.
-    const fn most(&self) -> Tokens {
+    const fn max_remaining(&self) -> Tokens {
         self.max_output.saturating_sub(self.produced)
     }
 }
@@ -61,9 +63,9 @@
 pub struct MemoryProjection {
     mean: [f64; HORIZONS.len()],
     variance: [f64; HORIZONS.len()],
-    third: [f64; HORIZONS.len()],
-    finals: f64,
-    told: Vec<RunningGeneration>,
+    third_moment: [f64; HORIZONS.len()],
+    expected_final_sum: f64,
+    known_lengths: Vec<RunningGeneration>,
 }
 
 impl MemoryProjection {
@@ -76,23 +78,25 @@
     /// Adds a generation.
     pub fn add(&mut self, running: &RunningGeneration, admission: MemoryEstimate) {
         match admission {
-            MemoryEstimate::ExpectedFinals => self.finals += running.expected_final(),
-            MemoryEstimate::KnownLengths => self.told.push(running.clone()),
-            MemoryEstimate::ProjectedPeak => self.add_curve(running),
+            MemoryEstimate::ExpectedFinals => {
+                self.expected_final_sum += running.expected_final_tokens()
+            }
+            MemoryEstimate::KnownLengths => self.known_lengths.push(running.clone()),
+            MemoryEstimate::ProjectedPeak => self.add_projected(running),
         }
     }
 
-    fn add_curve(&mut self, running: &RunningGeneration) {
+    fn add_projected(&mut self, running: &RunningGeneration) {
         for (at, &horizon) in HORIZONS.iter().enumerate() {
-            let alive = running.alive(horizon);
+            let alive = running.survival(horizon);
             if alive <= 0.0 {
                 break;
             }
-            let size = (running.prompt + running.produced + horizon) as f64;
+            let size = (running.prompt_tokens + running.produced + horizon) as f64;
             self.mean[at] += size * alive;
             let variance = size * size * alive * (1.0 - alive);
             self.variance[at] += variance;
-            self.third[at] += variance * size * (1.0 - 2.0 * alive);
+            self.third_moment[at] += variance * size * (1.0 - 2.0 * alive);
         }
     }
 
@@ -100,8 +104,8 @@
     #[must_use]
     pub fn peak(&self, tuning: &Tuning) -> f64 {
         match tuning.memory_estimate {
-            MemoryEstimate::ExpectedFinals => self.finals,
-            MemoryEstimate::KnownLengths => told_peak(&self.told),
+            MemoryEstimate::ExpectedFinals => self.expected_final_sum,
+            MemoryEstimate::KnownLengths => known_lengths_peak(&self.known_lengths),
             MemoryEstimate::ProjectedPeak => self.curve_peak(tuning.margin_deviations),
         }
     }
@@ -122,34 +126,34 @@
         if deviation <= 0.0 {
             return 0.0;
         }
-        let skewness = self.third[at] / (self.variance[at] * deviation);
+        let skewness = self.third_moment[at] / (self.variance[at] * deviation);
         let skewed = spread + (spread * spread - 1.0) * skewness / 6.0;
         deviation * skewed.max(0.0)
     }
 
     /// The occupation expected shortly, without a margin.
     #[must_use]
-    pub fn soon(&self) -> f64 {
+    pub fn near_term(&self) -> f64 {
         self.mean[..4].iter().copied().fold(0.0, f64::max)
     }
 
     /// Occupation now as the account knows it.
     #[must_use]
-    pub fn now(&self) -> f64 {
+    pub fn current(&self) -> f64 {
         self.mean[0]
     }
 }
 
 /// The exact peak where each generation runs to its limit: it lies right before one of them ends.
-fn told_peak(told: &[RunningGeneration]) -> f64 {
+fn known_lengths_peak(told: &[RunningGeneration]) -> f64 {
     let mut order: Vec<&RunningGeneration> = told.iter().collect();
-    order.sort_by_key(|running| running.most());
-    let mut base: Tokens = order.iter().map(|r| r.prompt + r.produced).sum();
+    order.sort_by_key(|running| running.max_remaining());
+    let mut base: Tokens = order.iter().map(|r| r.prompt_tokens + r.produced).sum();
     let mut alive = order.len() as Tokens;
     let mut peak = base;
     for running in order {
-        peak = peak.max(base + alive * running.most());
-        base -= running.prompt + running.produced;
+        peak = peak.max(base + alive * running.max_remaining());
+        base -= running.prompt_tokens + running.produced;
         alive -= 1;
     }
     peak as f64
--- a/components/policy/src/owner.rs
+++ b/components/policy/src/owner.rs
@@ -46,15 +46,17 @@
                 from,
                 incarnation,
                 message,
-            } => self.received(now, from, *incarnation, message, out),
-            Event::TargetReported { target, report } => self.reported(now, target, *report, out),
-            Event::ViewChanged(view) => self.changed(now, view, out),
-            Event::RoleChanged { shard, role } => self.role(now, shard, role, out),
-            Event::PeerGone { peer } => self.peer_gone(now, peer, out),
+            } => self.handle_message(now, from, *incarnation, message, out),
+            Event::TargetReported { target, report } => {
+                self.record_report(now, target, *report, out)
+            }
+            Event::ViewChanged(view) => self.apply_view(now, view, out),
+            Event::RoleChanged { shard, role } => self.apply_role(now, shard, role, out),
+            Event::PeerGone { peer } => self.remove_peer(now, peer, out),
             Event::ExclusivityChanged { shard, exclusive } => {
-                self.exclusive(now, shard, *exclusive, out);
+                self.set_exclusive(now, shard, *exclusive, out);
             }
-            Event::Paused { gap } => self.paused(now, *gap, out),
+            Event::Paused { gap } => self.handle_pause(now, *gap, out),
             Event::Tick => self.tick(now, out),
             _ => {}
         }
@@ -80,14 +82,14 @@
         lines.extend(
             self.owner_state
                 .decision_log
-                .tail()
+                .to_text()
                 .lines()
                 .map(str::to_owned),
         );
         lines
     }
 
-    fn received(
+    fn handle_message(
         &mut self,
         now: Moment,
         from: &InstanceId,
@@ -97,54 +99,69 @@
     ) {
         match message {
             Message::Ask(ask) => {
-                self.heard(now, from, incarnation, ask.stamp);
-                self.asked(now, from, ask, out);
+                self.record_contact(now, from, incarnation, ask.stamp);
+                self.handle_permit_request(now, from, ask, out);
             }
             Message::Withdraw(withdraw) => {
                 if let Some(state) = self.shards.get_mut(&withdraw.shard) {
-                    state.withdrawn(from, withdraw);
+                    state.withdraw(from, withdraw);
                 }
             }
-            Message::Done(done) => self.done(now, from, done, out),
+            Message::Done(done) => self.handle_done(now, from, done, out),
             Message::Held(held) => {
-                self.heard(now, from, incarnation, held.stamp);
-                self.held(now, from, incarnation, held, out);
+                self.record_contact(now, from, incarnation, held.stamp);
+                self.handle_held(now, from, incarnation, held, out);
             }
-            Message::Heartbeat(beat) => self.heard(now, from, incarnation, beat.stamp),
+            Message::Heartbeat(beat) => self.record_contact(now, from, incarnation, beat.stamp),
             _ => {}
         }
     }
 
     /// Takes a sign of an entry. The work of its earlier lives is orphaned by a new one.
-    fn heard(&mut self, now: Moment, from: &InstanceId, incarnation: Incarnation, stamp: Moment) {
-        if self.owner_state.heard(now, from, incarnation, stamp) {
+    fn record_contact(
+        &mut self,
+        now: Moment,
+        from: &InstanceId,
+        incarnation: Incarnation,
+        stamp: Moment,
+    ) {
+        if self
+            .owner_state
+            .record_contact(now, from, incarnation, stamp)
+        {
             for state in self.shards.values_mut() {
                 state.orphan(now, from, incarnation);
             }
         }
     }
 
-    fn asked(&mut self, now: Moment, from: &InstanceId, ask: &Ask, out: &mut Vec<Action>) {
+    fn handle_permit_request(
+        &mut self,
+        now: Moment,
+        from: &InstanceId,
+        ask: &Ask,
+        out: &mut Vec<Action>,
+    ) {
         let Some(state) = self.shards.get_mut(&ask.shard) else {
             deny(from, &ask.shard, ask.ask, None, out);
             return;
         };
-        state.asked(now, from, ask, &mut self.owner_state, out);
-        state.serve(now, &mut self.owner_state, out);
+        state.enqueue(now, from, ask, &mut self.owner_state, out);
+        state.grant_waiting(now, &mut self.owner_state, out);
     }
 
-    fn done(&mut self, now: Moment, from: &InstanceId, done: &Done, out: &mut Vec<Action>) {
+    fn handle_done(&mut self, now: Moment, from: &InstanceId, done: &Done, out: &mut Vec<Action>) {
         let Some(state) = self.shards.get_mut(&done.shard) else {
             return;
         };
         let Some(limits) = limits(&self.owner_state, &done.shard) else {
             return;
         };
-        state.done(now, from, done, &limits, &mut self.owner_state);
-        state.serve(now, &mut self.owner_state, out);
+        state.handle_done(now, from, done, &limits, &mut self.owner_state);
+        state.grant_waiting(now, &mut self.owner_state, out);
     }
 
-    fn held(
+    fn handle_held(
         &mut self,
         now: Moment,
         from: &InstanceId,
@@ -158,41 +175,41 @@
         let Some(limits) = limits(&self.owner_state, &held.shard) else {
             return;
         };
-        state.held(now, from, incarnation, held, &limits, &mut self.owner_state);
-        state.serve(now, &mut self.owner_state, out);
+        state.handle_held(now, from, incarnation, held, &limits, &mut self.owner_state);
+        state.grant_waiting(now, &mut self.owner_state, out);
     }
 
-    fn reported(
+    fn record_report(
         &mut self,
         now: Moment,
         target: &TargetId,
         report: EngineReport,
         out: &mut Vec<Action>,
     ) {
-        let report = self.owner_state.reported(now, target, report);
+        let report = self.owner_state.record_report(now, target, report);
         for state in self.shards.values_mut() {
             let Some(limits) = limits(&self.owner_state, &state.shard) else {
                 continue;
             };
-            if state.reported(now, target, report, &limits) {
-                state.recall(now, &mut self.owner_state, out);
-                state.serve(now, &mut self.owner_state, out);
+            if state.record_report(now, target, report, &limits) {
+                state.revoke_unseen(now, &mut self.owner_state, out);
+                state.grant_waiting(now, &mut self.owner_state, out);
             }
         }
     }
 
-    fn changed(&mut self, now: Moment, view: &View, out: &mut Vec<Action>) {
-        self.owner_state.changed(now, view);
+    fn apply_view(&mut self, now: Moment, view: &View, out: &mut Vec<Action>) {
+        self.owner_state.apply_view(now, view);
         for state in self.shards.values_mut() {
-            state.refresh(now, &self.owner_state);
-            state.send_on(&self.owner_state, out);
-            state.serve(now, &mut self.owner_state, out);
+            state.apply_view(now, &self.owner_state);
+            state.deny_all_if_no_target(&self.owner_state, out);
+            state.grant_waiting(now, &mut self.owner_state, out);
         }
     }
 
-    fn role(&mut self, now: Moment, shard: &Shard, role: &ShardRole, out: &mut Vec<Action>) {
+    fn apply_role(&mut self, now: Moment, shard: &Shard, role: &ShardRole, out: &mut Vec<Action>) {
         match role {
-            ShardRole::Follow { .. } => self.disown(now, shard, out),
+            ShardRole::Follow { .. } => self.release_shard(now, shard, out),
             ShardRole::Own {
                 epoch,
                 entries_to_query,
@@ -200,9 +217,9 @@
                 if self.shards.get(shard).is_some_and(|s| s.epoch >= *epoch) {
                     return;
                 }
-                self.disown(now, shard, out);
+                self.release_shard(now, shard, out);
                 let line = format!("owner of {shard} in term {epoch}, asks {entries_to_query:?}");
-                self.owner_state.decision_log.note(now, line);
+                self.owner_state.decision_log.record(now, line);
                 let state =
                     ShardState::new(now, shard, *epoch, entries_to_query, &self.owner_state, out);
                 self.shards.insert(shard.clone(), state);
@@ -210,53 +227,59 @@
         }
     }
 
-    fn disown(&mut self, now: Moment, shard: &Shard, out: &mut Vec<Action>) {
+    fn release_shard(&mut self, now: Moment, shard: &Shard, out: &mut Vec<Action>) {
         let Some(mut state) = self.shards.remove(shard) else {
             return;
         };
         let line = format!("no longer owner of {shard}");
-        self.owner_state.decision_log.note(now, line);
+        self.owner_state.decision_log.record(now, line);
         state.deny_all(out);
     }
 
-    fn peer_gone(&mut self, now: Moment, peer: &InstanceId, out: &mut Vec<Action>) {
-        self.owner_state.peers.remove(peer);
+    fn remove_peer(&mut self, now: Moment, peer: &InstanceId, out: &mut Vec<Action>) {
+        self.owner_state.entries.remove(peer);
         let line = format!("entry {peer} is gone");
-        self.owner_state.decision_log.note(now, line);
+        self.owner_state.decision_log.record(now, line);
         for state in self.shards.values_mut() {
-            state.peer_gone(peer);
+            state.remove_peer(peer);
             state.orphan(now, peer, Incarnation::MAX);
-            state.serve(now, &mut self.owner_state, out);
+            state.grant_waiting(now, &mut self.owner_state, out);
         }
     }
 
-    fn exclusive(&mut self, now: Moment, shard: &Shard, exclusive: bool, out: &mut Vec<Action>) {
+    fn set_exclusive(
+        &mut self,
+        now: Moment,
+        shard: &Shard,
+        exclusive: bool,
+        out: &mut Vec<Action>,
+    ) {
         let Some(state) = self.shards.get_mut(shard) else {
             return;
         };
         let line = format!("exclusive owner of {shard}: {exclusive}");
-        self.owner_state.decision_log.note(now, line);
+        self.owner_state.decision_log.record(now, line);
         state.exclusive = exclusive;
-        state.serve(now, &mut self.owner_state, out);
+        state.grant_waiting(now, &mut self.owner_state, out);
     }
 
     /// A process that did not run may have been replaced as owner. What it grants on waking
     /// would come on top of what the new owner grants, and a cold target would fall over; so it
     /// gives up all shards before anything else.
-    fn paused(&mut self, now: Moment, gap: Duration, out: &mut Vec<Action>) {
+    fn handle_pause(&mut self, now: Moment, gap: Duration, out: &mut Vec<Action>) {
         let line = format!("paused for {gap:?}");
-        self.owner_state.decision_log.note(now, line);
+        self.owner_state.decision_log.record(now, line);
         let shards: Vec<Shard> = self.shards.keys().cloned().collect();
         for shard in shards {
-            self.disown(now, &shard, out);
+            self.release_shard(now, &shard, out);
         }
     }
 
     fn tick(&mut self, now: Moment, out: &mut Vec<Action>) {
         for state in self.shards.values_mut() {
             state.tick(now, &mut self.owner_state, out);
-            state.recall(now, &mut self.owner_state, out);
-            state.serve(now, &mut self.owner_state, out);
+            state.revoke_unseen(now, &mut self.owner_state, out);
+            state.grant_waiting(now, &mut self.owner_state, out);
         }
     }
 }
--- a/components/policy/src/owner_state.rs
+++ b/components/policy/src/owner_state.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::{
-    account::Report,
+    account::TimedReport,
     api::{EngineReport, View},
     decision_log::DecisionLog,
     length::LengthEstimator,
@@ -14,39 +14,39 @@
 };
 
 /// An entry's clock that was heard longer ago than this makes a grant useless on arrival.
-const STALE: Duration = Duration::from_millis(600);
+const MAX_CONTACT_AGE: Duration = Duration::from_millis(600);
 /// Least time to come back that is told to anybody.
-const LEAST_RETRY: Duration = Duration::from_millis(100);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 /// The bits of a permit's number that count; those above tell owners apart.
 const COUNTER_BITS: u32 = 40;
 /// How long after its start or return a target isn't believed to be warm on its own word.
-const FRESH: Duration = Duration::from_secs(60);
+const RECENT_START: Duration = Duration::from_secs(60);
 
 /// What is known of one entry.
 #[derive(Clone, Copy, Debug)]
-pub struct Peer {
+pub struct EntryContact {
     /// Which life of it.
     pub incarnation: Incarnation,
     /// The newest stamp of its clock.
     pub stamp: Moment,
     /// When that was heard, on this process's clock.
-    pub heard: Moment,
+    pub received_at: Moment,
 }
 
-impl Peer {
+impl EntryContact {
     /// Tells whether a grant on its newest stamp would still be of use.
     #[must_use]
-    pub fn is_heard(&self, now: Moment) -> bool {
-        now.saturating_sub(self.heard) <= STALE
+    pub fn is_recent(&self, now: Moment) -> bool {
+        now.saturating_sub(self.received_at) <= MAX_CONTACT_AGE
     }
 }
 
 /// What this instance knows of a target whether it owns its shard or not.
 #[derive(Clone, Copy, Debug)]
-struct Fact {
+struct TargetHistory {
     incarnation: Incarnation,
-    fresh: Option<Moment>,
-    report: Option<Report>,
+    restarted_at: Option<Moment>,
+    report: Option<TimedReport>,
 }
 
 /// What all shards of one owner share.
@@ -61,9 +61,9 @@
     /// The last events and actions.
     pub decision_log: DecisionLog,
     /// Entries that were heard.
-    pub peers: BTreeMap<InstanceId, Peer>,
-    facts: BTreeMap<TargetId, Fact>,
-    viewed: bool,
+    pub entries: BTreeMap<InstanceId, EntryContact>,
+    targets: BTreeMap<TargetId, TargetHistory>,
+    has_view: bool,
     next_permit: PermitId,
     rng: fastrand::Rng,
 }
@@ -77,9 +77,9 @@
             lengths: LengthEstimator::new(),
             tuning,
             decision_log: DecisionLog::new(),
-            peers: BTreeMap::new(),
-            facts: BTreeMap::new(),
-            viewed: false,
+            entries: BTreeMap::new(),
+            targets: BTreeMap::new(),
+            has_view: false,
             next_permit: xxh3_64_with_seed(me.as_bytes(), incarnation) << COUNTER_BITS,
             rng: fastrand::Rng::with_seed(seed),
         }
@@ -94,25 +94,26 @@
     }
 
     /// A time to come back: not at once, and not all at the same moment.
-    pub fn jittered(&mut self, wait: Duration) -> Duration {
-        wait.max(LEAST_RETRY).mul_f64(0.9 + 0.2 * self.rng.f64())
+    pub fn with_jitter(&mut self, wait: Duration) -> Duration {
+        wait.max(MIN_RETRY_AFTER)
+            .mul_f64(0.9 + 0.2 * self.rng.f64())
     }
 
     /// Takes a sign of an entry; tells whether it is the first of a new life.
-    pub fn heard(
+    pub fn record_contact(
         &mut self,
         now: Moment,
         from: &InstanceId,
         incarnation: Incarnation,
         stamp: Moment,
     ) -> bool {
-        let fresh = Peer {
+        let fresh = EntryContact {
             incarnation,
             stamp,
-            heard: now,
+            received_at: now,
         };
-        let Some(peer) = self.peers.get_mut(from) else {
-            self.peers.insert(from.clone(), fresh);
+        let Some(peer) = self.entries.get_mut(from) else {
+            self.entries.insert(from.clone(), fresh);
             return false;
         };
         if incarnation > peer.incarnation {
@@ -126,39 +127,44 @@
     }
 
     /// Takes a new view; remembers which targets are new, restarted or back in service.
-    pub fn changed(&mut self, now: Moment, view: &View) {
+    pub fn apply_view(&mut self, now: Moment, view: &View) {
         let was_out = std::mem::take(&mut self.view.data_centres_out);
         let mut facts = BTreeMap::new();
         for target in &view.targets {
             let out = &target.data_centre;
             let returned = was_out.contains(out) && !view.data_centres_out.contains(out);
-            let known = self.facts.get(&target.id).copied();
+            let known = self.targets.get(&target.id).copied();
             let same = known.filter(|fact| fact.incarnation == target.incarnation);
-            let started = same.is_none() && self.viewed;
-            let fresh = if started || returned {
+            let started = same.is_none() && self.has_view;
+            let restarted_at = if started || returned {
                 Some(now)
             } else {
-                same.and_then(|fact| fact.fresh)
+                same.and_then(|fact| fact.restarted_at)
             };
-            let fact = Fact {
+            let fact = TargetHistory {
                 incarnation: target.incarnation,
-                fresh,
+                restarted_at,
                 report: known.and_then(|fact| fact.report),
             };
             facts.insert(target.id.clone(), fact);
         }
-        self.facts = facts;
-        self.viewed = true;
+        self.targets = facts;
+        self.has_view = true;
         self.view = view.clone();
     }
 
     /// Takes a target's report.
-    pub fn reported(&mut self, now: Moment, target: &TargetId, report: EngineReport) -> Report {
-        let report = Report {
-            taken: now.saturating_sub(report.age),
+    pub fn record_report(
+        &mut self,
+        now: Moment,
+        target: &TargetId,
+        report: EngineReport,
+    ) -> TimedReport {
+        let report = TimedReport {
+            taken_at: now.saturating_sub(report.age),
             report,
         };
-        if let Some(fact) = self.facts.get_mut(target) {
+        if let Some(fact) = self.targets.get_mut(target) {
             fact.report = Some(report);
         }
         report
@@ -166,24 +172,24 @@
 
     /// The newest report of a target.
     #[must_use]
-    pub fn report(&self, target: &TargetId) -> Option<Report> {
-        self.facts.get(target)?.report
+    pub fn report(&self, target: &TargetId) -> Option<TimedReport> {
+        self.targets.get(target)?.report
     }
 
     /// Tells whether a target started or came back only lately.
     #[must_use]
-    pub fn is_fresh(&self, now: Moment, target: &TargetId) -> bool {
-        self.facts
+    pub fn is_recently_started(&self, now: Moment, target: &TargetId) -> bool {
+        self.targets
             .get(target)
-            .and_then(|fact| fact.fresh)
-            .is_some_and(|since| now.saturating_sub(since) < FRESH)
+            .and_then(|fact| fact.restarted_at)
+            .is_some_and(|since| now.saturating_sub(since) < RECENT_START)
     }
 
     /// Tells whether a target came back with the newest view.
     #[must_use]
-    pub fn is_fresh_now(&self, now: Moment, target: &TargetId) -> bool {
-        self.facts
+    pub fn started_with_this_view(&self, now: Moment, target: &TargetId) -> bool {
+        self.targets
             .get(target)
-            .is_some_and(|fact| fact.fresh == Some(now))
+            .is_some_and(|fact| fact.restarted_at == Some(now))
     }
 }
--- a/components/policy/src/permit.rs
+++ b/components/policy/src/permit.rs
@@ -7,11 +7,11 @@
 
 use crate::{
     shard::{LAPSE_MARGIN, PERMIT_LIFE},
-    wait_queue::TOKENS_MOST,
+    wait_queue::MAX_TOKENS,
 };
 
 /// Calls that one permit may cover; larger figures of a message are cut to this.
-const SLOTS_MOST: u32 = 1 << 16;
+const MAX_SLOTS: u32 = 1 << 16;
 
 /// Which permit of which entry.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -24,7 +24,7 @@
 
 /// A permit that occupies a target.
 #[derive(Clone, Debug)]
-pub struct Permit {
+pub struct GrantedPermit {
     /// The term it was granted in.
     pub epoch: Epoch,
     /// Which life of the target.
@@ -38,37 +38,37 @@
     /// The route.
     pub route: RouteId,
     /// Tokens in the prompt.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// The most tokens to produce.
     pub max_output: Tokens,
     /// Tokens produced, as last heard.
     pub produced: Tokens,
     /// When that was heard.
-    pub heard: Moment,
+    pub updated_at: Moment,
     /// Concurrent calls it covers.
     pub slots: u32,
     /// Whether the caller has seen any of the answer.
     pub seen: bool,
     /// When it was granted or first heard of.
-    pub since: Moment,
+    pub granted_at: Moment,
     /// When it was first heard that it has produced something.
-    pub started: Option<Moment>,
+    pub started_at: Option<Moment>,
     /// The entry's clock beyond which it can't be used for new work any more.
-    pub lapses: Moment,
+    pub expires_at: Moment,
     /// When the entry was lost, if it was.
-    pub orphaned: Option<Moment>,
+    pub orphaned_at: Option<Moment>,
     /// Whether it has been asked back.
-    pub recalled: bool,
+    pub revoked: bool,
     /// Whether its missing first token has been taken as evidence of a cold target.
-    pub late: bool,
+    pub slow_start_recorded: bool,
     /// Tokens that its workspace was charged for it.
-    pub charged: f64,
+    pub charged_tokens: f64,
 }
 
-impl Permit {
+impl GrantedPermit {
     /// Takes over what an entry says it holds; `stamp` is the entry's clock at saying so.
     #[must_use]
-    pub fn adopted(
+    pub fn from_held(
         held: &HeldPermit,
         entry_incarnation: Incarnation,
         stamp: Moment,
@@ -81,37 +81,37 @@
             class: held.class,
             workspace: held.workspace.clone(),
             route: held.route.clone(),
-            prompt: held.prompt.min(TOKENS_MOST),
-            max_output: held.max_output.min(TOKENS_MOST),
-            produced: held.produced.min(TOKENS_MOST),
-            heard: now,
-            started: (held.produced > 0).then_some(now),
-            slots: held.slots.min(SLOTS_MOST),
+            prompt_tokens: held.prompt.min(MAX_TOKENS),
+            max_output: held.max_output.min(MAX_TOKENS),
+            produced: held.produced.min(MAX_TOKENS),
+            updated_at: now,
+            started_at: (held.produced > 0).then_some(now),
+            slots: held.slots.min(MAX_SLOTS),
             seen: held.seen,
-            since: now,
-            lapses: stamp,
-            orphaned: None,
-            recalled: false,
-            late: true,
-            charged: held.prompt as f64 + held.produced as f64,
+            granted_at: now,
+            expires_at: stamp,
+            orphaned_at: None,
+            revoked: false,
+            slow_start_recorded: true,
+            charged_tokens: held.prompt as f64 + held.produced as f64,
         }
     }
 
     /// Tells whether its work surely ran at a moment, so that a report of then counts it: it was
     /// heard to have produced something, or it could no longer be used for new work.
     #[must_use]
-    pub fn ran_by(&self, at: Moment) -> bool {
-        self.started.is_some_and(|started| started <= at)
-            || self.since + PERMIT_LIFE + LAPSE_MARGIN <= at
+    pub fn was_running_at(&self, at: Moment) -> bool {
+        self.started_at.is_some_and(|started| started <= at)
+            || self.granted_at + PERMIT_LIFE + LAPSE_MARGIN <= at
     }
 
     /// Tokens produced by now, going by the target's pace since the last news.
     #[must_use]
-    pub fn produced_by(&self, now: Moment, rate: f64) -> Tokens {
+    pub fn estimated_tokens(&self, now: Moment, rate: f64) -> Tokens {
         if self.produced == 0 {
             return 0;
         }
-        let since = now.saturating_sub(self.heard).as_secs_f64();
+        let since = now.saturating_sub(self.updated_at).as_secs_f64();
         (self.produced + (since * rate) as Tokens).min(self.max_output.max(self.produced))
     }
 }
--- a/components/policy/src/permit_updates.rs
+++ b/components/policy/src/permit_updates.rs
@@ -10,13 +10,13 @@
     api::TargetLimits,
     length::GenerationSource,
     owner_state::OwnerState,
-    permit::{Permit, PermitKey},
+    permit::{GrantedPermit, PermitKey},
     shard::ShardState,
 };
 
 impl ShardState {
     /// Takes a permit back.
-    pub fn done(
+    pub fn handle_done(
         &mut self,
         now: Moment,
         from: &InstanceId,
@@ -31,32 +31,39 @@
             entry: from.clone(),
             permit: done.permit,
         };
-        let occupied = account.occupied();
+        let occupied = account.occupied_slots();
         let given_back = if done.outcome == Outcome::Failed {
-            account.lose(now, &key)
+            account.orphan(now, &key)
         } else {
             account.remove(&key)
         };
         let Some(permit) = given_back else {
             return;
         };
-        judge(now, account, &permit, occupied, &done.outcome, limits);
+        update_limit(now, account, &permit, occupied, &done.outcome, limits);
         let length = match done.outcome {
             Outcome::Finished { produced, .. } | Outcome::Cancelled { produced } => produced,
             _ => permit.produced,
         };
         if TargetAccount::is_model(limits) {
-            self.learn(&permit, length, &done.outcome, owner_state);
+            self.record_length(&permit, length, &done.outcome, owner_state);
         }
         let spent = match done.outcome {
             Outcome::Unsent | Outcome::Unreachable | Outcome::Overloaded => 0.0,
-            _ if TargetAccount::is_model(limits) => permit.prompt as f64 + length as f64,
-            _ => permit.charged,
+            _ if TargetAccount::is_model(limits) => permit.prompt_tokens as f64 + length as f64,
+            _ => permit.charged_tokens,
         };
-        self.line.settle(&permit.workspace, spent - permit.charged);
+        self.queue
+            .adjust_charge(&permit.workspace, spent - permit.charged_tokens);
     }
 
-    fn learn(&self, permit: &Permit, length: u64, outcome: &Outcome, owner_state: &mut OwnerState) {
+    fn record_length(
+        &self,
+        permit: &GrantedPermit,
+        length: u64,
+        outcome: &Outcome,
+        owner_state: &mut OwnerState,
+    ) {
         let source = GenerationSource {
             service: &self.shard.service,
             route: &permit.route,
@@ -64,14 +71,18 @@
         };
         let whole = matches!(outcome, Outcome::Finished { .. }) && length < permit.max_output;
         if whole {
-            owner_state.lengths.ended(&source, permit.produced, length);
+            owner_state
+                .lengths
+                .record_end(&source, permit.produced, length);
         } else {
-            owner_state.lengths.passed(&source, permit.produced, length);
+            owner_state
+                .lengths
+                .record_progress(&source, permit.produced, length);
         }
     }
 
     /// Takes an entry's account of what it holds.
-    pub fn held(
+    pub fn handle_held(
         &mut self,
         now: Moment,
         from: &InstanceId,
@@ -81,11 +92,11 @@
         owner_state: &mut OwnerState,
     ) {
         if held.epoch == self.epoch {
-            self.awaiting.remove(from);
+            self.unanswered_queries.remove(from);
         }
         self.drop_unlisted(from, incarnation, held);
         for permit in &held.permits {
-            self.held_one(
+            self.handle_held_permit(
                 now,
                 from,
                 incarnation,
@@ -111,8 +122,8 @@
                 .filter(|(key, permit)| {
                     key.entry == *from
                         && permit.entry_incarnation == incarnation
-                        && held.stamp > permit.lapses
-                        && permit.orphaned.is_none()
+                        && held.stamp > permit.expires_at
+                        && permit.orphaned_at.is_none()
                         && !listed.contains(&key.permit)
                 })
                 .map(|(key, _)| key.clone())
@@ -124,7 +135,7 @@
     }
 
     #[allow(clippy::too_many_arguments)] // the message's parts
-    fn held_one(
+    fn handle_held_permit(
         &mut self,
         now: Moment,
         from: &InstanceId,
@@ -143,16 +154,18 @@
             permit: held.permit,
         };
         let Some(known) = account.permits.get(&key) else {
-            let permit = Permit::adopted(held, incarnation, stamp, now);
+            let permit = GrantedPermit::from_held(held, incarnation, stamp, now);
             account.insert(key, permit);
             return;
         };
-        let (before, since, late) = (known.produced, known.since, known.late);
+        let (before, since, late) = (known.produced, known.granted_at, known.slow_start_recorded);
         if before == 0 && held.produced > 0 {
-            let busy = account.limiter.is_busy(limits, account.occupied());
-            account.limiter.started(limits, busy);
+            let busy = account
+                .limiter
+                .is_saturated(limits, account.occupied_slots());
+            account.limiter.record_first_token(limits, busy);
         }
-        account.progressed(now, stamp, &key, held);
+        account.record_progress(now, stamp, &key, held);
         if !TargetAccount::is_model(limits) {
             return;
         }
@@ -161,28 +174,32 @@
             route: &held.route,
             workspace: &held.workspace,
         };
-        owner_state.lengths.passed(&source, before, held.produced);
+        owner_state
+            .lengths
+            .record_progress(&source, before, held.produced);
         if held.produced == 0 && !late {
-            let turned = account.limiter.late(now, now.saturating_sub(since));
+            let turned = account
+                .limiter
+                .record_missing_first_token(now, now.saturating_sub(since));
             if let Some(permit) = account.permits.get_mut(&key) {
-                permit.late = turned;
+                permit.slow_start_recorded = turned;
             }
         }
     }
 }
 
 /// What an ended request says about its target's limit.
-fn judge(
+fn update_limit(
     now: Moment,
     account: &mut TargetAccount,
-    permit: &Permit,
+    permit: &GrantedPermit,
     occupied: u32,
     outcome: &Outcome,
     limits: &TargetLimits,
 ) {
-    let busy = account.limiter.is_busy(limits, occupied);
-    let may_warm = account.may_warm();
-    if account.limiter.is_cold() && permit.since < account.limiter.since() {
+    let busy = account.limiter.is_saturated(limits, occupied);
+    let may_warm = account.may_be_warm();
+    if account.limiter.is_cold() && permit.granted_at < account.limiter.since() {
         // It ran before the target turned cold, and so says nothing about what it bears now.
         return;
     }
@@ -190,13 +207,13 @@
         Outcome::Finished { first, .. } => {
             let turned = account
                 .limiter
-                .finished(now, limits, *first, busy, may_warm);
+                .record_finished(now, limits, *first, busy, may_warm);
             if turned {
-                account.may_trust = false;
+                account.trusts_warm_report = false;
             }
         }
-        Outcome::Overloaded => account.limiter.overloaded(occupied),
-        Outcome::Unreachable => account.doubt(now),
+        Outcome::Overloaded => account.limiter.record_overload(occupied),
+        Outcome::Unreachable => account.mark_uncertain(now),
         _ => {}
     }
 }
--- a/components/policy/src/prefixes.rs
+++ b/components/policy/src/prefixes.rs
@@ -6,7 +6,7 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Blocks remembered per target.
-const REMEMBERED: usize = 4096;
+const MAX_BLOCKS: usize = 4096;
 
 /// Recently used prompt blocks of one target.
 #[derive(Debug, Default)]
@@ -30,14 +30,14 @@
     }
 
     /// Takes note of a prompt sent to the target.
-    pub fn used(&mut self, prefix: &[u64]) {
+    pub fn record(&mut self, prefix: &[u64]) {
         for &block in prefix {
             self.last_use.insert(block, self.next);
             let number = self.next;
             self.uses.push_back(Use { block, number });
             self.next += 1;
         }
-        while self.uses.len() > REMEMBERED {
+        while self.uses.len() > MAX_BLOCKS {
             self.drop_oldest();
         }
     }
@@ -45,7 +45,7 @@
     /// Share of a prompt's blocks that the target has probably cached, 0.0 to 1.0. The hash of
     /// a block covers all before it, so the longest known one decides.
     #[must_use]
-    pub fn reuse(&self, prefix: &[u64]) -> f64 {
+    pub fn cached_share(&self, prefix: &[u64]) -> f64 {
         let known = prefix
             .iter()
             .rposition(|block| self.last_use.contains_key(block));
--- a/components/policy/src/queueing.rs
+++ b/components/policy/src/queueing.rs
@@ -11,14 +11,14 @@
 };
 
 /// Time between two looks for asks that can't be served in time.
-const JUDGE_EVERY: Duration = Duration::from_millis(250);
+const DEADLINE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Part of the expected wait that an ask's patience must last for, so that one that would just
 /// be served isn't refused for a wrong guess.
-const HOPE: f64 = 0.7;
+const MIN_WAIT_SHARE: f64 = 0.7;
 
 impl ShardState {
     /// Takes an ask: it waits its turn or is refused at once.
-    pub fn asked(
+    pub fn enqueue(
         &mut self,
         now: Moment,
         from: &InstanceId,
@@ -27,26 +27,29 @@
         out: &mut Vec<Action>,
     ) {
         if ask.class == Class::Urgent {
-            self.urgent = Some(now);
+            self.last_urgent_at = Some(now);
         }
-        if self.refuses_all(owner_state) {
+        if self.has_no_target(owner_state) {
             deny(from, &self.shard, ask.ask, None, out);
             return;
         }
-        self.line.remove(from, ask.ask);
-        let ahead = self.line.len_of(ask.class);
-        let wait = self.pace.wait(now, ask.class, ahead).unwrap_or_default();
-        if wait > ask.within || !self.make_place(now, ask.class, owner_state, out) {
-            let after = owner_state.jittered(wait);
+        self.queue.remove(from, ask.ask);
+        let ahead = self.queue.len_of(ask.class);
+        let wait = self
+            .grant_rate
+            .expected_wait(now, ask.class, ahead)
+            .unwrap_or_default();
+        if wait > ask.within || !self.make_room(now, ask.class, owner_state, out) {
+            let after = owner_state.with_jitter(wait);
             deny(from, &self.shard, ask.ask, Some(after), out);
             return;
         }
-        self.pace.waits(now, ask.class);
-        self.line.push(QueuedRequest::new(from, ask, now));
+        self.grant_rate.record_waiting(now, ask.class);
+        self.queue.push(QueuedRequest::new(from, ask, now));
     }
 
     /// Makes sure that one more ask of a class may wait; a less urgent one gives way.
-    fn make_place(
+    fn make_room(
         &mut self,
         now: Moment,
         class: Class,
@@ -58,27 +61,30 @@
             .limits
             .get(&self.shard.service)
             .map_or(0, |limits| limits.queue_limit as usize);
-        if self.line.len() < limit {
+        if self.queue.len() < limit {
             return true;
         }
-        let Some(displaced) = self.line.displace(class) else {
+        let Some(displaced) = self.queue.evict_less_urgent(class) else {
             return false;
         };
-        self.refuse(now, &displaced, owner_state, out);
+        self.deny_queued(now, &displaced, owner_state, out);
         true
     }
 
     /// Refuses an ask that waited, with the time to come back.
-    fn refuse(
+    fn deny_queued(
         &self,
         now: Moment,
         waiting: &QueuedRequest,
         owner_state: &mut OwnerState,
         out: &mut Vec<Action>,
     ) {
-        let ahead = self.line.len_of(waiting.rank);
-        let wait = self.pace.wait(now, waiting.rank, ahead).unwrap_or_default();
-        let after = owner_state.jittered(wait);
+        let ahead = self.queue.len_of(waiting.effective_class);
+        let wait = self
+            .grant_rate
+            .expected_wait(now, waiting.effective_class, ahead)
+            .unwrap_or_default();
+        let after = owner_state.with_jitter(wait);
         deny(
             &waiting.entry,
             &self.shard,
@@ -90,51 +96,51 @@
 
     /// Tells whether none of the shard's targets will take work, so that asks have to go
     /// elsewhere.
-    fn refuses_all(&self, owner_state: &OwnerState) -> bool {
+    fn has_no_target(&self, owner_state: &OwnerState) -> bool {
         !self
             .accounts
             .values()
-            .any(|account| account.is_staying(&owner_state.view))
+            .any(|account| account.is_in_service(&owner_state.view))
     }
 
     /// Sends all waiting asks elsewhere if no target is left to wait for.
-    pub fn send_on(&mut self, owner_state: &OwnerState, out: &mut Vec<Action>) {
-        if !self.line.is_empty() && self.refuses_all(owner_state) {
+    pub fn deny_all_if_no_target(&mut self, owner_state: &OwnerState, out: &mut Vec<Action>) {
+        if !self.queue.is_empty() && self.has_no_target(owner_state) {
             self.deny_all(out);
         }
     }
 
     /// Sends all waiting asks elsewhere.
     pub fn deny_all(&mut self, out: &mut Vec<Action>) {
-        for waiting in self.line.drain_if(|_| true) {
+        for waiting in self.queue.drain_if(|_| true) {
             deny(&waiting.entry, &self.shard, waiting.ask.ask, None, out);
         }
     }
 
     /// Takes an ask back.
-    pub fn withdrawn(&mut self, from: &InstanceId, withdraw: &Withdraw) {
-        self.line.remove(from, withdraw.ask);
+    pub fn withdraw(&mut self, from: &InstanceId, withdraw: &Withdraw) {
+        self.queue.remove(from, withdraw.ask);
     }
 
     /// Refuses what can't be served in time any more, as soon as that is clear: whoever is told
     /// only at the end of its patience has waited for nothing and can't go elsewhere.
-    pub(crate) fn give_up(
+    pub(crate) fn deny_unservable(
         &mut self,
         now: Moment,
         owner_state: &mut OwnerState,
         out: &mut Vec<Action>,
     ) {
-        let mut hopeless = self.line.drain_if(|waiting| waiting.deadline <= now);
-        if now.saturating_sub(self.judged) >= JUDGE_EVERY {
-            self.judged = now;
+        let mut hopeless = self.queue.drain_if(|waiting| waiting.deadline <= now);
+        if now.saturating_sub(self.deadlines_checked_at) >= DEADLINE_CHECK_INTERVAL {
+            self.deadlines_checked_at = now;
             for class in Class::ALL {
-                let between = self.pace.between(now, class).unwrap_or_default();
-                let between = between.mul_f64(HOPE);
-                hopeless.extend(self.line.drain_hopeless(now, class, between));
+                let between = self.grant_rate.interval(now, class).unwrap_or_default();
+                let between = between.mul_f64(MIN_WAIT_SHARE);
+                hopeless.extend(self.queue.drain_unservable(now, class, between));
             }
         }
         for waiting in hopeless {
-            self.refuse(now, &waiting, owner_state, out);
+            self.deny_queued(now, &waiting, owner_state, out);
         }
     }
 }
--- a/components/policy/src/revoke.rs
+++ b/components/policy/src/revoke.rs
@@ -19,11 +19,16 @@
 };
 
 /// Time between two recalls from one target, so that the first shows its effect.
-const BETWEEN: Duration = Duration::from_millis(250);
+const MIN_REVOKE_INTERVAL: Duration = Duration::from_millis(250);
 
 impl ShardState {
     /// Asks for the cheapest unseen permit of each target that is about to run out of memory.
-    pub fn recall(&mut self, now: Moment, owner_state: &mut OwnerState, out: &mut Vec<Action>) {
+    pub fn revoke_unseen(
+        &mut self,
+        now: Moment,
+        owner_state: &mut OwnerState,
+        out: &mut Vec<Action>,
+    ) {
         let Some(limits) = owner_state.view.limits.get(&self.shard.service).cloned() else {
             return;
         };
@@ -31,24 +36,24 @@
             return;
         }
         for (id, account) in &mut self.accounts {
-            account.projection(
+            account.refresh_projection(
                 now,
                 &self.shard.service,
                 &mut owner_state.lengths,
                 &owner_state.tuning,
             );
-            if !is_short(now, account, &limits, owner_state) {
+            if !is_low_on_memory(now, account, &limits, owner_state) {
                 continue;
             }
-            let Some(key) = cheapest(account) else {
+            let Some(key) = cheapest_to_revoke(account) else {
                 continue;
             };
-            account.recalled = now;
+            account.last_revoked_at = now;
             if let Some(permit) = account.permits.get_mut(&key) {
-                permit.recalled = true;
+                permit.revoked = true;
             }
             let line = format!("permit {} recalled from {id}", key.permit);
-            owner_state.decision_log.note(now, line);
+            owner_state.decision_log.record(now, line);
             let recall = Recall {
                 shard: self.shard.clone(),
                 permit: key.permit,
@@ -58,32 +63,37 @@
     }
 }
 
-fn is_short(
+fn is_low_on_memory(
     now: Moment,
     account: &TargetAccount,
     limits: &TargetLimits,
     owner_state: &OwnerState,
 ) -> bool {
-    if now.saturating_sub(account.recalled) < BETWEEN {
+    if now.saturating_sub(account.last_revoked_at) < MIN_REVOKE_INTERVAL {
         return false;
     }
     let recall_share = owner_state.tuning.revoke_share;
-    let soon = account.last_projection().soon() / account.capacity(limits).max(1) as f64;
+    let soon = account.last_projection().near_term() / account.capacity(limits).max(1) as f64;
     account.used_share(now) >= recall_share || soon >= recall_share
 }
 
 /// The unseen permit whose loss costs least: background first, then the fewest tokens to be
 /// computed again. Urgent work stays.
-fn cheapest(account: &TargetAccount) -> Option<PermitKey> {
+fn cheapest_to_revoke(account: &TargetAccount) -> Option<PermitKey> {
     account
         .permits
         .iter()
         .filter(|(_, permit)| {
             !permit.seen
-                && !permit.recalled
-                && permit.orphaned.is_none()
+                && !permit.revoked
+                && permit.orphaned_at.is_none()
                 && permit.class != Class::Urgent
         })
-        .min_by_key(|(_, permit)| (Reverse(permit.class), permit.prompt + permit.produced))
+        .min_by_key(|(_, permit)| {
+            (
+                Reverse(permit.class),
+                permit.prompt_tokens + permit.produced,
+            )
+        })
         .map(|(key, _)| key.clone())
 }
--- a/components/policy/src/summary.rs
+++ b/components/policy/src/summary.rs
@@ -15,10 +15,10 @@
         let open: Vec<&TargetAccount> = self
             .accounts
             .values()
-            .filter(|account| account.is_open(&owner_state.view))
+            .filter(|account| account.accepts_work(&owner_state.view))
             .collect();
         let slots: u32 = open.iter().map(|a| a.limiter.slots(limits)).sum();
-        let occupied: u32 = open.iter().map(|a| a.occupied()).sum();
+        let occupied: u32 = open.iter().map(|a| a.occupied_slots()).sum();
         let memory: u64 = open.iter().map(|a| a.capacity(limits)).sum();
         let peaks: f64 = open
             .iter()
@@ -30,15 +30,15 @@
     }
 
     fn summary_of(&self, now: Moment, load: f64, targets: usize) -> ShardSummary {
-        let ahead = self.line.len_of(Class::Normal) + self.line.len_of(Class::Urgent);
-        let wait = self.pace.wait(now, Class::Normal, ahead);
+        let ahead = self.queue.len_of(Class::Normal) + self.queue.len_of(Class::Urgent);
+        let wait = self.grant_rate.expected_wait(now, Class::Normal, ahead);
         let wait = wait.unwrap_or_default().as_millis();
         ShardSummary {
             shard: self.shard.clone(),
             epoch: self.epoch,
-            granting: self.granting(now),
+            granting: self.can_grant(now),
             load: load as f32,
-            queued: u32::try_from(self.line.len()).unwrap_or(u32::MAX),
+            queued: u32::try_from(self.queue.len()).unwrap_or(u32::MAX),
             wait_ms: u32::try_from(wait).unwrap_or(u32::MAX),
             targets: u32::try_from(targets).unwrap_or(u32::MAX),
         }
--- a/components/policy/src/wait_queue.rs
+++ b/components/policy/src/wait_queue.rs
@@ -17,16 +17,16 @@
 /// Tokens by which two workspaces may differ and still count as served alike.
 const QUANTUM: f64 = 4096.0;
 /// Background asks that have waited this long in all count as normal.
-const AGED: Duration = Duration::from_secs(20);
+const BACKGROUND_PROMOTION_AGE: Duration = Duration::from_secs(20);
 /// Asks of one workspace and class that are looked at in one pass.
-const PER_WORKSPACE: usize = 4;
+const MAX_CANDIDATES_PER_WORKSPACE: usize = 4;
 /// Asks of one class that are looked at in one pass.
-const PER_CLASS: usize = 12;
+const MAX_CANDIDATES_PER_CLASS: usize = 12;
 /// Served workspaces that are remembered while none of their asks waits.
-const REMEMBERED: usize = 1024;
+const RETAINED_WORKSPACES: usize = 1024;
 
 /// Tokens that a message may name; larger figures are cut to this, so that sums can't overflow.
-pub const TOKENS_MOST: Tokens = 1 << 32;
+pub const MAX_TOKENS: Tokens = 1 << 32;
 
 /// Number of a waiting ask within its line.
 pub type QueuePosition = u64;
@@ -39,13 +39,13 @@
     /// What it asks for.
     pub ask: Ask,
     /// When it came here.
-    pub since: Moment,
+    pub queued_at: Moment,
     /// When the caller's patience ends, on this process's clock.
     pub deadline: Moment,
     /// Asks behind it that were served because it didn't fit anywhere.
     pub bypassed: u32,
     /// Its class now; a background ask that has waited long counts as normal.
-    pub rank: Class,
+    pub effective_class: Class,
 }
 
 impl QueuedRequest {
@@ -53,14 +53,14 @@
     #[must_use]
     pub fn new(entry: &InstanceId, ask: &Ask, now: Moment) -> Self {
         let mut ask = ask.clone();
-        ask.prompt = ask.prompt.min(TOKENS_MOST);
-        ask.max_output = ask.max_output.min(TOKENS_MOST);
+        ask.prompt = ask.prompt.min(MAX_TOKENS);
+        ask.max_output = ask.max_output.min(MAX_TOKENS);
         Self {
             entry: entry.clone(),
-            since: now,
+            queued_at: now,
             deadline: now.saturating_add(ask.within),
             bypassed: 0,
-            rank: ask.class,
+            effective_class: ask.class,
             ask,
         }
     }
@@ -68,36 +68,36 @@
 
 /// Which ask of which entry.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct AskKey {
+struct RequestKey {
     entry: InstanceId,
     ask: AskId,
 }
 
 /// Where an ask stands among those of its workspace and class.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Turn {
+struct DeadlineOrder {
     deadline: Moment,
     place: QueuePosition,
 }
 
 /// Where an ask stands among those of its class.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-struct Rank {
+struct ServiceOrder {
     quantum: u64,
-    turn: Turn,
+    order: DeadlineOrder,
 }
 
-type ClassQueue = BTreeMap<WorkspaceId, BTreeSet<Turn>>;
+type ClassQueue = BTreeMap<WorkspaceId, BTreeSet<DeadlineOrder>>;
 
 /// Asks that wait for one shard.
 #[derive(Debug, Default)]
 pub struct WaitQueue {
     next: QueuePosition,
     waiting: BTreeMap<QueuePosition, QueuedRequest>,
-    places: BTreeMap<AskKey, QueuePosition>,
+    positions: BTreeMap<RequestKey, QueuePosition>,
     classes: [ClassQueue; 3],
-    lengths: [usize; 3],
-    finish: BTreeMap<WorkspaceId, f64>,
+    class_lengths: [usize; 3],
+    virtual_finish: BTreeMap<WorkspaceId, f64>,
     virtual_time: f64,
 }
 
@@ -123,13 +123,13 @@
     /// How many asks of a class wait.
     #[must_use]
     pub const fn len_of(&self, class: Class) -> usize {
-        self.lengths[class as usize]
+        self.class_lengths[class as usize]
     }
 
     /// Entries that wait, each once.
     #[must_use]
     pub fn entries(&self) -> BTreeSet<InstanceId> {
-        self.places.keys().map(|key| key.entry.clone()).collect()
+        self.positions.keys().map(|key| key.entry.clone()).collect()
     }
 
     /// Adds an ask; an earlier one with the same number of the same entry is replaced.
@@ -137,23 +137,23 @@
         self.remove(&waiting.entry.clone(), waiting.ask.ask);
         let place = self.next;
         self.next += 1;
-        let key = AskKey {
+        let key = RequestKey {
             entry: waiting.entry.clone(),
             ask: waiting.ask.ask,
         };
-        self.places.insert(key, place);
-        self.enter(place, &waiting);
+        self.positions.insert(key, place);
+        self.add_to_class(place, &waiting);
         self.waiting.insert(place, waiting);
     }
 
     /// Takes an ask out.
     pub fn remove(&mut self, entry: &InstanceId, ask: AskId) -> Option<QueuedRequest> {
-        let key = AskKey {
+        let key = RequestKey {
             entry: entry.clone(),
             ask,
         };
-        let place = *self.places.get(&key)?;
-        self.take(place)
+        let place = *self.positions.get(&key)?;
+        self.remove_at(place)
     }
 
     /// Takes out all asks for which `gone` holds.
@@ -166,20 +166,20 @@
             .collect();
         places
             .into_iter()
-            .filter_map(|place| self.take(place))
+            .filter_map(|place| self.remove_at(place))
             .collect()
     }
 
     /// Takes out the asks of a class that will not be served before their deadline, if one is
     /// served every `between` and the earliest deadline goes first. They give their places to
     /// those behind them.
-    pub fn drain_hopeless(
+    pub fn drain_unservable(
         &mut self,
         now: Moment,
         class: Class,
         between: Duration,
     ) -> Vec<QueuedRequest> {
-        let mut turns: Vec<Turn> = self.classes[class as usize]
+        let mut turns: Vec<DeadlineOrder> = self.classes[class as usize]
             .values()
             .flatten()
             .copied()
@@ -196,54 +196,62 @@
         }
         hopeless
             .into_iter()
-            .filter_map(|place| self.take(place))
+            .filter_map(|place| self.remove_at(place))
             .collect()
     }
 
     /// Takes out the youngest ask of the least urgent class below `class`.
-    pub fn displace(&mut self, class: Class) -> Option<QueuedRequest> {
+    pub fn evict_less_urgent(&mut self, class: Class) -> Option<QueuedRequest> {
         let place = *self
             .waiting
             .iter()
-            .filter(|(_, waiting)| waiting.rank > class)
-            .max_by_key(|(place, waiting)| (waiting.rank, **place))?
+            .filter(|(_, waiting)| waiting.effective_class > class)
+            .max_by_key(|(place, waiting)| (waiting.effective_class, **place))?
             .0;
-        self.take(place)
+        self.remove_at(place)
     }
 
     /// Lets background asks that have waited long count as normal.
-    pub fn age(&mut self, now: Moment) {
+    pub fn promote_aged(&mut self, now: Moment) {
         let aged: Vec<QueuePosition> = self
             .waiting
             .iter()
-            .filter(|(_, w)| w.rank == Class::Background)
-            .filter(|(_, w)| w.ask.waited.saturating_add(now.saturating_sub(w.since)) >= AGED)
+            .filter(|(_, w)| w.effective_class == Class::Background)
+            .filter(|(_, w)| {
+                w.ask.waited.saturating_add(now.saturating_sub(w.queued_at))
+                    >= BACKGROUND_PROMOTION_AGE
+            })
             .map(|(place, _)| *place)
             .collect();
         for place in aged {
             let Some(mut waiting) = self.waiting.remove(&place) else {
                 continue;
             };
-            self.leave(place, &waiting);
-            waiting.rank = Class::Normal;
-            self.enter(place, &waiting);
+            self.remove_from_class(place, &waiting);
+            waiting.effective_class = Class::Normal;
+            self.add_to_class(place, &waiting);
             self.waiting.insert(place, waiting);
         }
     }
 
     /// The first places in the order in which they should be served.
     #[must_use]
-    pub fn order(&self) -> Vec<QueuePosition> {
+    pub fn service_order(&self) -> Vec<QueuePosition> {
         let mut order = Vec::new();
         for class in &self.classes {
-            let mut ranks: Vec<Rank> = Vec::new();
+            let mut ranks: Vec<ServiceOrder> = Vec::new();
             for (workspace, turns) in class {
-                let quantum = (self.start(workspace) / QUANTUM) as u64;
-                let turns = turns.iter().take(PER_WORKSPACE);
-                ranks.extend(turns.map(|&turn| Rank { quantum, turn }));
+                let quantum = (self.virtual_start(workspace) / QUANTUM) as u64;
+                let turns = turns.iter().take(MAX_CANDIDATES_PER_WORKSPACE);
+                ranks.extend(turns.map(|&order| ServiceOrder { quantum, order }));
             }
             ranks.sort_unstable();
-            order.extend(ranks.iter().take(PER_CLASS).map(|rank| rank.turn.place));
+            order.extend(
+                ranks
+                    .iter()
+                    .take(MAX_CANDIDATES_PER_CLASS)
+                    .map(|rank| rank.order.place),
+            );
         }
         order
     }
@@ -255,79 +263,87 @@
     }
 
     /// Takes note that an ask behind this one was served.
-    pub fn bypass(&mut self, place: QueuePosition, times: u32) {
+    pub fn record_bypass(&mut self, place: QueuePosition, times: u32) {
         if let Some(waiting) = self.waiting.get_mut(&place) {
             waiting.bypassed += times;
         }
     }
 
     /// Takes the ask at a place out and charges its workspace with `tokens`.
-    pub fn serve(&mut self, place: QueuePosition, tokens: f64) -> Option<QueuedRequest> {
-        let waiting = self.take(place)?;
-        let start = self.start(&waiting.ask.workspace);
+    pub fn dequeue_and_charge(
+        &mut self,
+        place: QueuePosition,
+        tokens: f64,
+    ) -> Option<QueuedRequest> {
+        let waiting = self.remove_at(place)?;
+        let start = self.virtual_start(&waiting.ask.workspace);
         self.virtual_time = self.virtual_time.max(start);
         let workspace = waiting.ask.workspace.clone();
-        self.finish.insert(workspace, start + tokens);
-        self.forget();
+        self.virtual_finish.insert(workspace, start + tokens);
+        self.prune_idle_workspaces();
         Some(waiting)
     }
 
     /// Corrects what a workspace was charged once the true size is known.
-    pub fn settle(&mut self, workspace: &WorkspaceId, tokens: f64) {
-        if let Some(finish) = self.finish.get_mut(workspace) {
+    pub fn adjust_charge(&mut self, workspace: &WorkspaceId, tokens: f64) {
+        if let Some(finish) = self.virtual_finish.get_mut(workspace) {
             *finish += tokens;
         }
     }
 
     /// Virtual start of a workspace's next ask. A workspace that was idle starts now: it gets no
     /// credit for the time it asked for nothing.
-    fn start(&self, workspace: &WorkspaceId) -> f64 {
-        let finish = self.finish.get(workspace).copied().unwrap_or_default();
+    fn virtual_start(&self, workspace: &WorkspaceId) -> f64 {
+        let finish = self
+            .virtual_finish
+            .get(workspace)
+            .copied()
+            .unwrap_or_default();
         finish.max(self.virtual_time)
     }
 
-    fn forget(&mut self) {
-        if self.finish.len() > REMEMBERED {
+    fn prune_idle_workspaces(&mut self) {
+        if self.virtual_finish.len() > RETAINED_WORKSPACES {
             let now = self.virtual_time;
-            self.finish.retain(|_, finish| *finish > now);
+            self.virtual_finish.retain(|_, finish| *finish > now);
         }
     }
 
-    fn take(&mut self, place: QueuePosition) -> Option<QueuedRequest> {
+    fn remove_at(&mut self, place: QueuePosition) -> Option<QueuedRequest> {
         let waiting = self.waiting.remove(&place)?;
-        let key = AskKey {
+        let key = RequestKey {
             entry: waiting.entry.clone(),
             ask: waiting.ask.ask,
         };
-        self.places.remove(&key);
-        self.leave(place, &waiting);
+        self.positions.remove(&key);
+        self.remove_from_class(place, &waiting);
         Some(waiting)
     }
 
-    fn enter(&mut self, place: QueuePosition, waiting: &QueuedRequest) {
-        let turn = Turn {
+    fn add_to_class(&mut self, place: QueuePosition, waiting: &QueuedRequest) {
+        let turn = DeadlineOrder {
             deadline: waiting.deadline,
             place,
         };
-        self.classes[waiting.rank as usize]
+        self.classes[waiting.effective_class as usize]
             .entry(waiting.ask.workspace.clone())
             .or_default()
             .insert(turn);
-        self.lengths[waiting.rank as usize] += 1;
+        self.class_lengths[waiting.effective_class as usize] += 1;
     }
 
-    fn leave(&mut self, place: QueuePosition, waiting: &QueuedRequest) {
-        let turn = Turn {
+    fn remove_from_class(&mut self, place: QueuePosition, waiting: &QueuedRequest) {
+        let turn = DeadlineOrder {
             deadline: waiting.deadline,
             place,
         };
-        let class = &mut self.classes[waiting.rank as usize];
+        let class = &mut self.classes[waiting.effective_class as usize];
         if let Some(turns) = class.get_mut(&waiting.ask.workspace) {
             turns.remove(&turn);
             if turns.is_empty() {
                 class.remove(&waiting.ask.workspace);
             }
         }
-        self.lengths[waiting.rank as usize] -= 1;
+        self.class_lengths[waiting.effective_class as usize] -= 1;
     }
 }
--- a/components/policy/tests/lengths.rs
+++ b/components/policy/tests/lengths.rs
@@ -33,7 +33,7 @@
 
 fn learn(lengths: &mut LengthEstimator, names: &Names, seen: impl IntoIterator<Item = u64>) {
     for length in seen {
-        lengths.ended(&names.source(), 0, length);
+        lengths.record_end(&names.source(), 0, length);
     }
 }
 
@@ -42,7 +42,7 @@
     let mut lengths = LengthEstimator::new();
     let names = Names::new("draft", "signs");
     learn(&mut lengths, &names, (0..400).map(|n| 100 + n % 200));
-    let expected = lengths.curve(&names.source()).remaining(0, 4096);
+    let expected = lengths.curve(&names.source()).expected_remaining(0, 4096);
     assert!((170.0..230.0).contains(&expected), "{expected}");
 }
 
@@ -56,8 +56,8 @@
         (0..400).map(|n| if n % 10 == 0 { 2000 } else { 50 }),
     );
     let curve = lengths.curve(&names.source());
-    assert!(curve.remaining(0, 4096) < 400.0);
-    assert!(curve.remaining(200, 4096) > 1400.0);
+    assert!(curve.expected_remaining(0, 4096) < 400.0);
+    assert!(curve.expected_remaining(200, 4096) > 1400.0);
 }
 
 // Callers hang up on long answers more often than on short ones. An estimate from whole answers
@@ -69,10 +69,10 @@
     let mut all = LengthEstimator::new();
     for n in 0..400 {
         if n % 2 == 0 {
-            whole.ended(&names.source(), 0, 100);
-            all.ended(&names.source(), 0, 100);
+            whole.record_end(&names.source(), 0, 100);
+            all.record_end(&names.source(), 0, 100);
         } else {
-            all.passed(&names.source(), 0, 600);
+            all.record_progress(&names.source(), 0, 600);
         }
     }
     let without = whole.curve(&names.source()).survival(0, 300);
@@ -88,9 +88,9 @@
     let new = Names::new("draft", "films");
     learn(&mut lengths, &old, (0..400).map(|_| 300));
     learn(&mut lengths, &new, (0..4).map(|_| 20));
-    let few = lengths.curve(&new.source()).remaining(0, 4096);
+    let few = lengths.curve(&new.source()).expected_remaining(0, 4096);
     learn(&mut lengths, &new, (0..400).map(|_| 20));
-    let many = lengths.curve(&new.source()).remaining(0, 4096);
+    let many = lengths.curve(&new.source()).expected_remaining(0, 4096);
     assert!(few > 150.0, "{few}");
     assert!(many < 40.0, "{many}");
 }
@@ -107,13 +107,13 @@
 
 fn running(
     lengths: &mut LengthEstimator,
-    prompt: u64,
+    prompt_tokens: u64,
     produced: u64,
     max_output: u64,
 ) -> RunningGeneration {
     let names = Names::new("draft", "signs");
     RunningGeneration {
-        prompt,
+        prompt_tokens,
         produced,
         max_output,
         curve: lengths.curve(&names.source()),
@@ -135,7 +135,7 @@
         projection.add(&one, tuning.memory_estimate);
     }
     let peak = projection.peak(&tuning);
-    assert!(projection.now() < peak && peak < 11_000.0, "{peak}");
+    assert!(projection.current() < peak && peak < 11_000.0, "{peak}");
     let wider = Tuning {
         margin_deviations: 4.0,
         ..tuning
--- a/components/policy/tests/support/mod.rs
+++ b/components/policy/tests/support/mod.rs
@@ -16,7 +16,7 @@
 pub const DATA_CENTRE: &str = "east";
 
 /// Milliseconds after which an owner no longer waits for a cold target's first report.
-pub const REPORT_WAIT: u64 = 3001;
+pub const COLD_REPORT_TIMEOUT: u64 = 3001;
 
 /// The one shard.
 pub fn shard() -> Shard {
@@ -106,7 +106,7 @@
         let mut bed = Self::new(view);
         bed.own(1, &[]);
         bed.exclusive(true);
-        bed.advance(REPORT_WAIT);
+        bed.advance(COLD_REPORT_TIMEOUT);
         bed
     }
 
