--- a/components/front/src/admin.rs
+++ b/components/front/src/admin.rs
@@ -7,7 +7,7 @@
 use net::{Body, Handler, Reply};
 
 use crate::{
-    instances::{message::Messages, peers::MESSAGES_PATH},
+    instances::{message_handler::MessageHandler, peers::MESSAGES_PATH},
     state::Front,
 };
 
@@ -43,7 +43,7 @@
 /// Answers operators, and instances that know nobody yet.
 pub struct Admin {
     front: Arc<Front>,
-    messages: Messages,
+    messages: MessageHandler,
 }
 
 impl Admin {
@@ -51,7 +51,7 @@
     #[must_use]
     pub fn new(front: Arc<Front>) -> Self {
         Self {
-            messages: Messages::new(Arc::clone(&front)),
+            messages: MessageHandler::new(Arc::clone(&front)),
             front,
         }
     }
--- a/components/front/src/callers/handler.rs
+++ b/components/front/src/callers/handler.rs
@@ -27,7 +27,7 @@
     },
     generations::generation,
     plain_calls::plain,
-    state::{Front, age},
+    state::{Front, elapsed_since},
 };
 
 /// When a caller may come back whose body finds no memory.
@@ -77,15 +77,17 @@
             Err(e) => {
                 let refusal = Refusal::new(StatusCode::BAD_REQUEST, e.to_string());
                 open.answered();
-                return self.front.refuse(None, age(arrived), &refusal);
+                return self.front.refuse(None, elapsed_since(arrived), &refusal);
             }
         };
         open.named(&asked.id);
-        self.front.informed_at_start().await;
+        self.front.wait_for_state_at_start().await;
         let admitted = body.and_then(|body| self.admit(asked.clone(), head, body, arrived));
         let resp = match admitted {
             Ok(call) => self.serve(call).await,
-            Err(refusal) => self.front.refuse(Some(&asked.id), age(arrived), &refusal),
+            Err(refusal) => self
+                .front
+                .refuse(Some(&asked.id), elapsed_since(arrived), &refusal),
         };
         open.answered();
         resp
@@ -124,7 +126,7 @@
             } else {
                 Refusal::not_run(STOPS, ELSEWHERE_RETRY)
             };
-            front.refuse_kind(kind, &id, age(arrived), &refusal)
+            front.refuse_kind(kind, &id, elapsed_since(arrived), &refusal)
         }
     }
 
@@ -132,7 +134,7 @@
         let limits = self.front.view.rules().and_then(|rules| rules.limits);
         let limit = limits.map_or(BODY_LIMIT, |limits| limits.body_bytes);
         let pause = limits.map_or(BODY_PAUSE, |limits| limits.header_time);
-        let mut share = self.front.bodies.share();
+        let mut share = self.front.body_budget.share();
         let read = async { Some(read_shared(body, limit, pause, &mut share).await) };
         let outlived = async {
             self.front.ending.over().await;
@@ -169,14 +171,14 @@
         let front = &self.front;
         let rules = front.view.rules();
         let ignorant = |reason: &str| {
-            let after = come_back_after(front.ignorant_for(), asked.time_left, fastrand::f64());
+            let after = come_back_after(front.state_age(), asked.time_left, fastrand::f64());
             Refusal::not_run(reason, after)
         };
         let rules = rules.ok_or_else(|| ignorant("no configuration is known yet"))?;
         let read = front.view.rules_read().unwrap_or_default();
         let deny = |status: StatusCode, reason: &str| {
             // A wrong denial is final for its caller; one that may lack the newest version says so.
-            if age(read) > DENY_AGE {
+            if elapsed_since(read) > DENY_AGE {
                 return ignorant("the configuration that is known may lack this");
             }
             Refusal::new(status, reason)
@@ -187,7 +189,7 @@
         let identity = rules
             .identify(route, asked.key.as_deref())
             .map_err(|_| deny(StatusCode::UNAUTHORIZED, "no workspace has this key"))?;
-        if identity != Identity::Anonymous && !front.keys_fresh() {
+        if identity != Identity::Anonymous && !front.can_honour_keys() {
             return Err(ignorant("knowledge of keys is too old"));
         }
         let service = route
--- a/components/front/src/callers/refuse.rs
+++ b/components/front/src/callers/refuse.rs
@@ -140,7 +140,7 @@
         } else {
             "failed"
         };
-        self.metrics.ended(kind, outcome);
+        self.metrics.count_request(kind, outcome);
         self.refuse(Some(id), held, refusal)
     }
 }
--- a/components/front/src/config.rs
+++ b/components/front/src/config.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// A key that was taken away is honoured no longer than this.
-    pub revoke: Duration,
+    pub revocation_limit: Duration,
     /// Whether that binds also instances that can't reach the store.
     pub strict_revocation: bool,
     /// Time from the order to stop until the process is killed.
--- a/components/front/src/decisions.rs
+++ b/components/front/src/decisions.rs
@@ -10,7 +10,8 @@
     /// Figures and parts of placing generations.
     pub placing: Tuning,
     /// Parts of everything else.
-    pub parts: Parts,
+    #[serde(rename = "parts")]
+    pub features: Features,
 }
 
 /// Parts of the decisions that can be switched off alone.
@@ -20,45 +21,56 @@
     clippy::struct_excessive_bools,
     reason = "each is a switch of its own, and any of them goes with any other"
 )]
-pub struct Parts {
+pub struct Features {
     /// An owner is asked for engines; else each instance decides by its own account.
-    pub asks_owner: bool,
+    #[serde(rename = "asks_owner")]
+    pub owner_placement: bool,
     /// Generations are moved off engines that leave.
-    pub moves: bool,
+    #[serde(rename = "moves")]
+    pub migration: bool,
     /// A stream that falls silent is looked into.
-    pub judges_silence: bool,
+    #[serde(rename = "judges_silence")]
+    pub idle_detection: bool,
     /// A stream that was lost is fetched from its engine's memory.
-    pub fetches_lost: bool,
+    #[serde(rename = "fetches_lost")]
+    pub stream_recovery: bool,
     /// An instance that stops sends long generations elsewhere.
-    pub sends_elsewhere: bool,
+    #[serde(rename = "sends_elsewhere")]
+    pub drain_offload: bool,
     /// Requests that have not run, or may run again, are sent a second time.
-    pub sends_again: bool,
+    #[serde(rename = "sends_again")]
+    pub retries: bool,
     /// Plain calls go to targets near by first.
-    pub prefers_near: bool,
+    #[serde(rename = "prefers_near")]
+    pub locality: bool,
     /// Targets that failed plain calls are put aside for a while.
-    pub sets_aside: bool,
+    #[serde(rename = "sets_aside")]
+    pub ejection: bool,
     /// The strongest instances own accounts and read the store.
-    pub strong_first: bool,
+    #[serde(rename = "strong_first")]
+    pub capacity_order: bool,
     /// The store is followed through two readers; else each instance reads it itself.
-    pub reads_for_others: bool,
+    #[serde(rename = "reads_for_others")]
+    pub shared_reads: bool,
     /// Patience with a lost store follows a schedule; else it is always as long.
-    pub patience_varies: bool,
+    #[serde(rename = "patience_varies")]
+    pub adaptive_timeouts: bool,
 }
 
-impl Default for Parts {
+impl Default for Features {
     fn default() -> Self {
         Self {
-            asks_owner: true,
-            moves: true,
-            judges_silence: true,
-            fetches_lost: true,
-            sends_elsewhere: true,
-            sends_again: true,
-            prefers_near: true,
-            sets_aside: true,
-            strong_first: true,
-            reads_for_others: true,
-            patience_varies: true,
+            owner_placement: true,
+            migration: true,
+            idle_detection: true,
+            stream_recovery: true,
+            drain_offload: true,
+            retries: true,
+            locality: true,
+            ejection: true,
+            capacity_order: true,
+            shared_reads: true,
+            adaptive_timeouts: true,
         }
     }
 }
--- a/components/front/src/dump.rs
+++ b/components/front/src/dump.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     callers::refuse::millis,
-    state::{Front, age},
+    state::{Front, elapsed_since},
 };
 
 /// The state of an instance; it holds no keys.
@@ -60,10 +60,16 @@
             instance: self.cfg.instance.clone(),
             ready: self.is_ready(),
             rules: self.view.rules().map(|rules| rules.version),
-            rules_age_ms: self.view.rules_read().map(|read| millis(age(read))),
-            targets_age_ms: self.view.targets_read().map(|read| millis(age(read))),
+            rules_age_ms: self
+                .view
+                .rules_read()
+                .map(|read| millis(elapsed_since(read))),
+            targets_age_ms: self
+                .view
+                .targets_read()
+                .map(|read| millis(elapsed_since(read))),
             targets: self.view.targets().values().map(state).collect(),
-            members: self.peers.all(),
+            members: self.peers.ids(),
             open: self.open.list().into_iter().map(OpenState::from).collect(),
             generations: self.live.running(),
             account: self.placement.owner.lock().loads(now),
--- a/components/front/src/generations/carry.rs
+++ b/components/front/src/generations/carry.rs
@@ -13,7 +13,7 @@
     adapters::{KvCopyOutcome, KvCopyRequest, Resume},
     callers::refuse::millis,
     generations::live::{Live, Order},
-    metrics::CarryEnding,
+    metrics::MigrationLabels,
     state::Front,
 };
 
@@ -102,8 +102,8 @@
         Carried::Nothing => "nothing",
         Carried::Lost => "lost",
     };
-    let ending = CarryEnding { outcome };
-    front.metrics.carries.get_or_create(&ending).inc();
+    let ending = MigrationLabels { outcome };
+    front.metrics.migrations.get_or_create(&ending).inc();
 }
 
 /// A generation that has stopped, and where it goes on.
--- a/components/front/src/generations/evacuation.rs
+++ b/components/front/src/generations/evacuation.rs
@@ -28,7 +28,7 @@
 
 /// Moves off an engine what this instance has in its account there.
 pub async fn empty(front: Arc<Front>, source: Arc<Target>) {
-    if !front.cfg.decisions.parts.moves {
+    if !front.cfg.decisions.features.migration {
         return;
     }
     let until = boot_time() + WATCH;
--- a/components/front/src/generations/generation.rs
+++ b/components/front/src/generations/generation.rs
@@ -25,7 +25,7 @@
         silence::{Silence, Verdict, look_into},
     },
     quarantine::{ends, keeping},
-    send::{Sent, collect, send},
+    send::{SendOutcome, buffer_response, send},
     state::Front,
     target_rates,
 };
@@ -236,7 +236,7 @@
         return Attempt::GiveUp(Refusal::not_run("engines in need take no more", after));
     }
     let sending = u32::try_from(avoid.len() + 1).unwrap_or(u32::MAX);
-    if !front.take_cold(&call.service, &target) {
+    if !front.take_cold_permit(&call.service, &target) {
         avoid.push(Arc::clone(&target.id));
         return again_or("every engine is cold", place, call, avoid).await;
     }
@@ -248,29 +248,32 @@
         held_ms: millis(call.held()),
         left_ms: millis(call.left()),
     });
-    front.metrics.held(call.held());
+    front.metrics.observe_held(call.held());
     let sending = send(front, call, &target, None, call.until_due());
     match future::or(sending, until_gone(front, call, &place.live)).await {
-        Sent::Head { head, body, .. } if head.status.is_success() => {
+        SendOutcome::Response { head, body, .. } if head.status.is_success() => {
             Attempt::Answer(stream(front, call, place, &head, body))
         }
-        Sent::Head { head, body, .. } => {
-            match collect(front, &head, body, call.until_due()).await {
+        SendOutcome::Response { head, body, .. } => {
+            match buffer_response(front, &head, body, call.until_due()).await {
                 Ok(resp) => {
-                    front.metrics.ended(call.kind(), "failed");
+                    front.metrics.count_request(call.kind(), "failed");
                     keeping::served(front, &call.fingerprint);
                     Attempt::Answer(resp)
                 }
                 Err(reason) => Attempt::GiveUp(Refusal::unknown(reason)),
             }
         }
-        Sent::NotRun { reason } => {
+        SendOutcome::NotRun { reason } => {
             place.doubt = true;
             avoid.push(Arc::clone(&target.id));
             again_or(&reason, place, call, avoid).await
         }
-        Sent::Rejected { .. } => Attempt::GiveUp(Refusal::quarantined()),
-        Sent::Unknown { reason, late } => {
+        SendOutcome::Rejected { .. } => Attempt::GiveUp(Refusal::quarantined()),
+        SendOutcome::Unknown {
+            reason,
+            timed_out: late,
+        } => {
             place.doubt = !late;
             let refusal = if late {
                 Refusal::late
@@ -294,8 +297,8 @@
 
 /// Waits until an engine that owes the first event is known to be gone. Its caller would wait for
 /// seconds otherwise, and learn no more.
-async fn until_gone(front: &Arc<Front>, call: &Call, live: &Live) -> Sent {
-    if !front.cfg.decisions.parts.judges_silence {
+async fn until_gone(front: &Arc<Front>, call: &Call, live: &Live) -> SendOutcome {
+    if !front.cfg.decisions.features.idle_detection {
         return future::pending().await;
     }
     let mut silence = Silence::new(boot_time() + call.aim_left());
@@ -304,9 +307,9 @@
         if look_into(front, live, &mut silence).await == Verdict::Gone {
             let sent = call.arrived;
             ends::ended_under(front, call, &live.target(), sent, live.events());
-            return Sent::Unknown {
+            return SendOutcome::Unknown {
                 reason: "its engine is silent and not listed any more".into(),
-                late: false,
+                timed_out: false,
             };
         }
     }
@@ -316,14 +319,14 @@
 async fn again_or(reason: &str, place: Place, call: &Call, avoid: &[TargetId]) -> Attempt {
     let front = Arc::clone(&place.front);
     let service = &call.service.name;
-    let instances = front.instances();
-    let granted = front.cfg.decisions.parts.sends_again
+    let instances = front.instance_count();
+    let granted = front.cfg.decisions.features.retries
         && avoid.len() < NOT_RUN_MOST
         && front.budget.lock().take(boot_time(), service, instances);
     if !granted {
         return Attempt::GiveUp(Refusal::not_run(reason, NO_TARGET_RETRY));
     }
-    front.metrics.repeats.inc();
+    front.metrics.retries.inc();
     place.give_up().await;
     Attempt::Again
 }
--- a/components/front/src/generations/placement.rs
+++ b/components/front/src/generations/placement.rs
@@ -54,7 +54,7 @@
 impl Front {
     /// Asks for an engine.
     pub async fn place(&self, ask: &Ask) -> Answer {
-        let asked = if self.cfg.decisions.parts.asks_owner {
+        let asked = if self.cfg.decisions.features.owner_placement {
             OWNERS_ASKED
         } else {
             0
@@ -81,7 +81,7 @@
         let Some(left) = self
             .ending
             .left()
-            .filter(|_| self.cfg.decisions.parts.sends_elsewhere)
+            .filter(|_| self.cfg.decisions.features.drain_offload)
         else {
             return true;
         };
@@ -144,7 +144,7 @@
             memory: kind.memory,
             token_copy: kind.token_copy(),
         };
-        let mut inside = self.usable(&service);
+        let mut inside = self.usable_targets(&service);
         inside.retain(|target| shard.holds(&target.id));
         // Those in need are passed over while there are others.
         if inside.iter().any(|target| !self.is_limited(&target.id)) {
--- a/components/front/src/generations/probing.rs
+++ b/components/front/src/generations/probing.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     adapters::EngineState,
-    state::{Front, age},
+    state::{Front, elapsed_since},
     store::follow,
 };
 
@@ -63,7 +63,7 @@
 /// before knowledge of them counts as old.
 fn is_blind(front: &Front) -> bool {
     let read = front.view.targets_read().unwrap_or_default();
-    front.targets_lost.load(Ordering::Acquire) || age(read) >= OLD
+    front.targets_lost.load(Ordering::Acquire) || elapsed_since(read) >= OLD
 }
 
 /// Engines whose account this instance owns, listed as taking work.
@@ -94,6 +94,6 @@
     owner.reported(boot_time(), &target.id, report.load);
     drop(owner);
     if report.state == EngineState::Leaving {
-        follow::hear_leaving(front, &target.id);
+        follow::mark_leaving(front, &target.id);
     }
 }
--- a/components/front/src/generations/relay.rs
+++ b/components/front/src/generations/relay.rs
@@ -28,7 +28,7 @@
         split::Splitter,
     },
     quarantine::{ends, keeping},
-    send::{Sent, send},
+    send::{SendOutcome, send},
     state::Front,
 };
 
@@ -122,7 +122,9 @@
             Stop::Whole => {
                 self.place.whole = true;
                 keeping::served(&self.front, &self.call.fingerprint);
-                self.front.metrics.ended(self.call.kind(), "answered");
+                self.front
+                    .metrics
+                    .count_request(self.call.kind(), "answered");
                 emit(&Event::RequestAnswered {
                     id: Arc::clone(&self.call.asked.id),
                     target: Arc::clone(&target.id),
@@ -132,7 +134,7 @@
             }
             Stop::Unread => {}
             Stop::Cut(reason) => {
-                self.front.metrics.ended(self.call.kind(), "cut");
+                self.front.metrics.count_request(self.call.kind(), "cut");
                 emit(&Event::StreamCut {
                     id: Arc::clone(&self.call.asked.id),
                     target: Arc::clone(&target.id),
@@ -164,7 +166,7 @@
     /// Waits for the next thing to happen.
     async fn step(&mut self) -> Step {
         let left = self.call.until_due();
-        let quiet = if self.front.cfg.decisions.parts.judges_silence {
+        let quiet = if self.front.cfg.decisions.features.idle_detection {
             self.silence.ask_at().saturating_sub(boot_time())
         } else {
             left
@@ -300,7 +302,7 @@
         let (target, sent) = (live.target(), self.call.arrived);
         ends::look_into(&self.front, &self.call, &target, sent, live.events());
         let Some((target, resume)) = live.take_copy() else {
-            let fetches = self.front.cfg.decisions.parts.fetches_lost;
+            let fetches = self.front.cfg.decisions.features.stream_recovery;
             if !fetches || !self.place.live.begin_carry() {
                 return Some(Stop::Cut(reason));
             }
@@ -402,7 +404,7 @@
         let _ = self.split.rest();
         let limit = RESUME_PATIENCE.min(self.call.until_due());
         match send(&self.front, &self.call, target, Some(&resume), limit).await {
-            Sent::Head { head, body, .. } if head.status.is_success() => {
+            SendOutcome::Response { head, body, .. } if head.status.is_success() => {
                 self.framed = is_framed(&head);
                 self.doubtful = false;
                 self.body = body;
@@ -410,18 +412,20 @@
                 self.place.live.moved(Arc::clone(target));
                 Ok(())
             }
-            Sent::Head { head, .. } => Err(Failure {
+            SendOutcome::Response { head, .. } => Err(Failure {
                 reason: format!("status {}", head.status).into(),
                 not_run: false,
             }),
-            Sent::NotRun { reason } => Err(Failure {
+            SendOutcome::NotRun { reason } => Err(Failure {
                 reason,
                 not_run: true,
             }),
-            Sent::Unknown { reason, .. } | Sent::Rejected { reason } => Err(Failure {
-                reason,
-                not_run: false,
-            }),
+            SendOutcome::Unknown { reason, .. } | SendOutcome::Rejected { reason } => {
+                Err(Failure {
+                    reason,
+                    not_run: false,
+                })
+            }
         }
     }
 }
--- a/components/front/src/instances/joining.rs
+++ b/components/front/src/instances/joining.rs
@@ -10,18 +10,21 @@
 
 /// Instances at the head of an order that greet each other at the start. Small deployments have no
 /// more, so that each of them knows all at once.
-pub const GREETED: usize = 12;
+pub const GREETED_PER_ORDER: usize = 12;
 /// Instances at the head of an order that lead: a group that does not know the rest follows one of
 /// these.
 const LEADERS: usize = 2;
 /// Instances that look again, beside those that lead. The others hear of new members from those.
-const LOOKERS: f64 = 8.0;
+const EXTRA_READERS: f64 = 8.0;
 
 /// Instances that `me` greets when it has started. An order says in which order instances would own
 /// or read something; only those at its head need to know each other at once.
 #[must_use]
-pub fn greeted<'a>(me: &InstanceId, orders: &'a [Vec<InstanceId>]) -> BTreeSet<&'a InstanceId> {
-    let heads = orders.iter().map(|order| head(order, GREETED));
+pub fn peers_to_greet<'a>(
+    me: &InstanceId,
+    orders: &'a [Vec<InstanceId>],
+) -> BTreeSet<&'a InstanceId> {
+    let heads = orders.iter().map(|order| head(order, GREETED_PER_ORDER));
     let mine = heads.filter(|head| head.contains(me));
     mine.flatten().filter(|id| *id != me).collect()
 }
@@ -29,10 +32,15 @@
 /// Whether `me` looks at the members in the store again, as one of `count` instances that it knows;
 /// `luck` from 0 up to 1 chooses among those that lead nowhere.
 #[must_use]
-pub fn looks_again(me: &InstanceId, orders: &[Vec<InstanceId>], count: usize, luck: f64) -> bool {
+pub fn rereads_members(
+    me: &InstanceId,
+    orders: &[Vec<InstanceId>],
+    count: usize,
+    luck: f64,
+) -> bool {
     let leads = orders.iter().any(|order| head(order, LEADERS).contains(me));
     let count = u32::try_from(count).unwrap_or(u32::MAX);
-    leads || luck * f64::from(count) < LOOKERS
+    leads || luck * f64::from(count) < EXTRA_READERS
 }
 
 fn head(order: &[InstanceId], length: usize) -> &[InstanceId] {
--- a/components/front/src/instances/membership.rs
+++ b/components/front/src/instances/membership.rs
@@ -25,7 +25,7 @@
 /// The first of these rounds: one that has just started knows nothing of requests that crash targets.
 const FIRST_ROUND: u32 = 1;
 /// Time for a peer to take a sync.
-const SYNC_PATIENCE: Duration = Duration::from_millis(300);
+const SYNC_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time between two looks at the members in the store. Instances also hear of each other from
 /// the owners that they sync with.
 const MEMBERS_PERIOD: Duration = Duration::from_secs(30);
@@ -50,7 +50,7 @@
 
 /// Makes this instance known, and gets to know the others: from the store, or while that is away
 /// from instances that the settings name.
-pub async fn meet(front: Arc<Front>, store: Arc<dyn Store>) {
+pub async fn join(front: Arc<Front>, store: Arc<dyn Store>) {
     let first = look(&front, &store).await;
     match &first {
         Some(look) if !look.others && !front.cfg.seeds.is_empty() => {
@@ -60,7 +60,7 @@
                 let greeting = async move {
                     // One that is not up yet is greeted again below.
                     let hello = hello(&front, false);
-                    let _ = front.peers.exchange(seed, &hello, SYNC_PATIENCE).await;
+                    let _ = front.peers.exchange(seed, &hello, SYNC_TIMEOUT).await;
                 };
                 workers::spawn(greeting).detach();
             }
@@ -119,7 +119,10 @@
 
 /// Learns the members that are listed in the store; nothing comes of it where the store fails.
 async fn look(front: &Arc<Front>, store: &Arc<dyn Store>) -> Option<Look> {
-    let news = store.read(Topic::Members, timeouts::READ).await.ok()?;
+    let news = store
+        .read(Topic::Members, timeouts::READ_TIMEOUT)
+        .await
+        .ok()?;
     let me = front.peers.me();
     let mut look = Look {
         others: false,
@@ -138,7 +141,7 @@
             look.lists_me = member.is_reached_like(me);
         } else {
             look.others = true;
-            front.peers.learn(member);
+            front.peers.upsert(member);
         }
     }
     Some(look)
@@ -150,7 +153,7 @@
     let owners = front.shards_of_all().map(|shard| front.owners(&shard));
     let orders: Vec<Vec<InstanceId>> = reading_orders(front).into_iter().chain(owners).collect();
     let count = front.peers.count();
-    joining::looks_again(&front.cfg.instance, &orders, count, fastrand::f64())
+    joining::rereads_members(&front.cfg.instance, &orders, count, fastrand::f64())
 }
 
 /// Instances in the order in which they read each topic for others.
@@ -162,7 +165,7 @@
 pub async fn greet_seed(front: Arc<Front>, seed: SocketAddr) {
     let message = hello(&front, true);
     for _ in 0..SEED_TRIES {
-        let reply = front.peers.exchange(seed, &message, SYNC_PATIENCE).await;
+        let reply = front.peers.exchange(seed, &message, SYNC_TIMEOUT).await;
         if let Ok(reply) = reply {
             if let Reply::Members { words, .. } = &reply {
                 keeping::learn(&front, words);
@@ -180,7 +183,7 @@
 /// syncs.
 fn greet(front: &Arc<Front>) {
     let orders = reading_orders(front);
-    for peer in joining::greeted(&front.cfg.instance, &orders) {
+    for peer in joining::peers_to_greet(&front.cfg.instance, &orders) {
         let (front, peer) = (Arc::clone(front), Arc::clone(peer));
         workers::spawn(async move { say_hello(&front, &peer).await }).detach();
     }
@@ -196,23 +199,26 @@
 async fn say_hello(front: &Front, peer: &InstanceId) {
     let message = hello(front, false);
     // Whether it answers is noted with the peer; there is nothing else to learn from it.
-    let _ = front.peers.call(peer, &message, SYNC_PATIENCE).await;
+    let _ = front.peers.call(peer, &message, SYNC_TIMEOUT).await;
 }
 
 fn learn_members(front: &Front, from: Option<&InstanceId>, reply: Option<Reply>) {
-    let Some(Reply::Members { members, mark, .. }) = reply else {
+    let Some(Reply::Members {
+        members, revision, ..
+    }) = reply
+    else {
         return;
     };
     for member in members {
-        front.peers.learn(member);
+        front.peers.upsert(member);
     }
     if let Some(from) = from {
-        front.peers.told_by(from, mark);
+        front.peers.set_revision(from, revision);
     }
 }
 
 /// Tells owners from time to time what this instance holds.
-pub async fn sync(front: Arc<Front>) {
+pub async fn sync_with_owners(front: Arc<Front>) {
     let mut ticks = Timer::new().every(SYNC_PERIOD);
     let mut round = 0_u32;
     loop {
@@ -221,9 +227,9 @@
         // Beside the syncs: an owner forgets in seconds what it does not hear of.
         for peer in front
             .peers
-            .to_try_again()
+            .due_for_retry()
             .into_iter()
-            .take(joining::GREETED)
+            .take(joining::GREETED_PER_ORDER)
         {
             let front = Arc::clone(&front);
             workers::spawn(async move { say_hello(&front, &peer).await }).detach();
@@ -288,10 +294,10 @@
     let message = Message::Sync {
         member: front.peers.me().clone(),
         held,
-        known: front.peers.mark_of(&owner),
+        known: front.peers.revision_of(&owner),
         quarantine: front.quarantine.lock().digest(boot_time()),
     };
-    let reply = front.peers.call(&owner, &message, SYNC_PATIENCE).await;
+    let reply = front.peers.call(&owner, &message, SYNC_TIMEOUT).await;
     keeping::reconcile(front, &owner, reply.as_ref()).await;
     learn_members(front, Some(&owner), reply);
 }
--- a/components/front/src/instances/message.rs
+++ b/components/front/src/instances/message_handler.rs
@@ -16,33 +16,33 @@
         wire::{Message, Reply, Topic},
     },
     quarantine::keeping,
-    state::{Front, age},
-    store::follow::{self, PEER_AGE},
+    state::{Front, elapsed_since},
+    store::follow::{self, MAX_PEER_STATE_AGE},
     target_rates,
 };
 
 /// Time for a message to arrive whole.
-const PATIENCE: Duration = Duration::from_secs(1);
+const BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The longest time that an instance is kept waiting for news.
-const FOLLOW_MOST: Duration = Duration::from_secs(3);
+const MAX_FOLLOW_WAIT: Duration = Duration::from_secs(3);
 
 /// The longest time that one is kept waiting by an instance that knows nothing yet.
-const FIRST_NEWS: Duration = Duration::from_millis(300);
+const FIRST_UPDATE_WAIT: Duration = Duration::from_millis(300);
 
 /// Takes the other instances' messages.
-pub struct Messages {
+pub struct MessageHandler {
     front: Arc<Front>,
 }
 
-impl Messages {
+impl MessageHandler {
     /// Makes it for an instance.
     #[must_use]
     pub const fn new(front: Arc<Front>) -> Self {
         Self { front }
     }
 
-    async fn take(&self, message: Message) -> Reply {
+    async fn process(&self, message: Message) -> Reply {
         let front = &self.front;
         let now = boot_time();
         match message {
@@ -61,20 +61,20 @@
                 quarantine,
             } => {
                 front.placement.owner.lock().sync(now, &held);
-                front.peers.heard(member);
-                self.members(front.peers.members_after(known), quarantine)
+                front.peers.mark_seen(member);
+                self.members(front.peers.members_since(known), quarantine)
             }
             Message::Hello { member, asks } => {
-                front.peers.heard(member);
+                front.peers.mark_seen(member);
                 if asks {
-                    self.members(front.peers.leading(), 0)
+                    self.members(front.peers.leaders(), 0)
                 } else {
                     Reply::Noted
                 }
             }
             Message::Follow { topic, after, wait } => self.news(topic, after, wait).await,
             Message::Leaving(target) => {
-                follow::hear_leaving(front, &target);
+                follow::mark_leaving(front, &target);
                 Reply::Noted
             }
             Message::Ended(evidence) => {
@@ -98,10 +98,10 @@
 
     /// Tells of members, and of requests that crash targets what the asker does not know of them.
     fn members(&self, known: Members, quarantine: u64) -> Reply {
-        let Members { members, mark } = known;
+        let Members { members, revision } = known;
         Reply::Members {
             members,
-            mark,
+            revision,
             words: keeping::words_beside(&self.front, quarantine),
             quarantine: self.front.quarantine.lock().digest(boot_time()),
         }
@@ -124,22 +124,24 @@
     /// What is new on a topic; waits until something is, or until what is known was confirmed.
     async fn news(&self, topic: Topic, after: Option<u64>, wait: Duration) -> Reply {
         let arrived = boot_time();
-        let cache = self.front.cache(topic);
-        if cache.read().is_none() {
+        let cache = self.front.topic_cache(topic);
+        if cache.confirmed_at().is_none() {
             // Both have just started; told that nothing is known, the asker would turn to the store.
-            cache.wait(wait.min(FIRST_NEWS)).await;
+            cache.wait_for_change(wait.min(FIRST_UPDATE_WAIT)).await;
         }
-        let fresh = cache.read().is_some_and(|read| age(read) < PEER_AGE);
-        let from = cache.tells_from();
+        let fresh = cache
+            .confirmed_at()
+            .is_some_and(|read| elapsed_since(read) < MAX_PEER_STATE_AGE);
+        let from = cache.history_start();
         if fresh && after.is_some_and(|after| after < from) {
             return Reply::Behind { from };
         }
         // Nobody is kept waiting by one that has lost the store itself.
         let nothing_new = after.is_some_and(|after| cache.version() <= Some(after));
-        if fresh && nothing_new && !cache.is_lost() {
-            cache.wait(wait.min(FOLLOW_MOST)).await;
+        if fresh && nothing_new && !cache.is_source_lost() {
+            cache.wait_for_change(wait.min(MAX_FOLLOW_WAIT)).await;
         }
-        match cache.news(after) {
+        match cache.update_since(after) {
             Some((news, read)) => Reply::News {
                 news,
                 before: arrived.saturating_sub(read),
@@ -152,18 +154,18 @@
 }
 
 #[async_trait]
-impl Handler for Messages {
+impl Handler for MessageHandler {
     async fn handle(&self, _peer: SocketAddr, req: Request<Incoming>) -> Response<Body> {
         if req.uri().path() != MESSAGES_PATH {
             return HttpReply::new(404).done();
         }
-        let Ok(body) = read_limited(req.into_body(), MESSAGE_LIMIT, PATIENCE).await else {
+        let Ok(body) = read_limited(req.into_body(), MESSAGE_LIMIT, BODY_TIMEOUT).await else {
             return HttpReply::new(400).done();
         };
         let Ok(message) = rmp_serde::from_slice(&body) else {
             return HttpReply::text(400, "not a message").done();
         };
-        let reply = self.take(message).await;
+        let reply = self.process(message).await;
         match rmp_serde::to_vec(&reply) {
             Ok(buf) => HttpReply::new(200).with_body(full(buf)).done(),
             Err(e) => HttpReply::text(500, e.to_string()).done(),
--- a/components/front/src/instances/mod.rs
+++ b/components/front/src/instances/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod joining;
 pub mod membership;
-pub mod message;
+pub mod message_handler;
+pub mod notify;
 pub mod peers;
-pub mod telling;
 pub mod wire;
--- a/components/front/src/instances/peers.rs
+++ b/components/front/src/instances/peers.rs
@@ -23,10 +23,10 @@
 
 use crate::{
     instances::{
-        joining::GREETED,
+        joining::GREETED_PER_ORDER,
         wire::{Member, Message, Reply, Topic},
     },
-    metrics::Exchange,
+    metrics::PeerBytesLabels,
     store::fanout::Ranking,
 };
 
@@ -61,7 +61,7 @@
     /// The members.
     pub members: Vec<Member>,
     /// The mark up to which the asker knows all then.
-    pub mark: u64,
+    pub revision: u64,
 }
 
 /// The other instances.
@@ -75,7 +75,7 @@
     client: Client,
     timer: Timer,
     /// Bytes of messages and replies.
-    bytes: Family<Exchange, Counter>,
+    bytes: Family<PeerBytesLabels, Counter>,
 }
 
 impl Peers {
@@ -102,7 +102,7 @@
 
     /// Counts the bytes of messages and replies there.
     #[must_use]
-    pub fn with_bytes(mut self, bytes: Family<Exchange, Counter>) -> Self {
+    pub fn with_bytes(mut self, bytes: Family<PeerBytesLabels, Counter>) -> Self {
         self.bytes = bytes;
         self
     }
@@ -120,7 +120,7 @@
     }
 
     /// Takes word of a member. One that began a later life replaces what was known of it.
-    pub fn learn(&self, member: Member) {
+    pub fn upsert(&self, member: Member) {
         if member.id == self.me.id {
             return;
         }
@@ -142,65 +142,70 @@
     }
 
     /// Notes that a member was heard.
-    pub fn heard(&self, member: Member) {
+    pub fn mark_seen(&self, member: Member) {
         let id = Arc::clone(&member.id);
-        self.learn(member);
+        self.upsert(member);
         self.answered(&id);
     }
 
     /// Members that were heard lately, this one included, and that one who knows all up to a mark
     /// may not know. The whole list in each reply would grow with the square of their number.
     #[must_use]
-    pub fn members_after(&self, mark: u64) -> Members {
+    pub fn members_since(&self, revision: u64) -> Members {
         let newest = self.newest.load(Ordering::Acquire);
         // A mark from this instance's former life says nothing about this one.
-        let mark = if mark > newest { 0 } else { mark };
+        let revision = if revision > newest { 0 } else { revision };
         let oldest = boot_time().saturating_sub(HEARD_LATELY);
         let known = self.known.lock();
-        let heard = known
-            .values()
-            .filter(|known| known.heard_as > mark && known.heard.is_some_and(|at| at >= oldest));
+        let heard = known.values().filter(|known| {
+            known.heard_as > revision && known.heard.is_some_and(|at| at >= oldest)
+        });
         let mut members: Vec<Member> = heard.map(|known| known.member.clone()).collect();
-        if mark == 0 {
+        if revision == 0 {
             members.push(self.me.clone());
         }
         Members {
             members,
-            mark: newest,
+            revision: newest,
         }
     }
 
     /// Members at the heads of the orders of readers. A newcomer finds sources and owners with these,
     /// and the rest at its first sync. The whole list for each of n newcomers would be O(n²) bytes.
     #[must_use]
-    pub fn leading(&self) -> Members {
+    pub fn leaders(&self) -> Members {
         let orders = [Topic::Operator, Topic::Targets].map(|topic| self.readers(topic));
-        let heads = orders.iter().flat_map(|order| order.iter().take(GREETED));
+        let heads = orders
+            .iter()
+            .flat_map(|order| order.iter().take(GREETED_PER_ORDER));
         let heads: BTreeSet<&InstanceId> = heads.collect();
         let known = self.known.lock();
         let others = heads.iter().filter_map(|id| known.get(*id));
         let mut members: Vec<Member> = others.map(|known| known.member.clone()).collect();
         members.push(self.me.clone());
-        Members { members, mark: 0 }
+        Members {
+            members,
+            revision: 0,
+        }
     }
 
     /// The mark up to which a member has told of others.
     #[must_use]
-    pub fn mark_of(&self, id: &InstanceId) -> u64 {
+    pub fn revision_of(&self, id: &InstanceId) -> u64 {
         let known = self.known.lock();
         known.get(id).map_or(0, |known| known.mark)
     }
 
     /// Notes up to which mark a member has told of others.
-    pub fn told_by(&self, id: &InstanceId, mark: u64) {
+    pub fn set_revision(&self, id: &InstanceId, revision: u64) {
         if let Some(known) = self.known.lock().get_mut(id) {
-            known.mark = mark;
+            known.mark = revision;
         }
     }
 
     /// All members that are known.
     #[must_use]
-    pub fn all(&self) -> Vec<InstanceId> {
+    pub fn ids(&self) -> Vec<InstanceId> {
         self.known.lock().keys().cloned().collect()
     }
 
@@ -223,7 +228,7 @@
         let here = &self.me.data_centre;
         Ranking {
             all: self.readers(topic),
-            near: self.ranked(&reading(topic), |member| member.data_centre == *here),
+            same_data_centre: self.ranked(&reading(topic), |member| member.data_centre == *here),
         }
     }
 
@@ -248,7 +253,7 @@
 
     /// Members that did not answer and may be tried again.
     #[must_use]
-    pub fn to_try_again(&self) -> Vec<InstanceId> {
+    pub fn due_for_retry(&self) -> Vec<InstanceId> {
         let now = boot_time();
         let known = self.known.lock();
         known
@@ -349,7 +354,7 @@
     }
 
     fn count_bytes(&self, message: &Message, direction: &'static str, here: bool, bytes: usize) {
-        let exchange = Exchange {
+        let exchange = PeerBytesLabels {
             topic: message.topic(),
             direction,
             data_centre: if here { "same" } else { "other" },
--- a/components/front/src/instances/wire.rs
+++ b/components/front/src/instances/wire.rs
@@ -182,7 +182,8 @@
         /// Those that the asker may not know.
         members: Vec<Member>,
         /// The mark up to which it knows all now.
-        mark: u64,
+        #[serde(rename = "mark")]
+        revision: u64,
         /// How requests are taken under which targets ended, where the asker knows otherwise.
         words: Vec<Verdict>,
         /// What is known here of such requests.
--- a/components/front/src/lib.rs
+++ b/components/front/src/lib.rs
@@ -27,7 +27,7 @@
     ReportedLoad, ResponseHead, Resume, Store, StoreError,
 };
 pub use config::{Bounds, Config};
-pub use decisions::{Decisions, Parts};
+pub use decisions::{Decisions, Features};
 pub use instances::wire::{Member, Row, Topic, TopicUpdate};
 pub use quarantine::kept::Kept;
 pub use run::{Adapters, serve};
--- a/components/front/src/metrics.rs
+++ b/components/front/src/metrics.rs
@@ -18,7 +18,7 @@
 
 /// How a request ended.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-pub struct Ending {
+pub struct RequestLabels {
     /// What the route allows: `idempotent`, `non_idempotent` or `generation`.
     pub kind: &'static str,
     /// `answered`, `refused`, `failed` or `cut`.
@@ -27,14 +27,14 @@
 
 /// How carrying a generation over ended.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-pub struct CarryEnding {
+pub struct MigrationLabels {
     /// `done`, `no_room`, `nothing` or `lost`.
     pub outcome: &'static str,
 }
 
 /// Bytes of messages that this instance sent to others, and of their replies.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-pub struct Exchange {
+pub struct PeerBytesLabels {
     /// What the message is about, as [`crate::instances::wire::Message::topic`] names it.
     pub topic: &'static str,
     /// `out` or `in`.
@@ -45,7 +45,7 @@
 
 /// A call to the store.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-pub struct StoreCall {
+pub struct StoreCallLabels {
     /// `operator`, `targets` or `members`.
     pub topic: &'static str,
     /// `read`, `follow` or `write`.
@@ -59,19 +59,19 @@
 pub struct Metrics {
     registry: Registry,
     /// Requests by kind and outcome.
-    pub requests: Family<Ending, Counter>,
+    pub requests: Family<RequestLabels, Counter>,
     /// Second sendings.
-    pub repeats: Counter,
+    pub retries: Counter,
     /// Targets that ended while they ran a request.
-    pub target_ends: Counter,
+    pub target_crashes: Counter,
     /// Requests that were rejected because targets ended while they ran them.
     pub quarantined: Counter,
     /// Generations carried over, by outcome.
-    pub carries: Family<CarryEnding, Counter>,
+    pub migrations: Family<MigrationLabels, Counter>,
     /// Bytes of messages between instances, and of replies, by the instance that sent the message.
-    pub peer_bytes: Family<Exchange, Counter>,
+    pub peer_bytes: Family<PeerBytesLabels, Counter>,
     /// Calls to the store.
-    pub store_calls: Family<StoreCall, Counter>,
+    pub store_calls: Family<StoreCallLabels, Counter>,
     /// Time to the head of an answer, in seconds.
     pub head_seconds: Histogram,
     /// Time from a request's arrival to its sending, in seconds.
@@ -92,10 +92,10 @@
         let times = || Histogram::new(exponential_buckets(FIRST_BUCKET, 2.0, BUCKETS));
         let all = Self {
             requests: Family::default(),
-            repeats: Counter::default(),
-            target_ends: Counter::default(),
+            retries: Counter::default(),
+            target_crashes: Counter::default(),
             quarantined: Counter::default(),
-            carries: Family::default(),
+            migrations: Family::default(),
             peer_bytes: Family::default(),
             store_calls: Family::default(),
             head_seconds: times(),
@@ -110,19 +110,23 @@
         registry.register(
             "repeats",
             "Second sendings of requests",
-            all.repeats.clone(),
+            all.retries.clone(),
         );
         registry.register(
             "target_ends",
             "Requests under which a target ended",
-            all.target_ends.clone(),
+            all.target_crashes.clone(),
         );
         registry.register(
             "quarantined",
             "Requests rejected because targets ended under them",
             all.quarantined.clone(),
         );
-        registry.register("carries", "Generations carried over", all.carries.clone());
+        registry.register(
+            "carries",
+            "Generations carried over",
+            all.migrations.clone(),
+        );
         registry.register(
             "peer_bytes",
             "Bytes of messages between instances",
@@ -144,18 +148,20 @@
     }
 
     /// Notes how long a request was held before it was sent.
-    pub fn held(&self, time: Duration) {
+    pub fn observe_held(&self, time: Duration) {
         self.held_seconds.observe(time.as_secs_f64());
     }
 
     /// Notes how long the head of an answer took.
-    pub fn head(&self, time: Duration) {
+    pub fn observe_head(&self, time: Duration) {
         self.head_seconds.observe(time.as_secs_f64());
     }
 
     /// Notes how a request ended.
-    pub fn ended(&self, kind: &'static str, outcome: &'static str) {
-        self.requests.get_or_create(&Ending { kind, outcome }).inc();
+    pub fn count_request(&self, kind: &'static str, outcome: &'static str) {
+        self.requests
+            .get_or_create(&RequestLabels { kind, outcome })
+            .inc();
     }
 
     /// All metrics as text.
--- a/components/front/src/plain_calls/plain.rs
+++ b/components/front/src/plain_calls/plain.rs
@@ -17,7 +17,7 @@
     },
     plain_calls::choice::connection_share,
     quarantine::{ends, keeping},
-    send::{Sent, collect, log_failure, send},
+    send::{SendOutcome, buffer_response, log_send_failure, send},
     state::Front,
     target_rates,
 };
@@ -89,7 +89,7 @@
     /// What the caller gets when there are no more tries.
     fn give_up(self, front: &Front, call: &Call) -> Response<Body> {
         if let Some(resp) = self.spare {
-            front.metrics.ended(call.kind(), "failed");
+            front.metrics.count_request(call.kind(), "failed");
             return resp;
         }
         let reason = self.reason.unwrap_or_else(|| "no target takes it".into());
@@ -121,7 +121,7 @@
         tries.tried.push(Arc::clone(&target.id));
         match attempt(front, call, &target, tries.sendings).await {
             Try::Answer(resp) => {
-                front.metrics.ended(call.kind(), "answered");
+                front.metrics.count_request(call.kind(), "answered");
                 return resp;
             }
             Try::Failure(resp) => {
@@ -153,15 +153,15 @@
         Kind::Idempotent => tries.run >= call.route.max_targets,
         Kind::NonIdempotent | Kind::Generation => tries.run > 0,
     };
-    let sends_again = front.cfg.decisions.parts.sends_again;
+    let sends_again = front.cfg.decisions.features.retries;
     if !sends_again || run_out || tries.tried.len() >= NOT_RUN_MOST {
         return false;
     }
-    let instances = front.instances();
+    let instances = front.instance_count();
     let service = &call.service.name;
     let granted = front.budget.lock().take(boot_time(), service, instances);
     if granted {
-        front.metrics.repeats.inc();
+        front.metrics.retries.inc();
     }
     granted
 }
@@ -187,7 +187,8 @@
     loop {
         let now = boot_time();
         let picked = pick(front, call, &passed_over, now);
-        if let Some(target) = picked.filter(|target| front.take_cold(&call.service, target)) {
+        if let Some(target) = picked.filter(|target| front.take_cold_permit(&call.service, target))
+        {
             match target_rates::reserve(front, &target.id, until.saturating_sub(now)).await {
                 Reservation::Granted { after } => {
                     smol::Timer::after(after).await;
@@ -214,8 +215,8 @@
 /// Picks among the targets that this instance may open one more connection to. Those in need are
 /// passed over while others have room, but for a few calls that tell whether the need is over.
 fn pick(front: &Front, call: &Call, tried: &[TargetId], now: Moment) -> Option<Arc<Target>> {
-    let share = connection_share(call.service.connections, front.instances());
-    let mut targets = front.usable(&call.service);
+    let share = connection_share(call.service.connections, front.instance_count());
+    let mut targets = front.usable_targets(&call.service);
     targets.retain(|target| !tried.contains(&target.id));
     let choice = front.choice.lock();
     targets.retain(|target| choice.mine(&target.id) < share);
@@ -239,12 +240,12 @@
         left_ms: millis(call.left()),
     });
     if sending == 1 {
-        front.metrics.held(call.held());
+        front.metrics.observe_held(call.held());
     }
     let limit = patience(call, sending);
     let from = boot_time();
     match send(front, call, target, None, limit).await {
-        Sent::Head {
+        SendOutcome::Response {
             head,
             heading,
             body,
@@ -254,10 +255,10 @@
                 front.choice.lock().said(now, &target.id, load);
             }
             let rest = limit.saturating_sub(now.saturating_sub(from));
-            match collect(front, &head, body, rest.max(LOOK_AGAIN)).await {
+            match buffer_response(front, &head, body, rest.max(LOOK_AGAIN)).await {
                 Ok(resp) => answered(front, call, target, resp),
                 Err(reason) => {
-                    log_failure(call, target, &reason, false);
+                    log_send_failure(call, target, &reason, false);
                     ends::look_into(front, call, target, from, 0);
                     front.choice.lock().failed(now, &target.id);
                     Try::Unknown {
@@ -267,15 +268,18 @@
                 }
             }
         }
-        Sent::NotRun { .. } => {
+        SendOutcome::NotRun { .. } => {
             front.choice.lock().failed(boot_time(), &target.id);
             Try::NotRun
         }
-        Sent::Rejected { reason } => Try::Unknown {
+        SendOutcome::Rejected { reason } => Try::Unknown {
             reason,
             late: false,
         },
-        Sent::Unknown { reason, late } => {
+        SendOutcome::Unknown {
+            reason,
+            timed_out: late,
+        } => {
             front.choice.lock().failed(boot_time(), &target.id);
             Try::Unknown { reason, late }
         }
--- a/components/front/src/quarantine/keeping.rs
+++ b/components/front/src/quarantine/keeping.rs
@@ -14,7 +14,7 @@
 use crate::{
     callers::refuse::millis,
     instances::{
-        telling::{PATIENCE, tell, tell_all},
+        notify::{NOTIFY_TIMEOUT, notify, notify_all},
         wire::{Message, Reply},
     },
     quarantine::kept,
@@ -34,9 +34,9 @@
 
 /// Takes evidence in that this instance has found.
 pub fn found(front: &Arc<Front>, evidence: Evidence) {
-    front.metrics.target_ends.inc();
+    front.metrics.target_crashes.inc();
     for keeper in keepers(front, &evidence.fingerprint) {
-        tell(front, keeper, Message::Ended(evidence.clone()));
+        notify(front, keeper, Message::Ended(evidence.clone()));
     }
     take(front, evidence);
 }
@@ -48,7 +48,7 @@
         return;
     };
     log(&verdict);
-    tell_all(front, &Message::Words(vec![verdict]));
+    notify_all(front, &Message::Words(vec![verdict]));
     if verdict.kind == VerdictKind::Rejected && is_first_keeper(front, &verdict.fingerprint) {
         kept::keep(front, &verdict);
     }
@@ -64,12 +64,12 @@
         None => {}
         Some((verdict, Recipients::Aggregators)) => {
             for keeper in keepers(front, fingerprint) {
-                tell(front, keeper, Message::Words(vec![verdict]));
+                notify(front, keeper, Message::Words(vec![verdict]));
             }
         }
         Some((verdict, Recipients::All)) => {
             log(&verdict);
-            tell_all(front, &Message::Words(vec![verdict]));
+            notify_all(front, &Message::Words(vec![verdict]));
             kept::keep(front, &verdict);
         }
     }
@@ -110,7 +110,7 @@
         // Lost, it is told with the next sync.
         let _ = front
             .peers
-            .call(owner, &Message::Words(mine), PATIENCE)
+            .call(owner, &Message::Words(mine), NOTIFY_TIMEOUT)
             .await;
     }
 }
--- a/components/front/src/run.rs
+++ b/components/front/src/run.rs
@@ -25,7 +25,7 @@
     generations::{live::LiveRuns, placement::Placement, probing},
     instances::{
         membership,
-        message::Messages,
+        message_handler::MessageHandler,
         peers::Peers,
         wire::{Member, Topic},
     },
@@ -87,7 +87,7 @@
         Callers::new(Arc::clone(&front)),
     );
     let callers = callers.await?.with_terms(Arc::clone(&front.terms));
-    let messages = Messages::new(Arc::clone(&front));
+    let messages = MessageHandler::new(Arc::clone(&front));
     let peers = listen(front.cfg.peers, ServeLimits::default(), messages).await?;
     let readiness = Readiness::new(Arc::clone(&front));
     let ready = listen(front.cfg.ready, ServeLimits::default(), readiness).await?;
@@ -109,8 +109,8 @@
         let follower = Follower::new(Arc::clone(&front), Arc::clone(&store), topic);
         workers::spawn(follower.run()).detach();
     }
-    workers::spawn(membership::meet(Arc::clone(&front), store)).detach();
-    workers::spawn(membership::sync(Arc::clone(&front))).detach();
+    workers::spawn(membership::join(Arc::clone(&front), store)).detach();
+    workers::spawn(membership::sync_with_owners(Arc::clone(&front))).detach();
     workers::spawn(probing::watch(Arc::clone(&front))).detach();
     emit(&Event::Started {
         instance: Arc::clone(&front.cfg.instance),
@@ -145,7 +145,7 @@
         store: Arc::new(CountedStore::new(Arc::clone(&adapters.store), calls)),
         client: Client::new().with_connect_limit(CONNECT_LIMIT),
         peers: Peers::new(me, Client::new().with_connect_limit(CONNECT_LIMIT))
-            .with_strong_first(cfg.decisions.parts.strong_first)
+            .with_strong_first(cfg.decisions.features.capacity_order)
             .with_bytes(metrics.peer_bytes.clone()),
         placement: Placement::new(cfg.decisions.placing),
         live: LiveRuns::default(),
@@ -153,20 +153,20 @@
         target_rows: Arc::new(TopicCache::new()),
         member_rows: Arc::new(TopicCache::new()),
         choice: Mutex::new(Choice::new(
-            cfg.decisions.parts.prefers_near,
-            cfg.decisions.parts.sets_aside,
+            cfg.decisions.features.locality,
+            cfg.decisions.features.ejection,
         )),
         budget: Mutex::new(Budget::new(
             bounds.retry_window,
             bounds.retry_ratio,
             bounds.retry_slack,
         )),
-        cold: Mutex::new(ColdTargets::default()),
+        cold_targets: Mutex::new(ColdTargets::default()),
         rate_limits: Mutex::default(),
         rate_allocator: Mutex::default(),
         quarantine: Mutex::default(),
         endings: Endings::default(),
-        bodies: net::Budget::new(cfg.memory / BODIES_PART),
+        body_budget: net::Budget::new(cfg.memory / BODIES_PART),
         ending: Ending::default(),
         peers_known: Latch::default(),
         state_known: Latch::default(),
@@ -174,7 +174,7 @@
         metrics,
         terms: Arc::new(Terms::new(&terms)),
         targets_lost: AtomicBool::new(false),
-        since: boot_time(),
+        started_at: boot_time(),
         bounds: RwLock::new(bounds),
         cfg,
     }
--- a/components/front/src/send.rs
+++ b/components/front/src/send.rs
@@ -23,9 +23,9 @@
 
 /// What came of a sending.
 #[derive(Debug)]
-pub enum Sent {
+pub enum SendOutcome {
     /// The target answers.
-    Head {
+    Response {
         /// The head.
         head: Box<http::response::Parts>,
         /// What it says.
@@ -48,7 +48,7 @@
         /// What came instead of an answer.
         reason: Arc<str>,
         /// Whether it was the time that ran out.
-        late: bool,
+        timed_out: bool,
     },
 }
 
@@ -59,9 +59,9 @@
     target: &Arc<Target>,
     resume: Option<&Resume>,
     limit: Duration,
-) -> Sent {
+) -> SendOutcome {
     if front.rejects(&call.fingerprint) {
-        return Sent::Rejected {
+        return SendOutcome::Rejected {
             reason: QUARANTINED.into(),
         };
     }
@@ -80,31 +80,33 @@
         .within(limit, front.client.send(target.addr, req))
         .await;
     let sent = match answer {
-        None => Sent::Unknown {
+        None => SendOutcome::Unknown {
             reason: format!("no answer within {} ms", millis(limit)).into(),
-            late: true,
+            timed_out: true,
         },
-        Some(Err(SendError::Unsent { reason })) => Sent::NotRun { reason },
+        Some(Err(SendError::Unsent { reason })) => SendOutcome::NotRun { reason },
         Some(Err(SendError::Lost { reason })) => {
             ends::look_into(front, call, target, from, 0);
-            Sent::Unknown {
+            SendOutcome::Unknown {
                 reason,
-                late: false,
+                timed_out: false,
             }
         }
-        Some(Ok(resp)) => judge(front, call, target, from, resp),
+        Some(Ok(resp)) => classify(front, call, target, from, resp),
     };
     match &sent {
-        Sent::Head { .. } => front.metrics.head(boot_time().saturating_sub(from)),
-        Sent::NotRun { reason } => log_failure(call, target, reason, true),
-        Sent::Unknown { reason, .. } => log_failure(call, target, reason, false),
-        Sent::Rejected { .. } => {}
+        SendOutcome::Response { .. } => {
+            front.metrics.observe_head(boot_time().saturating_sub(from))
+        }
+        SendOutcome::NotRun { reason } => log_send_failure(call, target, reason, true),
+        SendOutcome::Unknown { reason, .. } => log_send_failure(call, target, reason, false),
+        SendOutcome::Rejected { .. } => {}
     }
     sent
 }
 
 /// Logs that a sending failed.
-pub fn log_failure(call: &Call, target: &Target, reason: &Arc<str>, not_run: bool) {
+pub fn log_send_failure(call: &Call, target: &Target, reason: &Arc<str>, not_run: bool) {
     emit(&Event::SendingFailed {
         id: Arc::clone(&call.asked.id),
         target: Arc::clone(&target.id),
@@ -115,18 +117,18 @@
 
 /// Judges the head of an answer. Only what surely is the target's whole answer to this request
 /// may pass: bytes of a late answer, or of a broken target, would be another caller's.
-fn judge(
+fn classify(
     front: &Arc<Front>,
     call: &Call,
     target: &Target,
     sent: Moment,
     resp: Response<Incoming>,
-) -> Sent {
+) -> SendOutcome {
     let (head, body) = resp.into_parts();
     let heading = front.adapter.parse_response_head(&call.asked.id, &head);
-    let unknown = |reason: String| Sent::Unknown {
+    let unknown = |reason: String| SendOutcome::Unknown {
         reason: reason.into(),
-        late: false,
+        timed_out: false,
     };
     if !heading.id_matches {
         return unknown("the answer belongs to another request".into());
@@ -135,11 +137,11 @@
         target_rates::observe(front, target, sent, heading.rate_limit);
     }
     if heading.not_run {
-        return Sent::NotRun {
+        return SendOutcome::NotRun {
             reason: format!("the target refused it with status {}", head.status).into(),
         };
     }
-    if promises(head.status) {
+    if promises_not_run(head.status) {
         // Passed on, it would promise that the request has not run, which nobody knows.
         return unknown(format!("status {} without a proof", head.status));
     }
@@ -149,7 +151,7 @@
             head.status
         ));
     }
-    Sent::Head {
+    SendOutcome::Response {
         head: Box::new(head),
         heading,
         body,
@@ -157,24 +159,24 @@
 }
 
 /// Whether a status promises that the request has not run.
-const fn promises(status: StatusCode) -> bool {
+const fn promises_not_run(status: StatusCode) -> bool {
     matches!(status.as_u16(), 408 | 421 | 429 | 503)
 }
 
 /// Bytes of an answer that is collected before it is passed on.
-const WHOLE_LIMIT: usize = 8 * 1_024 * 1_024;
+const MAX_BUFFERED_BYTES: usize = 8 * 1_024 * 1_024;
 
 /// Collects a whole answer, at most until `limit` has passed.
 ///
 /// # Errors
 /// Tells why it is not whole.
-pub async fn collect(
+pub async fn buffer_response(
     front: &Front,
     head: &http::response::Parts,
     body: Incoming,
     limit: Duration,
 ) -> Result<Response<Body>, Arc<str>> {
-    let whole = http_body_util::Limited::new(body, WHOLE_LIMIT).collect();
+    let whole = http_body_util::Limited::new(body, MAX_BUFFERED_BYTES).collect();
     let whole = Timer::new().within(limit, whole).await;
     let bytes = match whole {
         Some(Ok(whole)) => whole.to_bytes(),
--- a/components/front/src/state.rs
+++ b/components/front/src/state.rs
@@ -1,6 +1,6 @@
 //! What all parts of one instance share.
 //!
-//! Locks, in the order in which they may be held together: `bounds`, `budget`, `cold`, `choice`, then those
+//! Locks, in the order in which they may be held together: `bounds`, `budget`, `cold_targets`, `choice`, then those
 //! inside `live`, `placement`, `peers` and `view`. `rate_limits` comes after all of
 //! these; `quarantine` and `rate_allocator` are held alone. None is held over an await.
 
@@ -73,7 +73,7 @@
     /// Second sendings.
     pub budget: Mutex<Budget>,
     /// Cold targets.
-    pub cold: Mutex<ColdTargets>,
+    pub cold_targets: Mutex<ColdTargets>,
     /// Rates that targets have named for all instances.
     pub rate_limits: Mutex<RateLimits>,
     /// The rates that this instance hands out.
@@ -83,7 +83,7 @@
     /// Targets that have ended lately.
     pub endings: Endings,
     /// Bytes that bodies may hold together.
-    pub bodies: net::Budget,
+    pub body_budget: net::Budget,
     /// The end of its life.
     pub ending: Ending,
     /// Open once it has looked for the other instances, or can't.
@@ -99,7 +99,7 @@
     /// No source tells it of the targets any more.
     pub targets_lost: AtomicBool,
     /// When it started.
-    pub since: Moment,
+    pub started_at: Moment,
     /// The operators' bounds, as the settings say now.
     pub bounds: RwLock<Bounds>,
 }
@@ -107,7 +107,7 @@
 impl Front {
     /// Targets of a service that may get work now.
     #[must_use]
-    pub fn usable(&self, service: &Service) -> Vec<Arc<Target>> {
+    pub fn usable_targets(&self, service: &Service) -> Vec<Arc<Target>> {
         self.view.usable(&service.name)
     }
 
@@ -115,33 +115,35 @@
     /// since the last read that we know of; when that read is too old, honouring any key might
     /// serve somebody who has lost the right to it.
     #[must_use]
-    pub fn keys_fresh(&self) -> bool {
+    pub fn can_honour_keys(&self) -> bool {
         let bounds = *self.bounds.read();
         if !bounds.strict_revocation {
             return true;
         }
-        let most = bounds.revoke.mul_f64(REVOKE_PART);
-        self.view.rules_read().is_some_and(|read| age(read) < most)
+        let most = bounds.revocation_limit.mul_f64(REVOKE_PART);
+        self.view
+            .rules_read()
+            .is_some_and(|read| elapsed_since(read) < most)
     }
 
     /// How long it has known too little to serve callers: since the last read of the operator's rows
     /// was sent, or since it started.
     #[must_use]
-    pub fn ignorant_for(&self) -> Duration {
-        age(self.view.rules_read().unwrap_or(self.since))
+    pub fn state_age(&self) -> Duration {
+        elapsed_since(self.view.rules_read().unwrap_or(self.started_at))
     }
 
     /// Whether it takes callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let known = self.view.rules().is_some() && self.view.targets_read().is_some();
-        known && self.ending.left().is_none() && self.keys_fresh()
+        known && self.ending.left().is_none() && self.can_honour_keys()
     }
 
     /// Waits, right after the start, until it knows enough to take callers: a short wait spares them
     /// one of their few retries.
-    pub async fn informed_at_start(&self) {
-        let left = START_PATIENCE.saturating_sub(age(self.since));
+    pub async fn wait_for_state_at_start(&self) {
+        let left = START_PATIENCE.saturating_sub(elapsed_since(self.started_at));
         if !left.is_zero() {
             // Where it does not get there in time, the request is judged as at any other time.
             let _ = Timer::new().within(left, self.state_known.wait()).await;
@@ -149,7 +151,7 @@
     }
 
     /// Takes the limits of callers' connections from the configuration in force.
-    pub fn apply_limits(&self) {
+    pub fn apply_connection_limits(&self) {
         let Some(limits) = self.view.rules().and_then(|rules| rules.limits) else {
             return;
         };
@@ -160,7 +162,7 @@
 
     /// The rows of a topic.
     #[must_use]
-    pub fn cache(&self, topic: Topic) -> Arc<TopicCache> {
+    pub fn topic_cache(&self, topic: Topic) -> Arc<TopicCache> {
         Arc::clone(match topic {
             Topic::Operator => &self.operator_rows,
             Topic::Targets => &self.target_rows,
@@ -170,20 +172,20 @@
 
     /// Instances that share budgets, this one included.
     #[must_use]
-    pub fn instances(&self) -> usize {
+    pub fn instance_count(&self) -> usize {
         self.peers.count()
     }
 
     /// Takes the right to send a request to a target that may be cold.
-    pub fn take_cold(&self, service: &Service, target: &Target) -> bool {
+    pub fn take_cold_permit(&self, service: &Service, target: &Target) -> bool {
         let bounds = *self.bounds.read();
         let per_s = if service.cold_per_s > 0.0 {
             service.cold_per_s * bounds.cold_overage + bounds.cold_slack
         } else {
             0.0
         };
-        let instances = self.instances();
-        self.cold
+        let instances = self.instance_count();
+        self.cold_targets
             .lock()
             .take(boot_time(), &target.id, per_s, instances)
     }
@@ -191,7 +193,7 @@
 
 /// Time since a moment.
 #[must_use]
-pub fn age(moment: Moment) -> Duration {
+pub fn elapsed_since(moment: Moment) -> Duration {
     boot_time().saturating_sub(moment)
 }
 
--- a/components/front/src/store/counted.rs
+++ b/components/front/src/store/counted.rs
@@ -8,20 +8,20 @@
 use crate::{
     adapters::{Record, Store, StoreError},
     instances::wire::{Member, Row, Topic, TopicUpdate},
-    metrics::StoreCall,
+    metrics::StoreCallLabels,
     quarantine::kept::Kept,
 };
 
 /// A store whose calls are counted.
 pub struct CountedStore {
     inner: Arc<dyn Store>,
-    calls: Family<StoreCall, Counter>,
+    calls: Family<StoreCallLabels, Counter>,
 }
 
 impl CountedStore {
     /// Counts the calls to a store.
     #[must_use]
-    pub const fn new(inner: Arc<dyn Store>, calls: Family<StoreCall, Counter>) -> Self {
+    pub const fn new(inner: Arc<dyn Store>, calls: Family<StoreCallLabels, Counter>) -> Self {
         Self { inner, calls }
     }
 
@@ -31,7 +31,7 @@
             Err(StoreError::Refused { .. }) => "refused",
             Err(StoreError::NoAnswer { .. } | StoreError::Malformed { .. }) => "silent",
         };
-        let call = StoreCall {
+        let call = StoreCallLabels {
             topic: topic.name(),
             call,
             outcome,
--- a/components/front/src/store/fanout.rs
+++ b/components/front/src/store/fanout.rs
@@ -13,7 +13,7 @@
 /// Instances of a data centre that follow the readers for the rest of it.
 pub const RELAYS: usize = 2;
 /// Instances up to which a data centre needs no relays: each follows the readers.
-const FEW: usize = 8;
+const MAX_WITHOUT_RELAYS: usize = 8;
 
 /// The instances that answer, this one among them, those first that should read or relay.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
@@ -21,7 +21,7 @@
     /// All of them.
     pub all: Vec<InstanceId>,
     /// Those of this instance's data centre.
-    pub near: Vec<InstanceId>,
+    pub same_data_centre: Vec<InstanceId>,
 }
 
 /// What an instance does for others.
@@ -37,7 +37,7 @@
 
 /// An instance's place in the tree.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Place {
+pub struct TreePosition {
     /// What it does for others.
     pub role: Role,
     /// Whom it follows, the first choice first; for a reader those beside the store.
@@ -46,9 +46,9 @@
 
 /// The place of `me`. `turn` says for a leaf which of two comes first, so that the load is shared.
 #[must_use]
-pub fn place(me: &InstanceId, ranking: &Ranking, turn: bool) -> Place {
+pub fn position(me: &InstanceId, ranking: &Ranking, turn: bool) -> TreePosition {
     let readers = head(&ranking.all, READERS);
-    let relays = head(&ranking.near, RELAYS);
+    let relays = head(&ranking.same_data_centre, RELAYS);
     let others = |list: &[InstanceId], turn: bool| {
         let mut others: Vec<InstanceId> = list.iter().filter(|id| *id != me).cloned().collect();
         if turn && others.len() > 1 {
@@ -57,24 +57,24 @@
         others
     };
     if readers.contains(me) {
-        return Place {
+        return TreePosition {
             role: Role::Reader,
             upstream: others(readers, false),
         };
     }
-    if ranking.near.len() <= FEW {
-        return Place {
+    if ranking.same_data_centre.len() <= MAX_WITHOUT_RELAYS {
+        return TreePosition {
             role: Role::Leaf,
             upstream: others(readers, turn),
         };
     }
     match relays.iter().position(|id| id == me) {
         // Two relays follow different readers, or one that dies would leave a data centre behind.
-        Some(number) => Place {
+        Some(number) => TreePosition {
             role: Role::Relay,
             upstream: others(readers, number == 1),
         },
-        None => Place {
+        None => TreePosition {
             role: Role::Leaf,
             upstream: others(relays, turn),
         },
--- a/components/front/src/store/follow.rs
+++ b/components/front/src/store/follow.rs
@@ -21,9 +21,9 @@
     generations::evacuation,
     instances::wire::{Message, Reply, Row, Topic, TopicUpdate},
     quarantine::kept,
-    state::{Front, age},
+    state::{Front, elapsed_since},
     store::{
-        sources::{Failing, Source, Sources},
+        sources::{Source, SourceFailure, SourceSelector},
         timeouts,
         topic_cache::TopicCache,
     },
@@ -44,7 +44,7 @@
 const GATHER: Duration = Duration::from_millis(40);
 /// A reader's knowledge is as old as its call to the store when it replies: 0.8 s, and up to 0.4 s
 /// more where the store is slow. Older, and the reader itself has lost the store.
-pub const PEER_AGE: Duration = Duration::from_millis(1_500);
+pub const MAX_PEER_STATE_AGE: Duration = Duration::from_millis(1_500);
 /// Pause after a failed call, at first.
 const PAUSE: Duration = Duration::from_millis(60);
 /// The longest pause after failed calls in a row.
@@ -73,7 +73,7 @@
     store: Arc<dyn Store>,
     topic: Topic,
     cache: Arc<TopicCache>,
-    sources: Sources,
+    sources: SourceSelector,
     /// When the first of the failures in a row came.
     lost: Option<Moment>,
     /// When the last outage ended.
@@ -85,8 +85,8 @@
     #[must_use]
     pub fn new(front: Arc<Front>, store: Arc<dyn Store>, topic: Topic) -> Self {
         Self {
-            cache: front.cache(topic),
-            sources: Sources::new(fastrand::Rng::new()),
+            cache: front.topic_cache(topic),
+            sources: SourceSelector::new(fastrand::Rng::new()),
             front,
             store,
             topic,
@@ -100,11 +100,11 @@
         // An instance that knows no other would read the store itself: O(n) calls at a cold start.
         let peers_known = self.front.peers_known.wait();
         let _ = Timer::new().within(INTRODUCTION, peers_known).await;
-        let parts = self.front.cfg.decisions.parts;
+        let parts = self.front.cfg.decisions.features;
         loop {
             let me = &self.front.cfg.instance;
             let ranking = self.front.peers.ranking(self.topic);
-            let source = if parts.reads_for_others {
+            let source = if parts.shared_reads {
                 self.sources.next(boot_time(), me, &ranking)
             } else {
                 Source::Store
@@ -112,12 +112,12 @@
             let told = match self.ask(&source).await {
                 Ok(told) => told,
                 Err(e) => {
-                    self.fail(&source, Failing::Silent, &e).await;
+                    self.fail(&source, SourceFailure::NoAnswer, &e).await;
                     continue;
                 }
             };
             if source == Source::Store {
-                self.sources.store_answered();
+                self.sources.record_store_answer();
             }
             // Old news is better than none, for one that has just started say; but its source is
             // not to be relied on.
@@ -128,7 +128,7 @@
                 self.gather(&source, &told.news).await;
             } else {
                 let error = silent(format!("{source} has lost the store itself"));
-                self.fail(&source, Failing::Stale, &error).await;
+                self.fail(&source, SourceFailure::Stale, &error).await;
             }
         }
     }
@@ -146,7 +146,10 @@
     fn is_newer(&self, source: &Source, told: &Told) -> bool {
         *source == Source::Store
             || Some(told.news.version) > self.cache.version()
-            || self.cache.read().is_none_or(|known| told.read > known)
+            || self
+                .cache
+                .confirmed_at()
+                .is_none_or(|known| told.read > known)
     }
 
     /// Asks a source.
@@ -157,14 +160,21 @@
             Source::Store => {
                 // One that lost the store, or has just started, does not wait for changes.
                 let news = match after {
-                    Some(_) if !self.sources.hurries() => {
-                        follow(&self.store, self.topic, after, STORE_WAIT, timeouts::FOLLOW).await
+                    Some(_) if !self.sources.needs_immediate_answer() => {
+                        follow(
+                            &self.store,
+                            self.topic,
+                            after,
+                            STORE_WAIT,
+                            timeouts::FOLLOW_MARGIN,
+                        )
+                        .await
                     }
                     after => {
-                        let patience = if self.front.cfg.decisions.parts.patience_varies {
-                            timeouts::when_lost(self.sources.store_failures())
+                        let patience = if self.front.cfg.decisions.features.adaptive_timeouts {
+                            timeouts::outage_timeout(self.sources.store_failures())
                         } else {
-                            timeouts::READ
+                            timeouts::READ_TIMEOUT
                         };
                         follow(&self.store, self.topic, after, Duration::ZERO, patience).await
                     }
@@ -186,7 +196,9 @@
         let sent = boot_time();
         let after = self.cache.version().unwrap_or_default();
         let wait = Duration::ZERO;
-        let news = self.store.follow(self.topic, after, wait, timeouts::FOLLOW);
+        let news = self
+            .store
+            .follow(self.topic, after, wait, timeouts::FOLLOW_MARGIN);
         match news.await {
             Ok(news) if news.version >= from => Ok(Told {
                 news,
@@ -206,11 +218,12 @@
             wait,
         };
         let patience = wait + PEER_PATIENCE;
-        let reply = if self.cache.version().is_none() && age(self.front.since) < STARTING {
-            self.ask_while_starting(peer, &message).await
-        } else {
-            self.front.peers.call(peer, &message, patience).await
-        };
+        let reply =
+            if self.cache.version().is_none() && elapsed_since(self.front.started_at) < STARTING {
+                self.ask_while_starting(peer, &message).await
+            } else {
+                self.front.peers.call(peer, &message, patience).await
+            };
         match reply {
             Some(Reply::News {
                 news,
@@ -220,7 +233,7 @@
             }) => Ok(Told {
                 news,
                 read: (sent + after).saturating_sub(before),
-                fresh: age < PEER_AGE,
+                fresh: age < MAX_PEER_STATE_AGE,
             }),
             Some(Reply::Behind { from }) => self.catch_up(peer, from).await,
             Some(Reply::Nothing) => Err(silent(format!("{peer} knows nothing"))),
@@ -231,7 +244,7 @@
     /// Asks a peer until it knows something, for a short while after the start: it may be up a little
     /// later. Callers wait meanwhile, so the store comes next soon.
     async fn ask_while_starting(&self, peer: &InstanceId, message: &Message) -> Option<Reply> {
-        while age(self.front.since) < STARTING {
+        while elapsed_since(self.front.started_at) < STARTING {
             let peers = &self.front.peers;
             match peers.try_call(peer, message, STARTING_PATIENCE).await {
                 None | Some(Reply::Nothing) => {}
@@ -243,7 +256,7 @@
     }
 
     fn take(&self, told: &Told) {
-        let mut changed = self.cache.take(&told.news, told.read);
+        let mut changed = self.cache.apply(&told.news, told.read);
         let now = boot_time();
         // A dropped row may stand for a listing that lapsed; take them last, for the same answer
         // may list others.
@@ -254,7 +267,7 @@
         for change in self.front.view.expire_lapsed(now) {
             act(&self.front, change);
         }
-        let Some(read) = self.cache.read() else {
+        let Some(read) = self.cache.confirmed_at() else {
             return;
         };
         match self.topic {
@@ -275,14 +288,14 @@
             Some(Record::Closed(data_centre)) => view.learn_closed(&data_centre, true),
             Some(Record::Opened(data_centre)) => view.learn_closed(&data_centre, false),
             Some(Record::Listed(target)) => {
-                let mut cold = self.front.cold.lock();
+                let mut cold = self.front.cold_targets.lock();
                 cold.note(now, &target.id, target.cold_left);
                 drop(cold);
                 view.learn_target(target)
             }
             Some(Record::Unlisted(id)) => view.unlist_target(&id, now, self.outage_end),
             Some(Record::Member(member)) => {
-                self.front.peers.learn(member);
+                self.front.peers.upsert(member);
                 None
             }
             Some(Record::Quarantined(kept)) => {
@@ -308,8 +321,8 @@
     }
 
     fn regain(&mut self) {
-        self.sources.served();
-        self.cache.set_lost(self.sources.has_none());
+        self.sources.record_success();
+        self.cache.set_source_lost(self.sources.has_no_source());
         self.set_lost(false);
         let Some(lost) = self.lost.take() else {
             return;
@@ -329,10 +342,10 @@
     }
 
     /// Turns to the next source; pauses once all have failed.
-    async fn fail(&mut self, source: &Source, how: Failing, error: &StoreError) {
-        let rounds = self.sources.rounds();
-        let round_over = self.sources.failed(source, how);
-        self.cache.set_lost(self.sources.has_none());
+    async fn fail(&mut self, source: &Source, how: SourceFailure, error: &StoreError) {
+        let rounds = self.sources.failed_rounds();
+        let round_over = self.sources.record_failure(source, how);
+        self.cache.set_source_lost(self.sources.has_no_source());
         if !round_over {
             return;
         }
@@ -362,13 +375,13 @@
         return store.read(topic, patience).await;
     };
     match store.follow(topic, after, wait, wait + patience).await {
-        Err(StoreError::HistoryGone) => store.read(topic, timeouts::READ).await,
+        Err(StoreError::HistoryGone) => store.read(topic, timeouts::READ_TIMEOUT).await,
         news => news,
     }
 }
 
 /// Takes word from somebody else than the store that a target leaves.
-pub fn hear_leaving(front: &Arc<Front>, id: &TargetId) {
+pub fn mark_leaving(front: &Arc<Front>, id: &TargetId) {
     if let Some(change) = front.view.hear_leaving(id) {
         act(front, change);
     }
@@ -378,7 +391,7 @@
 fn act(front: &Arc<Front>, change: Change) {
     match change {
         Change::Rules { from, to } => {
-            front.apply_limits();
+            front.apply_connection_limits();
             emit(&Event::RulesInForce {
                 version: to,
                 from: from.unwrap_or_default(),
--- a/components/front/src/store/sources.rs
+++ b/components/front/src/store/sources.rs
@@ -9,7 +9,7 @@
 use fastrand::Rng;
 use types::{InstanceId, Moment};
 
-use crate::store::fanout::{Place, Ranking, Role, place};
+use crate::store::fanout::{Ranking, Role, TreePosition, position};
 
 /// Failures of the store in a row after which a follower takes it for lost to all. One alone may be
 /// a connection that was cut.
@@ -41,21 +41,21 @@
 
 /// How a source failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Failing {
+pub enum SourceFailure {
     /// It did not answer, or refused.
-    Silent,
+    NoAnswer,
     /// It answered, and knows nothing new itself.
     Stale,
 }
 
 /// Chooses among sources.
 #[derive(Debug)]
-pub struct Sources {
+pub struct SourceSelector {
     rng: Rng,
     /// Which of two instances a leaf follows first; leaves spread over both.
     turn: bool,
     /// This instance's place in the tree, as it was last asked for.
-    place: Place,
+    position: TreePosition,
     /// A peer beside those upstream, for this round.
     third: Option<InstanceId>,
     /// In this round the store may be asked although peers answer.
@@ -63,7 +63,7 @@
     /// The source that served last, and when it became the one.
     current: Option<(Source, Moment)>,
     /// Sources that have failed in this round.
-    tried: Vec<(Source, Failing)>,
+    tried: Vec<(Source, SourceFailure)>,
     /// Failures in a row, of whatever source.
     failures: u32,
     /// Rounds in a row in which all sources failed.
@@ -72,14 +72,14 @@
     store_failures: u32,
 }
 
-impl Sources {
+impl SourceSelector {
     /// Nothing has failed yet.
     #[must_use]
     pub fn new(mut rng: Rng) -> Self {
         Self {
             turn: rng.bool(),
             rng,
-            place: Place {
+            position: TreePosition {
                 role: Role::Leaf,
                 upstream: Vec::new(),
             },
@@ -95,7 +95,7 @@
 
     /// The source to ask now.
     pub fn next(&mut self, now: Moment, me: &InstanceId, ranking: &Ranking) -> Source {
-        self.place = place(me, ranking, self.turn);
+        self.position = position(me, ranking, self.turn);
         if self.tried.is_empty() {
             self.asks_store = self.draw_store(ranking.all.len());
         }
@@ -110,7 +110,10 @@
         let source = self.untried().unwrap_or(Source::Store);
         // Where a peer was silent it is left out from now on, and the next one is as good as it was.
         // One that answers and has lost the store would be asked in vain again and again.
-        let stale = self.tried.iter().any(|(_, how)| *how == Failing::Stale);
+        let stale = self
+            .tried
+            .iter()
+            .any(|(_, how)| *how == SourceFailure::Stale);
         self.current = stale.then(|| (source.clone(), now));
         source
     }
@@ -118,7 +121,7 @@
     /// Whether something has failed since a source served last. A call to the store should then be
     /// answered at once, and not when something changes: knowledge is old already.
     #[must_use]
-    pub const fn hurries(&self) -> bool {
+    pub const fn needs_immediate_answer(&self) -> bool {
         self.failures > 0
     }
 
@@ -126,8 +129,8 @@
     /// failed. A reader without the store counts as such also while another instance tells it,
     /// which may follow this one.
     #[must_use]
-    pub fn has_none(&self) -> bool {
-        let failures = match self.place.role {
+    pub fn has_no_source(&self) -> bool {
+        let failures = match self.position.role {
             Role::Reader => self.store_failures,
             Role::Relay | Role::Leaf => self.failures,
         };
@@ -136,7 +139,7 @@
 
     /// Rounds in a row in which all sources failed.
     #[must_use]
-    pub const fn rounds(&self) -> u32 {
+    pub const fn failed_rounds(&self) -> u32 {
         self.rounds
     }
 
@@ -147,19 +150,19 @@
     }
 
     /// Notes that the store answered, whatever it said.
-    pub const fn store_answered(&mut self) {
+    pub const fn record_store_answer(&mut self) {
         self.store_failures = 0;
     }
 
     /// Notes that a source served.
-    pub fn served(&mut self) {
+    pub fn record_success(&mut self) {
         self.failures = 0;
         self.rounds = 0;
         self.tried.clear();
     }
 
     /// Notes that a source failed; tells whether all have failed by now.
-    pub fn failed(&mut self, source: &Source, how: Failing) -> bool {
+    pub fn record_failure(&mut self, source: &Source, how: SourceFailure) -> bool {
         if *source == Source::Store {
             self.store_failures = self.store_failures.saturating_add(1);
         }
@@ -177,14 +180,13 @@
 
     /// The next source of this round.
     fn untried(&self) -> Option<Source> {
-        if self.place.role == Role::Reader {
+        if self.position.role == Role::Reader {
             let store = self.untried_store();
             return store.or_else(|| self.untried_peer());
         }
-        let silent = self
-            .tried
-            .iter()
-            .any(|(source, how)| matches!(source, Source::Peer(_)) && *how == Failing::Silent);
+        let silent = self.tried.iter().any(|(source, how)| {
+            matches!(source, Source::Peer(_)) && *how == SourceFailure::NoAnswer
+        });
         // The next peer may have failed together with one that is silent, and two waits would be too
         // long.
         if silent && self.may_ask_store() {
@@ -192,7 +194,7 @@
             return store.or_else(|| self.untried_peer());
         }
         self.untried_peer().or_else(|| {
-            let asks = self.asks_store || self.place.upstream.is_empty();
+            let asks = self.asks_store || self.position.upstream.is_empty();
             asks.then(|| self.untried_store()).flatten()
         })
     }
@@ -207,7 +209,7 @@
     /// through, and costs nothing.
     fn untried_peer(&self) -> Option<Source> {
         let third = self.third.iter().filter(|_| !self.tried.is_empty());
-        let all = self.place.upstream.iter().chain(third);
+        let all = self.position.upstream.iter().chain(third);
         let mut peers = all.cloned().map(Source::Peer);
         peers.find(|peer| self.tried.iter().all(|(tried, _)| tried != peer))
     }
@@ -227,7 +229,7 @@
 
     fn draw_third(&mut self, me: &InstanceId, all: &[InstanceId]) {
         if self.third.is_none() {
-            let upstream = &self.place.upstream;
+            let upstream = &self.position.upstream;
             let rest = all.iter().filter(|id| *id != me && !upstream.contains(id));
             let rest: Vec<&InstanceId> = rest.collect();
             self.third = self.rng.choice(rest).cloned();
@@ -240,7 +242,7 @@
         if !self.may_ask_store() {
             return false;
         }
-        if self.place.role == Role::Relay {
+        if self.position.role == Role::Relay {
             return true;
         }
         let count = u32::try_from(instances).unwrap_or(u32::MAX);
--- a/components/front/src/store/timeouts.rs
+++ b/components/front/src/store/timeouts.rs
@@ -10,12 +10,12 @@
 
 /// Time for a call that is expected to be answered at once. A store answers within 5 ms as a rule,
 /// and one that is slow within 0.4 s.
-pub const READ: Duration = Duration::from_millis(1_200);
+pub const READ_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Time for an answer beyond the time that it may wait for changes.
-pub const FOLLOW: Duration = Duration::from_millis(700);
+pub const FOLLOW_MARGIN: Duration = Duration::from_millis(700);
 /// Times for calls in a row to a store that was lost, again and again. One in four is long, for a
 /// store that is slower than any that was seen.
-const LOST: [Duration; 4] = [
+const OUTAGE_TIMEOUTS: [Duration; 4] = [
     Duration::from_millis(400),
     Duration::from_millis(600),
     Duration::from_millis(600),
@@ -24,7 +24,7 @@
 
 /// Time for a call to a store that has failed so many times in a row.
 #[must_use]
-pub fn when_lost(failures: u32) -> Duration {
-    let at = usize::try_from(failures).unwrap_or(usize::MAX) % LOST.len();
-    LOST[at]
+pub fn outage_timeout(failures: u32) -> Duration {
+    let at = usize::try_from(failures).unwrap_or(usize::MAX) % OUTAGE_TIMEOUTS.len();
+    OUTAGE_TIMEOUTS[at]
 }
--- a/components/front/src/store/topic_cache.rs
+++ b/components/front/src/store/topic_cache.rs
@@ -52,13 +52,13 @@
 
     /// When the read was sent that confirmed it last.
     #[must_use]
-    pub fn read(&self) -> Option<Moment> {
+    pub fn confirmed_at(&self) -> Option<Moment> {
         self.rows.lock().read
     }
 
     /// Takes news that was true at `read`; tells which rows it changed. Older news changes
     /// nothing, whoever brings it: knowledge never goes back.
-    pub fn take(&self, news: &TopicUpdate, read: Moment) -> Vec<Row> {
+    pub fn apply(&self, news: &TopicUpdate, read: Moment) -> Vec<Row> {
         let mut rows = self.rows.lock();
         let changed = if news.is_full {
             take_whole(&mut rows, news)
@@ -76,7 +76,7 @@
 
     /// Notes whether this instance has no source. Nobody is kept waiting for news that it would be
     /// the last to hear.
-    pub fn set_lost(&self, lost: bool) {
+    pub fn set_source_lost(&self, lost: bool) {
         let mut rows = self.rows.lock();
         if rows.lost != lost {
             rows.lost = lost;
@@ -86,21 +86,21 @@
 
     /// Whether this instance has no source.
     #[must_use]
-    pub fn is_lost(&self) -> bool {
+    pub fn is_source_lost(&self) -> bool {
         self.rows.lock().lost
     }
 
     /// The version since which all changes can be told from here; to one who asks from further back
     /// everything would have to be told.
     #[must_use]
-    pub fn tells_from(&self) -> u64 {
+    pub fn history_start(&self) -> u64 {
         self.rows.lock().forgotten
     }
 
     /// What has changed since a version, or everything; and when the read was sent that
     /// confirmed it.
     #[must_use]
-    pub fn news(&self, after: Option<u64>) -> Option<(TopicUpdate, Moment)> {
+    pub fn update_since(&self, after: Option<u64>) -> Option<(TopicUpdate, Moment)> {
         let rows = self.rows.lock();
         let read = rows.read?;
         let since = after.filter(|after| *after >= rows.forgotten && *after <= rows.version);
@@ -119,7 +119,7 @@
     }
 
     /// Waits until the cache was confirmed or changed, or lost its source, at most this long.
-    pub async fn wait(&self, limit: Duration) {
+    pub async fn wait_for_change(&self, limit: Duration) {
         let rx = self.waiter();
         // Whether it was confirmed or not, the one who waits gets what there is.
         let _ = Timer::new().within(limit, rx.recv()).await;
--- a/components/front/src/target_rates.rs
+++ b/components/front/src/target_rates.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     instances::{
-        telling::{tell, tell_all},
+        notify::{notify, notify_all},
         wire::{Message, Reply},
     },
     state::Front,
@@ -47,9 +47,9 @@
     let coordinator = coordinator(front, &target.id);
     let message = Message::RateReport(report);
     if coordinator == front.cfg.instance {
-        tell_all(front, &message);
+        notify_all(front, &message);
     } else {
-        tell(front, coordinator, message);
+        notify(front, coordinator, message);
     }
 }
 
@@ -60,7 +60,7 @@
     }
     log(report);
     if coordinator(front, &report.target) == front.cfg.instance {
-        tell_all(front, &Message::RateReport(report.clone()));
+        notify_all(front, &Message::RateReport(report.clone()));
     }
 }
 
--- a/components/front/tests/fanout.rs
+++ b/components/front/tests/fanout.rs
@@ -9,8 +9,8 @@
 
 use fastrand::Rng;
 use front::store::{
-    fanout::{Place, Ranking, Role, place},
-    sources::{Failing, Source, Sources},
+    fanout::{Ranking, Role, TreePosition, position},
+    sources::{Source, SourceFailure, SourceSelector},
 };
 use proptest::prelude::*;
 use types::InstanceId;
@@ -28,12 +28,12 @@
     let here = |number: &usize| number % DATA_CENTRES == me % DATA_CENTRES;
     Ranking {
         all: (0..count).filter(fits).map(name).collect(),
-        near: (0..count).filter(fits).filter(here).map(name).collect(),
+        same_data_centre: (0..count).filter(fits).filter(here).map(name).collect(),
     }
 }
 
-fn places(count: usize) -> Vec<Place> {
-    let of = |me| place(&name(me), &ranking(me, count, |_| true), me % 2 == 0);
+fn places(count: usize) -> Vec<TreePosition> {
+    let of = |me| position(&name(me), &ranking(me, count, |_| true), me % 2 == 0);
     (0..count).map(of).collect()
 }
 
@@ -46,7 +46,7 @@
 #[test]
 fn news_cross_the_border_of_a_data_centre_once_for_each_relay() {
     let places = places(195);
-    let crossing = |(me, place): (usize, &Place)| {
+    let crossing = |(me, place): (usize, &TreePosition)| {
         let first = number(place.upstream.first().expect("somebody to follow"));
         place.role != Role::Reader && first % DATA_CENTRES != me % DATA_CENTRES
     };
@@ -93,7 +93,7 @@
 const PEER_WAIT: u64 = 1_160;
 const PEER_PATIENCE: u64 = 1_410;
 /// Knowledge older than this is passed on as stale.
-const PEER_AGE: u64 = 1_500;
+const MAX_PEER_STATE_AGE: u64 = 1_500;
 /// Pauses after a round of failures: the first, and the longest.
 const PAUSE: u64 = 60;
 const PAUSE_MOST: u64 = 600;
@@ -109,7 +109,7 @@
 }
 
 struct Instance {
-    sources: Sources,
+    sources: SourceSelector,
     doing: Doing,
     /// When the read was sent that confirmed what it knows.
     read: u64,
@@ -137,7 +137,7 @@
         let mut rng = Rng::with_seed(seed);
         let all = (0..count)
             .map(|_| Instance {
-                sources: Sources::new(rng.fork()),
+                sources: SourceSelector::new(rng.fork()),
                 doing: Doing::Pausing(rng.u64(0..300)),
                 read: 0,
                 confirmed: 0,
@@ -191,10 +191,10 @@
 
     fn at_store(&mut self, me: usize, sent: u64) {
         if self.refused.contains(&me) {
-            return self.fail(me, &Source::Store, Failing::Silent);
+            return self.fail(me, &Source::Store, SourceFailure::NoAnswer);
         }
-        if self.all[me].sources.hurries() || self.now - sent >= STORE_WAIT {
-            self.all[me].sources.store_answered();
+        if self.all[me].sources.needs_immediate_answer() || self.now - sent >= STORE_WAIT {
+            self.all[me].sources.record_store_answer();
             self.confirm(me, sent);
         }
     }
@@ -204,22 +204,22 @@
         if self.silent.contains(&peer) {
             if self.now - sent >= PEER_PATIENCE {
                 self.all[me].suspects.insert(peer);
-                self.fail(me, &source, Failing::Silent);
+                self.fail(me, &source, SourceFailure::NoAnswer);
             }
             return;
         }
         let (read, confirmed) = (self.all[peer].read, self.all[peer].confirmed);
         // One that has lost the store itself lets nobody wait.
         let unchanged = confirmed <= sent && !self.all[peer].lost;
-        if unchanged && sent - read < PEER_AGE && self.now - sent < PEER_WAIT {
+        if unchanged && sent - read < MAX_PEER_STATE_AGE && self.now - sent < PEER_WAIT {
             return;
         }
-        let is_fresh = self.now - read < PEER_AGE;
+        let is_fresh = self.now - read < MAX_PEER_STATE_AGE;
         if is_fresh && read > self.all[me].read {
             self.confirm(me, read);
         } else {
             self.all[me].read = self.all[me].read.max(read);
-            self.fail(me, &source, Failing::Stale);
+            self.fail(me, &source, SourceFailure::Stale);
         }
     }
 
@@ -228,16 +228,16 @@
         let instance = &mut self.all[me];
         instance.read = instance.read.max(read);
         instance.confirmed = now;
-        instance.sources.served();
-        instance.lost = instance.sources.has_none();
+        instance.sources.record_success();
+        instance.lost = instance.sources.has_no_source();
         instance.doing = Doing::Pausing(now);
     }
 
-    fn fail(&mut self, me: usize, source: &Source, how: Failing) {
+    fn fail(&mut self, me: usize, source: &Source, how: SourceFailure) {
         let instance = &mut self.all[me];
-        let rounds = instance.sources.rounds();
-        let round_over = instance.sources.failed(source, how);
-        instance.lost = instance.sources.has_none();
+        let rounds = instance.sources.failed_rounds();
+        let round_over = instance.sources.record_failure(source, how);
+        instance.lost = instance.sources.has_no_source();
         let pause = if round_over {
             let pause = (PAUSE << rounds.min(4)).min(PAUSE_MOST);
             self.rng.u64(pause / 2..pause * 3 / 2)
--- a/components/front/tests/joining.rs
+++ b/components/front/tests/joining.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeSet, sync::Arc};
 
 use fastrand::Rng;
-use front::instances::joining::{GREETED, greeted, looks_again};
+use front::instances::joining::{GREETED_PER_ORDER, peers_to_greet, rereads_members};
 use placing::{Candidate, ranked};
 use types::InstanceId;
 
@@ -30,12 +30,15 @@
 fn few_of_two_hundred_that_start_together_greet_or_look_again() {
     let all: Vec<Candidate> = (0..195).map(|n| candidate(n, 15)).collect();
     let orders = orders(&all);
-    let greetings: usize = all.iter().map(|c| greeted(&c.id, &orders).len()).sum();
+    let greetings: usize = all
+        .iter()
+        .map(|c| peers_to_greet(&c.id, &orders).len())
+        .sum();
     assert!(greetings <= 15 * 14, "{greetings}");
     let mut rng = Rng::with_seed(1);
     let lookers = all
         .iter()
-        .filter(|c| looks_again(&c.id, &orders, all.len(), rng.f64()))
+        .filter(|c| rereads_members(&c.id, &orders, all.len(), rng.f64()))
         .count();
     assert!((1..=25).contains(&lookers), "{lookers}");
 }
@@ -45,8 +48,8 @@
     let all: Vec<Candidate> = (0..7).map(|n| candidate(n, 0)).collect();
     let orders = orders(&all);
     for c in &all {
-        assert_eq!(greeted(&c.id, &orders).len(), 6);
-        assert!(looks_again(&c.id, &orders, all.len(), 0.99));
+        assert_eq!(peers_to_greet(&c.id, &orders).len(), 6);
+        assert!(rereads_members(&c.id, &orders, all.len(), 0.99));
     }
 }
 
@@ -68,7 +71,7 @@
         let at = order.iter().position(|n| *n == me).expect("it is there");
         let greeted: Vec<Candidate> = order[..at].iter().map(|n| candidate(*n, strong)).collect();
         let heads = orders(&greeted).into_iter().take(2);
-        let heads = heads.flat_map(|order| order.into_iter().take(GREETED));
+        let heads = heads.flat_map(|order| order.into_iter().take(GREETED_PER_ORDER));
         let mut known: BTreeSet<usize> = heads.map(|id| number(&id)).collect();
         known.extend([me, seeds[at % seeds.len()]]);
         if seeds.contains(&me) {
@@ -131,7 +134,10 @@
         for me in 0..count {
             let orders = orders_of(&all[me], strong);
             let id = candidate(me, strong).id;
-            let peers: Vec<usize> = greeted(&id, &orders[..2]).into_iter().map(number).collect();
+            let peers: Vec<usize> = peers_to_greet(&id, &orders[..2])
+                .into_iter()
+                .map(number)
+                .collect();
             for peer in peers {
                 hear(&mut all, peer, me);
                 hear(&mut all, me, peer);
@@ -143,7 +149,7 @@
         for (me, view) in all.iter_mut().enumerate() {
             let orders = orders_of(view, strong);
             let id = candidate(me, strong).id;
-            if looks_again(&id, &orders, view.known.len(), rng.f64()) {
+            if rereads_members(&id, &orders, view.known.len(), rng.f64()) {
                 view.known.extend(0..count);
             }
         }
--- a/components/front/tests/peers.rs
+++ b/components/front/tests/peers.rs
@@ -18,9 +18,9 @@
     }
 }
 
-fn told(peers: &Peers, mark: u64) -> (Vec<String>, u64) {
-    let Members { members, mark } = peers.members_after(mark);
-    (members.iter().map(|m| m.id.to_string()).collect(), mark)
+fn told(peers: &Peers, revision: u64) -> (Vec<String>, u64) {
+    let Members { members, revision } = peers.members_since(revision);
+    (members.iter().map(|m| m.id.to_string()).collect(), revision)
 }
 
 /// Hundreds of instances ask one of them every second who else is there. Told everything each time,
@@ -28,13 +28,13 @@
 #[test]
 fn who_knows_the_members_is_told_of_new_ones_only() {
     let peers = Peers::new(member("i-0", 1), Client::new());
-    peers.heard(member("i-1", 1));
-    peers.heard(member("i-2", 1));
+    peers.mark_seen(member("i-1", 1));
+    peers.mark_seen(member("i-2", 1));
     let (all, mark) = told(&peers, 0);
     assert_eq!(all, ["i-1", "i-2", "i-0"]);
-    peers.heard(member("i-1", 1));
+    peers.mark_seen(member("i-1", 1));
     assert_eq!(told(&peers, mark), (vec![], mark));
-    peers.heard(member("i-3", 1));
+    peers.mark_seen(member("i-3", 1));
     let (new, later) = told(&peers, mark);
     assert_eq!(new, ["i-3"]);
     assert!(later > mark);
@@ -45,9 +45,9 @@
 #[test]
 fn a_later_life_of_a_member_is_told() {
     let peers = Peers::new(member("i-0", 1), Client::new());
-    peers.heard(member("i-1", 1));
+    peers.mark_seen(member("i-1", 1));
     let (_, mark) = told(&peers, 0);
-    peers.heard(member("i-1", 2));
+    peers.mark_seen(member("i-1", 2));
     assert_eq!(told(&peers, mark).0, ["i-1"]);
 }
 
@@ -56,7 +56,7 @@
 #[test]
 fn who_asks_with_a_mark_of_a_former_life_is_told_all() {
     let peers = Peers::new(member("i-0", 2), Client::new());
-    peers.heard(member("i-1", 1));
+    peers.mark_seen(member("i-1", 1));
     assert_eq!(told(&peers, 300).0, ["i-1", "i-0"]);
 }
 
@@ -66,9 +66,9 @@
 fn a_newcomer_is_told_of_those_that_lead_only() {
     let peers = Peers::new(member("i-0", 1), Client::new());
     for n in 1..200 {
-        peers.heard(member(&format!("i-{n}"), 1));
+        peers.mark_seen(member(&format!("i-{n}"), 1));
     }
-    let Members { members, .. } = peers.leading();
+    let Members { members, .. } = peers.leaders();
     assert!(members.len() <= 25, "{}", members.len());
     for topic in [Topic::Operator, Topic::Targets] {
         let first = &peers.readers(topic)[0];
--- a/components/front/tests/sources.rs
+++ b/components/front/tests/sources.rs
@@ -5,7 +5,7 @@
 use fastrand::Rng;
 use front::store::{
     fanout::{READERS, Ranking},
-    sources::{Failing, Source, Sources},
+    sources::{Source, SourceFailure, SourceSelector},
 };
 use proptest::prelude::*;
 use types::InstanceId;
@@ -20,7 +20,7 @@
 fn scattered(count: usize) -> Ranking {
     Ranking {
         all: instances(count),
-        near: Vec::new(),
+        same_data_centre: Vec::new(),
     }
 }
 
@@ -28,32 +28,32 @@
 fn dense(count: usize) -> Ranking {
     let all = instances(count);
     Ranking {
-        near: all.iter().step_by(5).cloned().collect(),
+        same_data_centre: all.iter().step_by(5).cloned().collect(),
         all,
     }
 }
 
-fn sources(seed: u64) -> Sources {
-    Sources::new(Rng::with_seed(seed))
+fn sources(seed: u64) -> SourceSelector {
+    SourceSelector::new(Rng::with_seed(seed))
 }
 
 /// Asks until a whole round has failed; tells the sources of that round. The store is silent; the
 /// peers fail as told.
 fn failing_round(
-    sources: &mut Sources,
+    sources: &mut SourceSelector,
     me: &InstanceId,
     ranking: &Ranking,
-    how: Failing,
+    how: SourceFailure,
 ) -> Vec<Source> {
     let mut asked = Vec::new();
     loop {
         let source = sources.next(NOW, me, ranking);
         asked.push(source.clone());
         let how = match source {
-            Source::Store => Failing::Silent,
+            Source::Store => SourceFailure::NoAnswer,
             Source::Peer(_) => how,
         };
-        if sources.failed(&source, how) {
+        if sources.record_failure(&source, how) {
             return asked;
         }
     }
@@ -85,7 +85,7 @@
     let me = &ranking.all[40];
     let mut sources = sources(1);
     let first = sources.next(NOW, me, &ranking);
-    assert!(!sources.failed(&first, Failing::Silent));
+    assert!(!sources.record_failure(&first, SourceFailure::NoAnswer));
     assert_eq!(sources.next(NOW, me, &ranking), Source::Store);
 }
 
@@ -93,11 +93,11 @@
 #[test]
 fn after_a_silent_relay_the_store_comes_next() {
     let ranking = dense(195);
-    let leaf = &ranking.near[20];
+    let leaf = &ranking.same_data_centre[20];
     let mut sources = sources(1);
     let relay = sources.next(NOW, leaf, &ranking);
-    assert!(ranking.near[..2].contains(&peer(&relay)));
-    assert!(!sources.failed(&relay, Failing::Silent));
+    assert!(ranking.same_data_centre[..2].contains(&peer(&relay)));
+    assert!(!sources.record_failure(&relay, SourceFailure::NoAnswer));
     assert_eq!(sources.next(NOW, leaf, &ranking), Source::Store);
 }
 
@@ -114,10 +114,10 @@
 fn relays_ask_the_store_where_both_readers_have_lost_it() {
     let mut ranking = dense(195);
     // Readers of other data centres.
-    ranking.near.remove(0);
-    for relay in &ranking.near[..2] {
+    ranking.same_data_centre.remove(0);
+    for relay in &ranking.same_data_centre[..2] {
         for seed in 0..20 {
-            let round = failing_round(&mut sources(seed), relay, &ranking, Failing::Stale);
+            let round = failing_round(&mut sources(seed), relay, &ranking, SourceFailure::Stale);
             assert!(round.contains(&Source::Store), "{round:?}");
         }
     }
@@ -132,7 +132,14 @@
     let asked: Vec<Vec<Source>> = ranking.all[READERS..]
         .iter()
         .enumerate()
-        .map(|(seed, me)| failing_round(&mut sources(seed as u64), me, &ranking, Failing::Stale))
+        .map(|(seed, me)| {
+            failing_round(
+                &mut sources(seed as u64),
+                me,
+                &ranking,
+                SourceFailure::Stale,
+            )
+        })
         .collect();
     let at_store = asked.iter().filter(|round| round.contains(&Source::Store));
     assert!((2..=20).contains(&at_store.count()));
@@ -146,7 +153,12 @@
 #[test]
 fn on_few_instances_each_may_ask_the_store() {
     let ranking = scattered(4);
-    let round = failing_round(&mut sources(3), &ranking.all[3], &ranking, Failing::Stale);
+    let round = failing_round(
+        &mut sources(3),
+        &ranking.all[3],
+        &ranking,
+        SourceFailure::Stale,
+    );
     assert!(round.contains(&Source::Store), "{round:?}");
 }
 
@@ -160,10 +172,10 @@
     let mut sources = sources(5);
     for _ in 0..READERS {
         let reader = sources.next(NOW, me, &ranking);
-        assert!(!sources.failed(&reader, Failing::Stale));
+        assert!(!sources.record_failure(&reader, SourceFailure::Stale));
     }
     let third = sources.next(NOW, me, &ranking);
-    sources.served();
+    sources.record_success();
     assert_eq!(
         sources.next(NOW + Duration::from_secs(1), me, &ranking),
         third
@@ -195,10 +207,10 @@
             let source = sources.next(NOW, me, &ranking);
             prop_assert_ne!(&source, &Source::Peer(Arc::clone(me)));
             at_store += usize::from(source == Source::Store);
-            let how = if stale[step % stale.len()] { Failing::Stale } else { Failing::Silent };
-            sources.failed(&source, how);
+            let how = if stale[step % stale.len()] { SourceFailure::Stale } else { SourceFailure::NoAnswer };
+            sources.record_failure(&source, how);
         }
-        prop_assert!(sources.rounds() >= 2_000 / 6, "{}", sources.rounds());
+        prop_assert!(sources.failed_rounds() >= 2_000 / 6, "{}", sources.failed_rounds());
         prop_assert!(at_store > 0);
     }
 }
--- a/components/front/tests/topic_cache.rs
+++ b/components/front/tests/topic_cache.rs
@@ -36,11 +36,11 @@
 #[test]
 fn what_a_whole_read_does_not_name_is_dropped() {
     let cache = TopicCache::new();
-    cache.take(
+    cache.apply(
         &whole(5, vec![row("a", Some("1"), 3), row("b", Some("2"), 5)]),
         SECOND,
     );
-    let changed = cache.take(&whole(9, vec![row("b", Some("2"), 5)]), 2 * SECOND);
+    let changed = cache.apply(&whole(9, vec![row("b", Some("2"), 5)]), 2 * SECOND);
     assert_eq!(changed, [row("a", None, 9)]);
     assert_eq!(cache.version(), Some(9));
 }
@@ -50,9 +50,9 @@
 #[test]
 fn a_whole_read_does_not_reach_further_back() {
     let cache = TopicCache::new();
-    cache.take(&whole(9, vec![row("a", Some("1"), 3)]), SECOND);
-    cache.take(&changes(9, 12, vec![row("b", Some("2"), 12)]), 2 * SECOND);
-    assert_eq!(cache.tells_from(), 9);
+    cache.apply(&whole(9, vec![row("a", Some("1"), 3)]), SECOND);
+    cache.apply(&changes(9, 12, vec![row("b", Some("2"), 12)]), 2 * SECOND);
+    assert_eq!(cache.history_start(), 9);
 }
 
 /// Changes come that begin further on than what is known, as after a lost answer. Taken, a row
@@ -60,38 +60,38 @@
 #[test]
 fn changes_after_a_gap_are_not_taken() {
     let cache = TopicCache::new();
-    cache.take(&whole(5, vec![row("a", Some("1"), 3)]), SECOND);
-    let changed = cache.take(&changes(7, 8, vec![row("b", Some("2"), 8)]), 2 * SECOND);
+    cache.apply(&whole(5, vec![row("a", Some("1"), 3)]), SECOND);
+    let changed = cache.apply(&changes(7, 8, vec![row("b", Some("2"), 8)]), 2 * SECOND);
     assert!(changed.is_empty());
     assert_eq!(cache.version(), Some(5));
     // Nor does it confirm what is known.
-    assert_eq!(cache.read(), Some(SECOND));
+    assert_eq!(cache.confirmed_at(), Some(SECOND));
 }
 
 /// A peer that lies behind answers after one that does not.
 #[test]
 fn older_news_changes_and_confirms_nothing() {
     let cache = TopicCache::new();
-    cache.take(&whole(9, vec![row("a", Some("new"), 9)]), SECOND);
-    let changed = cache.take(&whole(4, vec![row("a", Some("old"), 4)]), 5 * SECOND);
+    cache.apply(&whole(9, vec![row("a", Some("new"), 9)]), SECOND);
+    let changed = cache.apply(&whole(4, vec![row("a", Some("old"), 4)]), 5 * SECOND);
     assert!(changed.is_empty());
-    assert_eq!(cache.read(), Some(SECOND));
+    assert_eq!(cache.confirmed_at(), Some(SECOND));
 }
 
 #[test]
 fn news_is_what_the_asker_lacks() {
     let cache = TopicCache::new();
-    assert!(cache.news(None).is_none());
-    cache.take(&whole(5, vec![row("a", Some("1"), 3)]), SECOND);
-    cache.take(&changes(5, 6, vec![row("b", Some("2"), 6)]), 2 * SECOND);
-    let (news, read) = cache.news(Some(5)).expect("news");
+    assert!(cache.update_since(None).is_none());
+    cache.apply(&whole(5, vec![row("a", Some("1"), 3)]), SECOND);
+    cache.apply(&changes(5, 6, vec![row("b", Some("2"), 6)]), 2 * SECOND);
+    let (news, read) = cache.update_since(Some(5)).expect("news");
     assert_eq!(news, changes(5, 6, vec![row("b", Some("2"), 6)]));
     assert_eq!(read, 2 * SECOND);
-    let (news, _) = cache.news(None).expect("news");
+    let (news, _) = cache.update_since(None).expect("news");
     assert!(news.is_full);
     assert_eq!(news.rows.len(), 2);
     // One who knows more than this instance, from a store that was set back, is told everything.
-    let (news, _) = cache.news(Some(70)).expect("news");
+    let (news, _) = cache.update_since(Some(70)).expect("news");
     assert!(news.is_full);
 }
 
@@ -131,21 +131,21 @@
             match step {
                 0 => {
                     let all = rows.into_values().filter(|row| row.value.is_some()).collect();
-                    mine.take(&whole(version, all), read);
+                    mine.apply(&whole(version, all), read);
                 }
                 1 | 2 => {
                     let after = before.unwrap_or_default().min(version);
                     let new = rows.into_values().filter(|row| row.version > after).collect();
-                    mine.take(&changes(after, version, new), read);
+                    mine.apply(&changes(after, version, new), read);
                 }
                 _ => {
-                    if let Some((news, confirmed)) = other.news(mine.version()) {
-                        mine.take(&news, confirmed);
+                    if let Some((news, confirmed)) = other.update_since(mine.version()) {
+                        mine.apply(&news, confirmed);
                     }
                 }
             }
             prop_assert!(mine.version() >= before);
-            if let Some((news, _)) = mine.news(None) {
+            if let Some((news, _)) = mine.update_since(None) {
                 let at = usize::try_from(news.version).expect("a small number");
                 let known: BTreeMap<Arc<str>, Option<Arc<[u8]>>> =
                     news.rows.into_iter().map(|row| (row.key, row.value)).collect();
@@ -168,12 +168,12 @@
         let cache = Arc::new(TopicCache::new());
         let waiter = {
             let cache = Arc::clone(&cache);
-            smol::spawn(async move { cache.wait(Duration::from_secs(60)).await })
+            smol::spawn(async move { cache.wait_for_change(Duration::from_secs(60)).await })
         };
         // Until it waits, a wake-up would pass unheard.
         while !waiter.is_finished() {
-            cache.set_lost(true);
-            cache.set_lost(false);
+            cache.set_source_lost(true);
+            cache.set_source_lost(false);
             smol::Timer::after(Duration::from_millis(5)).await;
         }
     });
