--- a/components/front/src/adapters.rs
+++ b/components/front/src/adapters.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     instances::wire::{Member, Row, Topic, TopicUpdate},
-    quarantine::kept::Kept,
+    quarantine::record::QuarantineRecord,
 };
 
 /// Sizes that a caller declares for a generation.
@@ -231,7 +231,7 @@
     /// An instance.
     Member(Member),
     /// A request that is rejected.
-    Quarantined(Kept),
+    Quarantined(QuarantineRecord),
     /// Something that can't be read; it names nothing.
     Unreadable {
         /// Its key.
@@ -292,8 +292,8 @@
     async fn announce(&self, member: &Member) -> Result<(), StoreError>;
 
     /// Keeps a rejection of a request, among the instances.
-    async fn put_quarantine_record(&self, kept: &Kept) -> Result<(), StoreError>;
+    async fn put_quarantine_record(&self, kept: &QuarantineRecord) -> Result<(), StoreError>;
 
     /// Drops a rejection.
-    async fn delete_quarantine_record(&self, kept: &Kept) -> Result<(), StoreError>;
+    async fn delete_quarantine_record(&self, kept: &QuarantineRecord) -> Result<(), StoreError>;
 }
--- a/components/front/src/callers/call.rs
+++ b/components/front/src/callers/call.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub struct Call {
     /// What it asks.
-    pub asked: CallerRequest,
+    pub request: CallerRequest,
     /// What stays the same when its caller sends it again.
     pub fingerprint: Fingerprint,
     /// Its head as it came.
@@ -30,7 +30,7 @@
     /// Its body.
     pub body: Bytes,
     /// Memory that the body takes up. Clones share it.
-    pub share: Arc<Share>,
+    pub memory: Arc<Share>,
     /// Its route.
     pub route: Arc<Route>,
     /// The service that the route chose for it.
@@ -38,47 +38,47 @@
     /// The caller's workspace, if the configuration has workspaces.
     pub workspace: Option<WorkspaceId>,
     /// Its rank, the lowest first.
-    pub rank: u32,
+    pub priority: u32,
     /// When it had arrived.
     pub arrived: Moment,
     /// Until when the caller waits.
-    pub deadline: Moment,
+    pub caller_deadline: Moment,
     /// Until when it must be answered.
-    pub due: Moment,
+    pub answer_deadline: Moment,
     /// The version of the configuration that it is served by.
-    pub rules: u64,
+    pub config_version: u64,
     /// Whether a sending of it has begun, so that it may have run. Clones share it.
     pub sent: Arc<AtomicBool>,
 }
 
 impl Call {
     /// Notes that a sending of it begins.
-    pub fn begin_sending(&self) {
+    pub fn mark_sent(&self) {
         self.sent.store(true, Ordering::Release);
     }
 
     /// How long it has been held.
     #[must_use]
-    pub fn held(&self) -> Duration {
+    pub fn elapsed(&self) -> Duration {
         boot_time().saturating_sub(self.arrived)
     }
 
     /// Time that the caller still waits.
     #[must_use]
-    pub fn left(&self) -> Duration {
-        self.deadline.saturating_sub(boot_time())
+    pub fn caller_time_left(&self) -> Duration {
+        self.caller_deadline.saturating_sub(boot_time())
     }
 
     /// Time until it must be answered.
     #[must_use]
-    pub fn until_due(&self) -> Duration {
-        self.due.saturating_sub(boot_time())
+    pub fn time_left(&self) -> Duration {
+        self.answer_deadline.saturating_sub(boot_time())
     }
 
     /// Time until the answer should be there, counted from this request's arrival.
     #[must_use]
-    pub fn aim_left(&self) -> Duration {
-        self.route.aim.saturating_sub(self.held())
+    pub fn objective_left(&self) -> Duration {
+        self.route.aim.saturating_sub(self.elapsed())
     }
 
     /// Its kind, as metrics name it.
--- a/components/front/src/callers/drain.rs
+++ b/components/front/src/callers/drain.rs
@@ -13,7 +13,7 @@
 use timer::boot_time;
 use types::Moment;
 
-use crate::{callers::refuse::millis, state::Front};
+use crate::{callers::refusal::millis, state::Front};
 
 /// After an order to stop new connections are still taken for this long: the balancer needs two
 /// questions, a second apart, to leave this instance out.
@@ -34,7 +34,7 @@
 
 /// When the steps of a stop are due, counted from its beginning.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Schedule {
+pub struct DrainSchedule {
     /// New connections are taken until then.
     pub linger: Duration,
     /// Requests are served to their ends until then; what is left is given up.
@@ -43,7 +43,7 @@
     pub answer: Duration,
 }
 
-impl Schedule {
+impl DrainSchedule {
     /// The schedule for a grace, after which the process is killed.
     #[must_use]
     pub fn new(grace: Duration) -> Self {
@@ -57,7 +57,7 @@
 }
 
 /// The server of callers.
-pub struct Callers {
+pub struct CallerServer {
     /// Its switch to take no further connections.
     pub stop: Arc<AtomicBool>,
     /// Connections that are open.
@@ -70,21 +70,21 @@
 ///
 /// It is over once the last connection of a caller has ended: a look at the requests that are open
 /// says nothing about the next moment, in which one more may be read.
-pub async fn drain(front: &Front, callers: &mut Callers) {
+pub async fn drain(front: &Front, callers: &mut CallerServer) {
     let began = boot_time();
-    let due = Schedule::new(front.bounds.read().grace);
+    let due = DrainSchedule::new(front.bounds.read().grace);
     emit(&Event::Draining {
-        open: front.open.count(),
+        open: front.open_requests.count(),
     });
-    front.ending.set(began + due.serve);
+    front.shutdown.begin(began + due.serve);
     until(began + due.linger).await;
     callers.stop.store(true, Ordering::Release);
     emit(&Event::DrainClosing {
         connections: callers.open.load(Ordering::Acquire),
-        open: front.open.count() + front.live.count(),
+        open: front.open_requests.count() + front.generations.count(),
     });
     if !ended(&mut callers.task, began + due.serve).await {
-        front.ending.give_up();
+        front.shutdown.abort();
         ended(&mut callers.task, began + due.answer).await;
     }
     Timer::after(LAST_NOTES).await;
@@ -118,8 +118,8 @@
 }
 
 /// Logs what the process leaves behind: connections of callers, and requests without an answer.
-pub fn tell_end(front: &Front, callers: &Callers) {
-    let unanswered = front.open.list();
+pub fn log_stopped(front: &Front, callers: &CallerServer) {
+    let unanswered = front.open_requests.list();
     for (id, held) in &unanswered {
         emit(&Event::RequestUnanswered {
             id: Arc::clone(id),
@@ -134,6 +134,6 @@
     emit(&Event::StoppedShort {
         connections,
         unanswered: unanswered.len(),
-        cut: front.live.count(),
+        cut: front.generations.count(),
     });
 }
--- a/components/front/src/callers/handler.rs
+++ b/components/front/src/callers/handler.rs
@@ -22,11 +22,10 @@
     adapters::CallerRequest,
     callers::{
         call::Call,
-        refuse::{ELSEWHERE_RETRY, Refusal},
-        retry_after::come_back_after,
+        refusal::{ELSEWHERE_RETRY, Refusal},
+        retry_after::retry_after,
     },
-    generations::generation,
-    plain_calls::plain,
+    generations, plain_calls,
     state::{Front, elapsed_since},
 };
 
@@ -47,15 +46,15 @@
 /// A body that was read, and the memory that it takes up.
 struct HeldBody {
     bytes: bytes::Bytes,
-    share: Arc<Share>,
+    memory: Arc<Share>,
 }
 
 /// Takes callers' requests in.
-pub struct Callers {
+pub struct RequestHandler {
     front: Arc<Front>,
 }
 
-impl Callers {
+impl RequestHandler {
     /// Makes it for an instance.
     #[must_use]
     pub const fn new(front: Arc<Front>) -> Self {
@@ -64,41 +63,44 @@
 }
 
 #[async_trait]
-impl Handler for Callers {
+impl Handler for RequestHandler {
     async fn handle(&self, _peer: SocketAddr, req: Request<Incoming>) -> Response<Body> {
         let arrived = boot_time();
-        let open = self.front.open.enter(arrived);
+        let open = self.front.open_requests.enter(arrived);
         let (head, body) = req.into_parts();
         // Read to its end before any answer: a connection that is closed with unread bytes is
         // reset, and the answer may be lost with it.
         let body = self.read_body(body).await;
-        let asked = match self.front.adapter.parse_request(&head) {
-            Ok(asked) => asked,
+        let request = match self.front.adapter.parse_request(&head) {
+            Ok(request) => request,
             Err(e) => {
                 let refusal = Refusal::new(StatusCode::BAD_REQUEST, e.to_string());
                 open.answered();
                 return self.front.refuse(None, elapsed_since(arrived), &refusal);
             }
         };
-        open.named(&asked.id);
+        open.named(&request.id);
         self.front.wait_for_state_at_start().await;
-        let admitted = body.and_then(|body| self.admit(asked.clone(), head, body, arrived));
+        let admitted = body.and_then(|body| self.admit(request.clone(), head, body, arrived));
         let resp = match admitted {
             Ok(call) => self.serve(call).await,
             Err(refusal) => self
                 .front
-                .refuse(Some(&asked.id), elapsed_since(arrived), &refusal),
+                .refuse(Some(&request.id), elapsed_since(arrived), &refusal),
         };
         open.answered();
         resp
     }
 }
 
-impl Callers {
+impl RequestHandler {
     async fn serve(&self, call: Call) -> Response<Body> {
         let front = Arc::clone(&self.front);
         let service = Arc::clone(&call.service.name);
-        front.budget.lock().count(boot_time(), &service);
+        front
+            .retry_budget
+            .lock()
+            .record_request(boot_time(), &service);
         if front.rejects(&call.fingerprint) {
             front.metrics.quarantined.inc();
             return front.refuse_call(&call, &Refusal::quarantined());
@@ -106,8 +108,10 @@
         let outlived = self.outlived(&call);
         let served = async {
             match call.route.kind {
-                Kind::Generation => generation::serve(front, call).await,
-                Kind::Idempotent | Kind::NonIdempotent => plain::serve(&front, &call).await,
+                Kind::Generation => generations::dispatch::serve(front, call).await,
+                Kind::Idempotent | Kind::NonIdempotent => {
+                    plain_calls::dispatch::serve(&front, &call).await
+                }
             }
         };
         future::or(outlived, served).await
@@ -117,10 +121,10 @@
     /// Without an answer the caller could not tell whether it has run.
     fn outlived(&self, call: &Call) -> impl Future<Output = Response<Body>> + use<> {
         let front = Arc::clone(&self.front);
-        let (id, kind, arrived) = (Arc::clone(&call.asked.id), call.kind(), call.arrived);
+        let (id, kind, arrived) = (Arc::clone(&call.request.id), call.kind(), call.arrived);
         let sent = Arc::clone(&call.sent);
         async move {
-            front.ending.over().await;
+            front.shutdown.aborted().await;
             let refusal = if sent.load(Ordering::Acquire) {
                 Refusal::late(STOPS)
             } else {
@@ -137,7 +141,7 @@
         let mut share = self.front.body_budget.share();
         let read = async { Some(read_shared(body, limit, pause, &mut share).await) };
         let outlived = async {
-            self.front.ending.over().await;
+            self.front.shutdown.aborted().await;
             None
         };
         let Some(read) = future::or(outlived, read).await else {
@@ -157,62 +161,62 @@
         });
         Ok(HeldBody {
             bytes: read?,
-            share: Arc::new(share),
+            memory: Arc::new(share),
         })
     }
 
     fn admit(
         &self,
-        asked: CallerRequest,
+        request: CallerRequest,
         head: http::request::Parts,
         body: HeldBody,
         arrived: Moment,
     ) -> Result<Call, Refusal> {
         let front = &self.front;
         let rules = front.view.rules();
-        let ignorant = |reason: &str| {
-            let after = come_back_after(front.state_age(), asked.time_left, fastrand::f64());
+        let not_ready = |reason: &str| {
+            let after = retry_after(front.state_age(), request.time_left, fastrand::f64());
             Refusal::not_run(reason, after)
         };
-        let rules = rules.ok_or_else(|| ignorant("no configuration is known yet"))?;
+        let rules = rules.ok_or_else(|| not_ready("no configuration is known yet"))?;
         let read = front.view.rules_read().unwrap_or_default();
         let deny = |status: StatusCode, reason: &str| {
             // A wrong denial is final for its caller; one that may lack the newest version says so.
             if elapsed_since(read) > DENY_AGE {
-                return ignorant("the configuration that is known may lack this");
+                return not_ready("the configuration that is known may lack this");
             }
             Refusal::new(status, reason)
         };
-        let Some(route) = rules.route(&asked.host, &asked.path) else {
+        let Some(route) = rules.route(&request.host, &request.path) else {
             return Err(deny(StatusCode::NOT_FOUND, "no route takes this path"));
         };
         let identity = rules
-            .identify(route, asked.key.as_deref())
+            .identify(route, request.key.as_deref())
             .map_err(|_| deny(StatusCode::UNAUTHORIZED, "no workspace has this key"))?;
         if identity != Identity::Anonymous && !front.can_honour_keys() {
-            return Err(ignorant("knowledge of keys is too old"));
+            return Err(not_ready("knowledge of keys is too old"));
         }
         let service = route
             .pick(fastrand::f64())
             .and_then(|name| rules.service(name))
-            .ok_or_else(|| ignorant("the route's service is not configured"))?;
-        let left = asked.time_left.unwrap_or(route.timeout);
-        let rank = rank(&identity, route.rank);
+            .ok_or_else(|| not_ready("the route's service is not configured"))?;
+        let left = request.time_left.unwrap_or(route.timeout);
+        let priority = priority(&identity, route.rank);
         let workspace = workspace(identity);
         Ok(Call {
-            rank,
-            fingerprint: fingerprint(&head, &asked.host, workspace.as_deref(), &body.bytes),
+            priority,
+            fingerprint: fingerprint(&head, &request.host, workspace.as_deref(), &body.bytes),
             workspace,
-            deadline: arrived + left,
-            due: arrived + left.min(timeout(route.timeout)),
+            caller_deadline: arrived + left,
+            answer_deadline: arrived + left.min(timeout(route.timeout)),
             route: Arc::clone(route),
             service: Arc::clone(service),
-            asked,
+            request,
             head,
             body: body.bytes,
-            share: body.share,
+            memory: body.memory,
             arrived,
-            rules: rules.version,
+            config_version: rules.version,
             sent: Arc::new(AtomicBool::new(false)),
         })
     }
@@ -236,7 +240,7 @@
     ])
 }
 
-fn rank(identity: &Identity, route: u32) -> u32 {
+fn priority(identity: &Identity, route: u32) -> u32 {
     match identity {
         Identity::Holder(holder) => holder.rank.unwrap_or(route),
         Identity::Anonymous => route,
--- a/components/front/src/callers/mod.rs
+++ b/components/front/src/callers/mod.rs
@@ -3,7 +3,7 @@
 pub mod call;
 pub mod drain;
 pub mod handler;
-pub mod open;
-pub mod refuse;
+pub mod open_requests;
+pub mod refusal;
 pub mod retry_after;
 pub mod shutdown;
--- a/components/front/src/callers/open.rs
+++ b/components/front/src/callers/open_requests.rs
@@ -13,7 +13,7 @@
 use timer::boot_time;
 use types::Moment;
 
-use crate::callers::refuse::millis;
+use crate::callers::refusal::millis;
 
 /// Requests that were read and have no answer yet.
 #[derive(Debug, Default)]
--- a/components/front/src/callers/refuse.rs
+++ b/components/front/src/callers/refusal.rs
@@ -124,7 +124,7 @@
 
     /// Refuses a call.
     pub fn refuse_call(&self, call: &Call, refusal: &Refusal) -> Response<Body> {
-        self.refuse_kind(call.kind(), &call.asked.id, call.held(), refusal)
+        self.refuse_kind(call.kind(), &call.request.id, call.elapsed(), refusal)
     }
 
     /// Refuses a request of a kind.
--- a/components/front/src/callers/retry_after.rs
+++ b/components/front/src/callers/retry_after.rs
@@ -23,7 +23,7 @@
 /// When a caller may come back that still waits for `left`, if nothing was known for `lost`.
 /// `luck` from 0 up to 1 spreads callers.
 #[must_use]
-pub fn come_back_after(lost: Duration, left: Option<Duration>, luck: f64) -> Duration {
+pub fn retry_after(lost: Duration, left: Option<Duration>, luck: f64) -> Duration {
     let about = lost.mul_f64(LONGER_PART).clamp(LEAST, MOST);
     let spread = about.mul_f64(1.0 + SPREAD * (luck - 0.5));
     let latest = left.map_or(MOST, |left| left.mul_f64(LATEST_PART));
--- a/components/front/src/callers/shutdown.rs
+++ b/components/front/src/callers/shutdown.rs
@@ -10,33 +10,33 @@
 
 /// The end of an instance's life.
 #[derive(Debug, Default)]
-pub struct Ending {
+pub struct Shutdown {
     /// Until when it serves what it has taken, once it was told to stop.
-    at: Mutex<Option<Moment>>,
+    deadline: Mutex<Option<Moment>>,
     /// Open once what is still at work is given up.
-    over: Latch,
+    abort: Latch,
 }
 
-impl Ending {
+impl Shutdown {
     /// It was told to stop, and serves what it has taken until then.
-    pub fn set(&self, at: Moment) {
-        *self.at.lock() = Some(at);
+    pub fn begin(&self, at: Moment) {
+        *self.deadline.lock() = Some(at);
     }
 
     /// Time left to serve what it has taken, once it was told to stop.
     #[must_use]
-    pub fn left(&self) -> Option<Duration> {
-        let at = *self.at.lock();
+    pub fn time_left(&self) -> Option<Duration> {
+        let at = *self.deadline.lock();
         at.map(|at| at.saturating_sub(boot_time()))
     }
 
     /// Gives up what is still at work: requests get an answer of our own, streams are cut.
-    pub fn give_up(&self) {
-        self.over.open();
+    pub fn abort(&self) {
+        self.abort.open();
     }
 
     /// Waits until what is still at work is given up.
-    pub async fn over(&self) {
-        self.over.wait().await;
+    pub async fn aborted(&self) {
+        self.abort.wait().await;
     }
 }
--- a/components/front/src/dump.rs
+++ b/components/front/src/dump.rs
@@ -7,7 +7,7 @@
 use types::{ConfigVersion, DataCentreId, InstanceId, TargetId};
 
 use crate::{
-    callers::refuse::millis,
+    callers::refusal::millis,
     state::{Front, elapsed_since},
 };
 
@@ -49,12 +49,12 @@
     #[must_use]
     pub fn dump(&self) -> Dump {
         let now = timer::boot_time();
-        let choice = self.choice.lock();
+        let choice = self.selector.lock();
         let state = |target: &std::sync::Arc<view::Target>| TargetState {
             id: target.id.clone(),
             data_centre: target.data_centre.clone(),
             takes_work: self.view.takes_work(target),
-            aside: choice.is_aside(now, &target.id),
+            aside: choice.is_ejected(now, &target.id),
         };
         Dump {
             instance: self.cfg.instance.clone(),
@@ -70,8 +70,13 @@
                 .map(|read| millis(elapsed_since(read))),
             targets: self.view.targets().values().map(state).collect(),
             members: self.peers.ids(),
-            open: self.open.list().into_iter().map(OpenState::from).collect(),
-            generations: self.live.running(),
+            open: self
+                .open_requests
+                .list()
+                .into_iter()
+                .map(OpenState::from)
+                .collect(),
+            generations: self.generations.snapshots(),
             account: self.placement.owner.lock().loads(now),
         }
     }
--- a/components/front/src/generations/live.rs
+++ b/components/front/src/generations/active.rs
@@ -18,13 +18,13 @@
 
 /// An order to the task that relays a generation.
 #[derive(Debug)]
-pub enum Order {
+pub enum RelayCommand {
     /// Its engine is about to stop it for a move; the stream's end is no failure.
-    Expect,
+    MigrationStarted,
     /// The move came to nothing; the generation stays where it is.
-    Forget,
+    MigrationCancelled,
     /// How the move ended is unknown; its engine may have stopped the generation.
-    Doubt,
+    MigrationUncertain,
     /// Go on there.
     Resume {
         /// The engine.
@@ -38,7 +38,7 @@
 
 /// One generation.
 #[derive(Debug)]
-pub struct Live {
+pub struct GenerationHandle {
     /// Its id.
     pub run: RunId,
     /// Its service.
@@ -59,13 +59,13 @@
     started: AtomicBool,
     events: AtomicU64,
     /// Set while it is being carried over.
-    carrying: AtomicBool,
+    migrating: AtomicBool,
     /// A copy that it could go on from if its engine failed.
     copy: Mutex<Option<(Arc<Target>, Resume)>>,
-    orders: (Sender<Order>, Receiver<Order>),
+    commands: (Sender<RelayCommand>, Receiver<RelayCommand>),
 }
 
-impl Live {
+impl GenerationHandle {
     /// A generation on an engine.
     #[must_use]
     pub fn new(run: RunId, service: ServiceId, target: Arc<Target>) -> Self {
@@ -81,9 +81,9 @@
             target: Mutex::new(target),
             started: AtomicBool::new(false),
             events: AtomicU64::new(0),
-            carrying: AtomicBool::new(false),
+            migrating: AtomicBool::new(false),
             copy: Mutex::new(None),
-            orders: unbounded(),
+            commands: unbounded(),
         }
     }
 
@@ -107,13 +107,13 @@
 
     /// Tokens made so far.
     #[must_use]
-    pub fn made(&self) -> Tokens {
-        self.events() * self.per_event
+    pub fn tokens_generated(&self) -> Tokens {
+        self.events_received() * self.per_event
     }
 
     /// Events that have come so far, from all engines that it ran on.
     #[must_use]
-    pub fn events(&self) -> u64 {
+    pub fn events_received(&self) -> u64 {
         self.events.load(Ordering::Relaxed)
     }
 
@@ -124,13 +124,13 @@
     }
 
     /// Notes that it runs elsewhere now.
-    pub fn moved(&self, target: Arc<Target>) {
+    pub fn set_target(&self, target: Arc<Target>) {
         *self.target.lock() = target;
         *self.copy.lock() = None;
     }
 
     /// Notes an event; tells whether it was the first.
-    pub fn event(&self) -> bool {
+    pub fn record_event(&self) -> bool {
         self.events.fetch_add(1, Ordering::Relaxed);
         !self.started.swap(true, Ordering::AcqRel)
     }
@@ -143,23 +143,23 @@
 
     /// Takes the right to carry it over; false if somebody is at it.
     #[must_use]
-    pub fn begin_carry(&self) -> bool {
-        !self.carrying.swap(true, Ordering::AcqRel)
+    pub fn begin_migration(&self) -> bool {
+        !self.migrating.swap(true, Ordering::AcqRel)
     }
 
     /// Whether somebody carries it over.
     #[must_use]
-    pub fn is_carried(&self) -> bool {
-        self.carrying.load(Ordering::Acquire)
+    pub fn is_migrating(&self) -> bool {
+        self.migrating.load(Ordering::Acquire)
     }
 
     /// Gives the right back.
-    pub fn end_carry(&self) {
-        self.carrying.store(false, Ordering::Release);
+    pub fn end_migration(&self) {
+        self.migrating.store(false, Ordering::Release);
     }
 
     /// Remembers a copy that it could go on from.
-    pub fn copied(&self, target: Arc<Target>, resume: Resume) {
+    pub fn store_copy(&self, target: Arc<Target>, resume: Resume) {
         *self.copy.lock() = Some((target, resume));
     }
 
@@ -171,29 +171,29 @@
 
     /// Sends an order to the task that relays it. Fails where that task has ended.
     #[must_use]
-    pub fn order(&self, order: Order) -> bool {
-        self.orders.0.try_send(order).is_ok()
+    pub fn send_command(&self, command: RelayCommand) -> bool {
+        self.commands.0.try_send(command).is_ok()
     }
 
     /// The next order.
-    pub async fn next_order(&self) -> Option<Order> {
-        self.orders.1.recv().await.ok()
+    pub async fn next_command(&self) -> Option<RelayCommand> {
+        self.commands.1.recv().await.ok()
     }
 
-    /// Takes no further orders.
+    /// Takes no further commands.
     pub fn close(&self) {
-        self.orders.0.close();
+        self.commands.0.close();
     }
 
     /// What an owner is told of it.
     #[must_use]
-    pub fn running(&self) -> Running {
+    pub fn snapshot(&self) -> Running {
         Running {
             run: Arc::clone(&self.run),
             service: Arc::clone(&self.service),
             target: Arc::clone(&self.target.lock().id),
             prompt: self.prompt,
-            made: self.made(),
+            made: self.tokens_generated(),
             route: Arc::clone(&self.route),
             longest: self.longest,
             hint: self.hint,
@@ -205,15 +205,15 @@
 
 /// All generations of this instance.
 #[derive(Debug, Default)]
-pub struct LiveRuns {
-    all: Mutex<HashMap<RunId, Arc<Live>>>,
+pub struct ActiveGenerations {
+    all: Mutex<HashMap<RunId, Arc<GenerationHandle>>>,
 }
 
-impl LiveRuns {
+impl ActiveGenerations {
     /// Adds one.
-    pub fn add(&self, live: &Arc<Live>) {
-        let run = Arc::clone(&live.run);
-        self.all.lock().insert(run, Arc::clone(live));
+    pub fn add(&self, generation: &Arc<GenerationHandle>) {
+        let run = Arc::clone(&generation.run);
+        self.all.lock().insert(run, Arc::clone(generation));
     }
 
     /// Removes one.
@@ -223,17 +223,17 @@
 
     /// Finds one.
     #[must_use]
-    pub fn get(&self, run: &str) -> Option<Arc<Live>> {
+    pub fn get(&self, run: &str) -> Option<Arc<GenerationHandle>> {
         self.all.lock().get(run).cloned()
     }
 
     /// What owners are told of them.
     #[must_use]
-    pub fn running(&self) -> Vec<Running> {
+    pub fn snapshots(&self) -> Vec<Running> {
         self.all
             .lock()
             .values()
-            .map(|live| live.running())
+            .map(|generation| generation.snapshot())
             .collect()
     }
 
--- a/components/front/src/generations/generation.rs
+++ b/components/front/src/generations/dispatch.rs
@@ -17,14 +17,14 @@
     adapters::GenerationSizes,
     callers::{
         call::Call,
-        refuse::{ELSEWHERE_RETRY, Refusal, millis},
+        refusal::{ELSEWHERE_RETRY, Refusal, millis},
     },
     generations::{
-        live::Live,
+        active::GenerationHandle,
+        idle::{Diagnosis, IdleMonitor, diagnose},
         relay::Relay,
-        silence::{Silence, Verdict, look_into},
     },
-    quarantine::{ends, keeping},
+    quarantine::{aggregation, crash_detection},
     send::{SendOutcome, buffer_response, send},
     state::Front,
     target_rates,
@@ -48,10 +48,10 @@
 
 /// A generation's place on an engine, as its owner counts it. The owner is told when it is given
 /// up, however that comes about: a place that nobody holds would stay taken.
-pub struct Place {
+pub struct Assignment {
     front: Arc<Front>,
     /// The generation.
-    pub live: Arc<Live>,
+    pub live: Arc<GenerationHandle>,
     /// Its engine refused or failed it.
     pub doubt: bool,
     /// It came to its end, so that its length says something.
@@ -60,10 +60,10 @@
     told: bool,
 }
 
-impl Place {
-    fn new(front: &Arc<Front>, live: Live) -> Self {
+impl Assignment {
+    fn new(front: &Arc<Front>, live: GenerationHandle) -> Self {
         let live = Arc::new(live);
-        front.live.add(&live);
+        front.generations.add(&live);
         Self {
             front: Arc::clone(front),
             live,
@@ -84,20 +84,20 @@
     fn tell(&mut self) -> Receiver<()> {
         self.told = true;
         self.live.close();
-        self.front.live.remove(&self.live.run);
+        self.front.generations.remove(&self.live.run);
         let note = Note::Ended {
             run: Arc::clone(&self.live.run),
             doubt: self.doubt,
-            made: self.whole.then(|| self.live.made()),
+            made: self.whole.then(|| self.live.tokens_generated()),
         };
         let shard = self
             .front
             .shard_of(&self.live.service, &self.live.target().id);
-        Front::note(&self.front, &shard, note)
+        Front::notify_owner(&self.front, &shard, note)
     }
 }
 
-impl Drop for Place {
+impl Drop for Assignment {
     fn drop(&mut self) {
         if !self.told {
             self.tell();
@@ -132,7 +132,7 @@
         listed.filter(|target| front.view.takes_work(target))
     };
     loop {
-        if call.until_due().is_zero() {
+        if call.time_left().is_zero() {
             return Err(Refusal::not_run(
                 "no engine came free in time",
                 NO_TARGET_RETRY,
@@ -153,14 +153,14 @@
                 None => {
                     // One of the two has not heard yet that the engine is there, or leaves.
                     unusable.push(id);
-                    let run = Arc::clone(&call.asked.id);
+                    let run = Arc::clone(&call.request.id);
                     let note = Note::Ended {
                         run,
                         doubt: false,
                         made: None,
                     };
                     // Told before it is asked again, or it would take this for the end of its next grant.
-                    let _ = Front::note(front, &shard, note).recv().await;
+                    let _ = Front::notify_owner(front, &shard, note).recv().await;
                     UNHEARD_PAUSE
                 }
             },
@@ -174,7 +174,7 @@
                 return Err(Refusal::not_run("no engine can begin it in time", after));
             }
         };
-        smol::Timer::after(after.min(call.until_due())).await;
+        smol::Timer::after(after.min(call.time_left())).await;
     }
 }
 
@@ -194,9 +194,9 @@
 
 /// What a generation asks an owner for.
 pub(crate) fn ask(front: &Front, call: &Call, shard: Shard, avoid: &[TargetId]) -> Ask {
-    let sizes = call.asked.sizes.unwrap_or(UNKNOWN_SIZES);
+    let sizes = call.request.sizes.unwrap_or(UNKNOWN_SIZES);
     Ask {
-        run: Arc::clone(&call.asked.id),
+        run: Arc::clone(&call.request.id),
         digest: call.fingerprint.short(),
         entry: Arc::clone(&front.cfg.instance),
         data_centre: Arc::clone(&front.cfg.data_centre),
@@ -205,10 +205,10 @@
         prompt: sizes.prompt_tokens,
         longest: sizes.max_tokens,
         hint: sizes.length_hint,
-        rank: call.rank,
-        aim_left: call.aim_left(),
-        left: call.until_due(),
-        waited: call.held(),
+        rank: call.priority,
+        aim_left: call.objective_left(),
+        left: call.time_left(),
+        waited: call.elapsed(),
         avoid: avoid.to_vec(),
     }
 }
@@ -225,7 +225,7 @@
     target: Arc<Target>,
     avoid: &mut Vec<TargetId>,
 ) -> Attempt {
-    let mut place = Place::new(front, live(call, &target));
+    let mut place = Assignment::new(front, live(call, &target));
     if let Reservation::Rejected { after } = wait_for_rate(front, call, &target.id).await {
         // Nothing was sent, so that no budget of repeats is drawn on.
         avoid.push(Arc::clone(&target.id));
@@ -241,24 +241,24 @@
         return again_or("every engine is cold", place, call, avoid).await;
     }
     emit(&Event::RequestSent {
-        id: Arc::clone(&call.asked.id),
+        id: Arc::clone(&call.request.id),
         target: Arc::clone(&target.id),
         fingerprint: call.fingerprint.to_string().into(),
         sending,
-        held_ms: millis(call.held()),
-        left_ms: millis(call.left()),
+        held_ms: millis(call.elapsed()),
+        left_ms: millis(call.caller_time_left()),
     });
-    front.metrics.observe_held(call.held());
-    let sending = send(front, call, &target, None, call.until_due());
+    front.metrics.observe_held(call.elapsed());
+    let sending = send(front, call, &target, None, call.time_left());
     match future::or(sending, until_gone(front, call, &place.live)).await {
         SendOutcome::Response { head, body, .. } if head.status.is_success() => {
             Attempt::Answer(stream(front, call, place, &head, body))
         }
         SendOutcome::Response { head, body, .. } => {
-            match buffer_response(front, &head, body, call.until_due()).await {
+            match buffer_response(front, &head, body, call.time_left()).await {
                 Ok(resp) => {
                     front.metrics.count_request(call.kind(), "failed");
-                    keeping::served(front, &call.fingerprint);
+                    aggregation::served(front, &call.fingerprint);
                     Attempt::Answer(resp)
                 }
                 Err(reason) => Attempt::GiveUp(Refusal::unknown(reason)),
@@ -287,7 +287,7 @@
 
 /// Waits for a slot of the rate that an engine in need has named.
 async fn wait_for_rate(front: &Arc<Front>, call: &Call, target: &TargetId) -> Reservation {
-    let patience = call.aim_left().mul_f64(SLOT_PART);
+    let patience = call.objective_left().mul_f64(SLOT_PART);
     let reservation = target_rates::reserve(front, target, patience).await;
     if let Reservation::Granted { after } = reservation {
         smol::Timer::after(after).await;
@@ -297,16 +297,16 @@
 
 /// Waits until an engine that owes the first event is known to be gone. Its caller would wait for
 /// seconds otherwise, and learn no more.
-async fn until_gone(front: &Arc<Front>, call: &Call, live: &Live) -> SendOutcome {
+async fn until_gone(front: &Arc<Front>, call: &Call, live: &GenerationHandle) -> SendOutcome {
     if !front.cfg.decisions.features.idle_detection {
         return future::pending().await;
     }
-    let mut silence = Silence::new(boot_time() + call.aim_left());
+    let mut silence = IdleMonitor::new(boot_time() + call.objective_left());
     loop {
         smol::Timer::after(silence.ask_at().saturating_sub(boot_time())).await;
-        if look_into(front, live, &mut silence).await == Verdict::Gone {
+        if diagnose(front, live, &mut silence).await == Diagnosis::EngineGone {
             let sent = call.arrived;
-            ends::ended_under(front, call, &live.target(), sent, live.events());
+            crash_detection::ended_under(front, call, &live.target(), sent, live.events_received());
             return SendOutcome::Unknown {
                 reason: "its engine is silent and not listed any more".into(),
                 timed_out: false,
@@ -316,13 +316,16 @@
 }
 
 /// Tries again where that is allowed; it has not run yet.
-async fn again_or(reason: &str, place: Place, call: &Call, avoid: &[TargetId]) -> Attempt {
+async fn again_or(reason: &str, place: Assignment, call: &Call, avoid: &[TargetId]) -> Attempt {
     let front = Arc::clone(&place.front);
     let service = &call.service.name;
     let instances = front.instance_count();
     let granted = front.cfg.decisions.features.retries
         && avoid.len() < NOT_RUN_MOST
-        && front.budget.lock().take(boot_time(), service, instances);
+        && front
+            .retry_budget
+            .lock()
+            .try_take(boot_time(), service, instances);
     if !granted {
         return Attempt::GiveUp(Refusal::not_run(reason, NO_TARGET_RETRY));
     }
@@ -331,24 +334,24 @@
     Attempt::Again
 }
 
-fn live(call: &Call, target: &Arc<Target>) -> Live {
-    let sizes = call.asked.sizes.unwrap_or(UNKNOWN_SIZES);
+fn live(call: &Call, target: &Arc<Target>) -> GenerationHandle {
+    let sizes = call.request.sizes.unwrap_or(UNKNOWN_SIZES);
     let per_event = call
         .service
         .engine
         .as_ref()
         .map_or(1, |engine| engine.tokens_per_event);
-    let run = Arc::clone(&call.asked.id);
+    let run = Arc::clone(&call.request.id);
     let service = Arc::clone(&call.service.name);
-    Live::new(run, service, Arc::clone(target))
+    GenerationHandle::new(run, service, Arc::clone(target))
         .with_sizes(sizes, per_event)
-        .with_route(Arc::clone(&call.route.name), call.rank)
+        .with_route(Arc::clone(&call.route.name), call.priority)
 }
 
 fn stream(
     front: &Arc<Front>,
     call: &Call,
-    place: Place,
+    place: Assignment,
     head: &http::response::Parts,
     body: hyper::body::Incoming,
 ) -> Response<Body> {
--- a/components/front/src/generations/evacuation.rs
+++ b/components/front/src/generations/evacuation.rs
@@ -8,7 +8,7 @@
 use view::Target;
 
 use crate::{
-    generations::carry::carry,
+    generations::migration::migrate,
     instances::wire::{Message, Reply},
     state::Front,
 };
@@ -27,7 +27,7 @@
 const TELL_PATIENCE: Duration = Duration::from_millis(300);
 
 /// Moves off an engine what this instance has in its account there.
-pub async fn empty(front: Arc<Front>, source: Arc<Target>) {
+pub async fn evacuate(front: Arc<Front>, source: Arc<Target>) {
     if !front.cfg.decisions.features.migration {
         return;
     }
@@ -74,8 +74,8 @@
 /// Tells the owner that an engine leaves on which generations of this instance run. The owner may
 /// follow the store through a reader that has just died, and hear of it a second later: too late
 /// to move much.
-pub async fn tell_owner(front: Arc<Front>, target: Arc<Target>) {
-    let running = front.live.running();
+pub async fn notify_owner(front: Arc<Front>, target: Arc<Target>) {
+    let running = front.generations.snapshots();
     if !running.iter().any(|run| run.target == target.id) {
         return;
     }
@@ -95,7 +95,7 @@
         return Carried::Nothing;
     };
     if entry == front.cfg.instance {
-        return carry(front, order).await;
+        return migrate(front, order).await;
     }
     let message = Message::Carry(order.clone());
     match front.peers.call(&entry, &message, CARRY_PATIENCE).await {
--- a/components/front/src/generations/silence.rs
+++ b/components/front/src/generations/idle.rs
@@ -11,11 +11,11 @@
 use timer::boot_time;
 use types::Moment;
 
-use crate::{adapters::EngineReport, generations::live::Live, state::Front};
+use crate::{adapters::EngineReport, generations::active::GenerationHandle, state::Front};
 
-/// Silence after which the engine is asked: five times the longest pause that callers' sheets
+/// IdleMonitor after which the engine is asked: five times the longest pause that callers' sheets
 /// allow, 180 ms. Events come every 36 ms as a rule.
-pub const QUIET: Duration = Duration::from_millis(900);
+pub const IDLE_TIMEOUT: Duration = Duration::from_millis(900);
 /// Time between two questions about one stream.
 const ASK_EVERY: Duration = Duration::from_millis(900);
 /// Time for an engine to say what it holds; it answers at once, within milliseconds.
@@ -26,18 +26,18 @@
 
 /// What to do about a silent stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum Diagnosis {
     /// Wait on.
     Wait,
     /// The engine goes on, and its events don't arrive: take the generation elsewhere.
-    Unheard,
+    ConnectionLost,
     /// The engine is gone.
-    Gone,
+    EngineGone,
 }
 
 /// What is known of the engine of a silent stream.
 #[derive(Clone, Copy, Debug)]
-pub struct Evidence<'a> {
+pub struct Observation<'a> {
     /// Whether it is still listed.
     pub listed: bool,
     /// What it said, if it answered.
@@ -48,7 +48,7 @@
 
 /// One stream's silence.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Silence {
+pub struct IdleMonitor {
     since: Moment,
     asked: Option<Moment>,
     /// Reports in a row that told of events which have not arrived.
@@ -57,7 +57,7 @@
     unanswered: u32,
 }
 
-impl Silence {
+impl IdleMonitor {
     /// Begins to listen.
     #[must_use]
     pub const fn new(now: Moment) -> Self {
@@ -77,11 +77,12 @@
     /// When the engine is to be asked next.
     #[must_use]
     pub fn ask_at(&self) -> Moment {
-        self.asked.map_or(self.since + QUIET, |at| at + ASK_EVERY)
+        self.asked
+            .map_or(self.since + IDLE_TIMEOUT, |at| at + ASK_EVERY)
     }
 
     /// Judges what was found out about the engine of `run`.
-    pub fn judge(&mut self, now: Moment, run: &str, evidence: &Evidence<'_>) -> Verdict {
+    pub fn judge(&mut self, now: Moment, run: &str, evidence: &Observation<'_>) -> Diagnosis {
         self.asked = Some(now);
         let made = evidence
             .report
@@ -92,23 +93,27 @@
         self.ahead = if ahead { self.ahead + 1 } else { 0 };
         self.unanswered = if dead { self.unanswered + 1 } else { 0 };
         if self.ahead >= AGREE {
-            return Verdict::Unheard;
+            return Diagnosis::ConnectionLost;
         }
         if self.unanswered >= AGREE {
-            return Verdict::Gone;
+            return Diagnosis::EngineGone;
         }
-        Verdict::Wait
+        Diagnosis::Wait
     }
 }
 
 /// Finds out about the engine of a silent generation, and judges.
-pub async fn look_into(front: &Front, live: &Live, silence: &mut Silence) -> Verdict {
+pub async fn diagnose(
+    front: &Front,
+    live: &GenerationHandle,
+    silence: &mut IdleMonitor,
+) -> Diagnosis {
     let target = live.target();
     let report = front.engines.report(target.addr, REPORT_PATIENCE).await;
-    let evidence = Evidence {
+    let evidence = Observation {
         listed: front.view.target(&target.id).is_some(),
         report: report.as_ref().ok(),
-        heard: live.events(),
+        heard: live.events_received(),
     };
     silence.judge(boot_time(), &live.run, &evidence)
 }
--- a/components/front/src/generations/carry.rs
+++ b/components/front/src/generations/migration.rs
@@ -11,8 +11,8 @@
 
 use crate::{
     adapters::{KvCopyOutcome, KvCopyRequest, Resume},
-    callers::refuse::millis,
-    generations::live::{Live, Order},
+    callers::refusal::millis,
+    generations::active::{GenerationHandle, RelayCommand},
     metrics::MigrationLabels,
     state::Front,
 };
@@ -42,12 +42,12 @@
 
 /// Carries a generation over. It is done once the final copy is there: the engine's link is free
 /// for the next generation then, while this one goes on at its new engine.
-pub async fn carry(front: &Arc<Front>, order: &Carry) -> Carried {
-    let Some(live) = front.live.get(&order.run) else {
+pub async fn migrate(front: &Arc<Front>, order: &Carry) -> Carried {
+    let Some(live) = front.generations.get(&order.run) else {
         return Carried::Nothing;
     };
     let source = live.target();
-    if source.id != order.from || !live.begin_carry() {
+    if source.id != order.from || !live.begin_migration() {
         return Carried::Nothing;
     }
     match copy(front, &live, &source, order).await {
@@ -57,19 +57,19 @@
             Carried::Done
         }
         Err(failure) => {
-            live.end_carry();
+            live.end_migration();
             // Fails only where the relay has ended.
-            let _ = live.order(Order::Forget);
+            let _ = live.send_command(RelayCommand::MigrationCancelled);
             failed(front, order, failure)
         }
     }
 }
 
 /// Lets the generation go on, and logs how that went.
-async fn finish(front: &Front, live: &Live, order: &Carry, splice: Splice) {
+async fn finish(front: &Front, live: &GenerationHandle, order: &Carry, splice: Splice) {
     let (from, stopped) = (splice.from, splice.stopped);
     let result = go_on(live, splice).await;
-    live.end_carry();
+    live.end_migration();
     if let Err(failure) = result {
         failed(front, order, failure);
         return;
@@ -119,7 +119,7 @@
 /// Copies a generation's memory and stops it.
 async fn copy(
     front: &Front,
-    live: &Live,
+    live: &GenerationHandle,
     source: &Arc<Target>,
     order: &Carry,
 ) -> Result<Splice, Failure> {
@@ -136,9 +136,9 @@
         timeout: COPY_PATIENCE,
     };
     let copy = whole(front.engines.copy_kv(&first).await)?;
-    live.copied(Arc::clone(&to), resume(source, copy));
+    live.store_copy(Arc::clone(&to), resume(source, copy));
     let stopped = boot_time();
-    if !live.order(Order::Expect) {
+    if !live.send_command(RelayCommand::MigrationStarted) {
         return Err(Failure::new(Carried::Nothing, "it has ended"));
     }
     let last = KvCopyRequest {
@@ -162,7 +162,7 @@
         other => {
             if matches!(other, KvCopyOutcome::Unknown { .. }) {
                 // Fails only where the relay has ended.
-                let _ = live.order(Order::Doubt);
+                let _ = live.send_command(RelayCommand::MigrationUncertain);
             }
             whole(other).map(|copy| splice(&to, copy))
         }
@@ -188,14 +188,14 @@
     }
 }
 
-async fn go_on(live: &Live, splice: Splice) -> Result<(), Failure> {
+async fn go_on(live: &GenerationHandle, splice: Splice) -> Result<(), Failure> {
     let (tx, rx) = bounded(1);
-    let order = Order::Resume {
+    let order = RelayCommand::Resume {
         target: splice.target,
         resume: splice.resume,
         done: tx,
     };
-    if !live.order(order) {
+    if !live.send_command(order) {
         return Err(Failure::new(Carried::Nothing, "it has ended"));
     }
     let done = Timer::new().within(SPLICE_PATIENCE, rx.recv()).await;
--- a/components/front/src/generations/mod.rs
+++ b/components/front/src/generations/mod.rs
@@ -1,12 +1,12 @@
 //! Generations: a place on an engine, the stream, and moves from engine to engine.
 
-pub mod carry;
+pub mod active;
+pub mod dispatch;
 pub mod evacuation;
-pub mod generation;
-pub mod live;
+pub mod idle;
+pub mod migration;
 pub mod placement;
 pub mod probing;
+pub mod recovery;
 pub mod relay;
-pub mod rescue;
-pub mod silence;
-pub mod split;
+pub mod splitter;
--- a/components/front/src/generations/placement.rs
+++ b/components/front/src/generations/placement.rs
@@ -70,7 +70,7 @@
                 return answer;
             }
         }
-        self.decide(ask)
+        self.place_locally(ask)
     }
 
     /// Whether a generation would probably end before this instance does. One that is begun just
@@ -79,8 +79,8 @@
     #[must_use]
     pub fn can_finish(&self, ask: &Ask) -> bool {
         let Some(left) = self
-            .ending
-            .left()
+            .shutdown
+            .time_left()
             .filter(|_| self.cfg.decisions.features.drain_offload)
         else {
             return true;
@@ -90,7 +90,7 @@
 
     /// Answers an ask from this instance's own account.
     #[must_use]
-    pub fn decide(&self, ask: &Ask) -> Answer {
+    pub fn place_locally(&self, ask: &Ask) -> Answer {
         let engines = self.engines_of(&ask.shard);
         self.placement.owner.lock().ask(boot_time(), ask, &engines)
     }
@@ -155,7 +155,7 @@
 
     /// Tells the owner of an engine what happened to a generation there. The word may get lost; the
     /// next sync makes up for it. What is returned is closed once the owner was told, or can't be.
-    pub fn note(front: &Arc<Self>, shard: &Shard, note: Note) -> Receiver<()> {
+    pub fn notify_owner(front: &Arc<Self>, shard: &Shard, note: Note) -> Receiver<()> {
         let (told, done) = bounded(1);
         // This instance may have decided for itself; its own account must forget it too.
         front.placement.owner.lock().note(boot_time(), &note);
--- a/components/front/src/generations/probing.rs
+++ b/components/front/src/generations/probing.rs
@@ -45,7 +45,12 @@
         if !is_blind(&front) {
             continue;
         }
-        let mine: BTreeSet<TargetId> = front.live.running().into_iter().map(|r| r.target).collect();
+        let mine: BTreeSet<TargetId> = front
+            .generations
+            .snapshots()
+            .into_iter()
+            .map(|r| r.target)
+            .collect();
         let all = round.is_multiple_of(ALL_EVERY);
         round = round.wrapping_add(1);
         for target in engines(&front) {
--- a/components/front/src/generations/rescue.rs
+++ b/components/front/src/generations/recovery.rs
@@ -12,8 +12,8 @@
 
 use crate::{
     adapters::{KvCopyOutcome, KvCopyRequest, Resume},
-    callers::{call::Call, refuse::millis},
-    generations::{generation, live::Live},
+    callers::{call::Call, refusal::millis},
+    generations::{active::GenerationHandle, dispatch},
     state::Front,
 };
 
@@ -25,10 +25,10 @@
 ///
 /// # Errors
 /// Tells why it can't; it has ended, or stopped for good, or its engine does not answer.
-pub async fn rescue(
+pub async fn recover(
     front: &Arc<Front>,
     call: &Call,
-    live: &Live,
+    live: &GenerationHandle,
 ) -> Result<(Arc<Target>, Resume), Arc<str>> {
     let source = live.target();
     let from = boot_time();
@@ -42,7 +42,7 @@
         from: source.addr,
         to: to.addr,
         is_final: true,
-        timeout: COPY_PATIENCE.min(call.until_due()),
+        timeout: COPY_PATIENCE.min(call.time_left()),
     };
     let resume = |copy| Resume {
         source: source.addr,
@@ -72,14 +72,14 @@
 async fn destination(
     front: &Arc<Front>,
     call: &Call,
-    live: &Live,
+    live: &GenerationHandle,
     source: &Target,
 ) -> Result<Arc<Target>, Arc<str>> {
-    let shard = generation::first_shard(front, call);
-    let mut ask = generation::ask(front, call, shard, &[Arc::clone(&source.id)]);
-    ask.prompt += live.made();
+    let shard = dispatch::first_shard(front, call);
+    let mut ask = dispatch::ask(front, call, shard, &[Arc::clone(&source.id)]);
+    ask.prompt += live.tokens_generated();
     // It is late already; any engine will do.
-    ask.aim_left = call.until_due();
+    ask.aim_left = call.time_left();
     match front.place(&ask).await {
         Answer::Go { target } => front
             .view
@@ -90,7 +90,7 @@
 }
 
 /// Any other engine of the generation's service that takes work.
-fn another(front: &Front, live: &Live, source: &Target) -> Option<Arc<Target>> {
+fn another(front: &Front, live: &GenerationHandle, source: &Target) -> Option<Arc<Target>> {
     let mut others = front.view.usable(&live.service);
     others.retain(|target| target.id != source.id);
     fastrand::choice(others)
--- a/components/front/src/generations/relay.rs
+++ b/components/front/src/generations/relay.rs
@@ -19,15 +19,15 @@
 
 use crate::{
     adapters::Resume,
-    callers::{call::Call, refuse::millis},
+    callers::{call::Call, refusal::millis},
     generations::{
-        generation::Place,
-        live::Order,
-        rescue::rescue,
-        silence::{REPORT_PATIENCE, Silence, Verdict, look_into},
-        split::Splitter,
+        active::RelayCommand,
+        dispatch::Assignment,
+        idle::{Diagnosis, IdleMonitor, REPORT_PATIENCE, diagnose},
+        recovery,
+        splitter::EventSplitter,
     },
-    quarantine::{ends, keeping},
+    quarantine::{aggregation, crash_detection},
     send::{SendOutcome, send},
     state::Front,
 };
@@ -41,17 +41,17 @@
 const RESUME_PATIENCE: Duration = Duration::from_millis(1_500);
 
 /// Where the events go.
-pub type Out = Sender<Result<Bytes, Cut>>;
+pub type EventSender = Sender<Result<Bytes, Cut>>;
 
 /// Passes one generation's events on.
 pub struct Relay {
     front: Arc<Front>,
     call: Call,
-    place: Place,
+    place: Assignment,
     body: Incoming,
     /// The stream's end is marked; else it ends with its connection.
     framed: bool,
-    split: Splitter,
+    split: EventSplitter,
     /// The last event that was passed on.
     last: Option<u64>,
     /// The engine is stopping it for a move.
@@ -59,15 +59,15 @@
     /// The engine may have stopped it for a move that came to nothing.
     doubtful: bool,
     /// How long nothing has come.
-    silence: Silence,
+    silence: IdleMonitor,
 }
 
 /// What the engine's stream does next.
-enum Step {
+enum Input {
     Bytes(Bytes),
     End,
     Broken(Arc<str>),
-    Order(Option<Order>),
+    RelayCommand(Option<RelayCommand>),
     /// Nothing has come for a while.
     Quiet,
     Due,
@@ -81,7 +81,7 @@
 }
 
 /// Why a stream can't be passed on any further.
-enum Stop {
+enum RelayEnd {
     /// It is complete.
     Whole,
     /// The caller has gone.
@@ -93,50 +93,56 @@
 impl Relay {
     /// A relay of a stream that has just begun.
     #[must_use]
-    pub fn new(front: Arc<Front>, call: Call, place: Place, head: &Parts, body: Incoming) -> Self {
+    pub fn new(
+        front: Arc<Front>,
+        call: Call,
+        place: Assignment,
+        head: &Parts,
+        body: Incoming,
+    ) -> Self {
         Self {
             front,
             call,
             place,
             body,
             framed: is_framed(head),
-            split: Splitter::new(),
+            split: EventSplitter::new(),
             last: None,
             expecting: false,
             doubtful: false,
-            silence: Silence::new(boot_time()),
+            silence: IdleMonitor::new(boot_time()),
         }
     }
 
     /// Passes events on to the stream's end.
-    pub async fn run(mut self, out: Out) {
+    pub async fn run(mut self, out: EventSender) {
         let front = Arc::clone(&self.front);
         // Around all of it: whatever it waits for, a caller is told that its answer is not whole.
         let outlived = async {
-            front.ending.over().await;
-            Stop::Cut("the instance stops before its end".into())
+            front.shutdown.aborted().await;
+            RelayEnd::Cut("the instance stops before its end".into())
         };
         let stop = future::or(self.pass_all(&out), outlived).await;
         let target = self.place.live.target();
         match stop {
-            Stop::Whole => {
+            RelayEnd::Whole => {
                 self.place.whole = true;
-                keeping::served(&self.front, &self.call.fingerprint);
+                aggregation::served(&self.front, &self.call.fingerprint);
                 self.front
                     .metrics
                     .count_request(self.call.kind(), "answered");
                 emit(&Event::RequestAnswered {
-                    id: Arc::clone(&self.call.asked.id),
+                    id: Arc::clone(&self.call.request.id),
                     target: Arc::clone(&target.id),
                     status: 200,
-                    took_ms: millis(self.call.held()),
+                    took_ms: millis(self.call.elapsed()),
                 });
             }
-            Stop::Unread => {}
-            Stop::Cut(reason) => {
+            RelayEnd::Unread => {}
+            RelayEnd::Cut(reason) => {
                 self.front.metrics.count_request(self.call.kind(), "cut");
                 emit(&Event::StreamCut {
-                    id: Arc::clone(&self.call.asked.id),
+                    id: Arc::clone(&self.call.request.id),
                     target: Arc::clone(&target.id),
                     reason,
                     last_event: self.last.unwrap_or_default(),
@@ -147,15 +153,17 @@
         }
     }
 
-    async fn pass_all(&mut self, out: &Out) -> Stop {
+    async fn pass_all(&mut self, out: &EventSender) -> RelayEnd {
         loop {
             let stop = match self.step().await {
-                Step::Bytes(bytes) => self.pass(&bytes, out).await.err(),
-                Step::End => self.ended(out).await,
-                Step::Broken(reason) => self.broken(reason, out).await,
-                Step::Order(order) => self.obey(order, out).await,
-                Step::Quiet => self.quiet().await,
-                Step::Due => Some(Stop::Cut("the time that the route allows is over".into())),
+                Input::Bytes(bytes) => self.pass(&bytes, out).await.err(),
+                Input::End => self.ended(out).await,
+                Input::Broken(reason) => self.broken(reason, out).await,
+                Input::RelayCommand(order) => self.obey(order, out).await,
+                Input::Quiet => self.quiet().await,
+                Input::Due => Some(RelayEnd::Cut(
+                    "the time that the route allows is over".into(),
+                )),
             };
             if let Some(stop) = stop {
                 return stop;
@@ -164,17 +172,21 @@
     }
 
     /// Waits for the next thing to happen.
-    async fn step(&mut self) -> Step {
-        let left = self.call.until_due();
+    async fn step(&mut self) -> Input {
+        let left = self.call.time_left();
         let quiet = if self.front.cfg.decisions.features.idle_detection {
             self.silence.ask_at().saturating_sub(boot_time())
         } else {
             left
         };
-        let late = if quiet < left { Step::Quiet } else { Step::Due };
+        let late = if quiet < left {
+            Input::Quiet
+        } else {
+            Input::Due
+        };
         let live = Arc::clone(&self.place.live);
         let frame = next_bytes(&mut self.body);
-        let order = async { Step::Order(live.next_order().await) };
+        let order = async { Input::RelayCommand(live.next_command().await) };
         // The order first: a stream's end that a move causes is no failure once that is known.
         Timer::new()
             .within(left.min(quiet), future::or(order, frame))
@@ -183,41 +195,47 @@
     }
 
     /// Nothing has come for a while: finds out why, and what can be done.
-    async fn quiet(&mut self) -> Option<Stop> {
+    async fn quiet(&mut self) -> Option<RelayEnd> {
         let live = Arc::clone(&self.place.live);
-        match look_into(&self.front, &live, &mut self.silence).await {
-            Verdict::Wait => None,
-            Verdict::Gone => {
+        match diagnose(&self.front, &live, &mut self.silence).await {
+            Diagnosis::Wait => None,
+            Diagnosis::EngineGone => {
                 self.place.doubt = true;
                 let sent = self.call.arrived;
-                ends::ended_under(&self.front, &self.call, &live.target(), sent, live.events());
-                Some(Stop::Cut(
+                crash_detection::ended_under(
+                    &self.front,
+                    &self.call,
+                    &live.target(),
+                    sent,
+                    live.events_received(),
+                );
+                Some(RelayEnd::Cut(
                     "its engine is silent and not listed any more".into(),
                 ))
             }
             // Where a move is under way, that will say how it ends.
-            Verdict::Unheard if !live.begin_carry() => None,
-            Verdict::Unheard => self.rescue("its engine goes on unheard".into()).await,
+            Diagnosis::ConnectionLost if !live.begin_migration() => None,
+            Diagnosis::ConnectionLost => self.recover("its engine goes on unheard".into()).await,
         }
     }
 
     /// Goes on elsewhere from the engine's memory, if that is still to be had. The right to carry
     /// the generation over is held.
-    async fn rescue(&mut self, reason: Arc<str>) -> Option<Stop> {
+    async fn recover(&mut self, reason: Arc<str>) -> Option<RelayEnd> {
         let live = Arc::clone(&self.place.live);
-        let went = match rescue(&self.front, &self.call, &live).await {
+        let went = match recovery::recover(&self.front, &self.call, &live).await {
             Ok((target, resume)) => self.go_on(&target, resume).await.map_err(|f| f.reason),
             Err(why) => Err(why),
         };
-        live.end_carry();
+        live.end_migration();
         went.err()
-            .map(|why| Stop::Cut(format!("{reason}; from its memory: {why}").into()))
+            .map(|why| RelayEnd::Cut(format!("{reason}; from its memory: {why}").into()))
     }
 
     /// Passes the whole events of some bytes on.
-    async fn pass(&mut self, bytes: &[u8], out: &Out) -> Result<(), Stop> {
+    async fn pass(&mut self, bytes: &[u8], out: &EventSender) -> Result<(), RelayEnd> {
         if self.split.push(bytes).is_err() {
-            return Err(Stop::Cut("an event of the stream does not end".into()));
+            return Err(RelayEnd::Cut("an event of the stream does not end".into()));
         }
         let mut ready = Vec::new();
         self.silence.heard(boot_time());
@@ -231,28 +249,28 @@
             ready.push(event.bytes);
         }
         for event in ready {
-            out.send(Ok(event)).await.map_err(|_| Stop::Unread)?;
+            out.send(Ok(event)).await.map_err(|_| RelayEnd::Unread)?;
         }
         Ok(())
     }
 
     fn count_event(&self) {
         let live = &self.place.live;
-        if !live.event() {
+        if !live.record_event() {
             return;
         }
         emit(&Event::FirstEvent {
-            id: Arc::clone(&self.call.asked.id),
+            id: Arc::clone(&self.call.request.id),
             target: Arc::clone(&live.target().id),
-            took_ms: millis(self.call.held()),
+            took_ms: millis(self.call.elapsed()),
         });
         let run = Arc::clone(&live.run);
         let shard = self.front.shard_of(&live.service, &live.target().id);
-        Front::note(&self.front, &shard, Note::Started { run });
+        Front::notify_owner(&self.front, &shard, Note::Started { run });
     }
 
     /// The stream has ended as complete.
-    async fn ended(&mut self, out: &Out) -> Option<Stop> {
+    async fn ended(&mut self, out: &EventSender) -> Option<RelayEnd> {
         // A stream without a length ends like this also where its engine was told to stop.
         if self.expecting
             && let Some(order) = self.outcome().await
@@ -283,16 +301,16 @@
         report.err().map(|_| gone)
     }
 
-    async fn whole(&mut self, out: &Out) -> Stop {
+    async fn whole(&mut self, out: &EventSender) -> RelayEnd {
         let rest = self.split.rest();
         if !rest.is_empty() && out.send(Ok(rest)).await.is_err() {
-            return Stop::Unread;
+            return RelayEnd::Unread;
         }
-        Stop::Whole
+        RelayEnd::Whole
     }
 
     /// The stream has broken off.
-    async fn broken(&mut self, reason: Arc<str>, out: &Out) -> Option<Stop> {
+    async fn broken(&mut self, reason: Arc<str>, out: &EventSender) -> Option<RelayEnd> {
         // Also where the engine has not been told to stop yet: going on from a copy made before
         // that would leave two engines at work.
         if let Some(order) = self.outcome().await {
@@ -300,33 +318,41 @@
         }
         let live = &self.place.live;
         let (target, sent) = (live.target(), self.call.arrived);
-        ends::look_into(&self.front, &self.call, &target, sent, live.events());
+        crash_detection::look_into(
+            &self.front,
+            &self.call,
+            &target,
+            sent,
+            live.events_received(),
+        );
         let Some((target, resume)) = live.take_copy() else {
             let fetches = self.front.cfg.decisions.features.stream_recovery;
-            if !fetches || !self.place.live.begin_carry() {
-                return Some(Stop::Cut(reason));
+            if !fetches || !self.place.live.begin_migration() {
+                return Some(RelayEnd::Cut(reason));
             }
-            return self.rescue(reason).await;
+            return self.recover(reason).await;
         };
         match self.go_on(&target, resume).await {
             Ok(()) => None,
             Err(failure) => {
                 let why = failure.reason;
-                Some(Stop::Cut(format!("{reason}; from its copy: {why}").into()))
+                Some(RelayEnd::Cut(
+                    format!("{reason}; from its copy: {why}").into(),
+                ))
             }
         }
     }
 
     /// Waits for how a move ends, if one is under way, whose engine has closed the stream already.
-    async fn outcome(&mut self) -> Option<Order> {
+    async fn outcome(&mut self) -> Option<RelayCommand> {
         let live = Arc::clone(&self.place.live);
-        while self.expecting || live.is_carried() {
-            let patience = OUTCOME_PATIENCE.min(self.call.until_due());
-            let order = Timer::new().within(patience, live.next_order()).await;
+        while self.expecting || live.is_migrating() {
+            let patience = OUTCOME_PATIENCE.min(self.call.time_left());
+            let order = Timer::new().within(patience, live.next_command()).await;
             match order.flatten() {
-                Some(Order::Expect) => self.expecting = true,
-                Some(Order::Forget) => self.expecting = false,
-                Some(Order::Doubt) => self.doubtful = true,
+                Some(RelayCommand::MigrationStarted) => self.expecting = true,
+                Some(RelayCommand::MigrationCancelled) => self.expecting = false,
+                Some(RelayCommand::MigrationUncertain) => self.doubtful = true,
                 order => {
                     self.doubtful |= order.is_none();
                     self.expecting = false;
@@ -337,12 +363,12 @@
         None
     }
 
-    async fn obey(&mut self, order: Option<Order>, out: &Out) -> Option<Stop> {
+    async fn obey(&mut self, order: Option<RelayCommand>, out: &EventSender) -> Option<RelayEnd> {
         match order {
-            Some(Order::Expect) => self.expecting = true,
-            Some(Order::Forget) => self.expecting = false,
-            Some(Order::Doubt) => self.doubtful = true,
-            Some(Order::Resume {
+            Some(RelayCommand::MigrationStarted) => self.expecting = true,
+            Some(RelayCommand::MigrationCancelled) => self.expecting = false,
+            Some(RelayCommand::MigrationUncertain) => self.doubtful = true,
+            Some(RelayCommand::Resume {
                 target,
                 resume,
                 done,
@@ -358,7 +384,7 @@
                 return match went {
                     // The copy is unused, and the engine that made it keeps its memory.
                     Err(failure) if failure.not_run => self.go_back(&source, resume, failure).await,
-                    went => went.err().map(|failure| Stop::Cut(failure.reason)),
+                    went => went.err().map(|failure| RelayEnd::Cut(failure.reason)),
                 };
             }
             // The sender lives in `live`, which this relay holds.
@@ -368,7 +394,7 @@
     }
 
     /// Passes on what a stopped engine still sends.
-    async fn pass_last(&mut self, out: &Out) -> Result<(), Stop> {
+    async fn pass_last(&mut self, out: &EventSender) -> Result<(), RelayEnd> {
         let timer = Timer::new();
         let from = timer.now();
         loop {
@@ -378,7 +404,7 @@
             }
             let step = timer.within(left, next_bytes(&mut self.body)).await;
             match step {
-                Some(Step::Bytes(bytes)) => self.pass(&bytes, out).await?,
+                Some(Input::Bytes(bytes)) => self.pass(&bytes, out).await?,
                 _ => return Ok(()),
             }
         }
@@ -391,10 +417,10 @@
         source: &Arc<Target>,
         resume: Resume,
         failure: Failure,
-    ) -> Option<Stop> {
+    ) -> Option<RelayEnd> {
         let went = self.go_on(source, resume).await;
         let why = |back: Failure| format!("{}; where it was: {}", failure.reason, back.reason);
-        went.err().map(|back| Stop::Cut(why(back).into()))
+        went.err().map(|back| RelayEnd::Cut(why(back).into()))
     }
 
     /// Goes on at another engine, from a copy.
@@ -402,14 +428,14 @@
         resume.after = self.last;
         // A part of an event that the engine before did not finish; it comes again whole.
         let _ = self.split.rest();
-        let limit = RESUME_PATIENCE.min(self.call.until_due());
+        let limit = RESUME_PATIENCE.min(self.call.time_left());
         match send(&self.front, &self.call, target, Some(&resume), limit).await {
             SendOutcome::Response { head, body, .. } if head.status.is_success() => {
                 self.framed = is_framed(&head);
                 self.doubtful = false;
                 self.body = body;
                 self.silence.heard(boot_time());
-                self.place.live.moved(Arc::clone(target));
+                self.place.live.set_target(Arc::clone(target));
                 Ok(())
             }
             SendOutcome::Response { head, .. } => Err(Failure {
@@ -438,16 +464,16 @@
 }
 
 /// The next bytes of a stream, or its end.
-async fn next_bytes(body: &mut Incoming) -> Step {
+async fn next_bytes(body: &mut Incoming) -> Input {
     loop {
         match body.frame().await {
             Some(Ok(frame)) => {
                 if let Ok(bytes) = frame.into_data() {
-                    return Step::Bytes(bytes);
+                    return Input::Bytes(bytes);
                 }
             }
-            Some(Err(e)) => return Step::Broken(format!("the stream broke off: {e}").into()),
-            None => return Step::End,
+            Some(Err(e)) => return Input::Broken(format!("the stream broke off: {e}").into()),
+            None => return Input::End,
         }
     }
 }
--- a/components/front/src/generations/split.rs
+++ b/components/front/src/generations/splitter.rs
@@ -10,7 +10,7 @@
 
 /// A whole event.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Event {
+pub struct StreamEvent {
     /// Its id, if it has a numeric one.
     pub id: Option<u64>,
     /// Its bytes, with the blank line at its end.
@@ -19,17 +19,17 @@
 
 /// The event that comes is longer than any that we know.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct TooLong;
+pub struct EventTooLong;
 
 /// Collects bytes and gives out whole events.
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     buf: BytesMut,
     /// Bytes of `buf` that hold no end of an event.
     seen: usize,
 }
 
-impl Splitter {
+impl EventSplitter {
     /// Starts empty.
     #[must_use]
     pub fn new() -> Self {
@@ -40,20 +40,20 @@
     ///
     /// # Errors
     /// An event does not end.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<(), TooLong> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLong> {
         self.buf.extend_from_slice(bytes);
         if self.buf.len() > EVENT_LIMIT {
-            return Err(TooLong);
+            return Err(EventTooLong);
         }
         Ok(())
     }
 
     /// The next whole event.
-    pub fn next_event(&mut self) -> Option<Event> {
+    pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_end()?;
         self.seen = 0;
         let bytes = self.buf.split_to(end).freeze();
-        Some(Event {
+        Some(StreamEvent {
             id: id(&bytes),
             bytes,
         })
--- a/components/front/src/instances/membership.rs
+++ b/components/front/src/instances/membership.rs
@@ -12,7 +12,7 @@
         joining,
         wire::{Message, Reply, Topic},
     },
-    quarantine::{keeping, kept},
+    quarantine::{aggregation, record},
     state::Front,
     store::timeouts,
 };
@@ -132,7 +132,7 @@
         let member = match store.decode(Topic::Members, row) {
             Some(Record::Member(member)) => member,
             Some(Record::Quarantined(kept)) => {
-                kept::found(front, &kept);
+                record::found(front, &kept);
                 continue;
             }
             _ => continue,
@@ -168,7 +168,7 @@
         let reply = front.peers.exchange(seed, &message, SYNC_TIMEOUT).await;
         if let Ok(reply) = reply {
             if let Reply::Members { words, .. } = &reply {
-                keeping::learn(&front, words);
+                aggregation::learn(&front, words);
             }
             learn_members(&front, None, Some(reply));
             front.peers_known.open();
@@ -238,7 +238,7 @@
             sync_shard(&front, shard, round % IDLE_ROUNDS == FIRST_ROUND).await;
         }
         let targets = front.view.targets();
-        front.choice.lock().retain(|id| targets.contains_key(id));
+        front.selector.lock().retain(|id| targets.contains_key(id));
         front
             .rate_limits
             .lock()
@@ -255,7 +255,7 @@
 /// Parts of services' engines whose owners are told: those where something runs for this
 /// instance, and one at least of each service, for the owner also tells of other instances.
 fn shards(front: &Front) -> BTreeSet<Shard> {
-    let running = front.live.running();
+    let running = front.generations.snapshots();
     let mut shards: BTreeSet<Shard> = running
         .iter()
         .map(|run| front.shard_of(&run.service, &run.target))
@@ -274,7 +274,7 @@
 /// Tells the owner of a part what this instance holds there; nothing at all is told in some rounds
 /// only.
 async fn sync_shard(front: &Front, shard: Shard, tells_nothing: bool) {
-    let mut runs = front.live.running();
+    let mut runs = front.generations.snapshots();
     runs.retain(|run| run.service == shard.service && shard.holds(&run.target));
     if runs.is_empty() && !tells_nothing {
         return;
@@ -298,6 +298,6 @@
         quarantine: front.quarantine.lock().digest(boot_time()),
     };
     let reply = front.peers.call(&owner, &message, SYNC_TIMEOUT).await;
-    keeping::reconcile(front, &owner, reply.as_ref()).await;
+    aggregation::reconcile(front, &owner, reply.as_ref()).await;
     learn_members(front, Some(&owner), reply);
 }
--- a/components/front/src/instances/message_handler.rs
+++ b/components/front/src/instances/message_handler.rs
@@ -10,12 +10,12 @@
 use timer::boot_time;
 
 use crate::{
-    generations::carry,
+    generations::migration,
     instances::{
         peers::{MESSAGE_LIMIT, MESSAGES_PATH, Members},
         wire::{Message, Reply, Topic},
     },
-    quarantine::keeping,
+    quarantine::aggregation,
     state::{Front, elapsed_since},
     store::follow::{self, MAX_PEER_STATE_AGE},
     target_rates,
@@ -46,7 +46,7 @@
         let front = &self.front;
         let now = boot_time();
         match message {
-            Message::Ask(ask) => Reply::Answer(front.decide(&ask)),
+            Message::Ask(ask) => Reply::Answer(front.place_locally(&ask)),
             Message::Notes(notes) => {
                 let mut owner = front.placement.owner.lock();
                 for note in &notes {
@@ -78,11 +78,11 @@
                 Reply::Noted
             }
             Message::Ended(evidence) => {
-                keeping::take(front, evidence);
+                aggregation::take(front, evidence);
                 Reply::Noted
             }
             Message::Words(words) => {
-                keeping::learn(front, &words);
+                aggregation::learn(front, &words);
                 Reply::Noted
             }
             Message::RateReport(report) => {
@@ -102,7 +102,7 @@
         Reply::Members {
             members,
             revision,
-            words: keeping::words_beside(&self.front, quarantine),
+            words: aggregation::words_beside(&self.front, quarantine),
             quarantine: self.front.quarantine.lock().digest(boot_time()),
         }
     }
@@ -113,7 +113,7 @@
         let front = Arc::clone(&self.front);
         let (tx, rx) = bounded(1);
         let carry = async move {
-            let outcome = carry::carry(&front, &order).await;
+            let outcome = migration::migrate(&front, &order).await;
             // Fails only where the owner has gone.
             let _ = tx.try_send(outcome);
         };
--- a/components/front/src/lib.rs
+++ b/components/front/src/lib.rs
@@ -29,5 +29,5 @@
 pub use config::{Bounds, Config};
 pub use decisions::{Decisions, Features};
 pub use instances::wire::{Member, Row, Topic, TopicUpdate};
-pub use quarantine::kept::Kept;
+pub use quarantine::record::QuarantineRecord;
 pub use run::{Adapters, serve};
--- a/components/front/src/plain_calls/plain.rs
+++ b/components/front/src/plain_calls/dispatch.rs
@@ -13,10 +13,10 @@
 use crate::{
     callers::{
         call::Call,
-        refuse::{Refusal, millis},
+        refusal::{Refusal, millis},
     },
-    plain_calls::choice::connection_share,
-    quarantine::{ends, keeping},
+    plain_calls::selection::connection_share,
+    quarantine::{aggregation, crash_detection},
     send::{SendOutcome, buffer_response, log_send_failure, send},
     state::Front,
     target_rates,
@@ -46,14 +46,14 @@
 
 impl<'a> AtTarget<'a> {
     fn new(front: &'a Front, target: &'a TargetId) -> Self {
-        front.choice.lock().sent(target);
+        front.selector.lock().call_started(target);
         Self { front, target }
     }
 }
 
 impl Drop for AtTarget<'_> {
     fn drop(&mut self) {
-        self.front.choice.lock().ended(self.target);
+        self.front.selector.lock().call_ended(self.target);
     }
 }
 
@@ -140,7 +140,7 @@
 
 /// Whether a call may go to one more target.
 fn may_try(front: &Front, call: &Call, tries: &Tries) -> bool {
-    if call.until_due().is_zero() {
+    if call.time_left().is_zero() {
         return false;
     }
     if tries.sendings == 0 {
@@ -159,7 +159,10 @@
     }
     let instances = front.instance_count();
     let service = &call.service.name;
-    let granted = front.budget.lock().take(boot_time(), service, instances);
+    let granted = front
+        .retry_budget
+        .lock()
+        .try_take(boot_time(), service, instances);
     if granted {
         front.metrics.retries.inc();
     }
@@ -180,7 +183,7 @@
     call: &Call,
     tried: &[TargetId],
 ) -> Result<Arc<Target>, NoTarget> {
-    let patience = call.route.aim.mul_f64(LOOK_PART).min(call.until_due());
+    let patience = call.route.aim.mul_f64(LOOK_PART).min(call.time_left());
     let until = boot_time() + patience;
     let mut passed_over = tried.to_vec();
     let mut limited: Option<Duration> = None;
@@ -218,29 +221,29 @@
     let share = connection_share(call.service.connections, front.instance_count());
     let mut targets = front.usable_targets(&call.service);
     targets.retain(|target| !tried.contains(&target.id));
-    let choice = front.choice.lock();
-    targets.retain(|target| choice.mine(&target.id) < share);
-    let has_room = |target: &&Arc<Target>| choice.has_room(now, target);
+    let selector = front.selector.lock();
+    targets.retain(|target| selector.in_flight(&target.id) < share);
+    let has_room = |target: &&Arc<Target>| selector.has_room(now, target);
     let is_free = |target: &&Arc<Target>| !front.is_limited(&target.id);
     if targets.iter().filter(is_free).any(|t| has_room(&t)) && fastrand::f64() >= PROBED_PART {
         targets.retain(|target| is_free(&target));
     }
     let near = &front.cfg.data_centre;
-    choice.pick(now, &targets, tried, near, fastrand::f64())
+    selector.select(now, &targets, tried, near, fastrand::f64())
 }
 
 async fn attempt(front: &Arc<Front>, call: &Call, target: &Arc<Target>, sending: u32) -> Try {
     let _at = AtTarget::new(front, &target.id);
     emit(&Event::RequestSent {
-        id: Arc::clone(&call.asked.id),
+        id: Arc::clone(&call.request.id),
         target: Arc::clone(&target.id),
         fingerprint: call.fingerprint.to_string().into(),
         sending,
-        held_ms: millis(call.held()),
-        left_ms: millis(call.left()),
+        held_ms: millis(call.elapsed()),
+        left_ms: millis(call.caller_time_left()),
     });
     if sending == 1 {
-        front.metrics.observe_held(call.held());
+        front.metrics.observe_held(call.elapsed());
     }
     let limit = patience(call, sending);
     let from = boot_time();
@@ -252,15 +255,15 @@
         } => {
             let now = boot_time();
             if let Some(load) = heading.load {
-                front.choice.lock().said(now, &target.id, load);
+                front.selector.lock().record_load(now, &target.id, load);
             }
             let rest = limit.saturating_sub(now.saturating_sub(from));
             match buffer_response(front, &head, body, rest.max(LOOK_AGAIN)).await {
                 Ok(resp) => answered(front, call, target, resp),
                 Err(reason) => {
                     log_send_failure(call, target, &reason, false);
-                    ends::look_into(front, call, target, from, 0);
-                    front.choice.lock().failed(now, &target.id);
+                    crash_detection::look_into(front, call, target, from, 0);
+                    front.selector.lock().record_failure(now, &target.id);
                     Try::Unknown {
                         reason,
                         late: false,
@@ -269,7 +272,10 @@
             }
         }
         SendOutcome::NotRun { .. } => {
-            front.choice.lock().failed(boot_time(), &target.id);
+            front
+                .selector
+                .lock()
+                .record_failure(boot_time(), &target.id);
             Try::NotRun
         }
         SendOutcome::Rejected { reason } => Try::Unknown {
@@ -280,7 +286,10 @@
             reason,
             timed_out: late,
         } => {
-            front.choice.lock().failed(boot_time(), &target.id);
+            front
+                .selector
+                .lock()
+                .record_failure(boot_time(), &target.id);
             Try::Unknown { reason, late }
         }
     }
@@ -288,24 +297,27 @@
 
 fn answered(front: &Arc<Front>, call: &Call, target: &Target, resp: Response<Body>) -> Try {
     let status = resp.status();
-    keeping::served(front, &call.fingerprint);
+    aggregation::served(front, &call.fingerprint);
     emit(&Event::RequestAnswered {
-        id: Arc::clone(&call.asked.id),
+        id: Arc::clone(&call.request.id),
         target: Arc::clone(&target.id),
         status: status.as_u16(),
-        took_ms: millis(call.held()),
+        took_ms: millis(call.elapsed()),
     });
     if status.is_server_error() {
-        front.choice.lock().failed(boot_time(), &target.id);
+        front
+            .selector
+            .lock()
+            .record_failure(boot_time(), &target.id);
         return Try::Failure(resp);
     }
-    front.choice.lock().served(&target.id);
+    front.selector.lock().record_success(&target.id);
     Try::Answer(resp)
 }
 
 /// How long one target may take.
 fn patience(call: &Call, sending: u32) -> Duration {
-    let left = call.until_due();
+    let left = call.time_left();
     let may_go_on = call.route.kind == Kind::Idempotent && sending < call.route.max_targets;
     if !may_go_on {
         return left;
--- a/components/front/src/plain_calls/mod.rs
+++ b/components/front/src/plain_calls/mod.rs
@@ -1,6 +1,6 @@
 //! Calls to plain services: choice of a target, second sendings, cold targets.
 
-pub mod budget;
-pub mod choice;
 pub mod cold;
-pub mod plain;
+pub mod dispatch;
+pub mod retry_budget;
+pub mod selection;
--- a/components/front/src/plain_calls/budget.rs
+++ b/components/front/src/plain_calls/retry_budget.rs
@@ -13,24 +13,24 @@
 
 /// Part of the bound that is used. Instances learn late of others that came, and windows of
 /// those who count begin at other moments.
-const USED_PART: f64 = 0.7;
+const USED_FRACTION: f64 = 0.7;
 
 #[derive(Debug, Default)]
-struct Counted {
+struct Window {
     requests: VecDeque<Moment>,
-    repeats: VecDeque<Moment>,
+    retries: VecDeque<Moment>,
 }
 
 /// Counts requests and second sendings of each service.
 #[derive(Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     window: Duration,
     ratio: f64,
     slack: f64,
-    services: HashMap<ServiceId, Counted>,
+    services: HashMap<ServiceId, Window>,
 }
 
-impl Budget {
+impl RetryBudget {
     /// A budget of a ratio of the requests, and a slack that all instances share.
     #[must_use]
     pub fn new(window: Duration, ratio: f64, slack: f64) -> Self {
@@ -42,42 +42,42 @@
         }
     }
 
-    /// Sets its terms anew; what was counted stays.
-    pub const fn set(&mut self, window: Duration, ratio: f64, slack: f64) {
+    /// Sets its terms anew; what was counts stays.
+    pub const fn configure(&mut self, window: Duration, ratio: f64, slack: f64) {
         self.window = window;
         self.ratio = ratio;
         self.slack = slack;
     }
 
     /// Counts a request for a service.
-    pub fn count(&mut self, now: Moment, service: &ServiceId) {
-        let counted = self.trimmed(now, service);
-        counted.requests.push_back(now);
+    pub fn record_request(&mut self, now: Moment, service: &ServiceId) {
+        let counts = self.window_mut(now, service);
+        counts.requests.push_back(now);
     }
 
     /// Takes one second sending, if there is one left for one of `instances`.
-    pub fn take(&mut self, now: Moment, service: &ServiceId, instances: usize) -> bool {
+    pub fn try_take(&mut self, now: Moment, service: &ServiceId, instances: usize) -> bool {
         let (ratio, slack) = (self.ratio, self.slack);
-        let counted = self.trimmed(now, service);
-        let requests = as_f64(counted.requests.len());
+        let counts = self.window_mut(now, service);
+        let requests = as_f64(counts.requests.len());
         let share = slack / as_f64(instances.max(1));
-        let most = (ratio * requests + share) * USED_PART;
-        if as_f64(counted.repeats.len() + 1) > most {
+        let most = (ratio * requests + share) * USED_FRACTION;
+        if as_f64(counts.retries.len() + 1) > most {
             return false;
         }
-        counted.repeats.push_back(now);
+        counts.retries.push_back(now);
         true
     }
 
-    fn trimmed(&mut self, now: Moment, service: &ServiceId) -> &mut Counted {
+    fn window_mut(&mut self, now: Moment, service: &ServiceId) -> &mut Window {
         let oldest = now.saturating_sub(self.window);
-        let counted = self.services.entry(service.clone()).or_default();
-        for list in [&mut counted.requests, &mut counted.repeats] {
+        let counts = self.services.entry(service.clone()).or_default();
+        for list in [&mut counts.requests, &mut counts.retries] {
             while list.front().is_some_and(|at| *at < oldest) {
                 list.pop_front();
             }
         }
-        counted
+        counts
     }
 }
 
--- a/components/front/src/plain_calls/choice.rs
+++ b/components/front/src/plain_calls/selection.rs
@@ -13,21 +13,21 @@
 use crate::adapters::ReportedLoad;
 
 /// How long a load that was said counts.
-const SAID_LIFE: Duration = Duration::from_millis(1_000);
+const REPORT_LIFETIME: Duration = Duration::from_millis(1_000);
 /// What a target in another data centre costs, as a part of its places: bytes between data
 /// centres are priced, and each way takes as long as a tenth of a call.
-const DISTANCE: f64 = 0.6;
+const REMOTE_COST: f64 = 0.6;
 /// How long a target is put aside after its first failure in a row; doubled with each further.
-const ASIDE: Duration = Duration::from_millis(300);
+const BASE_EJECTION: Duration = Duration::from_millis(300);
 /// The longest time that a target is put aside before it is tried again.
-const ASIDE_MOST: Duration = Duration::from_secs(4);
+const MAX_EJECTION: Duration = Duration::from_secs(4);
 /// Failures in a row after which a target is put aside.
-const FAILURES: u32 = 2;
+const EJECTION_FAILURES: u32 = 2;
 /// What a target that is put aside costs where all are.
-const ASIDE_COST: f64 = 10.0;
+const EJECTION_COST: f64 = 10.0;
 /// Part of the connections that a target takes from all instances which they share out. The rest
 /// is for questions about its health and load, and for instances that have just come.
-const USED_CONNECTIONS: f64 = 0.8;
+const CONNECTION_SHARE: f64 = 0.8;
 
 /// Connections that one of `instances` may have open to a target that takes `limit` from all of
 /// them; one at least. A target resets what is beyond its limit, whoever's call it carries.
@@ -39,72 +39,75 @@
         clippy::cast_sign_loss,
         reason = "a part of a limit that fits"
     )]
-    let shared = (f64::from(limit) * USED_CONNECTIONS) as u32;
+    let shared = (f64::from(limit) * CONNECTION_SHARE) as u32;
     (shared / count).max(1)
 }
 
 #[derive(Clone, Debug, Default)]
-struct Known {
-    mine: u32,
-    said: Option<(Moment, ReportedLoad)>,
+struct TargetStats {
+    in_flight: u32,
+    reported: Option<(Moment, ReportedLoad)>,
     failures: u32,
-    aside_until: Moment,
+    ejected_until: Moment,
 }
 
 /// What this instance knows of the targets of plain services.
 #[derive(Debug)]
-pub struct Choice {
+pub struct TargetSelector {
     /// Targets near by go first.
-    prefers_near: bool,
+    prefers_local: bool,
     /// Targets that failed are put aside.
-    sets_aside: bool,
-    known: HashMap<TargetId, Known>,
+    ejects: bool,
+    stats: HashMap<TargetId, TargetStats>,
 }
 
-impl Default for Choice {
+impl Default for TargetSelector {
     fn default() -> Self {
         Self::new(true, true)
     }
 }
 
-impl Choice {
+impl TargetSelector {
     /// Knows nothing yet; tells which parts of the choice are in use.
     #[must_use]
-    pub fn new(prefers_near: bool, sets_aside: bool) -> Self {
+    pub fn new(prefers_local: bool, ejects: bool) -> Self {
         Self {
-            prefers_near,
-            sets_aside,
-            known: HashMap::new(),
+            prefers_local,
+            ejects,
+            stats: HashMap::new(),
         }
     }
 
-    /// Picks one of the targets that may get work, less those that this call has tried. `luck`
-    /// from 0 up to 1 breaks ties, so that instances don't all pick the same one.
+    /// Picks one of the targets that may get work, less those that this call has tried. `tie_breaker`
+    /// from 0 up to 1 breaks ties, so that instances don't all select the same one.
     #[must_use]
-    pub fn pick(
+    pub fn select(
         &self,
         now: Moment,
         targets: &[Arc<Target>],
         tried: &[TargetId],
-        near: &DataCentreId,
-        luck: f64,
+        local: &DataCentreId,
+        tie_breaker: f64,
     ) -> Option<Arc<Target>> {
-        let fresh: Vec<&Arc<Target>> = targets
+        let untried: Vec<&Arc<Target>> = targets
             .iter()
             .filter(|target| !tried.contains(&target.id))
             .collect();
-        let aside = fresh.iter().filter(|t| self.is_aside(now, &t.id)).count();
-        let all_count = aside * 2 > fresh.len();
+        let ejected = untried
+            .iter()
+            .filter(|t| self.is_ejected(now, &t.id))
+            .count();
+        let ignore_ejection = ejected * 2 > untried.len();
         let mut best: Option<(f64, &Arc<Target>)> = None;
-        for (number, target) in fresh.iter().enumerate() {
+        for (number, target) in untried.iter().enumerate() {
             let mut cost = self.load(now, target);
-            if self.prefers_near && target.data_centre != *near {
-                cost += DISTANCE;
+            if self.prefers_local && target.data_centre != *local {
+                cost += REMOTE_COST;
             }
-            if self.is_aside(now, &target.id) && !all_count {
-                cost += ASIDE_COST;
+            if self.is_ejected(now, &target.id) && !ignore_ejection {
+                cost += EJECTION_COST;
             }
-            let tie = (luck + as_f64(number) / as_f64(fresh.len())).fract();
+            let tie = (tie_breaker + as_f64(number) / as_f64(untried.len())).fract();
             cost += tie * 0.01;
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, target));
@@ -116,75 +119,77 @@
     /// Calls of this instance at a target. Each holds a connection, and a connection that is idle
     /// is used before another is made, so no more are open than calls were there at once.
     #[must_use]
-    pub fn mine(&self, target: &TargetId) -> u32 {
-        self.known.get(target).map_or(0, |known| known.mine)
+    pub fn in_flight(&self, target: &TargetId) -> u32 {
+        self.stats.get(target).map_or(0, |known| known.in_flight)
     }
 
     /// Notes that a call goes to a target.
-    pub fn sent(&mut self, target: &TargetId) {
-        self.entry(target).mine += 1;
+    pub fn call_started(&mut self, target: &TargetId) {
+        self.entry(target).in_flight += 1;
     }
 
     /// Notes that a call has left a target, whatever came of it.
-    pub fn ended(&mut self, target: &TargetId) {
+    pub fn call_ended(&mut self, target: &TargetId) {
         let known = self.entry(target);
-        known.mine = known.mine.saturating_sub(1);
+        known.in_flight = known.in_flight.saturating_sub(1);
     }
 
     /// Notes the load that a target said.
-    pub fn said(&mut self, now: Moment, target: &TargetId, load: ReportedLoad) {
-        self.entry(target).said = Some((now, load));
+    pub fn record_load(&mut self, now: Moment, target: &TargetId, load: ReportedLoad) {
+        self.entry(target).reported = Some((now, load));
     }
 
     /// Notes that a target served a call.
-    pub fn served(&mut self, target: &TargetId) {
+    pub fn record_success(&mut self, target: &TargetId) {
         let known = self.entry(target);
         known.failures = 0;
-        known.aside_until = Duration::ZERO;
+        known.ejected_until = Duration::ZERO;
     }
 
     /// Notes that a target failed a call in a way that it might fail others.
-    pub fn failed(&mut self, now: Moment, target: &TargetId) {
+    pub fn record_failure(&mut self, now: Moment, target: &TargetId) {
         let known = self.entry(target);
         known.failures = known.failures.saturating_add(1);
-        if known.failures >= FAILURES {
-            let doubled = ASIDE.saturating_mul(1 << (known.failures - FAILURES).min(8));
-            known.aside_until = now + doubled.min(ASIDE_MOST);
+        if known.failures >= EJECTION_FAILURES {
+            let doubled =
+                BASE_EJECTION.saturating_mul(1 << (known.failures - EJECTION_FAILURES).min(8));
+            known.ejected_until = now + doubled.min(MAX_EJECTION);
         }
     }
 
     /// Forgets targets that are gone.
     pub fn retain(&mut self, listed: impl Fn(&TargetId) -> bool) {
-        self.known.retain(|id, known| known.mine > 0 || listed(id));
+        self.stats
+            .retain(|id, known| known.in_flight > 0 || listed(id));
     }
 
     /// Whether a target is put aside.
     #[must_use]
-    pub fn is_aside(&self, now: Moment, target: &TargetId) -> bool {
-        let known = self.known.get(target);
-        self.sets_aside && known.is_some_and(|known| known.aside_until > now)
+    pub fn is_ejected(&self, now: Moment, target: &TargetId) -> bool {
+        let known = self.stats.get(target);
+        self.ejects && known.is_some_and(|known| known.ejected_until > now)
     }
 
     /// Whether a target has a free place as far as is known, and is not put aside.
     #[must_use]
     pub fn has_room(&self, now: Moment, target: &Target) -> bool {
-        self.load(now, target) < 1.0 && !self.is_aside(now, &target.id)
+        self.load(now, target) < 1.0 && !self.is_ejected(now, &target.id)
     }
 
     /// Calls at a target as a part of its places: our own, or those that it said if more.
     fn load(&self, now: Moment, target: &Target) -> f64 {
-        let Some(known) = self.known.get(&target.id) else {
+        let Some(known) = self.stats.get(&target.id) else {
             return 0.0;
         };
-        let said = known
-            .said
-            .filter(|(at, _)| now.saturating_sub(*at) < SAID_LIFE)
+        let reported = known
+            .reported
+            .filter(|(at, _)| now.saturating_sub(*at) < REPORT_LIFETIME)
             .map_or(0, |(_, load)| load.running + load.waiting);
-        f64::from(said.max(known.mine)) / f64::from(target.slots.max(1))
+        f64::from(reported.max(known.in_flight)) / f64::from(target.slots.max(1))
     }
 
-    fn entry(&mut self, target: &TargetId) -> &mut Known {
-        self.known.entry(Arc::clone(target)).or_default()
+    fn entry(&mut self, target: &TargetId) -> &mut TargetStats {
+        self.stats.entry(Arc::clone(target)).or_default()
     }
 }
 
--- a/components/front/src/quarantine/keeping.rs
+++ b/components/front/src/quarantine/aggregation.rs
@@ -12,12 +12,12 @@
 use types::InstanceId;
 
 use crate::{
-    callers::refuse::millis,
+    callers::refusal::millis,
     instances::{
         notify::{NOTIFY_TIMEOUT, notify, notify_all},
         wire::{Message, Reply},
     },
-    quarantine::kept,
+    quarantine::record,
     state::Front,
 };
 
@@ -50,7 +50,7 @@
     log(&verdict);
     notify_all(front, &Message::Words(vec![verdict]));
     if verdict.kind == VerdictKind::Rejected && is_first_keeper(front, &verdict.fingerprint) {
-        kept::keep(front, &verdict);
+        record::keep(front, &verdict);
     }
 }
 
@@ -70,7 +70,7 @@
         Some((verdict, Recipients::All)) => {
             log(&verdict);
             notify_all(front, &Message::Words(vec![verdict]));
-            kept::keep(front, &verdict);
+            record::keep(front, &verdict);
         }
     }
 }
--- a/components/front/src/quarantine/ends.rs
+++ b/components/front/src/quarantine/crash_detection.rs
@@ -15,7 +15,7 @@
 use types::{Moment, TargetId};
 use view::Target;
 
-use crate::{callers::call::Call, quarantine::keeping, state::Front};
+use crate::{callers::call::Call, quarantine::aggregation, state::Front};
 
 /// Time to connect to a target that may have ended.
 const CONNECT_LIMIT: Duration = Duration::from_millis(400);
@@ -33,11 +33,11 @@
 
 /// Targets that have ended lately.
 #[derive(Debug, Default)]
-pub struct Endings {
+pub struct RecentCrashes {
     lately: Mutex<HashMap<(TargetId, Option<u64>), Moment>>,
 }
 
-impl Endings {
+impl RecentCrashes {
     fn remember(&self, now: Moment, target: &Target) {
         let mut lately = self.lately.lock();
         lately.retain(|_, at| now.saturating_sub(*at) < REMEMBERED);
@@ -97,7 +97,7 @@
     /// A request that is lost now.
     fn new(call: &Call, sent: Moment, events: u64) -> Self {
         Self {
-            id: Arc::clone(&call.asked.id),
+            id: Arc::clone(&call.request.id),
             fingerprint: call.fingerprint,
             sent,
             lost: boot_time(),
@@ -107,7 +107,7 @@
 
     /// Holds the end of its target against the request.
     fn blame(self, front: &Arc<Front>, target: &Target) {
-        front.endings.remember(boot_time(), target);
+        front.recent_crashes.remember(boot_time(), target);
         emit(&Event::TargetEnded {
             id: self.id,
             fingerprint: self.fingerprint.to_string().into(),
@@ -124,12 +124,12 @@
             age: boot_time().saturating_sub(self.lost),
             ran_for: self.lost.saturating_sub(self.sent),
         };
-        keeping::found(front, evidence);
+        aggregation::found(front, evidence);
     }
 }
 
 async fn has_ended(front: &Front, target: &Target) -> bool {
-    if front.endings.knows(target) || refuses(target.addr).await {
+    if front.recent_crashes.knows(target) || refuses(target.addr).await {
         return true;
     }
     let until = boot_time() + LISTING_PATIENCE;
--- a/components/front/src/quarantine/kept.rs
+++ b/components/front/src/quarantine/record.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    callers::refuse::millis,
-    quarantine::keeping,
+    callers::refusal::millis,
+    quarantine::aggregation,
     state::{Front, unix_millis},
 };
 
@@ -18,7 +18,7 @@
 
 /// A rejection as it is kept.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Kept {
+pub struct QuarantineRecord {
     /// The request.
     pub fingerprint: Fingerprint,
     /// How often it was rejected.
@@ -30,7 +30,7 @@
 /// Writes a rejection to the store, or drops one that was lifted.
 pub fn keep(front: &Arc<Front>, verdict: &Verdict) {
     let (front, verdict) = (Arc::clone(front), *verdict);
-    let kept = Kept {
+    let kept = QuarantineRecord {
         fingerprint: verdict.fingerprint,
         round: verdict.round,
         until_ms: unix_millis().saturating_add(millis(verdict.remaining)),
@@ -53,7 +53,7 @@
 }
 
 /// Takes a rejection that was found in the store; drops it if its time is over.
-pub fn found(front: &Arc<Front>, kept: &Kept) {
+pub fn found(front: &Arc<Front>, kept: &QuarantineRecord) {
     let left = kept.until_ms.saturating_sub(unix_millis());
     let verdict = Verdict {
         fingerprint: kept.fingerprint,
@@ -62,8 +62,8 @@
         remaining: Duration::from_millis(left),
     };
     if left > 0 {
-        keeping::learn(front, &[verdict]);
-    } else if keeping::is_first_keeper(front, &kept.fingerprint) {
+        aggregation::learn(front, &[verdict]);
+    } else if aggregation::is_first_keeper(front, &kept.fingerprint) {
         let lapsed = Verdict {
             kind: VerdictKind::Cleared,
             ..verdict
--- a/components/front/src/reload.rs
+++ b/components/front/src/reload.rs
@@ -98,10 +98,11 @@
         let front = self.front;
         *front.bounds.write() = cfg.bounds;
         let bounds = &cfg.bounds;
-        front
-            .budget
-            .lock()
-            .set(bounds.retry_window, bounds.retry_ratio, bounds.retry_slack);
+        front.retry_budget.lock().configure(
+            bounds.retry_window,
+            bounds.retry_ratio,
+            bounds.retry_slack,
+        );
         let known: BTreeSet<SocketAddr> = self.taken.seeds.iter().copied().collect();
         for seed in cfg.seeds.iter().filter(|seed| !known.contains(*seed)) {
             let greet = membership::greet_seed(Arc::clone(front), *seed);
--- a/components/front/src/run.rs
+++ b/components/front/src/run.rs
@@ -20,9 +20,9 @@
 use crate::{
     adapters::{EngineControl, ProtocolAdapter, Store},
     admin::{Admin, Readiness},
-    callers::{drain, handler::Callers, open::OpenRequests, shutdown::Ending},
+    callers::{drain, handler::RequestHandler, open_requests::OpenRequests, shutdown::Shutdown},
     config::Config,
-    generations::{live::LiveRuns, placement::Placement, probing},
+    generations::{active::ActiveGenerations, placement::Placement, probing},
     instances::{
         membership,
         message_handler::MessageHandler,
@@ -31,8 +31,8 @@
     },
     latch::Latch,
     metrics::Metrics,
-    plain_calls::{budget::Budget, choice::Choice, cold::ColdTargets},
-    quarantine::ends::Endings,
+    plain_calls::{cold::ColdTargets, retry_budget::RetryBudget, selection::TargetSelector},
+    quarantine::crash_detection::RecentCrashes,
     reload,
     state::{Front, unix_millis},
     store::{counted::CountedStore, follow::Follower, topic_cache::TopicCache},
@@ -84,7 +84,7 @@
     let callers = listen(
         front.cfg.callers,
         limits(&front),
-        Callers::new(Arc::clone(&front)),
+        RequestHandler::new(Arc::clone(&front)),
     );
     let callers = callers.await?.with_terms(Arc::clone(&front.terms));
     let messages = MessageHandler::new(Arc::clone(&front));
@@ -97,7 +97,7 @@
         workers::spawn(admin.run()).detach();
     }
     let retire = callers.retire();
-    let mut callers = drain::Callers {
+    let mut callers = drain::CallerServer {
         stop: callers.stop(),
         open: callers.open(),
         task: workers::spawn(callers.run()),
@@ -118,7 +118,7 @@
     reload::watch(&front, &adapters.reload, &stop, &signal).await;
     retire.store(true, Ordering::Release);
     drain::drain(&front, &mut callers).await;
-    drain::tell_end(&front, &callers);
+    drain::log_stopped(&front, &callers);
     Ok(())
 }
 
@@ -148,15 +148,15 @@
             .with_strong_first(cfg.decisions.features.capacity_order)
             .with_bytes(metrics.peer_bytes.clone()),
         placement: Placement::new(cfg.decisions.placing),
-        live: LiveRuns::default(),
+        generations: ActiveGenerations::default(),
         operator_rows: Arc::new(TopicCache::new()),
         target_rows: Arc::new(TopicCache::new()),
         member_rows: Arc::new(TopicCache::new()),
-        choice: Mutex::new(Choice::new(
+        selector: Mutex::new(TargetSelector::new(
             cfg.decisions.features.locality,
             cfg.decisions.features.ejection,
         )),
-        budget: Mutex::new(Budget::new(
+        retry_budget: Mutex::new(RetryBudget::new(
             bounds.retry_window,
             bounds.retry_ratio,
             bounds.retry_slack,
@@ -165,12 +165,12 @@
         rate_limits: Mutex::default(),
         rate_allocator: Mutex::default(),
         quarantine: Mutex::default(),
-        endings: Endings::default(),
+        recent_crashes: RecentCrashes::default(),
         body_budget: net::Budget::new(cfg.memory / BODIES_PART),
-        ending: Ending::default(),
+        shutdown: Shutdown::default(),
         peers_known: Latch::default(),
         state_known: Latch::default(),
-        open: OpenRequests::default(),
+        open_requests: OpenRequests::default(),
         metrics,
         terms: Arc::new(Terms::new(&terms)),
         targets_lost: AtomicBool::new(false),
--- a/components/front/src/send.rs
+++ b/components/front/src/send.rs
@@ -14,9 +14,9 @@
     adapters::{OutgoingRequest, ResponseHead, Resume},
     callers::{
         call::Call,
-        refuse::{QUARANTINED, millis},
+        refusal::{QUARANTINED, millis},
     },
-    quarantine::ends,
+    quarantine::crash_detection,
     state::Front,
     target_rates,
 };
@@ -69,12 +69,12 @@
         head: &call.head,
         body: &call.body,
         target,
-        time_left: call.left(),
+        time_left: call.caller_time_left(),
         workspace: call.workspace.as_deref(),
         resume,
     };
     let req = front.adapter.build_request(&sending);
-    call.begin_sending();
+    call.mark_sent();
     let from = boot_time();
     let answer = Timer::new()
         .within(limit, front.client.send(target.addr, req))
@@ -86,7 +86,7 @@
         },
         Some(Err(SendError::Unsent { reason })) => SendOutcome::NotRun { reason },
         Some(Err(SendError::Lost { reason })) => {
-            ends::look_into(front, call, target, from, 0);
+            crash_detection::look_into(front, call, target, from, 0);
             SendOutcome::Unknown {
                 reason,
                 timed_out: false,
@@ -108,7 +108,7 @@
 /// Logs that a sending failed.
 pub fn log_send_failure(call: &Call, target: &Target, reason: &Arc<str>, not_run: bool) {
     emit(&Event::SendingFailed {
-        id: Arc::clone(&call.asked.id),
+        id: Arc::clone(&call.request.id),
         target: Arc::clone(&target.id),
         reason: Arc::clone(reason),
         not_run,
@@ -125,7 +125,7 @@
     resp: Response<Incoming>,
 ) -> SendOutcome {
     let (head, body) = resp.into_parts();
-    let heading = front.adapter.parse_response_head(&call.asked.id, &head);
+    let heading = front.adapter.parse_response_head(&call.request.id, &head);
     let unknown = |reason: String| SendOutcome::Unknown {
         reason: reason.into(),
         timed_out: false,
--- a/components/front/src/state.rs
+++ b/components/front/src/state.rs
@@ -1,7 +1,7 @@
 //! What all parts of one instance share.
 //!
-//! Locks, in the order in which they may be held together: `bounds`, `budget`, `cold_targets`, `choice`, then those
-//! inside `live`, `placement`, `peers` and `view`. `rate_limits` comes after all of
+//! Locks, in the order in which they may be held together: `bounds`, `retry_budget`, `cold_targets`, `selector`, then those
+//! inside `generations`, `placement`, `peers` and `view`. `rate_limits` comes after all of
 //! these; `quarantine` and `rate_allocator` are held alone. None is held over an await.
 
 use std::{
@@ -19,14 +19,14 @@
 
 use crate::{
     adapters::{EngineControl, ProtocolAdapter, Store},
-    callers::{open::OpenRequests, shutdown::Ending},
+    callers::{open_requests::OpenRequests, shutdown::Shutdown},
     config::{Bounds, Config},
-    generations::{live::LiveRuns, placement::Placement},
+    generations::{active::ActiveGenerations, placement::Placement},
     instances::{peers::Peers, wire::Topic},
     latch::Latch,
     metrics::Metrics,
-    plain_calls::{budget::Budget, choice::Choice, cold::ColdTargets},
-    quarantine::ends::Endings,
+    plain_calls::{cold::ColdTargets, retry_budget::RetryBudget, selection::TargetSelector},
+    quarantine::crash_detection::RecentCrashes,
     store::topic_cache::TopicCache,
 };
 
@@ -61,7 +61,7 @@
     /// Engines for generations.
     pub placement: Placement,
     /// Generations that run for its callers.
-    pub live: LiveRuns,
+    pub generations: ActiveGenerations,
     /// Rows of the operator.
     pub operator_rows: Arc<TopicCache>,
     /// Rows of the targets.
@@ -69,9 +69,9 @@
     /// Rows of the instances.
     pub member_rows: Arc<TopicCache>,
     /// Targets for plain calls.
-    pub choice: Mutex<Choice>,
+    pub selector: Mutex<TargetSelector>,
     /// Second sendings.
-    pub budget: Mutex<Budget>,
+    pub retry_budget: Mutex<RetryBudget>,
     /// Cold targets.
     pub cold_targets: Mutex<ColdTargets>,
     /// Rates that targets have named for all instances.
@@ -81,15 +81,15 @@
     /// Requests under which targets ended.
     pub quarantine: Mutex<QuarantineState>,
     /// Targets that have ended lately.
-    pub endings: Endings,
+    pub recent_crashes: RecentCrashes,
     /// Bytes that bodies may hold together.
     pub body_budget: net::Budget,
     /// The end of its life.
-    pub ending: Ending,
+    pub shutdown: Shutdown,
     /// Open once it has looked for the other instances, or can't.
     pub peers_known: Latch,
     /// Requests that were read and have no answer yet.
-    pub open: OpenRequests,
+    pub open_requests: OpenRequests,
     /// Open once it has known enough to take callers.
     pub state_known: Latch,
     /// Counters and histograms.
@@ -137,7 +137,7 @@
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let known = self.view.rules().is_some() && self.view.targets_read().is_some();
-        known && self.ending.left().is_none() && self.can_honour_keys()
+        known && self.shutdown.time_left().is_none() && self.can_honour_keys()
     }
 
     /// Waits, right after the start, until it knows enough to take callers: a short wait spares them
@@ -187,7 +187,7 @@
         let instances = self.instance_count();
         self.cold_targets
             .lock()
-            .take(boot_time(), &target.id, per_s, instances)
+            .try_take(boot_time(), &target.id, per_s, instances)
     }
 }
 
--- a/components/front/src/store/counted.rs
+++ b/components/front/src/store/counted.rs
@@ -9,7 +9,7 @@
     adapters::{Record, Store, StoreError},
     instances::wire::{Member, Row, Topic, TopicUpdate},
     metrics::StoreCallLabels,
-    quarantine::kept::Kept,
+    quarantine::record::QuarantineRecord,
 };
 
 /// A store whose calls are counted.
@@ -70,13 +70,13 @@
         answer
     }
 
-    async fn put_quarantine_record(&self, kept: &Kept) -> Result<(), StoreError> {
+    async fn put_quarantine_record(&self, kept: &QuarantineRecord) -> Result<(), StoreError> {
         let answer = self.inner.put_quarantine_record(kept).await;
         self.count(Topic::Members, "write", &answer);
         answer
     }
 
-    async fn delete_quarantine_record(&self, kept: &Kept) -> Result<(), StoreError> {
+    async fn delete_quarantine_record(&self, kept: &QuarantineRecord) -> Result<(), StoreError> {
         let answer = self.inner.delete_quarantine_record(kept).await;
         self.count(Topic::Members, "write", &answer);
         answer
--- a/components/front/src/store/follow.rs
+++ b/components/front/src/store/follow.rs
@@ -17,10 +17,10 @@
 
 use crate::{
     adapters::{Record, Store, StoreError},
-    callers::refuse::millis,
+    callers::refusal::millis,
     generations::evacuation,
     instances::wire::{Message, Reply, Row, Topic, TopicUpdate},
-    quarantine::kept,
+    quarantine::record,
     state::{Front, elapsed_since},
     store::{
         sources::{Source, SourceFailure, SourceSelector},
@@ -289,7 +289,7 @@
             Some(Record::Opened(data_centre)) => view.learn_closed(&data_centre, false),
             Some(Record::Listed(target)) => {
                 let mut cold = self.front.cold_targets.lock();
-                cold.note(now, &target.id, target.cold_left);
+                cold.mark_cold(now, &target.id, target.cold_left);
                 drop(cold);
                 view.learn_target(target)
             }
@@ -299,7 +299,7 @@
                 None
             }
             Some(Record::Quarantined(kept)) => {
-                kept::found(&self.front, &kept);
+                record::found(&self.front, &kept);
                 None
             }
             Some(Record::Unreadable { key, reason }) => {
@@ -404,12 +404,12 @@
             emit(&Event::TargetLeaving {
                 target: Arc::clone(&target.id),
             });
-            workers::spawn(evacuation::tell_owner(
+            workers::spawn(evacuation::notify_owner(
                 Arc::clone(front),
                 Arc::clone(&target),
             ))
             .detach();
-            workers::spawn(evacuation::empty(Arc::clone(front), target)).detach();
+            workers::spawn(evacuation::evacuate(Arc::clone(front), target)).detach();
         }
         Change::Reborn(target) => {
             emit(&Event::TargetReborn {
--- a/components/front/tests/aims.rs
+++ b/components/front/tests/aims.rs
@@ -35,7 +35,7 @@
     let left = Duration::from_secs(33);
     let (head, ()) = hyper::Request::new(()).into_parts();
     let call = Call {
-        asked: CallerRequest {
+        request: CallerRequest {
             id: "a-request".into(),
             host: "host.example".into(),
             path: "/drafts/1".into(),
@@ -46,16 +46,20 @@
         fingerprint: Fingerprint::new(&[]),
         head,
         body: bytes::Bytes::new(),
-        share: Arc::new(net::Budget::new(0).share()),
+        memory: Arc::new(net::Budget::new(0).share()),
         route: Arc::new(route),
         service: Arc::new(service),
         workspace: None,
-        rank: 0,
+        priority: 0,
         arrived: boot_time(),
-        deadline: boot_time() + left,
-        due: boot_time() + left,
-        rules: 1,
+        caller_deadline: boot_time() + left,
+        answer_deadline: boot_time() + left,
+        config_version: 1,
         sent: Arc::default(),
     };
-    assert!(call.aim_left() > aim / 2, "{:?}", call.aim_left());
+    assert!(
+        call.objective_left() > aim / 2,
+        "{:?}",
+        call.objective_left()
+    );
 }
--- a/components/front/tests/decisions.rs
+++ b/components/front/tests/decisions.rs
@@ -1,14 +1,14 @@
-//! The small decisions of the front: budgets, cold targets, the choice among plain targets.
+//! The small decisions of the front: budgets, cold targets, the selector among plain targets.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use front::{
     ReportedLoad,
-    generations::split::{Event, Splitter},
+    generations::splitter::{EventSplitter, StreamEvent},
     plain_calls::{
-        budget::Budget,
-        choice::{Choice, connection_share},
         cold::ColdTargets,
+        retry_budget::RetryBudget,
+        selection::{TargetSelector, connection_share},
     },
 };
 use proptest::prelude::*;
@@ -36,15 +36,17 @@
 #[test]
 fn second_sendings_stay_within_a_part_of_the_requests() {
     let service: ServiceId = "a-service".into();
-    let mut budget = Budget::new(10 * SECOND, 0.2, 9.0);
+    let mut budget = RetryBudget::new(10 * SECOND, 0.2, 9.0);
     let now = 100 * SECOND;
     for _ in 0..100 {
-        budget.count(now, &service);
+        budget.record_request(now, &service);
     }
-    let granted = (0..100).filter(|_| budget.take(now, &service, 9)).count();
+    let granted = (0..100)
+        .filter(|_| budget.try_take(now, &service, 9))
+        .count();
     assert!((10..=21).contains(&granted), "{granted}");
     let later = now + 11 * SECOND;
-    assert!(!budget.take(later, &service, 9) || granted > 0);
+    assert!(!budget.try_take(later, &service, 9) || granted > 0);
 }
 
 /// Nine instances share what a cold target bears. If each took it for its own, the target would
@@ -53,42 +55,44 @@
 fn instances_share_what_a_cold_target_bears() {
     let mut cold = ColdTargets::default();
     let start = 100 * SECOND;
-    cold.note(start, &"t-1".into(), 10 * SECOND);
+    cold.mark_cold(start, &"t-1".into(), 10 * SECOND);
     let sent = (0..1_000)
-        .filter(|ms| cold.take(start + *ms * MS, "t-1", 45.0, 9))
+        .filter(|ms| cold.try_take(start + *ms * MS, "t-1", 45.0, 9))
         .count();
     assert!((1..=5).contains(&sent), "{sent}");
-    assert!(cold.take(start, "warm", 45.0, 9));
+    assert!(cold.try_take(start, "warm", 45.0, 9));
     let warm = start + 11 * SECOND;
-    let sent = (0..100).filter(|_| cold.take(warm, "t-1", 45.0, 9)).count();
+    let sent = (0..100)
+        .filter(|_| cold.try_take(warm, "t-1", 45.0, 9))
+        .count();
     assert_eq!(sent, 100);
 }
 
 #[test]
 fn the_nearest_target_goes_first_until_it_is_busier() {
-    let mut choice = Choice::default();
+    let mut selector = TargetSelector::default();
     let all = [target("far", "dc-2"), target("near", "dc-1")];
     let near = "dc-1".into();
     let now = 100 * SECOND;
-    let pick = |choice: &Choice| {
-        choice
-            .pick(now, &all, &[], &near, 0.5)
+    let pick = |selector: &TargetSelector| {
+        selector
+            .select(now, &all, &[], &near, 0.5)
             .map(|t| t.id.to_string())
     };
-    assert_eq!(pick(&choice).as_deref(), Some("near"));
+    assert_eq!(pick(&selector).as_deref(), Some("near"));
     let load = ReportedLoad {
         running: 6,
         waiting: 2,
     };
-    choice.said(now, &"near".into(), load);
-    assert_eq!(pick(&choice).as_deref(), Some("far"));
+    selector.record_load(now, &"near".into(), load);
+    assert_eq!(pick(&selector).as_deref(), Some("far"));
 }
 
 /// A target answers its health question and fails its calls. Callers see errors for as long as
 /// calls go there, so a few failures in a row put it aside.
 #[test]
 fn a_target_that_fails_in_a_row_is_put_aside_and_tried_again() {
-    let mut choice = Choice::default();
+    let mut selector = TargetSelector::default();
     let all = [
         target("bad", "dc-1"),
         target("good", "dc-2"),
@@ -96,12 +100,16 @@
     ];
     let near = "dc-1".into();
     let now = 100 * SECOND;
-    choice.failed(now, &"bad".into());
-    choice.failed(now, &"bad".into());
-    let picked = choice.pick(now, &all, &[], &near, 0.5).expect("a target");
+    selector.record_failure(now, &"bad".into());
+    selector.record_failure(now, &"bad".into());
+    let picked = selector
+        .select(now, &all, &[], &near, 0.5)
+        .expect("a target");
     assert_ne!(&*picked.id, "bad");
     let later = now + 5 * SECOND;
-    let picked = choice.pick(later, &all, &[], &near, 0.5).expect("a target");
+    let picked = selector
+        .select(later, &all, &[], &near, 0.5)
+        .expect("a target");
     assert_eq!(&*picked.id, "bad");
 }
 
@@ -113,40 +121,42 @@
     assert_eq!(share, 4);
     assert!(share * 9 <= 45);
     assert_eq!(connection_share(2, 83), 1, "each may call at all");
-    let mut choice = Choice::default();
+    let mut selector = TargetSelector::default();
     let id = "t-1".into();
     for _ in 0..share {
-        choice.sent(&id);
+        selector.call_started(&id);
     }
-    assert_eq!(choice.mine(&id), share);
-    choice.ended(&id);
-    assert_eq!(choice.mine(&id), share - 1);
+    assert_eq!(selector.in_flight(&id), share);
+    selector.call_ended(&id);
+    assert_eq!(selector.in_flight(&id), share - 1);
 }
 
 /// Every target fails: it may be the callers' requests, or our own link. Putting all aside would
 /// turn a bad moment into an outage.
 #[test]
 fn where_all_targets_fail_none_is_put_aside() {
-    let mut choice = Choice::default();
+    let mut selector = TargetSelector::default();
     let all = [target("a", "dc-1"), target("b", "dc-2")];
     let near = "dc-1".into();
     let now = 100 * SECOND;
     for id in ["a", "b"] {
         for _ in 0..3 {
-            choice.failed(now, &id.into());
+            selector.record_failure(now, &id.into());
         }
     }
-    let picked = choice.pick(now, &all, &[], &near, 0.5).expect("a target");
+    let picked = selector
+        .select(now, &all, &[], &near, 0.5)
+        .expect("a target");
     assert_eq!(&*picked.id, "a");
     let tried = ["a".into()];
-    let picked = choice
-        .pick(now, &all, &tried, &near, 0.5)
+    let picked = selector
+        .select(now, &all, &tried, &near, 0.5)
         .expect("a target");
     assert_eq!(&*picked.id, "b");
 }
 
-fn events(parts: &[&[u8]]) -> (Vec<Event>, Vec<u8>) {
-    let mut split = Splitter::new();
+fn events(parts: &[&[u8]]) -> (Vec<StreamEvent>, Vec<u8>) {
+    let mut split = EventSplitter::new();
     let mut all = Vec::new();
     for part in parts {
         split.push(part).expect("short events");
--- a/components/front/tests/silence.rs
+++ b/components/front/tests/idle.rs
@@ -4,7 +4,7 @@
 
 use front::{
     EngineReport, EngineState, GenerationReport,
-    generations::silence::{Evidence, QUIET, Silence, Verdict},
+    generations::idle::{Diagnosis, IDLE_TIMEOUT, IdleMonitor, Observation},
 };
 use placing::Report;
 use proptest::prelude::*;
@@ -22,8 +22,13 @@
     }
 }
 
-fn judge(silence: &mut Silence, listed: bool, said: Option<&EngineReport>, heard: u64) -> Verdict {
-    let evidence = Evidence {
+fn judge(
+    silence: &mut IdleMonitor,
+    listed: bool,
+    said: Option<&EngineReport>,
+    heard: u64,
+) -> Diagnosis {
+    let evidence = Observation {
         listed,
         report: said,
         heard,
@@ -35,39 +40,42 @@
 /// lost that go on as soon as the link is back.
 #[test]
 fn an_engine_that_is_listed_and_does_not_answer_is_waited_for() {
-    let mut silence = Silence::new(NOW);
+    let mut silence = IdleMonitor::new(NOW);
     for _ in 0..20 {
-        assert_eq!(judge(&mut silence, true, None, 7), Verdict::Wait);
+        assert_eq!(judge(&mut silence, true, None, 7), Diagnosis::Wait);
     }
 }
 
 /// An engine died without a word. Once its listing is gone too, its callers wait in vain.
 #[test]
 fn an_engine_that_is_neither_listed_nor_answers_is_gone() {
-    let mut silence = Silence::new(NOW);
-    assert_eq!(judge(&mut silence, false, None, 7), Verdict::Wait);
-    assert_eq!(judge(&mut silence, false, None, 7), Verdict::Gone);
+    let mut silence = IdleMonitor::new(NOW);
+    assert_eq!(judge(&mut silence, false, None, 7), Diagnosis::Wait);
+    assert_eq!(judge(&mut silence, false, None, 7), Diagnosis::EngineGone);
     // One that has left the list and serves on is not.
     let said = report(7);
-    assert_eq!(judge(&mut silence, false, Some(&said), 7), Verdict::Wait);
+    assert_eq!(judge(&mut silence, false, Some(&said), 7), Diagnosis::Wait);
 }
 
 /// A connection fell silent while its engine goes on. One report alone may be a moment's delay.
 #[test]
 fn events_that_were_made_and_do_not_arrive_are_fetched() {
-    let mut silence = Silence::new(NOW);
+    let mut silence = IdleMonitor::new(NOW);
     let said = report(30);
-    assert_eq!(judge(&mut silence, true, Some(&said), 7), Verdict::Wait);
-    assert_eq!(judge(&mut silence, true, Some(&said), 7), Verdict::Unheard);
+    assert_eq!(judge(&mut silence, true, Some(&said), 7), Diagnosis::Wait);
+    assert_eq!(
+        judge(&mut silence, true, Some(&said), 7),
+        Diagnosis::ConnectionLost
+    );
 }
 
 /// An engine reads a prompt anew, or is slow: it has made what has arrived.
 #[test]
 fn an_engine_that_makes_nothing_is_waited_for() {
-    let mut silence = Silence::new(NOW);
+    let mut silence = IdleMonitor::new(NOW);
     let said = report(7);
     for _ in 0..20 {
-        assert_eq!(judge(&mut silence, true, Some(&said), 7), Verdict::Wait);
+        assert_eq!(judge(&mut silence, true, Some(&said), 7), Diagnosis::Wait);
     }
 }
 
@@ -75,12 +83,12 @@
     /// Whatever came before, a stream that is heard again is not judged by its former silence.
     #[test]
     fn what_is_heard_begins_anew(made in prop::collection::vec(0..50_u64, 0..6), heard in 0..50_u64) {
-        let mut silence = Silence::new(NOW);
+        let mut silence = IdleMonitor::new(NOW);
         for events in made {
             let _ = judge(&mut silence, true, Some(&report(events)), heard);
         }
         silence.heard(NOW);
-        prop_assert_eq!(silence.ask_at(), NOW + QUIET);
-        prop_assert_eq!(judge(&mut silence, true, Some(&report(heard + 1)), heard), Verdict::Wait);
+        prop_assert_eq!(silence.ask_at(), NOW + IDLE_TIMEOUT);
+        prop_assert_eq!(judge(&mut silence, true, Some(&report(heard + 1)), heard), Diagnosis::Wait);
     }
 }
--- a/components/front/tests/retry_after.rs
+++ b/components/front/tests/retry_after.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, time::Duration};
 
-use front::callers::retry_after::come_back_after;
+use front::callers::retry_after::retry_after;
 
 const PATIENT: Option<Duration> = Some(Duration::from_secs(36));
 
@@ -11,7 +11,7 @@
 /// refusal, 30 s before they would have had to.
 #[test]
 fn the_longer_an_outage_lasts_the_later_callers_come_back() {
-    let after = |lost| come_back_after(Duration::from_millis(lost), PATIENT, 0.5);
+    let after = |lost| retry_after(Duration::from_millis(lost), PATIENT, 0.5);
     assert_eq!(after(10), Duration::from_millis(300));
     assert_eq!(after(6_000), Duration::from_secs(3));
     assert_eq!(after(60_000), Duration::from_secs(10));
@@ -22,7 +22,7 @@
 fn callers_come_back_while_they_can_still_be_served() {
     let left = Duration::from_millis(1_500);
     for luck in [0.0, 0.5, 0.99] {
-        let after = come_back_after(Duration::from_secs(5), Some(left), luck);
+        let after = retry_after(Duration::from_secs(5), Some(left), luck);
         assert!(after <= left / 3, "{after:?}");
     }
 }
@@ -31,7 +31,7 @@
 #[test]
 fn callers_that_were_refused_together_come_back_apart() {
     let times: BTreeSet<Duration> = (0..20)
-        .map(|n| come_back_after(Duration::from_secs(8), PATIENT, f64::from(n) / 20.0))
+        .map(|n| retry_after(Duration::from_secs(8), PATIENT, f64::from(n) / 20.0))
         .collect();
     assert_eq!(times.len(), 20);
     let first = times.first().copied().unwrap_or_default();
