--- a/components/policy/src/account.rs
+++ b/components/policy/src/account.rs
@@ -1,4 +1,7 @@
-//! The exact account of what runs on one target.
+//! Bookkeeping of the permits that occupy one target.
+//!
+//! The owner of a shard is the only one to grant permits for its targets, so an account knows all
+//! work that its term has placed there.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,46 +19,46 @@
     wait_queue::MAX_TOKENS,
 };
 
-/// Age at which a projection is made anew from what has been produced since.
+/// A projection older than this is rebuilt from the progress reported since.
 const MAX_PROJECTION_AGE: Duration = Duration::from_millis(100);
-/// Age at which a report no longer says anything about memory in use.
+/// A load report older than this is not used for the memory in use.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
-/// Weight of one observation in the estimate of a target's tokens per second.
+/// Weight of one observation in the moving average of a target's tokens per second.
 const RATE_WEIGHT: f64 = 0.1;
 
-/// A load report and the moment it describes.
+/// A load report with the time that it describes.
 #[derive(Clone, Copy, Debug)]
 pub struct TimedReport {
-    /// The moment it describes.
+    /// When the target made the report, on this process's clock.
     pub taken_at: Moment,
-    /// What it says.
+    /// The report itself.
     pub report: EngineReport,
 }
 
-/// One target and what runs there.
+/// One target and the permits that occupy it.
 #[derive(Debug)]
 pub struct TargetAccount {
-    /// The target as listed; `None` while it isn't listed.
+    /// The target as listed; `None` while it is not listed.
     pub listed: Option<Target>,
-    /// Which life of the target this account is of.
+    /// The target's incarnation that this account describes.
     pub incarnation: Option<Incarnation>,
-    /// Its permits.
+    /// Permits that occupy the target.
     pub permits: BTreeMap<PermitKey, GrantedPermit>,
-    /// Its limit.
+    /// Limit of concurrent requests.
     pub limiter: ConcurrencyLimiter,
-    /// Its newest report.
+    /// The newest load report.
     pub report: Option<TimedReport>,
-    /// Prompts it has seen lately.
+    /// Prompt blocks that the target has probably cached.
     pub prefixes: Prefixes,
-    /// Whether its own word is enough to count as warm: it was there before this owner, which
-    /// therefore hasn't seen it start.
+    /// Whether a report that the target is warm is enough to end cold start. True if the target was
+    /// there before this owner, which therefore did not see it start.
     pub trusts_warm_report: bool,
-    /// When it refused a connection last while it counted as warm; only a later report that it
-    /// is warm is believed.
+    /// When the target last refused a connection while it counted as warm. Only a report made after
+    /// that can end cold start early.
     pub uncertain_since: Option<Moment>,
-    /// Whether work of before this owner's term, whose entry is lost, may still run there.
+    /// Whether work of an earlier term, whose entry is lost, may still run on the target.
     pub may_run_unknown_work: bool,
-    /// When work was last asked back.
+    /// When a permit of this target was last revoked.
     pub last_revoked_at: Moment,
     pub(crate) created_at: Moment,
     pub(crate) admission_paused_until: Moment,
@@ -65,7 +68,7 @@
 }
 
 impl TargetAccount {
-    /// Starts with nothing known to run.
+    /// Creates an account without permits. The target counts as cold.
     #[must_use]
     pub fn new(now: Moment) -> Self {
         Self {
@@ -87,17 +90,18 @@
         }
     }
 
-    /// Concurrent requests that it has or may get, orphans included.
+    /// Number of concurrent requests that the permits cover, orphaned ones included.
     #[must_use]
     pub fn occupied_slots(&self) -> u32 {
         self.permits.values().map(|permit| permit.slots).sum()
     }
 
-    /// Concurrent requests that a cold target may have, work of before this term included.
+    /// Upper bound of the concurrent requests on a cold target, work of earlier terms included.
     ///
-    /// When an entry dies together with the owner, nobody can tell the new owner what the dead
-    /// entry's work occupies. The cold target would get its bound on top of that and fall over,
-    /// so until it reports itself idle once its own count is believed where that is higher.
+    /// When an entry dies together with the owner, nobody can tell the new owner which work the
+    /// dead entry had placed. Granting the cold limit on top of that work would overload the
+    /// target. Until the target has once reported itself idle, its own count is therefore used
+    /// where it is higher.
     #[must_use]
     pub fn max_occupied_slots(&self) -> u32 {
         let occupied = self.occupied_slots();
@@ -113,8 +117,8 @@
         occupied.max(report.report.running + report.report.waiting + not_in_it)
     }
 
-    /// Tells whether it may get new work at all: listed as staying, in a data centre that is
-    /// in service, and its report is of the life that is listed.
+    /// Returns whether the target may get new work: it is in service, and its report is of the
+    /// listed incarnation.
     #[must_use]
     pub fn accepts_work(&self, view: &View) -> bool {
         self.is_in_service(view)
@@ -123,7 +127,7 @@
             })
     }
 
-    /// Tells whether it is listed as staying, in a data centre that is in service.
+    /// Returns whether the target is listed as live and its data centre is in service.
     #[must_use]
     pub fn is_in_service(&self, view: &View) -> bool {
         self.listed.as_ref().is_some_and(|listed| {
@@ -132,7 +136,7 @@
         })
     }
 
-    /// Tokens of memory in all.
+    /// Total memory in tokens: as reported, or else as configured.
     #[must_use]
     pub fn capacity(&self, limits: &TargetLimits) -> Tokens {
         self.report
@@ -141,7 +145,7 @@
             .unwrap_or(limits.memory_tokens)
     }
 
-    /// Share of the memory in use by the newest report, 0.0 without a fresh one.
+    /// Share of the memory that is in use by the newest report; 0.0 without a recent one.
     #[must_use]
     pub fn used_share(&self, now: Moment) -> f64 {
         self.report
@@ -150,16 +154,18 @@
             .map_or(0.0, |r| r.report.used as f64 / r.report.capacity as f64)
     }
 
-    /// Tells whether nothing is admitted because the projection has proved wrong.
+    /// Returns whether nothing is admitted at present because memory use exceeded the projection.
     #[must_use]
     pub fn is_admission_paused(&self, now: Moment, tuning: &Tuning) -> bool {
         now < self.admission_paused_until || self.used_share(now) > tuning.stop_share
     }
 
-    /// Starts a life of the target. Permits of earlier lives go on counting until they are given
-    /// back: the platform's list lags, so one of them may have been sent to the new life, which
-    /// can't tell, and a cold target that got its bound on top of that would fall over. Entries
-    /// give those back at once whose work died with an earlier life, for their links broke.
+    /// Starts a new incarnation of the target.
+    ///
+    /// Permits of earlier incarnations count until they are returned. The listing lags, so one of
+    /// them may have been used to send a request to the new incarnation, and the full cold limit on
+    /// top of it would overload the target. Entries whose work died with the earlier incarnation
+    /// notice the broken connection and return its permits at once.
     pub fn start_incarnation(&mut self, now: Moment, incarnation: Incarnation) {
         if self.incarnation.replace(incarnation).is_none() {
             return;
@@ -171,9 +177,10 @@
         self.projected_at = None;
     }
 
-    /// Takes note that the target refused a connection. Its process may be gone, and back again
-    /// cold before the platform's list says so; what is granted on the word of before would be
-    /// too much for it. A report of the same life that it is warm ends the doubt.
+    /// Records that the target refused a connection. Its process may have been replaced by a cold
+    /// one that the listing does not show yet, for which the previous limit would be too much. A
+    /// report of the same incarnation, made after this, that the target is warm lifts the cold
+    /// limit again.
     pub fn mark_uncertain(&mut self, now: Moment) {
         if !self.limiter.is_cold() {
             self.limiter.mark_cold(now);
@@ -182,28 +189,28 @@
         }
     }
 
-    /// Puts the target back to cold start.
+    /// Puts the target back into cold start, which only finished requests can end.
     pub fn mark_cold(&mut self, now: Moment) {
         self.limiter.mark_cold(now);
         self.trusts_warm_report = false;
     }
 
-    /// Adds a permit; gives back an earlier one of the same number.
+    /// Adds a permit and returns an earlier one with the same key.
     pub fn insert(&mut self, key: PermitKey, permit: GrantedPermit) -> Option<GrantedPermit> {
         self.projected_at = None;
         self.permits.insert(key, permit)
     }
 
-    /// Removes a permit.
+    /// Removes a permit and returns it.
     pub fn remove(&mut self, key: &PermitKey) -> Option<GrantedPermit> {
         let permit = self.permits.remove(key)?;
         self.projected_at = None;
         Some(permit)
     }
 
-    /// Keeps a permit whose entry has lost the link to the target: the work may still run there,
-    /// and a cold target that gets more in its place falls over. The target's reports tell when
-    /// it has ended. Tells what the permit was, unless it was lost before.
+    /// Keeps a permit whose entry has lost the connection to the target: the work may still run
+    /// there, and a cold target that gets more in its place is overloaded. The target's reports
+    /// show when the work has ended. Returns the permit, or `None` if it was orphaned before.
     pub fn orphan(&mut self, now: Moment, key: &PermitKey) -> Option<GrantedPermit> {
         let permit = self.permits.get_mut(key)?;
         if permit.orphaned_at.is_some() {
@@ -213,8 +220,8 @@
         Some(permit.clone())
     }
 
-    /// Takes news of a permit's progress; `stamp` is the entry's clock at saying so. A block that
-    /// can't be used for new calls any more covers only those that still run.
+    /// Records the progress of a permit; `stamp` is the entry's clock when it was reported. A block
+    /// of plain calls that has expired covers only the calls that still run.
     pub fn record_progress(
         &mut self,
         now: Moment,
@@ -247,7 +254,7 @@
         permit.orphaned_at = None;
     }
 
-    /// The projection of its memory, made anew if it is out of date.
+    /// Returns the projection of the memory in use, rebuilt if it is out of date.
     pub fn refresh_projection(
         &mut self,
         now: Moment,
@@ -277,13 +284,13 @@
         &self.projection
     }
 
-    /// The projection as it was made last.
+    /// Returns the projection without rebuilding it.
     #[must_use]
     pub const fn last_projection(&self) -> &MemoryProjection {
         &self.projection
     }
 
-    /// Tells whether a permit is for a generation.
+    /// Returns whether the targets are engines, whose permits are for generations.
     #[must_use]
     pub const fn is_model(limits: &TargetLimits) -> bool {
         matches!(limits.kind, ServiceKind::Model)
--- a/components/policy/src/api.rs
+++ b/components/policy/src/api.rs
@@ -1,4 +1,4 @@
-//! What goes into the decisions and what comes out.
+//! Inputs and outputs of a policy: events that it handles and actions that it requests.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -8,161 +8,161 @@
 };
 use wire::{Message, Outcome, ShardSummary};
 
-/// Number of a request within one instance.
+/// Identifies a request within one instance.
 pub type RequestId = u64;
 
-/// A caller's request, as far as decisions need it.
+/// A caller's request, reduced to what decisions depend on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Number within this instance.
+    /// Unique within this instance.
     pub id: RequestId,
-    /// Which service.
+    /// The requested service.
     pub service: ServiceId,
-    /// What the service's targets are.
+    /// Whether the service runs generations or plain calls.
     pub kind: ServiceKind,
-    /// Who asks.
+    /// The workspace on whose behalf the request is made.
     pub workspace: WorkspaceId,
-    /// By which route.
+    /// The route by which the request came in.
     pub route: RouteId,
-    /// Urgency.
+    /// Priority class.
     pub class: Class,
-    /// When the caller's patience ends, on this process's clock.
+    /// The caller's deadline, on this process's clock.
     pub deadline: Moment,
-    /// Whether it may be sent again when it is unknown whether it ran.
+    /// Whether the request may be sent again when it is unknown whether it was executed.
     pub idempotent: bool,
-    /// Tokens in the prompt, 0 for plain calls.
+    /// Tokens in the prompt; 0 for plain calls.
     pub prompt_tokens: Tokens,
-    /// The most tokens to produce, 0 for plain calls.
+    /// Upper limit of tokens to generate; 0 for plain calls.
     pub max_output: Tokens,
-    /// Hashes of the prompt's leading blocks, longest last.
+    /// Hashes of the prompt's leading blocks; each covers all blocks before it.
     pub prefix: Vec<u64>,
-    /// How many tokens it really produces; only the oracle baseline may look at it.
+    /// Tokens that the request will really generate. Only the oracle baseline may read it.
     pub true_output: Option<Tokens>,
 }
 
-/// What the configuration says about one service's targets.
+/// Limits of one service's targets, from the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetLimits {
-    /// What the targets are.
+    /// Whether the targets are engines or plain services.
     pub kind: ServiceKind,
-    /// Concurrent requests that a target in cold start bears.
+    /// Maximum concurrent requests of a target in cold start.
     pub cold_limit: u32,
-    /// Concurrent requests that a warm target bears at most.
+    /// Maximum concurrent requests of a warm target.
     pub warm_limit: u32,
-    /// Tokens of memory of an engine; a load report overrides it.
+    /// Memory of an engine in tokens; the capacity in a load report takes precedence.
     pub memory_tokens: Tokens,
-    /// Finished requests after which a cold target counts as warm.
+    /// Requests that a cold target has to finish before it counts as warm.
     pub warm_after: u32,
-    /// Asks that may wait at an owner for one shard.
+    /// Maximum number of permit requests queued at an owner for one shard.
     pub queue_limit: u32,
-    /// Retries that 100 requests may cause.
+    /// Retries allowed per 100 requests.
     pub retry_percent: u32,
 }
 
-/// What a target reports about itself, with a lag.
+/// A target's load report. It describes the target as it was `age` ago.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineReport {
-    /// Which life of the target.
+    /// The incarnation of the target that made the report.
     pub incarnation: Incarnation,
-    /// How old the report is.
+    /// Time since the report was made.
     pub age: Duration,
-    /// Requests running.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests waiting inside the target.
+    /// Requests queued inside the target.
     pub waiting: u32,
-    /// Tokens of memory occupied.
+    /// Memory in use, in tokens.
     pub used: Tokens,
-    /// Tokens of memory in all.
+    /// Total memory, in tokens.
     pub capacity: Tokens,
-    /// Preemptions since its start.
+    /// Preemptions since the target started.
     pub preemptions: u64,
-    /// Whether it says that it is warm.
+    /// Whether the target reports itself as warm.
     pub warm: bool,
 }
 
-/// Whether this instance owns a shard.
+/// This instance's role for a shard.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ShardRole {
-    /// It owns the shard in this term.
+    /// It owns the shard for this term.
     Own {
         /// The term.
         epoch: Epoch,
-        /// Entries whose answer to a `Query` is awaited before anything is granted.
+        /// Entries that have to answer a `Query` before anything is granted.
         entries_to_query: Vec<InstanceId>,
     },
-    /// Somebody else does, or nobody yet.
+    /// Another instance owns the shard, or none does yet.
     Follow {
-        /// The owner, if one is known.
+        /// The owner, if known.
         owner: Option<InstanceId>,
         /// The owner's term.
         epoch: Epoch,
     },
 }
 
-/// What the configuration and the platform's list say now.
+/// The configuration and the target listing in force.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct View {
     /// All targets of the services in use.
     pub targets: Vec<Target>,
-    /// Limits per service.
+    /// Limits by service.
     pub limits: BTreeMap<ServiceId, Arc<TargetLimits>>,
-    /// Data centres that operators have taken out.
+    /// Data centres that operators have taken out of service.
     pub data_centres_out: Vec<DataCentreId>,
-    /// Instances listed, this one included; 0 if unknown.
+    /// Number of listed instances, this one included; 0 if unknown.
     pub instances: u32,
 }
 
-/// Something that happened.
+/// Something that a policy has to react to.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A caller's request came in.
+    /// A caller's request arrived.
     Arrived(Request),
-    /// A caller went away, or its request ended before a permit was used.
+    /// The caller went away, or its request ended before a permit was used.
     CallerLeft {
         /// The request.
         request: RequestId,
     },
-    /// The driver is about to send under a permit; answered by `Action::Send` of nothing, see
-    /// `Policy::may_send`.
+    /// The driver is about to send under a permit. Policies ignore it: whether sending is allowed
+    /// is answered by `Policy::may_send`.
     Sent {
         /// The request.
         request: RequestId,
     },
-    /// The engine has produced tokens.
+    /// The engine has generated tokens.
     Progress {
         /// The request.
         request: RequestId,
-        /// Tokens produced so far.
+        /// Total tokens generated so far.
         produced: Tokens,
-        /// Whether the caller has seen any of them.
+        /// Whether any of them reached the caller.
         seen: bool,
     },
     /// Work under a permit ended.
     Ended {
         /// The request.
         request: RequestId,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// Whether the driver wants another try for the same request.
+        /// Whether the driver asks for another permit to retry the same request.
         retry: bool,
     },
-    /// A message of another instance, or of this one to itself.
+    /// A message from another instance, or from this one to itself.
     Received {
         /// The sender.
         from: InstanceId,
-        /// Which life of the sender.
+        /// The sender's incarnation.
         incarnation: Incarnation,
         /// The message.
         message: Message,
     },
-    /// A target's load report.
+    /// A target's load report arrived.
     TargetReported {
         /// The target.
         target: TargetId,
-        /// What it says.
+        /// The report.
         report: EngineReport,
     },
-    /// Configuration or the platform's list changed.
+    /// The configuration or the target listing changed.
     ViewChanged(View),
     /// This instance's role for a shard changed.
     RoleChanged {
@@ -171,50 +171,50 @@
         /// The role.
         role: ShardRole,
     },
-    /// A peer is gone for good: no heartbeat, and its permits have lapsed.
+    /// A peer is lost: it sends no heartbeats, and its permits have expired.
     PeerGone {
         /// The peer.
         peer: InstanceId,
     },
-    /// What a peer says about the shards it owns.
+    /// Load summaries of the shards that a peer owns.
     Summary {
         /// The owner.
         owner: InstanceId,
-        /// Its shards.
+        /// One summary for each of its shards.
         shards: Vec<ShardSummary>,
     },
-    /// For shards owned here: may cold targets get work now? False while another instance
-    /// might own the shard too.
+    /// Tells whether cold targets of an owned shard may get work. They may not while another
+    /// instance might still own the shard.
     ExclusivityChanged {
         /// The shard.
         shard: Shard,
-        /// The answer.
+        /// Whether this instance is the only owner.
         exclusive: bool,
     },
-    /// This process was not running for a while.
+    /// This process did not run for a while, for example because it was suspended.
     Paused {
-        /// For how long.
+        /// How long it did not run.
         gap: Duration,
     },
-    /// Time passed.
+    /// Sent regularly, so that time-outs are noticed.
     Tick,
 }
 
-/// The right to send one request to one target, as the driver gets it.
+/// Permission for the driver to send one request to one target.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DispatchPermit {
-    /// The permit.
+    /// The permit's id.
     pub permit: PermitId,
-    /// Where to send.
+    /// The target to send to.
     pub target: Target,
-    /// The latest moment to send, on this process's clock.
+    /// Latest time to start sending, on this process's clock.
     pub valid_until: Moment,
 }
 
-/// Something to do.
+/// Something that the driver has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send a message; the receiver may be this instance itself.
+    /// Send a message. The receiver may be this instance itself.
     Send {
         /// The receiver.
         to: InstanceId,
@@ -225,38 +225,39 @@
     Dispatch {
         /// The request.
         request: RequestId,
-        /// The right to do so.
+        /// The permission to send it.
         permit: DispatchPermit,
     },
-    /// Refuse a request at once.
+    /// Refuse a request without sending it.
     Refuse {
         /// The request.
         request: RequestId,
-        /// What to tell the caller.
+        /// The refusal for the caller.
         refusal: Refusal,
     },
-    /// Cancel a running request of which the caller has seen nothing; the driver cancels it at
-    /// the target, then reports `Ended` with `again` set.
+    /// Cancel a running request of which the caller has seen nothing. The driver cancels it at the
+    /// target, then reports `Ended` with `retry` set.
     Revoke {
         /// The request.
         request: RequestId,
     },
 }
 
-/// The decisions of one instance: the product's own, or a baseline's.
+/// The decisions of one instance, made by the product or by a baseline.
 pub trait Policy: Send {
-    /// Takes one event and appends what has to be done to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     fn handle(&mut self, now: Moment, event: Event, out: &mut Vec<Action>);
 
-    /// Tells whether a request may still be sent under its permit, checked right before sending.
+    /// Returns whether a request may still be sent under its permit. To be checked right before
+    /// sending.
     fn may_send(&self, now: Moment, request: RequestId) -> bool;
 
-    /// Tells what others should know of the shards owned here.
+    /// Returns the load summaries of the shards owned here, for the other instances.
     fn summaries(&self, now: Moment) -> Vec<ShardSummary>;
 
-    /// Writes the state for a dump.
+    /// Returns the state as lines of text for a dump.
     fn dump(&self, now: Moment) -> Vec<String>;
 
-    /// The number of the newest ask, for tests and dumps.
+    /// Returns the id of the newest permit request, for tests and dumps.
     fn last_permit_request(&self) -> AskId;
 }
--- a/components/policy/src/baseline/local.rs
+++ b/components/policy/src/baseline/local.rs
@@ -1,4 +1,4 @@
-//! An instance that decides alone.
+//! A baseline that places requests by what one instance knows, without coordination.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -13,11 +13,11 @@
     baseline::pick::{LocalTarget, TargetPicker},
 };
 
-/// Tries of one request.
+/// Maximum attempts to send one request.
 const MAX_ATTEMPTS: u32 = 3;
-/// When to come back after a refusal.
+/// Delay that a refused caller is told to wait before a retry.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// A baseline's permits don't lapse within a run.
+/// Longer than any run, since a baseline's permits do not expire.
 const PERMIT_LIFETIME: Duration = Duration::from_secs(1 << 30);
 
 struct RunningRequest {
@@ -26,7 +26,7 @@
     tries: u32,
 }
 
-/// A baseline: places requests by what one instance alone knows.
+/// Places requests by the knowledge of one instance alone, with a given way to pick targets.
 pub struct LocalPolicy {
     pick: Box<dyn TargetPicker>,
     view: View,
@@ -36,7 +36,7 @@
 }
 
 impl LocalPolicy {
-    /// Makes a baseline of a way to pick targets.
+    /// Creates a baseline that picks targets with `pick`.
     #[must_use]
     pub fn new(pick: Box<dyn TargetPicker>) -> Self {
         Self {
--- a/components/policy/src/baseline/mod.rs
+++ b/components/policy/src/baseline/mod.rs
@@ -1,4 +1,4 @@
-//! Simpler ways to place requests, to measure the product's own against.
+//! Simpler policies, as a baseline for measurements.
 
 mod local;
 mod pick;
--- a/components/policy/src/baseline/pick.rs
+++ b/components/policy/src/baseline/pick.rs
@@ -1,4 +1,4 @@
-//! How a baseline picks a target.
+//! Strategies by which a baseline picks a target.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,21 @@
 
 use crate::api::{EngineReport, Request, TargetLimits};
 
-/// What an instance alone knows of a target.
+/// What one instance knows of a target.
 #[derive(Clone, Debug)]
 pub struct LocalTarget {
     /// The target.
     pub target: Target,
-    /// Its last report.
+    /// The newest load report.
     pub report: EngineReport,
-    /// Requests of this instance that it runs.
+    /// Requests that this instance runs on the target.
     pub running: u32,
 }
 
-/// Picks a target for a request, or none if the request has to wait.
+/// A strategy to pick a target for a request.
 pub trait TargetPicker: Send {
-    /// Picks among targets that may take work.
+    /// Picks one of the targets in `open`, all of which may take work. `None` if the request has to
+    /// wait.
     fn pick(
         &mut self,
         request: &Request,
@@ -29,7 +30,7 @@
     ) -> Option<TargetId>;
 }
 
-/// One target after another, without admission.
+/// Takes the targets in turn, without a limit on concurrent requests.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     next: usize,
@@ -48,7 +49,8 @@
     }
 }
 
-/// The target with the least load by its lagging report, plus this instance's own.
+/// Picks the target with the least load: the load in its last report plus this instance's own
+/// requests.
 #[derive(Debug, Default)]
 pub struct LeastLoaded;
 
@@ -69,10 +71,10 @@
     }
 }
 
-/// Each instance may use a fixed share of each target's concurrency.
+/// Uses at most a fixed share of each target's concurrency, the same for every instance.
 #[derive(Debug)]
 pub struct FixedShare {
-    /// Instances that share the targets.
+    /// Number of instances that share the targets.
     pub instances: u32,
 }
 
--- a/components/policy/src/choose.rs
+++ b/components/policy/src/choose.rs
@@ -1,4 +1,4 @@
-//! Which target an ask goes to.
+//! Selects the target for a permit request.
 
 use std::collections::BTreeSet;
 
@@ -10,20 +10,20 @@
     owner_state::OwnerState, shard::ShardState, wait_queue::QueuedRequest,
 };
 
-/// Share of a target's capacity that full reuse of a cached prefix is worth. This is also the
-/// cap on affinity: a target gets work for its cache only while its load is less than this above
-/// the least loaded one's, so that one hot prefix can't overload it.
+/// Bonus in the score, as a share of the target's capacity, if a prompt's whole prefix is cached.
+/// It also limits affinity: a target gets work for its cache only while its load is less than this
+/// above that of the least loaded target, so that one popular prefix can't overload it.
 const MAX_CACHE_BONUS: f64 = 0.15;
-/// What an ask needs.
+/// What a permit request requires of a target.
 #[derive(Debug)]
 pub(crate) struct Demand<'a> {
     pub(crate) ask: &'a Ask,
     pub(crate) class: Class,
-    /// What it will occupy; `None` for plain calls.
+    /// The generation to be placed; `None` for plain calls.
     pub(crate) generation: Option<RunningGeneration>,
 }
 
-/// A target that fits and how well; smaller is better.
+/// A target with room for the request. The lowest score is chosen.
 struct Candidate {
     target: TargetId,
     score: f64,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The best target with room.
+    /// Returns the best target with room for the request. Targets in `reserved` are left out.
     pub(crate) fn choose(
         &self,
         now: Moment,
@@ -83,7 +83,7 @@
             .map(|choice| choice.target)
     }
 
-    /// Slots of a target that a class may take.
+    /// Number of slots of a target that a class may still take.
     fn free_slots(
         &self,
         now: Moment,
@@ -105,8 +105,8 @@
         slots.saturating_sub(account.occupied_slots() + reserve)
     }
 
-    /// A target to be kept free for an ask that others have gone ahead of: the least loaded.
-    /// At most a quarter of the targets are kept free at a time.
+    /// Returns a target to be kept free for a request that others have overtaken: the least loaded
+    /// one. At most a quarter of the targets, but at least one, is reserved at a time.
     pub(crate) fn reserve_target(
         &self,
         ask: &Ask,
@@ -136,7 +136,8 @@
             .map(|(id, _)| id.clone())
     }
 
-    /// How many slots an ask gets: what it wants, within its entry's fair share of the shard.
+    /// Number of slots that a permit covers: those requested, up to the entry's fair share of the
+    /// shard and the free slots of the target.
     pub(crate) fn slots_for(
         &self,
         now: Moment,
@@ -173,7 +174,8 @@
     }
 }
 
-/// Share of a target's capacity that would be in use with one more; `None` if it doesn't fit.
+/// Returns the share of a target's capacity in use if the request were placed there; `None` if it
+/// does not fit.
 fn load_with(
     now: Moment,
     account: &TargetAccount,
@@ -192,7 +194,7 @@
     projection.add(running, owner_state.tuning.memory_estimate);
     let load = projection.peak(&owner_state.tuning) / capacity as f64;
     if occupied == 0 {
-        // Nothing is gained by waiting for more room than an idle engine has.
+        // An idle engine is as empty as it can get, so waiting for more room would be pointless.
         return (running.prompt_tokens < capacity).then_some(load);
     }
     let fits = load <= owner_state.tuning.admit_share
--- a/components/policy/src/decision_log.rs
+++ b/components/policy/src/decision_log.rs
@@ -1,13 +1,13 @@
-//! The last things that happened, numbered, for the message of a broken invariant.
+//! Ring buffer of the latest decisions, shown when an invariant is violated and in dumps.
 
 use std::{collections::VecDeque, fmt::Write};
 
 use types::Moment;
 
-/// How many entries are kept.
+/// Maximum number of lines kept.
 const RETAINED_LINES: usize = 48;
 
-/// A ring of the newest events and actions.
+/// The latest events and decisions, numbered.
 #[derive(Debug, Default)]
 pub struct DecisionLog {
     next: u64,
@@ -15,13 +15,13 @@
 }
 
 impl DecisionLog {
-    /// Starts empty.
+    /// Creates an empty log.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Appends one line and drops the oldest when the ring is full.
+    /// Appends one line, and drops the oldest if the buffer is full.
     pub fn record(&mut self, now: Moment, line: String) {
         if self.lines.len() == RETAINED_LINES {
             self.lines.pop_front();
@@ -30,7 +30,7 @@
         self.next += 1;
     }
 
-    /// Writes the ring, oldest first.
+    /// Returns the lines as text, oldest first.
     #[must_use]
     pub fn to_text(&self) -> String {
         let mut text = String::new();
--- a/components/policy/src/dump.rs
+++ b/components/policy/src/dump.rs
@@ -1,11 +1,11 @@
-//! An owner's state as text.
+//! The state of a shard as text, for dumps.
 
 use types::Moment;
 
 use crate::{owner_state::OwnerState, shard::ShardState};
 
 impl ShardState {
-    /// Appends a few lines about the shard and each of its targets.
+    /// Appends one line about the shard and one about each of its targets.
     pub fn dump(&self, now: Moment, owner_state: &OwnerState, lines: &mut Vec<String>) {
         lines.push(format!(
             "owner of {} in term {}: granting {}, exclusive {}, {} waiting, awaiting {:?}",
--- a/components/policy/src/entry/deadlines.rs
+++ b/components/policy/src/entry/deadlines.rs
@@ -1,4 +1,4 @@
-//! Refusing what can't be served in time.
+//! Refusal of requests that can't be served in time.
 
 use types::Moment;
 
@@ -12,7 +12,8 @@
 };
 
 impl Entry {
-    /// What can't be served in time is told so at once, with the time to come back.
+    /// Refuses requests whose deadline has passed, or for which no owner or target has been found
+    /// for too long.
     pub(super) fn refuse_expired(&mut self, now: Moment, out: &mut Vec<Action>) {
         let late = |p: &&PendingRequest| match p.stage {
             Stage::Placed(_) => false,
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Whether a request that nobody could be asked for has waited long enough: the list of
-    /// targets lags, and owners change hands, so neither is taken for the truth at once.
+    /// Returns whether a request has waited too long for an owner or a target. The target listing
+    /// lags and ownership changes, so that a short absence of either is tolerated.
     fn has_waited_too_long(&self, now: Moment, pending: &PendingRequest) -> bool {
         let serves = self.shards.has_targets(&pending.request.service);
         let limit = if serves {
--- a/components/policy/src/entry/held_report.rs
+++ b/components/policy/src/entry/held_report.rs
@@ -1,4 +1,4 @@
-//! Giving permits back, and telling owners what is held.
+//! Returning permits to their owners, and reporting those that are held.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -13,11 +13,11 @@
     },
 };
 
-/// Time between two reports of what is held.
+/// Interval between two reports of the permits held.
 pub const REPORT_PERIOD: Duration = Duration::from_millis(250);
 
 impl Entry {
-    /// A request no longer uses its permit.
+    /// Ends a request's use of its permit, and returns the permit if nothing else can use it.
     pub(super) fn release(
         &mut self,
         now: Moment,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Gives back what nothing uses and nothing can use any more.
+    /// Returns the permits that nothing uses and nothing can use any more.
     pub(super) fn return_idle_permits(&mut self, now: Moment, out: &mut Vec<Action>) {
         let spent: Vec<PermitKey> = self
             .permits
@@ -66,8 +66,8 @@
         });
     }
 
-    /// Tells each owner all that is held of it. A lost `Done` or `Grant` would otherwise leave
-    /// memory reserved for good.
+    /// Reports to each owner all permits held of it. A lost `Done` or `Grant` would otherwise leave
+    /// memory reserved for ever.
     pub(super) fn report_held(&mut self, now: Moment, out: &mut Vec<Action>) {
         if now.saturating_sub(self.last_report_at) < REPORT_PERIOD {
             return;
@@ -75,7 +75,7 @@
         self.last_report_at = now;
         let mut shards: BTreeSet<Shard> = self.permits.values().map(|p| p.shard.clone()).collect();
         shards.extend(self.permit_requests.values().map(|a| a.shard.clone()));
-        // Once more after the last permit, so that the owner sees that there is none.
+        // One more report after the last permit, so that the owner sees that none is held.
         let reported = std::mem::replace(&mut self.reported_shards, shards.clone());
         shards.extend(reported);
         for shard in shards {
--- a/components/policy/src/entry/machine.rs
+++ b/components/policy/src/entry/machine.rs
@@ -17,7 +17,7 @@
     retry_budget::RetryBudgets,
 };
 
-/// One instance's entry side.
+/// The entry of one instance.
 #[derive(Debug)]
 pub struct Entry {
     pub(super) me: InstanceId,
@@ -28,16 +28,17 @@
     pub(super) permits: Permits,
     pub(super) call_demand: CallDemand,
     pub(super) retry_budgets: RetryBudgets,
-    /// ShardDirectory about which an owner still has to be told that nothing is held any more.
+    /// Shards reported with the last report. Their owners get one more report after the last
+    /// permit.
     pub(super) reported_shards: BTreeSet<Shard>,
     pub(super) last_report_at: Moment,
-    /// Whether owners are told the true lengths; for the oracle baseline only.
+    /// Whether owners are given the true lengths, for the oracle baseline only.
     pub(super) known_lengths: bool,
     pub(super) last_permit_request: AskId,
 }
 
 impl Entry {
-    /// Starts without requests; `home` is this instance's data centre.
+    /// Creates an entry without requests; `home` is this instance's data centre.
     #[must_use]
     pub fn new(me: InstanceId, home: DataCentreId) -> Self {
         Self {
@@ -56,20 +57,20 @@
         }
     }
 
-    /// Makes it the entry of the oracle baseline, which tells owners the true lengths.
+    /// Turns it into the entry of the oracle baseline, which gives owners the true lengths.
     #[must_use]
     pub const fn with_known_lengths(mut self) -> Self {
         self.known_lengths = true;
         self
     }
 
-    /// The number of the newest ask.
+    /// Returns the id of the newest permit request.
     #[must_use]
     pub const fn last_permit_request(&self) -> AskId {
         self.last_permit_request
     }
 
-    /// Takes one event and appends what has to be done to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Vec<Action>) {
         match event {
             Event::Arrived(request) => self.add_request(now, request, out),
@@ -99,11 +100,11 @@
         }
     }
 
-    /// Whether a request may still be sent under its permit.
+    /// Returns whether a request may still be sent under its permit.
     ///
-    /// A permit may have lapsed, and its target may have been told to leave or its data centre
-    /// taken out, since the request was placed; sending then would give a target work that its
-    /// owner no longer counts, or work after it should get none.
+    /// Since the request was placed, its permit may have expired, its target may be leaving, or the
+    /// target's data centre may have been taken out of service. A request sent after that would be
+    /// work that the owner no longer accounts for, or that the target should not get.
     #[must_use]
     pub fn may_send(&self, now: Moment, request: RequestId) -> bool {
         let Some(Stage::Placed(key)) = self.requests.get(&request).map(|p| &p.stage) else {
@@ -115,7 +116,7 @@
         permit.valid_until > now && self.accepts_work(&permit.target.id, permit.target.incarnation)
     }
 
-    /// Lines for a dump.
+    /// Returns the state as lines of text for a dump.
     #[must_use]
     pub fn dump(&self, now: Moment) -> Vec<String> {
         let mut lines = Vec::new();
@@ -158,7 +159,8 @@
         self.place(now, request.id, out);
     }
 
-    /// Finds a permit for a request: one in hand for plain calls, otherwise an ask.
+    /// Finds a permit for a request: for a plain call one that is held, otherwise by a permit
+    /// request.
     pub(super) fn place(&mut self, now: Moment, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else {
             return;
@@ -182,7 +184,8 @@
         });
     }
 
-    /// A caller went away before its request was sent.
+    /// Removes a request that has ended or whose caller went away, with its permit request or
+    /// permit.
     fn remove_request(
         &mut self,
         now: Moment,
@@ -242,7 +245,8 @@
         let service = pending.request.service.clone();
         if failed && let Some(permit) = self.permits.get_mut(&key) {
             pending.avoid.push(permit.target.id.clone());
-            // The target may have died and come back cold: no further call under this permit.
+            // The target may have died and be back cold, so no further call is sent under this
+            // permit.
             permit.valid_until = permit.valid_until.min(now);
         }
         self.release(now, key, id, outcome, out);
--- a/components/policy/src/entry/mod.rs
+++ b/components/policy/src/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: callers' requests, from arrival until a permit lets them be sent.
+//! The entry: handles callers' requests from arrival until a permit allows them to be sent.
 
 mod deadlines;
 mod held_report;
--- a/components/policy/src/entry/owner_messages.rs
+++ b/components/policy/src/entry/owner_messages.rs
@@ -1,4 +1,4 @@
-//! What owners' messages do to an entry.
+//! Handling of messages from owners.
 
 use std::collections::BTreeSet;
 
@@ -23,7 +23,7 @@
         grant: &Grant,
         out: &mut Vec<Action>,
     ) {
-        // A former owner that does not know yet that another has taken over.
+        // The grant comes from a former owner that does not know of its successor yet.
         if self
             .shards
             .get(&grant.shard)
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Places a request under a permit.
+    /// Assigns a request to a permit and asks the driver to send it.
     pub(super) fn dispatch(&mut self, key: PermitKey, id: RequestId, out: &mut Vec<Action>) {
         let (Some(held), Some(pending)) = (self.permits.get_mut(&key), self.requests.get_mut(&id))
         else {
@@ -135,7 +135,8 @@
         }
     }
 
-    /// Gives work back of which the caller has seen nothing, so that the engine need not preempt.
+    /// Cancels the work under a revoked permit if its caller has seen nothing, so that the engine
+    /// need not preempt.
     pub(super) fn handle_revoke(
         &mut self,
         from: &InstanceId,
@@ -157,7 +158,8 @@
         }
     }
 
-    /// A new owner: from here on only its permits are taken, and it learns of those in hand.
+    /// Follows a new owner: from here on only its permits are accepted. Reports the permits held of
+    /// the shard to it.
     pub(super) fn handle_query(
         &mut self,
         now: Moment,
@@ -181,7 +183,8 @@
         });
     }
 
-    /// Moves asks from long lines to shorter ones, those first that would wait longest.
+    /// Moves permit requests from long queues to shorter ones, beginning with those that would wait
+    /// longest.
     pub(super) fn rebalance(&mut self, now: Moment, out: &mut Vec<Action>) {
         let shards: BTreeSet<Shard> = self
             .permit_requests
@@ -201,7 +204,8 @@
         }
     }
 
-    /// This entry's asks that have waited at a shard for a while, the last in line first.
+    /// This entry's requests that have waited at a shard for a while, last in order of service
+    /// first.
     fn movable_requests(&self, now: Moment, shard: &Shard) -> Vec<(AskId, RequestId)> {
         let mut found = Vec::new();
         for (ask, sent) in &self.permit_requests {
--- a/components/policy/src/entry/pending.rs
+++ b/components/policy/src/entry/pending.rs
@@ -1,4 +1,4 @@
-//! Requests that an entry knows.
+//! Requests that an entry handles, and its outstanding permit requests.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,62 +9,63 @@
     entry::permit::PermitKey,
 };
 
-/// How far a request has come.
+/// Progress of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Stage {
-    /// It waits here because nobody can be asked.
+    /// Waits at the entry because there is no owner to request a permit from.
     Waiting,
-    /// Its ask is out.
+    /// A permit request is outstanding.
     Asked(AskId),
-    /// It has a permit and is being sent, or runs.
+    /// It has a permit and is being sent or is running.
     Placed(PermitKey),
 }
 
-/// One request.
+/// A request at the entry.
 #[derive(Clone, Debug)]
 pub struct PendingRequest {
     /// The request.
     pub request: Request,
-    /// How far it has come.
+    /// Its progress.
     pub stage: Stage,
-    /// When it came in.
+    /// When it arrived.
     pub arrived_at: Moment,
-    /// Targets that have failed it.
+    /// Targets on which it has failed.
     pub avoid: Vec<TargetId>,
     /// Whether the caller has seen any of the answer.
     pub seen: bool,
-    /// Not asked for again before this moment.
+    /// No permit is requested before this moment.
     pub not_before: Moment,
 }
 
-/// An ask that is out. PermitRequests without a request fetch plain calls' slots ahead of time.
+/// An outstanding permit request. One without a caller's request fetches slots for plain calls
+/// ahead of time.
 #[derive(Clone, Debug)]
 pub struct OutstandingPermitRequest {
-    /// The request that it is for.
+    /// The caller's request that it is for.
     pub request: Option<RequestId>,
     /// Which shard.
     pub shard: Shard,
-    /// Who was asked.
+    /// The owner that it was sent to.
     pub owner: InstanceId,
-    /// When.
+    /// When it was sent.
     pub sent_at: Moment,
 }
 
-/// All requests.
+/// All requests by id.
 pub type Requests = BTreeMap<RequestId, PendingRequest>;
-/// All asks.
+/// All outstanding permit requests by id.
 pub type PermitRequests = BTreeMap<AskId, OutstandingPermitRequest>;
 
-/// A request that nobody could be asked for is refused after this time: the owners should have
-/// settled by then, and the caller is better told to come back than left waiting.
+/// A request for which no owner could be found is refused after this time. Changes of ownership
+/// normally take less, and the caller can retry sooner than if it were left waiting.
 pub const NO_OWNER_TIMEOUT: Duration = Duration::from_secs(4);
 /// A request whose service has no target that takes work is refused after this time.
 pub const NO_TARGET_TIMEOUT: Duration = Duration::from_millis(500);
-/// An ask that waits longer than this may move to another shard.
+/// A permit request that has waited longer than this may be moved to another shard.
 pub const MOVE_AFTER: Duration = Duration::from_millis(300);
-/// An ask without an answer is made again after this time. It may wait in a line, and keeps its
-/// place there by how long its request has waited; but it may also be lost, on a connection to a
-/// peer's former life for instance, and then nobody would ever answer it.
+/// A permit request that is not answered within this time is sent again. It may be queued, in which
+/// case the time that its request has waited counts on; or it may be lost, for example on a
+/// connection to an earlier incarnation of the peer, and would never be answered.
 pub const PERMIT_REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// After a denial without a time, an ask is made again after this long.
+/// Delay before a permit is requested again after a denial without a retry delay.
 pub const DENIED_RETRY_DELAY: Duration = Duration::from_millis(50);
--- a/components/policy/src/entry/permit.rs
+++ b/components/policy/src/entry/permit.rs
@@ -1,4 +1,4 @@
-//! Permits in an entry's hands.
+//! Permits held by an entry.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,63 +12,64 @@
 
 use crate::api::RequestId;
 
-/// A permit is known by its owner's term and its number.
+/// Identifies a permit by its owner's term and its id.
 pub type PermitKey = (Epoch, PermitId);
 
-/// One permit: for a generation it covers one request, for plain calls a few at a time.
+/// A permit that the entry holds. It covers one generation, or a block of several plain calls.
 #[derive(Clone, Debug)]
 pub struct Permit {
-    /// The term and number.
+    /// The term and id.
     pub key: PermitKey,
     /// The shard.
     pub shard: Shard,
-    /// Who granted it.
+    /// The owner that granted it.
     pub owner: InstanceId,
-    /// Where work may go.
+    /// The target that work may be sent to.
     pub target: Target,
-    /// The latest moment to send work.
+    /// Latest time to start sending work.
     pub valid_until: Moment,
-    /// Concurrent calls it covers.
+    /// Number of concurrent calls that it covers.
     pub slots: u32,
     /// Whether the target is in cold start.
     pub cold: bool,
-    /// What the targets are.
+    /// Whether it is for a generation or for plain calls.
     pub kind: ServiceKind,
-    /// Who asked for it.
+    /// The workspace that it was requested for.
     pub workspace: WorkspaceId,
-    /// By which route.
+    /// The route that it was requested for.
     pub route: RouteId,
-    /// Urgency it was asked with.
+    /// Priority class of the permit request.
     pub class: types::Class,
     /// Tokens in the prompt.
     pub prompt_tokens: Tokens,
-    /// The most tokens to produce.
+    /// Upper limit of tokens to generate.
     pub max_output: Tokens,
     /// Requests that use it now.
     pub users: BTreeSet<RequestId>,
-    /// Tokens that the engine has produced.
+    /// Tokens generated so far.
     pub produced: Tokens,
-    /// Whether the caller has seen any of them.
+    /// Whether any of them reached the caller.
     pub seen: bool,
-    /// How calls under it ended so far.
+    /// Outcomes of the calls that have ended.
     pub tally: Tally,
 }
 
 impl Permit {
-    /// Whether one more call may use it.
+    /// Returns whether one more call may use it.
     #[must_use]
     pub fn has_room(&self, now: Moment) -> bool {
         self.valid_until > now && self.users.len() < self.slots as usize
     }
 
-    /// Whether it is of no more use.
+    /// Returns whether nothing uses it and nothing may use it any more.
     #[must_use]
     pub fn is_idle(&self, now: Moment) -> bool {
         self.users.is_empty()
             && (self.valid_until <= now || self.cold || self.kind == ServiceKind::Model)
     }
 
-    /// What the owner is told about it. A lapsed block covers only what still runs under it.
+    /// Returns what is reported to the owner. An expired block covers only the calls that still run
+    /// under it.
     #[must_use]
     pub fn held(&self, now: Moment) -> HeldPermit {
         let running = u32::try_from(self.users.len()).unwrap_or(u32::MAX);
@@ -93,7 +94,7 @@
     }
 }
 
-/// How the calls under one permit ended.
+/// Outcomes of the calls under one permit.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     finished: u32,
@@ -106,7 +107,7 @@
 }
 
 impl Tally {
-    /// Takes one call's end into account.
+    /// Adds the outcome of one call.
     pub fn add(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Unsent | Outcome::Unreachable => {}
@@ -129,7 +130,7 @@
         }
     }
 
-    /// One outcome for the permit: the worst, or the mean of what finished.
+    /// Returns one outcome for the permit: the worst, or else the mean of the finished calls.
     #[must_use]
     pub fn outcome(&self) -> Outcome {
         if self.overloaded {
@@ -152,5 +153,5 @@
     }
 }
 
-/// All permits in an entry's hands.
+/// All permits that an entry holds.
 pub type Permits = BTreeMap<PermitKey, Permit>;
--- a/components/policy/src/entry/permit_requests.rs
+++ b/components/policy/src/entry/permit_requests.rs
@@ -1,4 +1,4 @@
-//! Asking owners for permits, and taking asks back.
+//! Sending and withdrawing permit requests.
 
 use types::{AskId, InstanceId, Moment, Shard};
 use wire::{Ask, Withdraw};
@@ -22,7 +22,7 @@
         }
     }
 
-    /// PermitRequests a shard's owner for a permit for a request.
+    /// Sends a permit request for a request to the owner of a shard.
     pub(super) fn request_permit_from(
         &mut self,
         now: Moment,
@@ -73,7 +73,7 @@
         self.last_permit_request
     }
 
-    /// Takes an ask back. A grant that crosses this is given back when it comes.
+    /// Withdraws a permit request. If it is granted meanwhile, the permit is returned on arrival.
     pub(super) fn withdraw(&mut self, ask: AskId, out: &mut Vec<Action>) {
         let Some(sent) = self.permit_requests.remove(&ask) else {
             return;
@@ -88,7 +88,7 @@
         });
     }
 
-    /// Makes asks again that nobody has answered for long.
+    /// Repeats permit requests that have not been answered in time.
     pub(super) fn retry_unanswered(&mut self, now: Moment, out: &mut Vec<Action>) {
         let silent: Vec<(AskId, Option<RequestId>)> = self
             .permit_requests
--- a/components/policy/src/entry/plain_calls.rs
+++ b/components/policy/src/entry/plain_calls.rs
@@ -1,4 +1,5 @@
-//! Plain calls: slots fetched ahead of time, so that an urgent call pays no extra round trip.
+//! Permits for plain calls. They come in blocks of slots that are requested ahead of time, so that
+//! an urgent call needs no extra round trip.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,34 +15,34 @@
     },
 };
 
-/// A block is replaced when it can be used for less than this.
+/// A block with less than this time left is replaced.
 const MIN_BLOCK_LIFETIME: Duration = Duration::from_millis(500);
 /// A service without calls for this long gets no blocks ahead of time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// After a refill that brought a place at a cold target the next one waits this long.
+/// Delay of the next refill after one that brought slots at a cold target.
 const COLD_REFILL_DELAY: Duration = Duration::from_millis(500);
-/// Slots of one block at most.
+/// Maximum number of slots in a block.
 const MAX_SLOTS: u32 = 8;
 
-/// What an entry knows about the plain calls of one service.
+/// Demand for plain calls of one service at this entry.
 #[derive(Clone, Debug)]
 struct Demand {
     last_call_at: Moment,
     last_request: Option<Request>,
-    /// The most calls at once since the last refill.
+    /// Maximum number of concurrent calls since the last refill.
     peak: u32,
-    /// No refill before this moment.
+    /// No block is requested before this moment.
     pause_until: Moment,
 }
 
-/// Demand of all plain services.
+/// Demand for plain calls by service.
 #[derive(Debug, Default)]
 pub struct CallDemand {
     by_service: BTreeMap<ServiceId, Demand>,
 }
 
 impl CallDemand {
-    /// Takes a call into account.
+    /// Records the arrival of a call.
     pub fn arrive(&mut self, now: Moment, service: &ServiceId) {
         let demand = self.by_service.entry(service.clone()).or_insert(Demand {
             last_call_at: now,
@@ -52,21 +53,21 @@
         demand.last_call_at = now;
     }
 
-    /// Whether a service is one of plain calls.
+    /// Returns whether a service is known to serve plain calls.
     #[must_use]
     pub fn contains(&self, service: &ServiceId) -> bool {
         self.by_service.contains_key(service)
     }
 
-    /// Takes note that a refill brought a place at a cold target. It is given back unused, as
-    /// such places are few; asking again at once would only pass it to and fro.
+    /// Delays the next refill after one that brought slots at a cold target. Such slots are few and
+    /// are returned unused; requesting them again at once would only pass them to and fro.
     pub fn pause_refill(&mut self, now: Moment, service: &ServiceId) {
         if let Some(demand) = self.by_service.get_mut(service) {
             demand.pause_until = now + COLD_REFILL_DELAY;
         }
     }
 
-    /// Slots to ask for.
+    /// Returns the number of slots to request for a request.
     #[must_use]
     pub fn slots(&self, request: &Request) -> u32 {
         if request.kind == ServiceKind::Model {
@@ -78,7 +79,7 @@
 }
 
 impl Entry {
-    /// Places a plain call under a block in hand; tells whether it could.
+    /// Places a plain call under a block that is held. Returns whether there was one with room.
     pub(super) fn place_on_block(
         &mut self,
         now: Moment,
@@ -95,7 +96,7 @@
                 && !pending.avoid.contains(&p.target.id)
                 && self.accepts_work(&p.target.id, p.target.incarnation)
         });
-        // The least used first: spreads calls over targets.
+        // The least used block is taken, which spreads calls over targets.
         let Some(key) = usable
             .min_by_key(|p| (p.users.len(), p.valid_until))
             .map(|p| p.key)
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Places waiting plain calls under the free slots of a block, most urgent first.
+    /// Places waiting plain calls on the free slots of a block, most urgent first.
     pub(super) fn fill_block(&mut self, now: Moment, key: PermitKey, out: &mut Vec<Action>) {
         while let Some(id) = self.next_call_for(now, key) {
             let stage = self.requests.get(&id).map(|p| p.stage.clone());
@@ -154,7 +155,7 @@
             .map(|p| p.request.id)
     }
 
-    /// PermitRequests for new blocks before the ones in hand lapse.
+    /// Requests new blocks before those that are held expire.
     pub(super) fn refill(&mut self, now: Moment, out: &mut Vec<Action>) {
         let services: Vec<ServiceId> = self.call_demand.by_service.keys().cloned().collect();
         for service in services {
--- a/components/policy/src/entry/shard_directory.rs
+++ b/components/policy/src/entry/shard_directory.rs
@@ -1,4 +1,4 @@
-//! What an entry knows about shards, and which of them it asks.
+//! An entry's knowledge of all shards, and the choice of the shard to request a permit from.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,45 +7,45 @@
 
 use crate::api::View;
 
-/// Added to the score of a shard in another data centre: the way there and back.
+/// Added to the score of a shard in another data centre, for the longer round trip.
 const REMOTE_PENALTY: f32 = 0.05;
-/// Taken off the score of a shard that lately ran a request with the same prompt prefix.
+/// Subtracted from the score of a shard that recently ran a request with the same prompt prefix.
 const AFFINITY_BONUS: f32 = 0.3;
-/// Above this load a owner_state prefix no longer draws requests, or one popular prefix would fill
-/// one data centre while others idle.
+/// Above this load a shared prefix attracts no more requests. One popular prefix could otherwise
+/// fill one data centre while others are idle.
 const MAX_AFFINITY_LOAD: f32 = 0.85;
-/// Part of the difference between two lines that moves at once.
+/// Share of the difference between two queues that is moved at a time.
 const REBALANCE_SHARE: f32 = 0.5;
-/// Callers are never told to come back sooner.
+/// Minimum retry delay that callers are told.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Prefixes remembered.
+/// Maximum number of prefixes recorded.
 const MAX_PREFIXES: usize = 4096;
 
-/// One shard as an entry sees it.
+/// One shard as seen by an entry.
 #[derive(Clone, Debug, Default)]
 pub struct ShardInfo {
-    /// The owner followed.
+    /// The owner that requests are sent to.
     pub owner: Option<InstanceId>,
-    /// The newest term seen; grants of earlier ones are void.
+    /// The newest known term; grants of earlier terms are ignored.
     pub epoch: Epoch,
-    /// What the owner said last.
+    /// The owner's newest load summary.
     pub summary: Option<ShardSummary>,
-    /// PermitRequests sent since the owner said so.
+    /// Permit requests sent since that summary.
     pub requests_since_summary: u32,
-    /// Targets that may take work.
+    /// Number of targets that may take work.
     pub targets: u32,
-    /// Whether the summary has come since asks were last moved away.
+    /// Whether a summary has arrived since requests were last moved away.
     pub is_summary_new: bool,
 }
 
-/// PermitRequests that should change shards.
+/// A number of permit requests to be moved to another shard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rebalance {
-    /// Where to.
+    /// The shard to move to.
     pub to: Shard,
-    /// Its owner.
+    /// The owner of that shard.
     pub owner: InstanceId,
-    /// How many.
+    /// How many requests to move.
     pub count: usize,
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl ShardDirectory {
-    /// Starts knowing none; `home` is this instance's data centre.
+    /// Creates an empty directory; `home` is this instance's data centre.
     #[must_use]
     pub fn new(home: DataCentreId) -> Self {
         Self {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Takes targets and data centres from a new view.
+    /// Updates the numbers of targets from a new view.
     pub fn update(&mut self, view: &View) {
         self.instances = view.instances.max(1);
         for info in self.shards.values_mut() {
@@ -82,13 +82,13 @@
         }
     }
 
-    /// One shard.
+    /// Returns one shard.
     #[must_use]
     pub fn get(&self, shard: &Shard) -> Option<&ShardInfo> {
         self.shards.get(shard)
     }
 
-    /// Follows an owner unless its term is older than the newest seen.
+    /// Follows an owner, unless its term is older than the newest known one.
     pub fn follow(&mut self, shard: &Shard, owner: Option<InstanceId>, epoch: Epoch) {
         let info = self.shards.entry(shard.clone()).or_default();
         if epoch < info.epoch {
@@ -101,7 +101,7 @@
         info.owner = owner;
     }
 
-    /// Takes what an owner says.
+    /// Records the load summaries of an owner's shards.
     pub fn apply_summaries(&mut self, owner: &InstanceId, summaries: &[ShardSummary]) {
         for summary in summaries {
             let info = self.shards.entry(summary.shard.clone()).or_default();
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Takes note of an ask just sent.
+    /// Records that a permit request was sent to a shard.
     pub fn record_permit_request(&mut self, shard: &Shard, prefix: &[u64]) {
         if let Some(info) = self.shards.get_mut(shard) {
             info.requests_since_summary += 1;
@@ -126,13 +126,13 @@
         }
     }
 
-    /// Whether any target of a service may take work now.
+    /// Returns whether any target of a service may take work.
     #[must_use]
     pub fn has_targets(&self, service: &ServiceId) -> bool {
         self.shards_of(service).any(|(_, info)| info.targets > 0)
     }
 
-    /// The shard to ask for a request, and its owner.
+    /// Returns the shard to request a permit from, and its owner.
     #[must_use]
     pub fn choose(&self, service: &ServiceId, prefix: &[u64]) -> Option<(Shard, InstanceId)> {
         let usable = self.shards_of(service).filter(|(_, info)| info.targets > 0);
@@ -144,7 +144,8 @@
         Some((best.1.clone(), best.2))
     }
 
-    /// When a caller that was not served in time may come back with more hope.
+    /// Returns the retry delay for a caller that was not served in time: the shortest expected wait
+    /// of the service's shards.
     #[must_use]
     pub fn retry_after(&self, service: &ServiceId) -> Duration {
         let summaries = self
@@ -154,12 +155,12 @@
         Duration::from_millis(u64::from(shortest)).max(MIN_RETRY_AFTER)
     }
 
-    /// How many of `mine` asks that wait at a shard to move elsewhere, and where to.
+    /// Returns how many of the `mine` requests that wait at a shard should move, and where to.
     ///
-    /// All instances see the same summaries. If each moved all its asks to the emptiest shard,
-    /// the line would jump from shard to shard; one would notice lines of hundreds beside empty
-    /// ones, changing places every heartbeat. So each moves its part of half the difference, and
-    /// only once for each summary.
+    /// All instances see the same summaries. If each moved all its requests to the emptiest shard,
+    /// the whole queue would change from shard to shard with every heartbeat, and stand in hundreds
+    /// beside empty ones. Each instance therefore moves its part of half the difference, and only
+    /// once per summary.
     pub fn plan_rebalance(&mut self, from: &Shard, mine: usize) -> Option<Rebalance> {
         let here = self.shards.get_mut(from)?;
         if !std::mem::take(&mut here.is_summary_new) {
@@ -190,8 +191,8 @@
     fn score(&self, shard: &Shard, info: &ShardInfo, prefix: &[u64]) -> f32 {
         let summary = info.summary.as_ref();
         let load = summary.map_or(0.0, |s| s.load);
-        // The other instances see the same summaries and choose alike meanwhile; without
-        // counting them, all would rush to the same shard from one summary to the next.
+        // Until the next summary the other instances, which see the same ones, choose the same way.
+        // Without counting their requests all would rush to one shard.
         let asked = info.requests_since_summary * self.instances;
         let queued = summary.map_or(0, |s| s.queued) + asked;
         let targets = summary.map_or(info.targets, |s| s.targets).max(1);
@@ -214,7 +215,8 @@
     queued as f32 / targets as f32
 }
 
-/// PermitRequests that wait at a shard and its targets, as its owner said.
+/// Returns the number of requests queued at a shard and the number of its targets, according to its
+/// owner.
 fn queue_and_targets(info: &ShardInfo) -> Option<(f32, f32)> {
     let summary = info.summary.as_ref().filter(|s| s.granting)?;
     Some((summary.queued as f32, summary.targets.max(1) as f32))
--- a/components/policy/src/entry/view_changes.rs
+++ b/components/policy/src/entry/view_changes.rs
@@ -1,4 +1,4 @@
-//! New configuration, new owners, lost owners.
+//! Changes of the configuration, the target listing and the ownership of shards.
 
 use types::{AskId, InstanceId, Moment, Shard};
 
@@ -11,7 +11,7 @@
     pub(super) fn apply_view(&mut self, now: Moment, view: &View, out: &mut Vec<Action>) {
         self.view = view.clone();
         self.shards.update(view);
-        // PermitRequests to shards that no longer take work move on at once.
+        // Requests to shards that no longer take work are placed elsewhere at once.
         let closed: Vec<(AskId, Option<RequestId>)> = self
             .permit_requests
             .iter()
--- a/components/policy/src/grant_rate.rs
+++ b/components/policy/src/grant_rate.rs
@@ -1,10 +1,10 @@
-//! How long an ask of a class waits.
+//! Estimates how long a permit request of a class waits.
 
 use std::time::Duration;
 
 use types::{Class, Moment};
 
-/// Weight of one grant in the estimate of the time between two.
+/// Weight of one grant in the moving average of the interval between grants.
 const WEIGHT: f64 = 0.1;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -13,21 +13,21 @@
     mean_interval_s: Option<f64>,
 }
 
-/// Time between two grants of each class while asks of that class wait. More urgent work that
-/// goes first is in it without being counted.
+/// Average interval between two grants of each class, measured while requests of that class wait.
+/// The time that more urgent work takes is therefore included without being modelled.
 #[derive(Debug, Default)]
 pub struct GrantRate {
     classes: [ClassRate; 3],
 }
 
 impl GrantRate {
-    /// Starts knowing nothing.
+    /// Creates an estimate without observations.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes note of a grant; `waiting` tells how many asks of the class wait still.
+    /// Records a grant; `waiting` is the number of requests of the class that still wait.
     pub fn record_grant(&mut self, now: Moment, class: Class, waiting: usize) {
         let pace = &mut self.classes[class as usize];
         if let Some(last) = pace.last_grant {
@@ -38,13 +38,13 @@
         pace.last_grant = (waiting > 0).then_some(now);
     }
 
-    /// Takes note that an ask of a class waits from now on.
+    /// Records that a request of the class waits from now on.
     pub fn record_waiting(&mut self, now: Moment, class: Class) {
         self.classes[class as usize].last_grant.get_or_insert(now);
     }
 
-    /// Expected time between two grants of a class while asks of it wait; `None` before anything
-    /// is known.
+    /// Returns the expected interval between two grants of a class while requests of it wait;
+    /// `None` without observations.
     #[must_use]
     pub fn interval(&self, now: Moment, class: Class) -> Option<Duration> {
         let pace = &self.classes[class as usize];
@@ -56,7 +56,8 @@
         Some(Duration::from_secs_f64(between))
     }
 
-    /// Expected wait behind `ahead` asks of the same class; `None` before anything is known.
+    /// Returns the expected wait behind `ahead` requests of the same class; `None` without
+    /// observations.
     #[must_use]
     pub fn expected_wait(&self, now: Moment, class: Class, ahead: usize) -> Option<Duration> {
         if ahead == 0 {
--- a/components/policy/src/granting.rs
+++ b/components/policy/src/granting.rs
@@ -1,4 +1,7 @@
-//! Who gets which target next.
+//! Grants permits to queued requests, in order of service.
+//!
+//! Invariants, asserted after each grant: a cold target never has more requests than its cold
+//! limit, and no target that is leaving, out of service or restarted gets work.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -16,19 +19,19 @@
     wait_queue::QueuePosition,
 };
 
-/// Asks that may go ahead of one that doesn't fit anywhere, before a target is kept free for it.
+/// Number of requests that may overtake one that fits nowhere, before a target is reserved for it.
 const BYPASS_LIMIT: u32 = 8;
 
-/// A less urgent ask that goes ahead counts as this many: urgent work goes first, and small
-/// background work would otherwise take up, piece by piece, the room that larger normal work
+/// Weight of a less urgent request that overtakes another. Urgent work is served first, so small
+/// background requests could otherwise use up bit by bit the room that a larger normal request
 /// waits for.
 const LESS_URGENT_BYPASS_WEIGHT: u32 = 4;
 
-/// Tokens that a plain call counts as in the fairness between workspaces.
+/// Tokens that a plain call is charged with in the fair sharing between workspaces.
 const TOKENS_PER_PLAIN_CALL: f64 = 256.0;
 
 impl ShardState {
-    /// Grants permits as long as an ask fits somewhere.
+    /// Grants permits until no queued request fits on any target.
     pub fn grant_waiting(
         &mut self,
         now: Moment,
@@ -44,7 +47,7 @@
         while self.grant_next(now, &limits, owner_state, out) {}
     }
 
-    /// Grants the first ask that fits somewhere.
+    /// Grants a permit to the first request that fits on a target. Returns whether there was one.
     fn grant_next(
         &mut self,
         now: Moment,
@@ -77,7 +80,7 @@
         false
     }
 
-    /// Takes note that an ask of class `rank` goes ahead of others.
+    /// Records that a request of class `rank` overtakes the ones in `passed`.
     fn record_bypassed(&mut self, passed: &[QueuePosition], rank: Class) {
         for place in passed {
             let less_urgent = self
@@ -224,7 +227,7 @@
     }
 }
 
-/// What must hold right after a grant.
+/// Asserts what must hold right after a grant.
 fn assert_invariants(
     account: &TargetAccount,
     target: &Target,
--- a/components/policy/src/instance.rs
+++ b/components/policy/src/instance.rs
@@ -1,4 +1,4 @@
-//! The product's own decisions: entry and owner of one instance together.
+//! The product's policy: the entry and the owner of one instance.
 
 use types::{AskId, DataCentreId, Incarnation, InstanceId, Moment};
 use wire::{Message, ShardSummary};
@@ -10,18 +10,18 @@
     tuning::Tuning,
 };
 
-/// Who an instance is.
+/// Identity of an instance.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its name.
+    /// The instance's id.
     pub id: InstanceId,
-    /// Its data centre.
+    /// The data centre that the instance runs in.
     pub data_centre: DataCentreId,
-    /// Which life of it this is.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
 }
 
-/// Entry and owner of one instance.
+/// The entry and the owner of one instance.
 pub struct Instance {
     me: Identity,
     entry: Entry,
@@ -29,7 +29,7 @@
 }
 
 impl Instance {
-    /// Starts without requests and shards.
+    /// Creates an instance without requests and shards. `seed` feeds the jitter of retry times.
     #[must_use]
     pub fn new(me: Identity, seed: u64) -> Self {
         let entry = Entry::new(me.id.clone(), me.data_centre.clone());
@@ -37,7 +37,7 @@
         Self { me, entry, owner }
     }
 
-    /// Makes it the oracle baseline: owners are told the true lengths and decide by them.
+    /// Turns it into the oracle baseline, in which owners know the true lengths of generations.
     #[must_use]
     pub fn with_known_lengths(mut self) -> Self {
         self.entry = self.entry.with_known_lengths();
@@ -58,7 +58,8 @@
         }
     }
 
-    /// Messages to this instance itself don't go over the network.
+    /// Removes the messages to this instance itself from `out` and returns them: they are handled
+    /// directly and do not go over the network.
     fn take_own(&self, out: &mut Vec<Action>) -> Vec<Message> {
         let mut own = Vec::new();
         out.retain(|action| match action {
--- a/components/policy/src/length.rs
+++ b/components/policy/src/length.rs
@@ -1,39 +1,43 @@
-//! How long generations get, learned from what ended and from what still runs.
+//! Estimates the length of generations from those that ended and those that still run.
 //!
-//! LengthEstimator are kept as hazards: of the generations that reached a bucket of lengths, how many
-//! ended in it (Kaplan and Meier). Those that were cancelled or still run count as at risk in
-//! the buckets that they passed; without them long generations would be underestimated, because
-//! it's the long ones that are cut or still running. Route and workspace lean on the service as
-//! a whole until they have seen enough of their own.
+//! Lengths are modelled by hazards: of the generations that reached a length bucket, the share that
+//! ended in it (Kaplan-Meier). Generations that were cancelled or still run count as at risk in the
+//! buckets that they passed. Without them long generations would be underestimated, because it is
+//! the long ones that are cancelled or still running. Estimates of a route or a workspace are drawn
+//! towards those of the service until they have enough observations of their own.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use types::{RouteId, ServiceId, Tokens, WorkspaceId};
 
-/// Number of buckets.
+/// Number of length buckets.
 const BUCKETS: usize = 64;
-/// Longest length of a bucket of its own; longer ones share the last.
+/// Lower edges of the buckets in tokens. Longer generations fall into the last bucket.
 const EDGES: [Tokens; BUCKETS] = edges();
 /// Weight of the prior in a service's hazards, in generations at risk.
 const PRIOR_WEIGHT: f64 = 2.0;
-/// Weight of the service in a route's hazards, and of the route in a workspace's.
+/// Weight of the service's hazards in a route's, and of the route's in a workspace's, in
+/// generations at risk.
 const PARENT_WEIGHT: f64 = 16.0;
-/// Hazard of a bucket before anything is known: lengths spread evenly over their logarithm.
+/// Hazard of a bucket without observations. Equal hazards spread lengths evenly over their
+/// logarithm.
 const PRIOR_HAZARD: f64 = 0.12;
-/// Hazards never get nearer to one, so that a generation that outlives all others has a future.
+/// Upper bound of a hazard, so that a generation longer than all observed ones is still expected to
+/// go on.
 const HAZARD_MAX: f64 = 0.98;
-/// Hazards never get nearer to zero, so that the tail ends.
+/// Lower bound of a hazard, so that the tail of the distribution ends.
 const HAZARD_MIN: f64 = 1e-4;
-/// Observations between two steps of decay.
+/// Observations between two decay steps.
 const DECAY_EVERY: u32 = 256;
-/// What counts are multiplied by in a step of decay; about 2,500 observations are remembered.
+/// Factor on all counts in a decay step. Together with the interval it makes the estimate remember
+/// about 2,500 observations.
 const DECAY: f64 = 0.9;
-/// Observations after which a curve is built anew.
+/// Observations of a service after which a cached curve is rebuilt.
 const REBUILD_EVERY: u64 = 8;
-/// Below this many observations of a service every one rebuilds its curves.
+/// With up to this many observations of a service, each new one causes its curves to be rebuilt.
 const ALWAYS_REBUILD_BELOW: u64 = 64;
 
-/// Lower edges of the buckets: each a fifth longer than the one before.
+/// Computes the lower edges: each is a fifth larger than the one before.
 const fn edges() -> [Tokens; BUCKETS] {
     let mut edges = [0; BUCKETS];
     let mut at = 1;
@@ -46,23 +50,23 @@
     edges
 }
 
-/// The bucket of a length.
+/// Returns the bucket of a length.
 fn bucket(length: Tokens) -> usize {
     EDGES.partition_point(|&edge| edge <= length) - 1
 }
 
-/// Where a generation comes from.
+/// Where a generation comes from, which its length is estimated by.
 #[derive(Clone, Copy, Debug)]
 pub struct GenerationSource<'a> {
     /// The service.
     pub service: &'a ServiceId,
     /// The route within the service.
     pub route: &'a RouteId,
-    /// Who asked.
+    /// The workspace that made the request.
     pub workspace: &'a WorkspaceId,
 }
 
-/// Counts of generations at risk and ended, by bucket.
+/// Numbers of generations at risk and of ended ones, by bucket.
 #[derive(Clone, Debug)]
 struct HazardTable {
     at_risk: [f64; BUCKETS],
@@ -104,12 +108,12 @@
     }
 }
 
-/// Chance to outlive a length.
+/// Probability that a generation exceeds a length.
 #[derive(Clone, Debug)]
 pub struct SurvivalCurve {
-    /// Cumulative hazard at each edge: minus the logarithm of the chance to get there.
+    /// Cumulative hazard at each edge: the negative logarithm of the probability to reach it.
     cumulative: [f64; BUCKETS],
-    /// Cumulative hazard per token within each bucket.
+    /// Increase of the cumulative hazard per token within each bucket.
     slope: [f64; BUCKETS],
 }
 
@@ -129,20 +133,21 @@
         Self { cumulative, slope }
     }
 
-    /// Cumulative hazard at a length.
+    /// Returns the cumulative hazard at a length.
     fn at(&self, length: Tokens) -> f64 {
         let at = bucket(length);
         self.cumulative[at] + self.slope[at] * (length - EDGES[at]) as f64
     }
 
-    /// Chance that a generation that has produced this much runs on for `more` tokens.
+    /// Returns the probability that a generation that has produced `produced` tokens produces at
+    /// least `more` further ones.
     #[must_use]
     pub fn survival(&self, produced: Tokens, more: Tokens) -> f64 {
         (self.at(produced) - self.at(produced + more)).exp()
     }
 
-    /// Tokens that a generation that has produced this much is expected to produce still, of at
-    /// most `most` in all.
+    /// Returns the expected number of further tokens of a generation that has produced `produced`,
+    /// limited to `most` in all.
     #[must_use]
     pub fn expected_remaining(&self, produced: Tokens, most: Tokens) -> f64 {
         let base = self.at(produced);
@@ -161,7 +166,7 @@
     }
 }
 
-/// A curve and the number of observations it was built from.
+/// A curve and the number of observations that it was built from.
 #[derive(Debug)]
 struct CachedCurve {
     curve: Arc<SurvivalCurve>,
@@ -218,20 +223,21 @@
     }
 }
 
-/// What is known of lengths, by service, route and workspace.
+/// Length estimates by service, route and workspace.
 #[derive(Debug, Default)]
 pub struct LengthEstimator {
     services: BTreeMap<ServiceId, ServiceLengths>,
 }
 
 impl LengthEstimator {
-    /// Starts knowing nothing.
+    /// Creates an estimator without observations.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes note that a generation runs that had produced `from` and now has produced `to`.
+    /// Records that a generation that had produced `from` tokens when last recorded has now
+    /// produced `to`, and still runs or was cancelled.
     pub fn record_progress(&mut self, source: &GenerationSource<'_>, from: Tokens, to: Tokens) {
         let (from, to) = (bucket(from), bucket(to));
         if from < to {
@@ -239,7 +245,8 @@
         }
     }
 
-    /// Takes note that a generation ended by itself; `from` is what `passed` was told last.
+    /// Records that a generation ended by itself with `length` tokens; `from` is its length when
+    /// last recorded.
     pub fn record_end(&mut self, source: &GenerationSource<'_>, from: Tokens, length: Tokens) {
         self.record_progress(source, from, length);
         let at = bucket(length);
@@ -249,7 +256,7 @@
         }
     }
 
-    /// The curve for generations of one source.
+    /// Returns the survival curve for generations of one source.
     pub fn curve(&mut self, source: &GenerationSource<'_>) -> Arc<SurvivalCurve> {
         let service = self
             .services
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions without I/O: typed events and the time go in, typed actions come out.
+//! Placement policy without I/O: events and the current time go in, actions come out.
 //!
-//! No socket, no clock, no executor; the only randomness is a seeded generator passed in. The
-//! daemon, the tests and the measuring tool drive the same code.
+//! It opens no sockets, reads no clock and runs no tasks; its only randomness is a seeded
+//! generator. The daemon, the tests and the benchmark therefore run the same code.
 
 pub mod account;
 pub mod api;
--- a/components/policy/src/limiter.rs
+++ b/components/policy/src/limiter.rs
@@ -1,4 +1,5 @@
-//! How many requests one target may have at a time: cold start, then an adaptive limit.
+//! Limits the number of concurrent requests on one target: a fixed limit during cold start, then an
+//! adaptive one.
 
 use std::time::Duration;
 
@@ -6,37 +7,38 @@
 
 use crate::api::TargetLimits;
 
-/// First-token times between two decisions of the adaptive limit.
+/// Number of first-token times between two adjustments of the limit.
 const WINDOW_SAMPLES: usize = 8;
-/// First-token time, as a multiple of the usual one, from which a target counts as crowded.
+/// Median first-token time, as a multiple of the baseline, above which a target counts as
+/// overloaded.
 const CROWDED_FACTOR: f64 = 2.0;
-/// First-token time, as a multiple of the usual one, that suggests a cold target.
+/// First-token time, as a multiple of the baseline, that suggests that a target is cold.
 const COLD_FACTOR: f64 = 5.0;
-/// Least first-token time in seconds that can count as a jump.
+/// Shorter first-token times, in seconds, never suggest that a target is cold.
 const MIN_COLD_FIRST_TOKEN_SECONDS: f64 = 0.5;
-/// Jumps in a row after which a target is cold.
+/// Number of consecutive slow first tokens after which a target is taken to be cold.
 const COLD_SAMPLES: u32 = 2;
-/// What the limit is multiplied by when a target is crowded.
+/// Factor on the limit when first-token times rise above `CROWDED_FACTOR`.
 const CROWDED_BACKOFF: f64 = 0.85;
-/// What the limit is multiplied by when a target refused work.
+/// Factor on the limit when a target refused work as overloaded.
 const OVERLOAD_BACKOFF: f64 = 0.5;
-/// Weight of a new window in the usual first-token time.
+/// Weight of a new window's median in the baseline.
 const BASELINE_WEIGHT: f64 = 0.1;
 
-/// The part of a limit that only urgent work may take while urgent work is expected.
+/// Returns how many of a target's slots are reserved for urgent work while such work is expected.
 #[must_use]
 pub fn urgent_slots(slots: u32) -> u32 {
     if slots >= 4 { (slots / 10).max(1) } else { 0 }
 }
 
-/// One target's limit of concurrent requests.
+/// Adaptive limit of concurrent requests on one target.
 ///
-/// In cold start it is the small fixed bound, until enough requests finished and the target
-/// doesn't say that it is cold. From there it grows by one for each request that got its first
-/// token while the limit was used up, until latency answers; then additive increase and
-/// multiplicative decrease on the median first-token time of a window. A gradient on single
-/// samples was weighed too, but the time to the first token depends on the prompt's length and
-/// on what the cache holds, so single samples say little.
+/// A cold target has the small fixed limit until enough requests have finished and it doesn't
+/// report itself as cold. After that the limit grows by one for each request that gets its first
+/// token while the limit is used up, until latency rises. From there on it follows the median
+/// first-token time of a window, with additive increase and multiplicative decrease. A gradient on
+/// single samples was considered instead; but the time to the first token depends on the prompt's
+/// length and on what is cached, so that single samples say little.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimiter {
     cold: bool,
@@ -50,7 +52,7 @@
 }
 
 impl ConcurrencyLimiter {
-    /// Starts in cold start.
+    /// Creates the limiter of a cold target.
     #[must_use]
     pub const fn new(now: Moment) -> Self {
         Self {
@@ -65,19 +67,19 @@
         }
     }
 
-    /// Tells whether the target is in cold start.
+    /// Returns whether the target is in cold start.
     #[must_use]
     pub const fn is_cold(&self) -> bool {
         self.cold
     }
 
-    /// When it became cold or warm.
+    /// When the target last became cold or warm.
     #[must_use]
     pub const fn since(&self) -> Moment {
         self.since
     }
 
-    /// Puts the target back to cold start; its evidence starts anew.
+    /// Puts the target back into cold start and discards the evidence that it is warm.
     pub fn mark_cold(&mut self, now: Moment) {
         if !self.cold {
             self.since = now;
@@ -88,13 +90,14 @@
         self.first_token_times.clear();
     }
 
-    /// Believes that the target is warm, as somebody else found out; it bears `running` requests.
+    /// Marks the target as warm, as found out by another owner; `running` requests are known to be
+    /// within its capacity.
     pub fn mark_warm(&mut self, now: Moment, limits: &TargetLimits, running: u32) {
         self.warm_up(now, limits);
         self.limit = self.limit.max(f64::from(running));
     }
 
-    /// The most requests at a time.
+    /// Returns the maximum number of concurrent requests.
     #[must_use]
     pub fn slots(&self, limits: &TargetLimits) -> u32 {
         let cold_limit = limits.cold_limit.min(limits.warm_limit);
@@ -104,14 +107,15 @@
         (self.limit as u32).clamp(cold_limit.max(1).min(limits.warm_limit), limits.warm_limit)
     }
 
-    /// Tells whether `occupied` requests use the limit up, but for the part of urgent work.
+    /// Returns whether `occupied` requests use up the limit, apart from the slots reserved for
+    /// urgent work.
     #[must_use]
     pub fn is_saturated(&self, limits: &TargetLimits, occupied: u32) -> bool {
         let slots = self.slots(limits);
         occupied + urgent_slots(slots) >= slots
     }
 
-    /// Takes note that a request got its first token; `busy` tells whether the limit was used up.
+    /// Records that a request got its first token; `busy` tells whether the limit was used up.
     pub fn record_first_token(&mut self, limits: &TargetLimits, busy: bool) {
         if !self.cold && self.probing && busy {
             self.limit = (self.limit + 1.0).min(f64::from(limits.warm_limit));
@@ -119,8 +123,8 @@
         self.slow_first_tokens = 0;
     }
 
-    /// Takes note of a finished request. `may_warm` tells that the target doesn't deny being
-    /// warm. Tells whether the target turned cold by it.
+    /// Records a finished request. `may_warm` is false if the target reports itself as cold.
+    /// Returns whether the target is taken to be cold because of this request.
     pub fn record_finished(
         &mut self,
         now: Moment,
@@ -146,22 +150,22 @@
         false
     }
 
-    /// Takes note of a first token that is missing after `waited`. Tells whether the target
-    /// turned cold by it.
+    /// Records that a first token is still missing after `waited`. Returns whether the target is
+    /// taken to be cold because of it.
     pub fn record_missing_first_token(&mut self, now: Moment, waited: Duration) -> bool {
         !self.cold
             && self.is_cold_first_token(waited.as_secs_f64())
             && self.record_slow_first_token(now)
     }
 
-    /// Leaves cold start if there is enough evidence.
+    /// Ends cold start if enough requests have finished and `may_warm` holds.
     pub fn leave_cold_if_proven(&mut self, now: Moment, limits: &TargetLimits, may_warm: bool) {
         if self.cold && may_warm && self.finished >= limits.warm_after {
             self.warm_up(now, limits);
         }
     }
 
-    /// Takes note that the target refused work as too much.
+    /// Records that the target refused work as overloaded while it had `occupied` requests.
     pub fn record_overload(&mut self, occupied: u32) {
         self.probing = false;
         self.limit = (self.limit.min(f64::from(occupied + 1)) * OVERLOAD_BACKOFF).max(1.0);
--- a/components/policy/src/load_reports.rs
+++ b/components/policy/src/load_reports.rs
@@ -1,4 +1,5 @@
-//! What a target's load reports say about it: whether it is cold, and which lost work has ended.
+//! What follows from a target's load reports: whether it is cold, and which orphaned work has
+//! ended.
 
 use std::time::Duration;
 
@@ -11,13 +12,13 @@
     shard::LAPSE_MARGIN,
 };
 
-/// How long work of a lost entry counts where the target reports nothing about it.
+/// How long orphaned work counts if no report shows that it has ended.
 const MAX_ORPHAN_AGE: Duration = Duration::from_secs(300);
 /// How long nothing is admitted after a target reported preemptions.
 const PREEMPTION_PAUSE: Duration = Duration::from_millis(500);
 
 impl TargetAccount {
-    /// Takes a report; tells whether it was news.
+    /// Records a load report. Returns whether it is newer than the last one.
     pub fn record_report(
         &mut self,
         now: Moment,
@@ -46,7 +47,7 @@
         true
     }
 
-    /// Draws conclusions from the newest report on whether the target is cold.
+    /// Updates the cold or warm state from the newest report.
     pub fn update_warmth(&mut self, now: Moment, limits: &TargetLimits) {
         let Some(report) = self.report else { return };
         if !report.report.warm {
@@ -65,19 +66,20 @@
         }
     }
 
-    /// Tells whether the target doesn't deny being warm.
+    /// Returns whether the target does not report itself as cold.
     #[must_use]
     pub fn may_be_warm(&self) -> bool {
         self.report.is_none_or(|report| report.report.warm)
     }
 
-    /// Drops lost work that has surely ended: of all that the target reports, what surely ran for
-    /// somebody else at that time can't be lost work. Without reports a generous bound ends it.
+    /// Removes orphaned permits whose work has certainly ended. Requests that the target reports
+    /// and that are not accounted for by running permits may be orphaned work; orphaned permits
+    /// beyond that number are removed. Without reports they are removed after `MAX_ORPHAN_AGE`.
     ///
-    /// A permit whose work has ended stays on the account while its `Done` is on its way, or for
-    /// longer if that got lost. Taken for running, it would make lost work that still runs look
-    /// ended, and a cold target would get one request too many; so only a permit that its entry
-    /// listed well after the time of the report counts as running then.
+    /// A permit whose work has ended stays in the account until its `Done` arrives, or longer if
+    /// that is lost. If it counted as running, orphaned work that still runs would look ended, and
+    /// a cold target would get one request too many. Therefore a permit counts as running only if
+    /// its entry has still listed it well after the time of the report.
     pub fn drop_ended_orphans(&mut self, now: Moment) {
         let Some(report) = self.report else {
             self.expire_orphans(now);
@@ -105,7 +107,7 @@
         self.expire_orphans(now);
     }
 
-    /// Drops work of entries that were lost very long ago.
+    /// Removes permits that were orphaned long ago.
     fn expire_orphans(&mut self, now: Moment) {
         let before = self.permits.len();
         self.permits.retain(|_, permit| {
--- a/components/policy/src/memory.rs
+++ b/components/policy/src/memory.rs
@@ -1,9 +1,9 @@
-//! How much of an engine's memory running generations will need at most.
+//! Projects how much of an engine's memory the running generations will need at most.
 //!
-//! What counts is the peak over the coming tokens and not the sum of final sizes: generations
-//! end at different times, and memory that one gives back another uses. At each horizon the
-//! expected occupation is the sum over what runs of its size by then times the chance that it
-//! still runs; the margin grows with the spread of that sum.
+//! The projection is the peak over the coming tokens, not the sum of final sizes: generations end
+//! at different times, and the memory that one releases is used by another. At each horizon the
+//! expected usage is the sum over all generations of their size by then, multiplied by the
+//! probability that they still run. The safety margin grows with the variance of that sum.
 
 use std::sync::Arc;
 
@@ -14,36 +14,36 @@
     tuning::{MemoryEstimate, Tuning},
 };
 
-/// Horizons in tokens at which the occupation is projected.
+/// Horizons, in tokens from now, at which memory usage is projected.
 const HORIZONS: [Tokens; 20] = [
     0, 8, 16, 32, 64, 96, 128, 192, 256, 384, 512, 768, 1024, 1536, 2048, 3072, 4096, 6144, 8192,
     16384,
 ];
 
-/// One generation as the projection sees it.
+/// A running generation, as input of the projection.
 #[derive(Clone, Debug)]
 pub struct RunningGeneration {
     /// Tokens in the prompt.
     pub prompt_tokens: Tokens,
-    /// Tokens produced.
+    /// Tokens produced so far.
     pub produced: Tokens,
-    /// The most tokens to produce.
+    /// Upper limit of tokens to produce.
     pub max_output: Tokens,
-    /// Chance to outlive a length.
+    /// Probability that the generation exceeds a length.
     pub curve: Arc<SurvivalCurve>,
 }
 
 impl RunningGeneration {
-    /// Chance that it still runs `more` tokens later.
+    /// Probability that the generation still runs after `more` further tokens.
     fn survival(&self, more: Tokens) -> f64 {
         if self.produced + more >= self.max_output.max(1) {
-            // The one that is due now still occupies its memory.
+            // A generation that ends with this token still occupies its memory.
             return if more == 0 { 1.0 } else { 0.0 };
         }
         self.curve.survival(self.produced, more)
     }
 
-    /// Tokens that it is expected to occupy at its end.
+    /// Expected number of tokens in memory when the generation ends.
     #[must_use]
     pub fn expected_final_tokens(&self) -> f64 {
         let now = (self.prompt_tokens + self.produced) as f64;
@@ -52,13 +52,13 @@
             .expected_remaining(self.produced, self.max_output)
     }
 
-    /// Tokens still to come if it runs to its limit.
+    /// Maximum number of further tokens.
     const fn max_remaining(&self) -> Tokens {
         self.max_output.saturating_sub(self.produced)
     }
 }
 
-/// Projected occupation of one engine.
+/// Projected memory usage of one engine, in tokens.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryProjection {
     mean: [f64; HORIZONS.len()],
@@ -69,13 +69,13 @@
 }
 
 impl MemoryProjection {
-    /// Starts with nothing running.
+    /// Creates the projection of an idle engine.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a generation.
+    /// Adds a generation to the projection.
     pub fn add(&mut self, running: &RunningGeneration, admission: MemoryEstimate) {
         match admission {
             MemoryEstimate::ExpectedFinals => {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The highest occupation to expect, margin included.
+    /// Returns the highest expected usage, safety margin included.
     #[must_use]
     pub fn peak(&self, tuning: &Tuning) -> f64 {
         match tuning.memory_estimate {
@@ -116,11 +116,12 @@
             .fold(0.0, f64::max)
     }
 
-    /// What is kept free on top of the mean at one horizon.
+    /// Returns the safety margin on top of the mean at one horizon.
     ///
-    /// Shortly ahead nearly all still run, so the sum can hardly exceed its mean; far ahead few
-    /// do, and the sum has a long upper tail. So the margin follows the sum's skewness (Cornish
-    /// and Fisher) and is no plain multiple of the standard deviation.
+    /// At short horizons nearly all generations still run, so the sum can hardly exceed its mean;
+    /// at long ones few do, and the sum has a long upper tail. The margin therefore takes the
+    /// skewness of the sum into account (Cornish-Fisher) instead of being a fixed multiple of the
+    /// standard deviation.
     fn margin(&self, at: usize, spread: f64) -> f64 {
         let deviation = self.variance[at].sqrt();
         if deviation <= 0.0 {
@@ -131,20 +132,21 @@
         deviation * skewed.max(0.0)
     }
 
-    /// The occupation expected shortly, without a margin.
+    /// Returns the highest expected usage over the next 16 tokens, without a margin.
     #[must_use]
     pub fn near_term(&self) -> f64 {
         self.mean[..4].iter().copied().fold(0.0, f64::max)
     }
 
-    /// Occupation now as the account knows it.
+    /// Returns the current usage according to the account.
     #[must_use]
     pub fn current(&self) -> f64 {
         self.mean[0]
     }
 }
 
-/// The exact peak where each generation runs to its limit: it lies right before one of them ends.
+/// Returns the exact peak if each generation runs to its limit. The peak lies right before one of
+/// them ends.
 fn known_lengths_peak(told: &[RunningGeneration]) -> f64 {
     let mut order: Vec<&RunningGeneration> = told.iter().collect();
     order.sort_by_key(|running| running.max_remaining());
--- a/components/policy/src/outbox.rs
+++ b/components/policy/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Messages that an owner sends.
+//! Actions that send an owner's messages.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::api::Action;
 
-/// Refuses an ask; `None` tells the entry to ask elsewhere.
+/// Denies a permit request. With `None` for `retry_after` the entry requests a permit elsewhere.
 pub fn deny(
     to: &InstanceId,
     shard: &Shard,
--- a/components/policy/src/owner.rs
+++ b/components/policy/src/owner.rs
@@ -1,5 +1,7 @@
-//! The owner's side: the exact account of all targets of the shards owned here, and who goes
-//! next.
+//! The owner's side of placement: which queued request gets a permit next, and for which target.
+//!
+//! The owner of a shard accounts for all work on the shard's targets; entries send nothing without
+//! a permit from it.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -14,7 +16,7 @@
     tuning::Tuning,
 };
 
-/// The decisions of one instance about the shards that it owns.
+/// The shards that one instance owns, and the decisions about them.
 #[derive(Debug)]
 pub struct Owner {
     shards: BTreeMap<Shard, ShardState>,
@@ -22,7 +24,7 @@
 }
 
 impl Owner {
-    /// Starts without shards. `seed` feeds the jitter of times to come back.
+    /// Creates an owner without shards. `seed` feeds the jitter of retry times.
     #[must_use]
     pub fn new(me: InstanceId, incarnation: Incarnation, seed: u64) -> Self {
         Self {
@@ -31,14 +33,14 @@
         }
     }
 
-    /// Replaces the figures that decisions about memory are tuned by.
+    /// Replaces the parameters of admission by memory.
     #[must_use]
     pub fn with_tuning(mut self, tuning: Tuning) -> Self {
         self.owner_state.tuning = tuning;
         self
     }
 
-    /// Takes one event and appends what has to be done to `out`. Events of the entry side are
+    /// Handles one event and appends the resulting actions to `out`. Events for the entry are
     /// ignored.
     pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Vec<Action>) {
         match event {
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Tells what others should know of the shards owned here.
+    /// Returns the load summaries of the shards owned here.
     #[must_use]
     pub fn summaries(&self, now: Moment) -> Vec<ShardSummary> {
         self.shards
@@ -71,7 +73,7 @@
             .collect()
     }
 
-    /// Writes the state for a dump.
+    /// Returns the state as lines of text for a dump.
     #[must_use]
     pub fn dump(&self, now: Moment) -> Vec<String> {
         let mut lines = Vec::new();
@@ -117,7 +119,8 @@
         }
     }
 
-    /// Takes a sign of an entry. The work of its earlier lives is orphaned by a new one.
+    /// Records the contact with an entry. If the entry runs in a new incarnation, the work of its
+    /// earlier ones is orphaned.
     fn record_contact(
         &mut self,
         now: Moment,
@@ -263,9 +266,9 @@
         state.grant_waiting(now, &mut self.owner_state, out);
     }
 
-    /// A process that did not run may have been replaced as owner. What it grants on waking
-    /// would come on top of what the new owner grants, and a cold target would fall over; so it
-    /// gives up all shards before anything else.
+    /// Gives up all shards after a pause. While this process did not run, another instance may have
+    /// become owner. Permits granted here would come on top of those of the new owner and overload
+    /// cold targets.
     fn handle_pause(&mut self, now: Moment, gap: Duration, out: &mut Vec<Action>) {
         let line = format!("paused for {gap:?}");
         self.owner_state.decision_log.record(now, line);
--- a/components/policy/src/owner_state.rs
+++ b/components/policy/src/owner_state.rs
@@ -1,4 +1,4 @@
-//! What all shards of one owner share.
+//! State that all shards of one owner share: the view, the entries, the targets' histories.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,35 +13,36 @@
     tuning::Tuning,
 };
 
-/// An entry's clock that was heard longer ago than this makes a grant useless on arrival.
+/// If the newest clock stamp of an entry was received longer ago than this, a permit based on it
+/// would have expired on arrival.
 const MAX_CONTACT_AGE: Duration = Duration::from_millis(600);
-/// Least time to come back that is told to anybody.
+/// Minimum retry delay in a denial.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// The bits of a permit's number that count; those above tell owners apart.
+/// Width of the counter in a permit id; the bits above it tell owners apart.
 const COUNTER_BITS: u32 = 40;
-/// How long after its start or return a target isn't believed to be warm on its own word.
+/// How long after its start or return to service a target's own report does not end cold start.
 const RECENT_START: Duration = Duration::from_secs(60);
 
-/// What is known of one entry.
+/// The latest contact with one entry.
 #[derive(Clone, Copy, Debug)]
 pub struct EntryContact {
-    /// Which life of it.
+    /// The entry's incarnation.
     pub incarnation: Incarnation,
-    /// The newest stamp of its clock.
+    /// The newest stamp of the entry's clock.
     pub stamp: Moment,
-    /// When that was heard, on this process's clock.
+    /// When the stamp was received, on this process's clock.
     pub received_at: Moment,
 }
 
 impl EntryContact {
-    /// Tells whether a grant on its newest stamp would still be of use.
+    /// Returns whether a permit based on the newest stamp could still be used.
     #[must_use]
     pub fn is_recent(&self, now: Moment) -> bool {
         now.saturating_sub(self.received_at) <= MAX_CONTACT_AGE
     }
 }
 
-/// What this instance knows of a target whether it owns its shard or not.
+/// What is known of a target, whether its shard is owned here or not.
 #[derive(Clone, Copy, Debug)]
 struct TargetHistory {
     incarnation: Incarnation,
@@ -49,18 +50,18 @@
     report: Option<TimedReport>,
 }
 
-/// What all shards of one owner share.
+/// State that all shards of one owner share.
 #[derive(Debug)]
 pub struct OwnerState {
-    /// Configuration and list in force.
+    /// The configuration and the target listing in force.
     pub view: View,
-    /// What is known of lengths.
+    /// Estimates of the lengths of generations.
     pub lengths: LengthEstimator,
-    /// What decisions about memory are tuned by.
+    /// Parameters of admission by memory.
     pub tuning: Tuning,
-    /// The last events and actions.
+    /// The latest events and decisions.
     pub decision_log: DecisionLog,
-    /// Entries that were heard.
+    /// Entries that have been in contact.
     pub entries: BTreeMap<InstanceId, EntryContact>,
     targets: BTreeMap<TargetId, TargetHistory>,
     has_view: bool,
@@ -69,7 +70,7 @@
 }
 
 impl OwnerState {
-    /// Starts with nothing known.
+    /// Creates the state of an owner that knows no view, entries or targets.
     #[must_use]
     pub fn new(me: &InstanceId, incarnation: Incarnation, seed: u64, tuning: Tuning) -> Self {
         Self {
@@ -85,21 +86,23 @@
         }
     }
 
-    /// The number of a new permit: unique for this owner's life, and the upper bits make it
-    /// practically unique among owners, so that a late `Done` can't hit a later owner's permit.
+    /// Returns the id of a new permit. It is unique within this owner's incarnation; the upper bits
+    /// make it practically unique among owners, so that a late `Done` can't match a permit of a
+    /// later owner.
     pub const fn next_permit(&mut self) -> PermitId {
         let permit = self.next_permit;
         self.next_permit += 1;
         permit
     }
 
-    /// A time to come back: not at once, and not all at the same moment.
+    /// Returns `wait` with jitter as a retry delay, so that callers don't all retry at the same
+    /// moment.
     pub fn with_jitter(&mut self, wait: Duration) -> Duration {
         wait.max(MIN_RETRY_AFTER)
             .mul_f64(0.9 + 0.2 * self.rng.f64())
     }
 
-    /// Takes a sign of an entry; tells whether it is the first of a new life.
+    /// Records the contact with an entry. Returns whether it is the first of a new incarnation.
     pub fn record_contact(
         &mut self,
         now: Moment,
@@ -126,7 +129,7 @@
         false
     }
 
-    /// Takes a new view; remembers which targets are new, restarted or back in service.
+    /// Applies a new view and records which targets are new, restarted or back in service.
     pub fn apply_view(&mut self, now: Moment, view: &View) {
         let was_out = std::mem::take(&mut self.view.data_centres_out);
         let mut facts = BTreeMap::new();
@@ -153,7 +156,7 @@
         self.view = view.clone();
     }
 
-    /// Takes a target's report.
+    /// Records a target's load report and returns it with the time that it describes.
     pub fn record_report(
         &mut self,
         now: Moment,
@@ -170,13 +173,13 @@
         report
     }
 
-    /// The newest report of a target.
+    /// Returns the newest load report of a target.
     #[must_use]
     pub fn report(&self, target: &TargetId) -> Option<TimedReport> {
         self.targets.get(target)?.report
     }
 
-    /// Tells whether a target started or came back only lately.
+    /// Returns whether a target started or returned to service recently.
     #[must_use]
     pub fn is_recently_started(&self, now: Moment, target: &TargetId) -> bool {
         self.targets
@@ -185,7 +188,7 @@
             .is_some_and(|since| now.saturating_sub(since) < RECENT_START)
     }
 
-    /// Tells whether a target came back with the newest view.
+    /// Returns whether a target started or returned to service with the newest view.
     #[must_use]
     pub fn started_with_this_view(&self, now: Moment, target: &TargetId) -> bool {
         self.targets
--- a/components/policy/src/permit_updates.rs
+++ b/components/policy/src/permit_updates.rs
@@ -1,4 +1,4 @@
-//! What comes back from entries: ended permits, and what is held still.
+//! Updates from entries: permits that are returned, and permits that are still held.
 
 use std::collections::BTreeSet;
 
@@ -15,7 +15,8 @@
 };
 
 impl ShardState {
-    /// Takes a permit back.
+    /// Takes back a permit whose work has ended. After a lost connection the permit is kept as
+    /// orphaned.
     pub fn handle_done(
         &mut self,
         now: Moment,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Takes an entry's account of what it holds.
+    /// Applies an entry's list of the permits that it holds.
     pub fn handle_held(
         &mut self,
         now: Moment,
@@ -108,11 +109,11 @@
         }
     }
 
-    /// Drops an entry's permits that it no longer lists and can no longer use.
+    /// Removes permits that an entry no longer lists and can no longer use.
     ///
-    /// A `Done` or a `Grant` that gets lost would otherwise leave its place reserved for good,
-    /// and with time the targets would stand idle. A grant may be on its way while the entry
-    /// lists what it holds, so a permit goes only once the entry's clock is past its life.
+    /// If a `Done` or a `Grant` is lost, the permit's slot would otherwise stay reserved for ever,
+    /// and in time the targets would be idle. A grant may still be on its way while the entry lists
+    /// its permits, so a permit is removed only once it has expired by the entry's clock.
     fn drop_unlisted(&mut self, from: &InstanceId, incarnation: u64, held: &Held) {
         let listed: BTreeSet<PermitId> = held.permits.iter().map(|p| p.permit).collect();
         for account in self.accounts.values_mut() {
@@ -188,7 +189,7 @@
     }
 }
 
-/// What an ended request says about its target's limit.
+/// Updates the target's limit by how a request ended.
 fn update_limit(
     now: Moment,
     account: &mut TargetAccount,
@@ -200,7 +201,8 @@
     let busy = account.limiter.is_saturated(limits, occupied);
     let may_warm = account.may_be_warm();
     if account.limiter.is_cold() && permit.granted_at < account.limiter.since() {
-        // It ran before the target turned cold, and so says nothing about what it bears now.
+        // The request started before the target turned cold, so it says nothing about its present
+        // capacity.
         return;
     }
     match outcome {
--- a/components/policy/src/prefixes.rs
+++ b/components/policy/src/prefixes.rs
@@ -1,11 +1,11 @@
-//! Which prompt prefixes a target has seen lately.
+//! Prompt prefixes that a target has probably cached.
 //!
-//! Engines publish cache events late and with gaps, so this is the owner's own memory of what
-//! it sent where: a hint, bounded, and never a reason to overload a target.
+//! Engines publish cache events late and with gaps, so the owner records which prompts it placed
+//! where. The record is a hint of bounded size and never a reason to overload a target.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Blocks remembered per target.
+/// Maximum number of blocks recorded per target.
 const MAX_BLOCKS: usize = 4096;
 
 /// Recently used prompt blocks of one target.
@@ -23,13 +23,13 @@
 }
 
 impl Prefixes {
-    /// Starts empty.
+    /// Creates an empty record.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes note of a prompt sent to the target.
+    /// Records the prefix of a prompt that was placed on the target.
     pub fn record(&mut self, prefix: &[u64]) {
         for &block in prefix {
             self.last_use.insert(block, self.next);
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Share of a prompt's blocks that the target has probably cached, 0.0 to 1.0. The hash of
-    /// a block covers all before it, so the longest known one decides.
+    /// Returns the share of a prompt's blocks that the target has probably cached, 0.0 to 1.0. The
+    /// hash of a block covers all blocks before it, so the last known block decides.
     #[must_use]
     pub fn cached_share(&self, prefix: &[u64]) -> f64 {
         let known = prefix
@@ -52,7 +52,7 @@
         known.map_or(0.0, |at| (at + 1) as f64 / prefix.len() as f64)
     }
 
-    /// Forgets everything, as the target did.
+    /// Discards all blocks, after the target lost its cache.
     pub fn clear(&mut self) {
         self.last_use.clear();
         self.uses.clear();
--- a/components/policy/src/queueing.rs
+++ b/components/policy/src/queueing.rs
@@ -1,4 +1,4 @@
-//! Asks that wait for a shard: who may wait, and who is told that it can't be served.
+//! Admission to a shard's queue: which permit requests may wait, and which are denied.
 
 use std::time::Duration;
 
@@ -10,14 +10,15 @@
     wait_queue::QueuedRequest,
 };
 
-/// Time between two looks for asks that can't be served in time.
+/// Interval between two checks for requests that can't be served before their deadline.
 const DEADLINE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Part of the expected wait that an ask's patience must last for, so that one that would just
-/// be served isn't refused for a wrong guess.
+/// Factor on the estimated interval between grants when requests are denied ahead of their
+/// deadline. Below 1, so that a request that would just be served isn't denied because of a wrong
+/// estimate.
 const MIN_WAIT_SHARE: f64 = 0.7;
 
 impl ShardState {
-    /// Takes an ask: it waits its turn or is refused at once.
+    /// Queues a permit request, or denies it at once if it could not be served in time.
     pub fn enqueue(
         &mut self,
         now: Moment,
@@ -48,7 +49,8 @@
         self.queue.push(QueuedRequest::new(from, ask, now));
     }
 
-    /// Makes sure that one more ask of a class may wait; a less urgent one gives way.
+    /// Makes room in the queue for one more request of a class, if necessary by denying a less
+    /// urgent one. Returns whether there is room.
     fn make_room(
         &mut self,
         now: Moment,
@@ -71,7 +73,7 @@
         true
     }
 
-    /// Refuses an ask that waited, with the time to come back.
+    /// Denies a request that was queued, with a retry delay.
     fn deny_queued(
         &self,
         now: Moment,
@@ -94,7 +96,7 @@
         );
     }
 
-    /// Tells whether none of the shard's targets will take work, so that asks have to go
+    /// Returns whether no target of the shard will take work, so that requests have to go
     /// elsewhere.
     fn has_no_target(&self, owner_state: &OwnerState) -> bool {
         !self
@@ -103,27 +105,30 @@
             .any(|account| account.is_in_service(&owner_state.view))
     }
 
-    /// Sends all waiting asks elsewhere if no target is left to wait for.
+    /// Denies all queued requests without a retry delay, if no target is left to wait for. Their
+    /// entries then try another shard.
     pub fn deny_all_if_no_target(&mut self, owner_state: &OwnerState, out: &mut Vec<Action>) {
         if !self.queue.is_empty() && self.has_no_target(owner_state) {
             self.deny_all(out);
         }
     }
 
-    /// Sends all waiting asks elsewhere.
+    /// Denies all queued requests without a retry delay, so that their entries try another shard or
+    /// owner.
     pub fn deny_all(&mut self, out: &mut Vec<Action>) {
         for waiting in self.queue.drain_if(|_| true) {
             deny(&waiting.entry, &self.shard, waiting.ask.ask, None, out);
         }
     }
 
-    /// Takes an ask back.
+    /// Removes a request that its entry has withdrawn.
     pub fn withdraw(&mut self, from: &InstanceId, withdraw: &Withdraw) {
         self.queue.remove(from, withdraw.ask);
     }
 
-    /// Refuses what can't be served in time any more, as soon as that is clear: whoever is told
-    /// only at the end of its patience has waited for nothing and can't go elsewhere.
+    /// Denies requests as soon as it is clear that they can't be served before their deadline. A
+    /// caller refused only at its deadline would have waited for nothing and could not try
+    /// elsewhere.
     pub(crate) fn deny_unservable(
         &mut self,
         now: Moment,
--- a/components/policy/src/retry_budget.rs
+++ b/components/policy/src/retry_budget.rs
@@ -1,26 +1,26 @@
-//! How many retries a service may cause.
+//! Limits the retries per service.
 //!
-//! Without a budget, retries of what fails under overload add load exactly then: one would
-//! notice targets that stay overloaded after the cause has gone. The budget ties retries to a
-//! share of first tries.
+//! Without a budget, requests that fail under overload are retried and add load just then, and
+//! targets may stay overloaded after the cause has gone. The budget limits retries to a share of
+//! first attempts.
 
 use std::collections::BTreeMap;
 
 use types::ServiceId;
 
-/// Retries saved up at most; lets a lone failure be retried in a quiet hour.
+/// Maximum balance, in retries; lets a single failure be retried when there are few requests.
 const MAX_BALANCE: f64 = 20.0;
-/// Retries that a service has from the start.
+/// Initial balance of a service, in retries.
 const INITIAL_BALANCE: f64 = 5.0;
 
-/// Retry retry_budgets of all services.
+/// Retry budgets of all services.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudgets {
     balances: BTreeMap<ServiceId, f64>,
 }
 
 impl RetryBudgets {
-    /// Takes a first try into account; `percent` retries are earned by 100 of them.
+    /// Records a first attempt; 100 of them allow `percent` retries.
     pub fn deposit(&mut self, service: &ServiceId, percent: u32) {
         let saved = self
             .balances
@@ -29,7 +29,7 @@
         *saved = (*saved + f64::from(percent) / 100.0).min(MAX_BALANCE);
     }
 
-    /// Spends a retry, if there is one.
+    /// Spends one retry. Returns false if the budget is used up.
     pub fn try_spend(&mut self, service: &ServiceId) -> bool {
         let saved = self
             .balances
--- a/components/policy/src/revoke.rs
+++ b/components/policy/src/revoke.rs
@@ -1,8 +1,8 @@
-//! Pulling work back before an engine preempts.
+//! Revokes permits before an engine preempts generations.
 //!
-//! Where a length was guessed wrong an engine's memory fills up, and it preempts whom it likes:
-//! a caller sees its answer stall in the middle. Work whose caller has seen nothing yet can be
-//! run again elsewhere instead, and nobody notices more than a later first token.
+//! If lengths were underestimated, an engine's memory fills up and it preempts generations of its
+//! own choice, whose callers see their answers stall. A generation of which the caller has seen
+//! nothing can run elsewhere instead, at the cost of a later first token.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -18,11 +18,11 @@
     shard::ShardState,
 };
 
-/// Time between two recalls from one target, so that the first shows its effect.
+/// Minimum time between two revocations at one target, so that the first can take effect.
 const MIN_REVOKE_INTERVAL: Duration = Duration::from_millis(250);
 
 impl ShardState {
-    /// Asks for the cheapest unseen permit of each target that is about to run out of memory.
+    /// Revokes the cheapest unseen permit of each target that is about to run out of memory.
     pub fn revoke_unseen(
         &mut self,
         now: Moment,
@@ -77,8 +77,8 @@
     account.used_share(now) >= recall_share || soon >= recall_share
 }
 
-/// The unseen permit whose loss costs least: background first, then the fewest tokens to be
-/// computed again. Urgent work stays.
+/// Returns the unseen permit that costs least to run again: background work first, then the one
+/// with the fewest tokens to recompute. Urgent work is never revoked.
 fn cheapest_to_revoke(account: &TargetAccount) -> Option<PermitKey> {
     account
         .permits
--- a/components/policy/src/shard.rs
+++ b/components/policy/src/shard.rs
@@ -1,4 +1,4 @@
-//! What an owner knows of one shard: its accounts and the asks that wait.
+//! The owner's state of one shard: accounts of its targets and the queue of permit requests.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,30 +19,30 @@
     wait_queue::WaitQueue,
 };
 
-/// Added to a permit's life where an owner waits for permits to lapse, for clocks that run at
+/// Added to a permit's lifetime when an owner waits for permits to expire, as clocks may run at
 /// slightly different rates.
 pub const LAPSE_MARGIN: Duration = Duration::from_millis(250);
-/// Time between two questions to an entry that has not told what it holds.
+/// Interval between queries to an entry that has not answered.
 const QUERY_PERIOD: Duration = Duration::from_millis(200);
-/// How long cold targets wait for their first report when an entry has told nothing.
+/// How long a cold target waits for its first load report of the term.
 const COLD_REPORT_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long urgent work is expected to go on after it was last asked for.
+/// How long slots stay reserved for urgent work after the last urgent request.
 const URGENT_RESERVE_DURATION: Duration = Duration::from_secs(60);
 
 /// One shard as its owner sees it.
 #[derive(Debug)]
 pub struct ShardState {
-    /// Which shard.
+    /// The shard.
     pub shard: Shard,
     /// The term of ownership.
     pub epoch: Epoch,
-    /// Whether cold targets may get work.
+    /// Whether this instance is the only owner, so that cold targets may get work.
     pub exclusive: bool,
-    /// Asks that wait.
+    /// Permit requests that wait.
     pub queue: WaitQueue,
-    /// Accounts of the targets.
+    /// Accounts of the shard's targets.
     pub accounts: BTreeMap<TargetId, TargetAccount>,
-    /// How fast each class is served.
+    /// Rate at which requests of each class are granted.
     pub grant_rate: GrantRate,
     pub(crate) unanswered_queries: BTreeSet<InstanceId>,
     queried_at: Moment,
@@ -52,7 +52,7 @@
 }
 
 impl ShardState {
-    /// Starts a term in which `ask` have to tell what they hold.
+    /// Starts a term in which the entries in `ask` have to report the permits that they hold.
     pub fn new(
         now: Moment,
         shard: &Shard,
@@ -79,7 +79,7 @@
         state
     }
 
-    /// Asks those that have not told yet. A question may get lost, and without its answer cold
+    /// Queries the entries that have not answered. A query may get lost, and without an answer cold
     /// targets would never get work from this owner.
     fn send_queries(&mut self, now: Moment, out: &mut Vec<Action>) {
         self.queried_at = now;
@@ -89,22 +89,23 @@
         }
     }
 
-    /// Entries that have not yet told what they hold.
+    /// Entries that have not yet reported the permits that they hold.
     #[must_use]
     pub const fn unanswered_queries(&self) -> &BTreeSet<InstanceId> {
         &self.unanswered_queries
     }
 
-    /// Tells whether permits may be granted: everybody has told what it holds, or whatever an
-    /// earlier owner granted and nobody used has lapsed.
+    /// Returns whether permits may be granted: all entries have reported the permits that they
+    /// hold, or all unused permits of an earlier owner have expired.
     #[must_use]
     pub fn can_grant(&self, now: Moment) -> bool {
         self.unanswered_queries.is_empty() || now >= self.started_at + PERMIT_LIFE + LAPSE_MARGIN
     }
 
-    /// Tells whether a cold target may get work: this owner is alone, it knows of all work that
-    /// entries have there, and the target has reported since the term began. Work of an entry
-    /// that died shows nowhere else; its former life may even have been this very instance.
+    /// Returns whether a cold target may get work: this is the only owner, it knows all work that
+    /// entries have placed there, and the target has reported since the term began. Only such a
+    /// report shows the work of an entry that died, which may have been an earlier incarnation of
+    /// this very instance.
     #[must_use]
     pub fn can_grant_cold(&self, now: Moment, account: &TargetAccount) -> bool {
         let reported = account
@@ -115,7 +116,7 @@
             && (reported || now >= self.started_at + COLD_REPORT_TIMEOUT)
     }
 
-    /// Slots of a target that only urgent work may take.
+    /// Number of a target's slots that only urgent work may take.
     #[must_use]
     pub fn urgent_reserve(&self, now: Moment, slots: u32) -> u32 {
         let expected = self
@@ -124,7 +125,7 @@
         if expected { urgent_slots(slots) } else { 0 }
     }
 
-    /// Takes a target's report; tells whether it was news.
+    /// Records a target's load report. Returns whether it is newer than the last one.
     pub fn record_report(
         &mut self,
         now: Moment,
@@ -137,13 +138,13 @@
             .is_some_and(|account| account.record_report(now, report, limits))
     }
 
-    /// An entry is gone for good.
+    /// Removes a lost entry's requests, and no longer waits for its answer.
     pub fn remove_peer(&mut self, peer: &InstanceId) {
         self.unanswered_queries.remove(peer);
         self.queue.drain_if(|waiting| waiting.entry == *peer);
     }
 
-    /// Marks the permits of an entry's lives before `below` as orphans.
+    /// Marks permits of an entry's incarnations before `below` as orphaned.
     pub fn orphan(&mut self, now: Moment, entry: &InstanceId, below: u64) {
         for account in self.accounts.values_mut() {
             for (key, permit) in &mut account.permits {
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Takes note of what is listed now.
+    /// Updates the accounts to the target listing in force.
     pub fn apply_view(&mut self, now: Moment, owner_state: &OwnerState) {
         for account in self.accounts.values_mut() {
             account.listed = None;
@@ -189,7 +190,8 @@
         account
     }
 
-    /// Time passed: ends what has waited too long.
+    /// Handles time-outs: denies requests that can't be served in time, repeats queries, and drops
+    /// orphaned permits.
     pub fn tick(&mut self, now: Moment, owner_state: &mut OwnerState, out: &mut Vec<Action>) {
         self.deny_unservable(now, owner_state, out);
         self.queue.promote_aged(now);
--- a/components/policy/src/summary.rs
+++ b/components/policy/src/summary.rs
@@ -1,4 +1,4 @@
-//! What an owner tells others about a shard.
+//! Load summary of a shard, for the other instances.
 
 use types::{Class, Moment};
 use wire::ShardSummary;
@@ -6,7 +6,7 @@
 use crate::{account::TargetAccount, owner_state::OwnerState, shard::ShardState};
 
 impl ShardState {
-    /// What others should know.
+    /// Returns the load summary.
     #[must_use]
     pub fn summary(&self, now: Moment, owner_state: &OwnerState) -> ShardSummary {
         let Some(limits) = owner_state.view.limits.get(&self.shard.service) else {
--- a/components/policy/src/tuning.rs
+++ b/components/policy/src/tuning.rs
@@ -1,31 +1,30 @@
-//! The figures that were found by measurement; see docs/design/memory-admission.md.
+//! Parameters of admission by memory, chosen by measurement: see docs/design/memory-admission.md.
 
-/// How much memory a set of generations is taken to need.
+/// How the memory needed by a set of generations is estimated.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum MemoryEstimate {
-    /// The sum of expected final sizes; a variant to measure against.
+    /// Sum of the expected final sizes. Kept as a variant to compare with.
     ExpectedFinals,
-    /// The highest projected occupation over the coming tokens.
+    /// Highest projected usage over the coming tokens.
     #[default]
     ProjectedPeak,
-    /// The exact highest occupation, taking each request's limit as its true length; the bound
-    /// to measure against.
+    /// Exact highest usage, taking each request's limit as its true length. The upper bound to
+    /// compare with.
     KnownLengths,
 }
 
-/// What the decisions about memory are tuned by.
+/// Parameters of admission by memory.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tuning {
-    /// How memory needs are worked out.
+    /// How memory needs are estimated.
     pub memory_estimate: MemoryEstimate,
     /// Share of an engine's memory up to which work is admitted.
     pub admit_share: f64,
-    /// Standard deviations that are kept free on top of the mean, before the correction for
-    /// skewness.
+    /// Safety margin in standard deviations above the mean, before the correction for skewness.
     pub margin_deviations: f64,
-    /// Share of memory in use from which nothing is admitted, whatever the projection says.
+    /// Share of memory in use above which nothing is admitted, whatever the projection says.
     pub stop_share: f64,
-    /// Share of memory in use from which unseen work is pulled back.
+    /// Share of memory, in use or projected shortly ahead, from which unseen work is revoked.
     pub revoke_share: f64,
 }
 
@@ -42,7 +41,8 @@
 }
 
 impl Tuning {
-    /// The figures that do best where the true lengths are told: only lags are left to allow for.
+    /// Returns the parameters that do best where the true lengths are known and only lags have to
+    /// be allowed for.
     #[must_use]
     pub fn with_known_lengths() -> Self {
         Self {
--- a/components/policy/src/wait_queue.rs
+++ b/components/policy/src/wait_queue.rs
@@ -1,10 +1,11 @@
-//! The order of asks that wait at an owner.
+//! Order of service of the permit requests that wait at an owner.
 //!
-//! Class goes first. Within a class workspaces share by tokens, not by count: start-time fair
-//! queueing, where the workspace with the smallest virtual start goes next. Starts that lie
-//! within one quantum of tokens count as equal, and among those the earliest deadline goes
-//! first; so deadlines decide between workspaces that got about the same, and always within
-//! a workspace. Background asks that have waited long count as normal, so that they end.
+//! Requests are ordered by class. Within a class, workspaces share by tokens and not by number of
+//! requests, with start-time fair queueing: the workspace with the smallest virtual start is next.
+//! Virtual starts within one quantum of tokens count as equal, and among those the earliest
+//! deadline is next. Deadlines therefore decide between workspaces that got about as much, and
+//! always within a workspace. Background requests that have waited long are promoted to normal, so
+//! that they are not starved.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,42 +15,43 @@
 use types::{AskId, Class, InstanceId, Moment, Tokens, WorkspaceId};
 use wire::Ask;
 
-/// Tokens by which two workspaces may differ and still count as served alike.
+/// Difference in tokens up to which two workspaces count as equally served.
 const QUANTUM: f64 = 4096.0;
-/// Background asks that have waited this long in all count as normal.
+/// Total wait after which a background request is promoted to normal.
 const BACKGROUND_PROMOTION_AGE: Duration = Duration::from_secs(20);
-/// Asks of one workspace and class that are looked at in one pass.
+/// Maximum number of requests of one workspace and class considered in one pass.
 const MAX_CANDIDATES_PER_WORKSPACE: usize = 4;
-/// Asks of one class that are looked at in one pass.
+/// Maximum number of requests of one class considered in one pass.
 const MAX_CANDIDATES_PER_CLASS: usize = 12;
-/// Served workspaces that are remembered while none of their asks waits.
+/// Number of workspaces above which those that are not ahead of the virtual time are forgotten.
 const RETAINED_WORKSPACES: usize = 1024;
 
-/// Tokens that a message may name; larger figures are cut to this, so that sums can't overflow.
+/// Larger numbers of tokens in a message are capped to this, so that sums can't overflow.
 pub const MAX_TOKENS: Tokens = 1 << 32;
 
-/// Number of a waiting ask within its line.
+/// Sequence number of a queued request, in order of arrival.
 pub type QueuePosition = u64;
 
-/// An ask that waits.
+/// A permit request in the queue.
 #[derive(Clone, Debug)]
 pub struct QueuedRequest {
-    /// Who asks.
+    /// The entry that sent the request.
     pub entry: InstanceId,
-    /// What it asks for.
+    /// The request.
     pub ask: Ask,
-    /// When it came here.
+    /// When it arrived at this owner.
     pub queued_at: Moment,
-    /// When the caller's patience ends, on this process's clock.
+    /// The caller's deadline, on this process's clock.
     pub deadline: Moment,
-    /// Asks behind it that were served because it didn't fit anywhere.
+    /// How often other requests have overtaken it because it fitted nowhere, weighted by their
+    /// class.
     pub bypassed: u32,
-    /// Its class now; a background ask that has waited long counts as normal.
+    /// The class that it is served as: its own, or normal after promotion.
     pub effective_class: Class,
 }
 
 impl QueuedRequest {
-    /// Takes an ask that has just come.
+    /// Creates an entry of the queue for a request that has just arrived.
     #[must_use]
     pub fn new(entry: &InstanceId, ask: &Ask, now: Moment) -> Self {
         let mut ask = ask.clone();
@@ -66,21 +68,21 @@
     }
 }
 
-/// Which ask of which entry.
+/// Identifies a request together with the entry that sent it.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct RequestKey {
     entry: InstanceId,
     ask: AskId,
 }
 
-/// Where an ask stands among those of its workspace and class.
+/// Order among the requests of a workspace and class.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct DeadlineOrder {
     deadline: Moment,
     place: QueuePosition,
 }
 
-/// Where an ask stands among those of its class.
+/// Order among the requests of a class.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct ServiceOrder {
     quantum: u64,
@@ -89,7 +91,7 @@
 
 type ClassQueue = BTreeMap<WorkspaceId, BTreeSet<DeadlineOrder>>;
 
-/// Asks that wait for one shard.
+/// Permit requests that wait for one shard.
 #[derive(Debug, Default)]
 pub struct WaitQueue {
     next: QueuePosition,
@@ -102,37 +104,37 @@
 }
 
 impl WaitQueue {
-    /// Starts empty.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// How many asks wait.
+    /// Returns the number of requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Tells whether nobody waits.
+    /// Returns whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// How many asks of a class wait.
+    /// Returns the number of requests of a class.
     #[must_use]
     pub const fn len_of(&self, class: Class) -> usize {
         self.class_lengths[class as usize]
     }
 
-    /// Entries that wait, each once.
+    /// Returns the entries that have requests in the queue.
     #[must_use]
     pub fn entries(&self) -> BTreeSet<InstanceId> {
         self.positions.keys().map(|key| key.entry.clone()).collect()
     }
 
-    /// Adds an ask; an earlier one with the same number of the same entry is replaced.
+    /// Adds a request, and replaces an earlier one with the same id from the same entry.
     pub fn push(&mut self, waiting: QueuedRequest) {
         self.remove(&waiting.entry.clone(), waiting.ask.ask);
         let place = self.next;
@@ -146,7 +148,7 @@
         self.waiting.insert(place, waiting);
     }
 
-    /// Takes an ask out.
+    /// Removes a request.
     pub fn remove(&mut self, entry: &InstanceId, ask: AskId) -> Option<QueuedRequest> {
         let key = RequestKey {
             entry: entry.clone(),
@@ -156,7 +158,7 @@
         self.remove_at(place)
     }
 
-    /// Takes out all asks for which `gone` holds.
+    /// Removes and returns all requests for which `gone` holds.
     pub fn drain_if(&mut self, mut gone: impl FnMut(&QueuedRequest) -> bool) -> Vec<QueuedRequest> {
         let places: Vec<QueuePosition> = self
             .waiting
@@ -170,9 +172,9 @@
             .collect()
     }
 
-    /// Takes out the asks of a class that will not be served before their deadline, if one is
-    /// served every `between` and the earliest deadline goes first. They give their places to
-    /// those behind them.
+    /// Removes and returns the requests of a class that won't be served before their deadline,
+    /// assuming that one is served every `between` in order of deadlines. A removed request does
+    /// not delay those behind it.
     pub fn drain_unservable(
         &mut self,
         now: Moment,
@@ -200,7 +202,7 @@
             .collect()
     }
 
-    /// Takes out the youngest ask of the least urgent class below `class`.
+    /// Removes and returns the latest request of the least urgent class below `class`.
     pub fn evict_less_urgent(&mut self, class: Class) -> Option<QueuedRequest> {
         let place = *self
             .waiting
@@ -211,7 +213,7 @@
         self.remove_at(place)
     }
 
-    /// Lets background asks that have waited long count as normal.
+    /// Promotes background requests that have waited long to normal.
     pub fn promote_aged(&mut self, now: Moment) {
         let aged: Vec<QueuePosition> = self
             .waiting
@@ -234,7 +236,7 @@
         }
     }
 
-    /// The first places in the order in which they should be served.
+    /// Returns the first positions in order of service.
     #[must_use]
     pub fn service_order(&self) -> Vec<QueuePosition> {
         let mut order = Vec::new();
@@ -256,20 +258,20 @@
         order
     }
 
-    /// The ask at a place.
+    /// Returns the request at a position.
     #[must_use]
     pub fn get(&self, place: QueuePosition) -> Option<&QueuedRequest> {
         self.waiting.get(&place)
     }
 
-    /// Takes note that an ask behind this one was served.
+    /// Records that a request behind this one was served; it counts `times`.
     pub fn record_bypass(&mut self, place: QueuePosition, times: u32) {
         if let Some(waiting) = self.waiting.get_mut(&place) {
             waiting.bypassed += times;
         }
     }
 
-    /// Takes the ask at a place out and charges its workspace with `tokens`.
+    /// Removes the request at a position and charges `tokens` to its workspace.
     pub fn dequeue_and_charge(
         &mut self,
         place: QueuePosition,
@@ -284,15 +286,15 @@
         Some(waiting)
     }
 
-    /// Corrects what a workspace was charged once the true size is known.
+    /// Adjusts a workspace's charge by `tokens` once the true size of a request is known.
     pub fn adjust_charge(&mut self, workspace: &WorkspaceId, tokens: f64) {
         if let Some(finish) = self.virtual_finish.get_mut(workspace) {
             *finish += tokens;
         }
     }
 
-    /// Virtual start of a workspace's next ask. A workspace that was idle starts now: it gets no
-    /// credit for the time it asked for nothing.
+    /// Virtual start of a workspace's next request. An idle workspace starts at the present virtual
+    /// time and gets no credit for the time it was idle.
     fn virtual_start(&self, workspace: &WorkspaceId) -> f64 {
         let finish = self
             .virtual_finish
