--- a/components/front/src/adapters.rs
+++ b/components/front/src/adapters.rs
@@ -7,7 +7,7 @@
 use derive_more::{Display, Error};
 use http_body_util::Full;
 use hyper::{HeaderMap, Request, http};
-use placing::{Report, RunId};
+use placing::{GenerationId, LoadReport};
 use types::{DataCentreId, TargetId, Tokens};
 use view::{Rules, Target};
 
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallerRequest {
     /// Id of this try.
-    pub id: RunId,
+    pub id: GenerationId,
     /// The host it addresses.
     pub host: Arc<str>,
     /// The path without the query.
@@ -186,7 +186,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct GenerationReport {
     /// The generation.
-    pub generation: RunId,
+    pub generation: GenerationId,
     /// Events that it has made.
     pub events: u64,
 }
@@ -197,7 +197,7 @@
     /// Whether it stays.
     pub state: EngineState,
     /// What it holds.
-    pub load: Report,
+    pub load: LoadReport,
     /// Its generations.
     pub generations: Vec<GenerationReport>,
 }
--- a/components/front/src/callers/open_requests.rs
+++ b/components/front/src/callers/open_requests.rs
@@ -9,7 +9,7 @@
 
 use events::{Event, emit};
 use parking_lot::Mutex;
-use placing::RunId;
+use placing::GenerationId;
 use timer::boot_time;
 use types::Moment;
 
@@ -25,7 +25,7 @@
 #[derive(Clone, Debug)]
 struct Request {
     /// Its caller's id, once the head was understood.
-    id: Option<RunId>,
+    id: Option<GenerationId>,
     arrived: Moment,
 }
 
@@ -56,7 +56,7 @@
 
     /// Their ids, and how long each has been held.
     #[must_use]
-    pub fn list(&self) -> Vec<(RunId, Duration)> {
+    pub fn list(&self) -> Vec<(GenerationId, Duration)> {
         let now = boot_time();
         let all = self.all.lock();
         all.values()
@@ -67,9 +67,9 @@
 
 impl OpenRequest<'_> {
     /// Notes its caller's id.
-    pub fn named(&self, id: &RunId) {
+    pub fn named(&self, id: &GenerationId) {
         if let Some(request) = self.requests.all.lock().get_mut(&self.number) {
-            request.id = Some(RunId::clone(id));
+            request.id = Some(GenerationId::clone(id));
         }
     }
 
@@ -97,7 +97,7 @@
 }
 
 impl Request {
-    fn name(&self) -> RunId {
+    fn name(&self) -> GenerationId {
         self.id.clone().unwrap_or_else(|| "-".into())
     }
 }
--- a/components/front/src/dump.rs
+++ b/components/front/src/dump.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use placing::RunId;
+use placing::GenerationId;
 use serde::Serialize;
 use types::{ConfigVersion, DataCentreId, InstanceId, TargetId};
 
@@ -25,9 +25,9 @@
     members: Vec<InstanceId>,
     /// Requests that were read and have no answer yet.
     open: Vec<OpenState>,
-    generations: Vec<placing::Running>,
+    generations: Vec<placing::ActiveGeneration>,
     /// Engines in the account that this instance keeps.
-    account: Vec<placing::Load>,
+    account: Vec<placing::EngineLoad>,
 }
 
 #[derive(Debug, Serialize)]
@@ -40,7 +40,7 @@
 
 #[derive(Debug, Serialize)]
 struct OpenState {
-    id: RunId,
+    id: GenerationId,
     held_ms: u64,
 }
 
@@ -82,8 +82,8 @@
     }
 }
 
-impl From<(RunId, Duration)> for OpenState {
-    fn from((id, held): (RunId, Duration)) -> Self {
+impl From<(GenerationId, Duration)> for OpenState {
+    fn from((id, held): (GenerationId, Duration)) -> Self {
         Self {
             id,
             held_ms: millis(held),
--- a/components/front/src/generations/active.rs
+++ b/components/front/src/generations/active.rs
@@ -10,7 +10,7 @@
 
 use async_channel::{Receiver, Sender, unbounded};
 use parking_lot::Mutex;
-use placing::{RunId, Running};
+use placing::{ActiveGeneration, GenerationId};
 use types::{RouteId, ServiceId, Tokens};
 use view::Target;
 
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub struct GenerationHandle {
     /// Its id.
-    pub run: RunId,
+    pub run: GenerationId,
     /// Its service.
     pub service: ServiceId,
     /// Tokens of its prompt.
@@ -68,7 +68,7 @@
 impl GenerationHandle {
     /// A generation on an engine.
     #[must_use]
-    pub fn new(run: RunId, service: ServiceId, target: Arc<Target>) -> Self {
+    pub fn new(run: GenerationId, service: ServiceId, target: Arc<Target>) -> Self {
         Self {
             run,
             service,
@@ -187,17 +187,17 @@
 
     /// What an owner is told of it.
     #[must_use]
-    pub fn snapshot(&self) -> Running {
-        Running {
-            run: Arc::clone(&self.run),
+    pub fn snapshot(&self) -> ActiveGeneration {
+        ActiveGeneration {
+            generation: Arc::clone(&self.run),
             service: Arc::clone(&self.service),
             target: Arc::clone(&self.target.lock().id),
-            prompt: self.prompt,
-            made: self.tokens_generated(),
+            prompt_tokens: self.prompt,
+            tokens_generated: self.tokens_generated(),
             route: Arc::clone(&self.route),
-            longest: self.longest,
-            hint: self.hint,
-            rank: self.rank,
+            max_tokens: self.longest,
+            length_hint: self.hint,
+            priority: self.rank,
             started: self.has_started(),
         }
     }
@@ -206,7 +206,7 @@
 /// All generations of this instance.
 #[derive(Debug, Default)]
 pub struct ActiveGenerations {
-    all: Mutex<HashMap<RunId, Arc<GenerationHandle>>>,
+    all: Mutex<HashMap<GenerationId, Arc<GenerationHandle>>>,
 }
 
 impl ActiveGenerations {
@@ -229,7 +229,7 @@
 
     /// What owners are told of them.
     #[must_use]
-    pub fn snapshots(&self) -> Vec<Running> {
+    pub fn snapshots(&self) -> Vec<ActiveGeneration> {
         self.all
             .lock()
             .values()
--- a/components/front/src/generations/dispatch.rs
+++ b/components/front/src/generations/dispatch.rs
@@ -6,7 +6,7 @@
 use events::{Event, emit};
 use hyper::{Response, http};
 use net::{Body, fed};
-use placing::{Answer, Ask, Note, Shard};
+use placing::{GenerationUpdate, PlacementAnswer, PlacementRequest, Shard};
 use rates::Reservation;
 use smol::future;
 use timer::boot_time;
@@ -85,10 +85,10 @@
         self.told = true;
         self.live.close();
         self.front.generations.remove(&self.live.run);
-        let note = Note::Ended {
-            run: Arc::clone(&self.live.run),
-            doubt: self.doubt,
-            made: self.whole.then(|| self.live.tokens_generated()),
+        let note = GenerationUpdate::Ended {
+            generation: Arc::clone(&self.live.run),
+            target_failed: self.doubt,
+            tokens_generated: self.whole.then(|| self.live.tokens_generated()),
         };
         let shard = self
             .front
@@ -148,29 +148,29 @@
             ));
         }
         let after = match front.place(&ask).await {
-            Answer::Go { target: id } => match usable(&id) {
+            PlacementAnswer::Assigned { target: id } => match usable(&id) {
                 Some(target) => return Ok(target),
                 None => {
                     // One of the two has not heard yet that the engine is there, or leaves.
                     unusable.push(id);
                     let run = Arc::clone(&call.request.id);
-                    let note = Note::Ended {
-                        run,
-                        doubt: false,
-                        made: None,
+                    let note = GenerationUpdate::Ended {
+                        generation: run,
+                        target_failed: false,
+                        tokens_generated: None,
                     };
                     // Told before it is asked again, or it would take this for the end of its next grant.
                     let _ = Front::notify_owner(front, &shard, note).recv().await;
                     UNHEARD_PAUSE
                 }
             },
-            Answer::Wait { after } => after,
-            Answer::Full { .. } if full + 1 < shard.of.min(SHARDS_ASKED) => {
+            PlacementAnswer::Wait { after } => after,
+            PlacementAnswer::Rejected { .. } if full + 1 < shard.count.min(SHARDS_ASKED) => {
                 full += 1;
                 shard = shard.next();
                 continue;
             }
-            Answer::Full { after } => {
+            PlacementAnswer::Rejected { after } => {
                 return Err(Refusal::not_run("no engine can begin it in time", after));
             }
         };
@@ -185,7 +185,7 @@
 /// one when its caller comes back.
 pub(crate) fn first_shard(front: &Front, call: &Call) -> Shard {
     let service = &call.service.name;
-    Shard::with(
+    Shard::of_target(
         Arc::clone(service),
         &call.fingerprint.to_string(),
         front.shard_count(service),
@@ -193,21 +193,26 @@
 }
 
 /// What a generation asks an owner for.
-pub(crate) fn ask(front: &Front, call: &Call, shard: Shard, avoid: &[TargetId]) -> Ask {
+pub(crate) fn ask(
+    front: &Front,
+    call: &Call,
+    shard: Shard,
+    avoid: &[TargetId],
+) -> PlacementRequest {
     let sizes = call.request.sizes.unwrap_or(UNKNOWN_SIZES);
-    Ask {
-        run: Arc::clone(&call.request.id),
+    PlacementRequest {
+        generation: Arc::clone(&call.request.id),
         digest: call.fingerprint.short(),
         entry: Arc::clone(&front.cfg.instance),
         data_centre: Arc::clone(&front.cfg.data_centre),
         shard,
         route: Arc::clone(&call.route.name),
-        prompt: sizes.prompt_tokens,
-        longest: sizes.max_tokens,
-        hint: sizes.length_hint,
-        rank: call.priority,
-        aim_left: call.objective_left(),
-        left: call.time_left(),
+        prompt_tokens: sizes.prompt_tokens,
+        max_tokens: sizes.max_tokens,
+        length_hint: sizes.length_hint,
+        priority: call.priority,
+        objective_left: call.objective_left(),
+        deadline_left: call.time_left(),
         waited: call.elapsed(),
         avoid: avoid.to_vec(),
     }
--- a/components/front/src/generations/evacuation.rs
+++ b/components/front/src/generations/evacuation.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashSet, sync::Arc, time::Duration};
 
-use placing::{Carried, Carry, RunId};
+use placing::{GenerationId, Migration, MigrationOutcome};
 use timer::boot_time;
 use types::TargetId;
 use view::Target;
@@ -32,20 +32,20 @@
         return;
     }
     let until = boot_time() + WATCH;
-    let mut unfit: HashSet<(RunId, Option<TargetId>)> = HashSet::new();
+    let mut unfit: HashSet<(GenerationId, Option<TargetId>)> = HashSet::new();
     let shard = front.shard_of(&source.service, &source.id);
     while boot_time() < until {
         // On most instances nothing of the account runs there, and hundreds of engines may leave.
-        if !front.placement.owner.lock().runs_on(&source.id) {
+        if !front.placement.owner.lock().has_generations_on(&source.id) {
             smol::Timer::after(NOTHING_THERE).await;
             continue;
         }
         let engines = front.engines_of(&shard);
-        let is_unfit = |run: &RunId, to: &TargetId| {
+        let is_unfit = |run: &GenerationId, to: &TargetId| {
             unfit.contains(&(Arc::clone(run), None))
                 || unfit.contains(&(Arc::clone(run), Some(Arc::clone(to))))
         };
-        let next = front.placement.owner.lock().next_carry(
+        let next = front.placement.owner.lock().next_migration(
             boot_time(),
             &source.id,
             &source.data_centre,
@@ -57,18 +57,22 @@
             continue;
         };
         let outcome = send(&front, &order).await;
-        front.placement.owner.lock().carried(&order, outcome);
+        front
+            .placement
+            .owner
+            .lock()
+            .finish_migration(&order, outcome);
         match outcome {
-            Carried::Done => {}
-            Carried::NoRoom => {
-                unfit.insert((order.run, Some(order.to)));
+            MigrationOutcome::Done => {}
+            MigrationOutcome::NoRoom => {
+                unfit.insert((order.generation, Some(order.to)));
             }
-            Carried::Nothing | Carried::Lost => {
-                unfit.insert((order.run, None));
+            MigrationOutcome::Nothing | MigrationOutcome::Lost => {
+                unfit.insert((order.generation, None));
             }
         }
     }
-    front.placement.owner.lock().forget(&source.id);
+    front.placement.owner.lock().remove_engine(&source.id);
 }
 
 /// Tells the owner that an engine leaves on which generations of this instance run. The owner may
@@ -90,9 +94,9 @@
 }
 
 /// Gives the order to the entry that holds the generation.
-async fn send(front: &Arc<Front>, order: &Carry) -> Carried {
-    let Some(entry) = front.placement.entry_of(&order.run) else {
-        return Carried::Nothing;
+async fn send(front: &Arc<Front>, order: &Migration) -> MigrationOutcome {
+    let Some(entry) = front.placement.entry_of(&order.generation) else {
+        return MigrationOutcome::Nothing;
     };
     if entry == front.cfg.instance {
         return migrate(front, order).await;
@@ -100,6 +104,6 @@
     let message = Message::Carry(order.clone());
     match front.peers.call(&entry, &message, CARRY_PATIENCE).await {
         Some(Reply::Carried(outcome)) => outcome,
-        _ => Carried::Lost,
+        _ => MigrationOutcome::Lost,
     }
 }
--- a/components/front/src/generations/migration.rs
+++ b/components/front/src/generations/migration.rs
@@ -4,7 +4,7 @@
 
 use async_channel::bounded;
 use events::{Event, emit};
-use placing::{Carried, Carry};
+use placing::{Migration, MigrationOutcome};
 use timer::{Timer, boot_time};
 use types::Moment;
 use view::Target;
@@ -27,12 +27,12 @@
 
 /// Why a generation was not carried over.
 struct Failure {
-    outcome: Carried,
+    outcome: MigrationOutcome,
     reason: Arc<str>,
 }
 
 impl Failure {
-    fn new(outcome: Carried, reason: impl Into<Arc<str>>) -> Self {
+    fn new(outcome: MigrationOutcome, reason: impl Into<Arc<str>>) -> Self {
         Self {
             outcome,
             reason: reason.into(),
@@ -42,19 +42,19 @@
 
 /// Carries a generation over. It is done once the final copy is there: the engine's link is free
 /// for the next generation then, while this one goes on at its new engine.
-pub async fn migrate(front: &Arc<Front>, order: &Carry) -> Carried {
-    let Some(live) = front.generations.get(&order.run) else {
-        return Carried::Nothing;
+pub async fn migrate(front: &Arc<Front>, order: &Migration) -> MigrationOutcome {
+    let Some(live) = front.generations.get(&order.generation) else {
+        return MigrationOutcome::Nothing;
     };
     let source = live.target();
     if source.id != order.from || !live.begin_migration() {
-        return Carried::Nothing;
+        return MigrationOutcome::Nothing;
     }
     match copy(front, &live, &source, order).await {
         Ok(splice) => {
             let (front, order) = (Arc::clone(front), order.clone());
             workers::spawn(async move { finish(&front, &live, &order, splice).await }).detach();
-            Carried::Done
+            MigrationOutcome::Done
         }
         Err(failure) => {
             live.end_migration();
@@ -66,7 +66,7 @@
 }
 
 /// Lets the generation go on, and logs how that went.
-async fn finish(front: &Front, live: &GenerationHandle, order: &Carry, splice: Splice) {
+async fn finish(front: &Front, live: &GenerationHandle, order: &Migration, splice: Splice) {
     let (from, stopped) = (splice.from, splice.stopped);
     let result = go_on(live, splice).await;
     live.end_migration();
@@ -75,18 +75,18 @@
         return;
     }
     emit(&Event::GenerationCarried {
-        id: Arc::clone(&order.run),
+        id: Arc::clone(&order.generation),
         from: Arc::clone(&order.from),
         to: Arc::clone(&order.to),
         copy_ms: millis(stopped.saturating_sub(from)),
         pause_ms: millis(boot_time().saturating_sub(stopped)),
     });
-    count(front, Carried::Done);
+    count(front, MigrationOutcome::Done);
 }
 
-fn failed(front: &Front, order: &Carry, failure: Failure) -> Carried {
+fn failed(front: &Front, order: &Migration, failure: Failure) -> MigrationOutcome {
     emit(&Event::CarryFailed {
-        id: Arc::clone(&order.run),
+        id: Arc::clone(&order.generation),
         from: Arc::clone(&order.from),
         to: Arc::clone(&order.to),
         reason: failure.reason,
@@ -95,12 +95,12 @@
     failure.outcome
 }
 
-fn count(front: &Front, outcome: Carried) {
+fn count(front: &Front, outcome: MigrationOutcome) {
     let outcome = match outcome {
-        Carried::Done => "done",
-        Carried::NoRoom => "no_room",
-        Carried::Nothing => "nothing",
-        Carried::Lost => "lost",
+        MigrationOutcome::Done => "done",
+        MigrationOutcome::NoRoom => "no_room",
+        MigrationOutcome::Nothing => "nothing",
+        MigrationOutcome::Lost => "lost",
     };
     let ending = MigrationLabels { outcome };
     front.metrics.migrations.get_or_create(&ending).inc();
@@ -121,15 +121,15 @@
     front: &Front,
     live: &GenerationHandle,
     source: &Arc<Target>,
-    order: &Carry,
+    order: &Migration,
 ) -> Result<Splice, Failure> {
     let from = boot_time();
     let to = front
         .view
         .target(&order.to)
-        .ok_or_else(|| Failure::new(Carried::NoRoom, "the destination is not listed"))?;
+        .ok_or_else(|| Failure::new(MigrationOutcome::NoRoom, "the destination is not listed"))?;
     let first = KvCopyRequest {
-        generation: &order.run,
+        generation: &order.generation,
         from: source.addr,
         to: to.addr,
         is_final: false,
@@ -139,7 +139,7 @@
     live.store_copy(Arc::clone(&to), resume(source, copy));
     let stopped = boot_time();
     if !live.send_command(RelayCommand::MigrationStarted) {
-        return Err(Failure::new(Carried::Nothing, "it has ended"));
+        return Err(Failure::new(MigrationOutcome::Nothing, "it has ended"));
     }
     let last = KvCopyRequest {
         is_final: true,
@@ -157,7 +157,10 @@
         KvCopyOutcome::NoRoom { copy: Some(copy) } => {
             // It has stopped, and can only go on where it was.
             go_on(live, splice(source, copy)).await?;
-            Err(Failure::new(Carried::NoRoom, "no room for the final copy"))
+            Err(Failure::new(
+                MigrationOutcome::NoRoom,
+                "no room for the final copy",
+            ))
         }
         other => {
             if matches!(other, KvCopyOutcome::Unknown { .. }) {
@@ -181,10 +184,19 @@
 fn whole(copied: KvCopyOutcome) -> Result<Arc<str>, Failure> {
     match copied {
         KvCopyOutcome::Complete { copy } => Ok(copy),
-        KvCopyOutcome::NoRoom { .. } => Err(Failure::new(Carried::NoRoom, "no room for the copy")),
-        KvCopyOutcome::NotRunning => Err(Failure::new(Carried::Nothing, "it does not run there")),
-        KvCopyOutcome::Busy => Err(Failure::new(Carried::Nothing, "it is being copied already")),
-        KvCopyOutcome::Unknown { reason } => Err(Failure::new(Carried::Lost, reason)),
+        KvCopyOutcome::NoRoom { .. } => Err(Failure::new(
+            MigrationOutcome::NoRoom,
+            "no room for the copy",
+        )),
+        KvCopyOutcome::NotRunning => Err(Failure::new(
+            MigrationOutcome::Nothing,
+            "it does not run there",
+        )),
+        KvCopyOutcome::Busy => Err(Failure::new(
+            MigrationOutcome::Nothing,
+            "it is being copied already",
+        )),
+        KvCopyOutcome::Unknown { reason } => Err(Failure::new(MigrationOutcome::Lost, reason)),
     }
 }
 
@@ -196,13 +208,13 @@
         done: tx,
     };
     if !live.send_command(order) {
-        return Err(Failure::new(Carried::Nothing, "it has ended"));
+        return Err(Failure::new(MigrationOutcome::Nothing, "it has ended"));
     }
     let done = Timer::new().within(SPLICE_PATIENCE, rx.recv()).await;
     match done {
         Some(Ok(true)) => Ok(()),
         _ => Err(Failure::new(
-            Carried::Lost,
+            MigrationOutcome::Lost,
             "it does not go on from its copy",
         )),
     }
--- a/components/front/src/generations/placement.rs
+++ b/components/front/src/generations/placement.rs
@@ -4,7 +4,9 @@
 
 use async_channel::{Receiver, bounded};
 use parking_lot::Mutex;
-use placing::{Answer, Ask, Engine, Note, Owner, Shard, ShardCounts, Tuning};
+use placing::{
+    Engine, GenerationUpdate, Owner, PlacementAnswer, PlacementRequest, Shard, ShardCounts, Tuning,
+};
 use timer::boot_time;
 use types::{InstanceId, ServiceId};
 
@@ -47,13 +49,13 @@
     #[must_use]
     pub fn entry_of(&self, run: &str) -> Option<InstanceId> {
         let owner = self.owner.lock();
-        owner.run(run).map(|run| Arc::clone(&run.entry))
+        owner.generation(run).map(|run| Arc::clone(&run.entry))
     }
 }
 
 impl Front {
     /// Asks for an engine.
-    pub async fn place(&self, ask: &Ask) -> Answer {
+    pub async fn place(&self, ask: &PlacementRequest) -> PlacementAnswer {
         let asked = if self.cfg.decisions.features.owner_placement {
             OWNERS_ASKED
         } else {
@@ -77,7 +79,7 @@
     /// before a planned stop is cut in the middle, and its caller can't ask for it again; told at
     /// once, the caller gets all of it elsewhere.
     #[must_use]
-    pub fn can_finish(&self, ask: &Ask) -> bool {
+    pub fn can_finish(&self, ask: &PlacementRequest) -> bool {
         let Some(left) = self
             .shutdown
             .time_left()
@@ -85,14 +87,21 @@
         else {
             return true;
         };
-        self.placement.owner.lock().ends_within(ask, left) >= FINISH_CHANCE
+        self.placement
+            .owner
+            .lock()
+            .completion_probability(ask, left)
+            >= FINISH_CHANCE
     }
 
     /// Answers an ask from this instance's own account.
     #[must_use]
-    pub fn place_locally(&self, ask: &Ask) -> Answer {
+    pub fn place_locally(&self, ask: &PlacementRequest) -> PlacementAnswer {
         let engines = self.engines_of(&ask.shard);
-        self.placement.owner.lock().ask(boot_time(), ask, &engines)
+        self.placement
+            .owner
+            .lock()
+            .place(boot_time(), ask, &engines)
     }
 
     /// Parts into which a service's engines are divided.
@@ -100,13 +109,13 @@
     pub fn shard_count(&self, service: &ServiceId) -> u32 {
         let engines = self.view.count_of(service);
         let mut counts = self.placement.counts.lock();
-        counts.of(boot_time(), service, engines)
+        counts.count_for(boot_time(), service, engines)
     }
 
     /// The part that an engine belongs to.
     #[must_use]
     pub fn shard_of(&self, service: &ServiceId, target: &str) -> Shard {
-        Shard::with(Arc::clone(service), target, self.shard_count(service))
+        Shard::of_target(Arc::clone(service), target, self.shard_count(service))
     }
 
     /// Parts of the engines of all services that have some.
@@ -145,7 +154,7 @@
             token_copy: kind.token_copy(),
         };
         let mut inside = self.usable_targets(&service);
-        inside.retain(|target| shard.holds(&target.id));
+        inside.retain(|target| shard.contains(&target.id));
         // Those in need are passed over while there are others.
         if inside.iter().any(|target| !self.is_limited(&target.id)) {
             inside.retain(|target| !self.is_limited(&target.id));
@@ -155,10 +164,14 @@
 
     /// Tells the owner of an engine what happened to a generation there. The word may get lost; the
     /// next sync makes up for it. What is returned is closed once the owner was told, or can't be.
-    pub fn notify_owner(front: &Arc<Self>, shard: &Shard, note: Note) -> Receiver<()> {
+    pub fn notify_owner(front: &Arc<Self>, shard: &Shard, note: GenerationUpdate) -> Receiver<()> {
         let (told, done) = bounded(1);
         // This instance may have decided for itself; its own account must forget it too.
-        front.placement.owner.lock().note(boot_time(), &note);
+        front
+            .placement
+            .owner
+            .lock()
+            .apply_update(boot_time(), &note);
         let owner = front.owners(shard).into_iter().next();
         let Some(owner) = owner.filter(|id| *id != front.cfg.instance) else {
             return done;
@@ -172,7 +185,7 @@
         done
     }
 
-    async fn tell(&self, owner: &InstanceId, note: Note) {
+    async fn tell(&self, owner: &InstanceId, note: GenerationUpdate) {
         let message = Message::Notes(vec![note]);
         // An answer says nothing beyond that it was taken.
         let _ = self.peers.call(owner, &message, NOTE_PATIENCE).await;
--- a/components/front/src/generations/probing.rs
+++ b/components/front/src/generations/probing.rs
@@ -79,7 +79,7 @@
         .filter(|shard| front.owners(shard).first() == Some(me));
     let of_shard = |shard: Shard| {
         let usable = front.view.usable(&shard.service).into_iter();
-        usable.filter(move |target| shard.holds(&target.id))
+        usable.filter(move |target| shard.contains(&target.id))
     };
     owned.flat_map(of_shard).collect()
 }
@@ -96,7 +96,7 @@
         }
     };
     let mut owner = front.placement.owner.lock();
-    owner.reported(boot_time(), &target.id, report.load);
+    owner.record_report(boot_time(), &target.id, report.load);
     drop(owner);
     if report.state == EngineState::Leaving {
         follow::mark_leaving(front, &target.id);
--- a/components/front/src/generations/recovery.rs
+++ b/components/front/src/generations/recovery.rs
@@ -6,7 +6,7 @@
 use std::{sync::Arc, time::Duration};
 
 use events::{Event, emit};
-use placing::Answer;
+use placing::PlacementAnswer;
 use timer::boot_time;
 use view::Target;
 
@@ -77,15 +77,17 @@
 ) -> Result<Arc<Target>, Arc<str>> {
     let shard = dispatch::first_shard(front, call);
     let mut ask = dispatch::ask(front, call, shard, &[Arc::clone(&source.id)]);
-    ask.prompt += live.tokens_generated();
+    ask.prompt_tokens += live.tokens_generated();
     // It is late already; any engine will do.
-    ask.aim_left = call.time_left();
+    ask.objective_left = call.time_left();
     match front.place(&ask).await {
-        Answer::Go { target } => front
+        PlacementAnswer::Assigned { target } => front
             .view
             .target(&target)
             .ok_or_else(|| "the engine that it should go to is not listed".into()),
-        Answer::Wait { .. } | Answer::Full { .. } => Err("no engine has room for it".into()),
+        PlacementAnswer::Wait { .. } | PlacementAnswer::Rejected { .. } => {
+            Err("no engine has room for it".into())
+        }
     }
 }
 
--- a/components/front/src/generations/relay.rs
+++ b/components/front/src/generations/relay.rs
@@ -12,7 +12,7 @@
     http::response::Parts,
 };
 use net::Cut;
-use placing::Note;
+use placing::GenerationUpdate;
 use smol::future;
 use timer::{Timer, boot_time};
 use view::Target;
@@ -266,7 +266,11 @@
         });
         let run = Arc::clone(&live.run);
         let shard = self.front.shard_of(&live.service, &live.target().id);
-        Front::notify_owner(&self.front, &shard, Note::Started { run });
+        Front::notify_owner(
+            &self.front,
+            &shard,
+            GenerationUpdate::Started { generation: run },
+        );
     }
 
     /// The stream has ended as complete.
--- a/components/front/src/instances/membership.rs
+++ b/components/front/src/instances/membership.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration};
 
-use placing::{Shard, Sync};
+use placing::{Shard, StateSync};
 use timer::{Timer, boot_time};
 use types::InstanceId;
 
@@ -248,7 +248,7 @@
             .lock()
             .retain(|id| targets.contains_key(id));
         let mut owner = front.placement.owner.lock();
-        owner.retain(|id| targets.contains_key(id));
+        owner.retain_engines(|id| targets.contains_key(id));
     }
 }
 
@@ -275,20 +275,20 @@
 /// only.
 async fn sync_shard(front: &Front, shard: Shard, tells_nothing: bool) {
     let mut runs = front.generations.snapshots();
-    runs.retain(|run| run.service == shard.service && shard.holds(&run.target));
+    runs.retain(|run| run.service == shard.service && shard.contains(&run.target));
     if runs.is_empty() && !tells_nothing {
         return;
     }
     let Some(owner) = front.owners(&shard).into_iter().next() else {
         return;
     };
-    let held = Sync {
+    let held = StateSync {
         entry: Arc::clone(&front.cfg.instance),
         shard,
-        runs,
+        generations: runs,
     };
     if owner == front.cfg.instance {
-        front.placement.owner.lock().sync(boot_time(), &held);
+        front.placement.owner.lock().apply_sync(boot_time(), &held);
         return;
     }
     let message = Message::Sync {
--- a/components/front/src/instances/message_handler.rs
+++ b/components/front/src/instances/message_handler.rs
@@ -6,7 +6,7 @@
 use async_trait::async_trait;
 use hyper::{Request, Response, body::Incoming};
 use net::{Body, Handler, Reply as HttpReply, full, read_limited};
-use placing::{Carried, Carry};
+use placing::{Migration, MigrationOutcome};
 use timer::boot_time;
 
 use crate::{
@@ -50,7 +50,7 @@
             Message::Notes(notes) => {
                 let mut owner = front.placement.owner.lock();
                 for note in &notes {
-                    owner.note(now, note);
+                    owner.apply_update(now, note);
                 }
                 Reply::Noted
             }
@@ -60,7 +60,7 @@
                 known,
                 quarantine,
             } => {
-                front.placement.owner.lock().sync(now, &held);
+                front.placement.owner.lock().apply_sync(now, &held);
                 front.peers.mark_seen(member);
                 self.members(front.peers.members_since(known), quarantine)
             }
@@ -109,7 +109,7 @@
 
     /// Carries a generation over, to the end also where the owner that ordered it hangs up: its
     /// engine may have stopped it already.
-    async fn carry(&self, order: Carry) -> Carried {
+    async fn carry(&self, order: Migration) -> MigrationOutcome {
         let front = Arc::clone(&self.front);
         let (tx, rx) = bounded(1);
         let carry = async move {
@@ -118,7 +118,7 @@
             let _ = tx.try_send(outcome);
         };
         workers::spawn(carry).detach();
-        rx.recv().await.unwrap_or(Carried::Lost)
+        rx.recv().await.unwrap_or(MigrationOutcome::Lost)
     }
 
     /// What is new on a topic; waits until something is, or until what is known was confirmed.
--- a/components/front/src/instances/peers.rs
+++ b/components/front/src/instances/peers.rs
@@ -16,7 +16,7 @@
 use hyper::Request;
 use net::{Client, read_limited};
 use parking_lot::Mutex;
-use placing::{Candidate, ranked};
+use placing::{OwnerCandidate, rank_owners};
 use prometheus_client::metrics::{counter::Counter, family::Family};
 use timer::{Timer, boot_time};
 use types::{InstanceId, Moment};
@@ -240,7 +240,7 @@
             .filter(|known| known.suspect_until <= now && known.failures == 0)
             .map(|known| &known.member);
         let fitting = answering.chain([&self.me]).filter(|member| fits(member));
-        let all = fitting.map(|member| Candidate {
+        let all = fitting.map(|member| OwnerCandidate {
             id: Arc::clone(&member.id),
             capacity: if self.strong_first {
                 member.capacity
@@ -248,7 +248,7 @@
                 0
             },
         });
-        ranked(what, all)
+        rank_owners(what, all)
     }
 
     /// Members that did not answer and may be tried again.
--- a/components/front/src/instances/wire.rs
+++ b/components/front/src/instances/wire.rs
@@ -3,7 +3,9 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use derive_more::Display;
-use placing::{Answer, Ask, Carried, Carry, Note, Sync};
+use placing::{
+    GenerationUpdate, Migration, MigrationOutcome, PlacementAnswer, PlacementRequest, StateSync,
+};
 use quarantine::{Evidence, Verdict};
 use rates::{RateReport, Reservation};
 use serde::{Deserialize, Serialize};
@@ -96,15 +98,15 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
     /// An ask for an engine.
-    Ask(Ask),
+    Ask(PlacementRequest),
     /// What happened to generations.
-    Notes(Vec<Note>),
+    Notes(Vec<GenerationUpdate>),
     /// All that an entry holds on engines of one account.
     Sync {
         /// The entry as a member.
         member: Member,
         /// What it holds.
-        held: Sync,
+        held: StateSync,
         /// Members that the receiver told of up to this mark are known.
         known: u64,
         /// What is known of requests that crash targets.
@@ -128,7 +130,7 @@
         max_wait: Duration,
     },
     /// An order to carry a generation over.
-    Carry(Carry),
+    Carry(Migration),
     /// The sender has heard that an engine leaves, on which it has generations running.
     Leaving(TargetId),
     /// A member makes itself known.
@@ -171,7 +173,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Reply {
     /// To an ask.
-    Answer(Answer),
+    Answer(PlacementAnswer),
     /// To an ask for a slot.
     #[serde(rename = "Slot")]
     Reservation(Reservation),
@@ -190,7 +192,7 @@
         quarantine: u64,
     },
     /// To an order to carry over.
-    Carried(Carried),
+    Carried(MigrationOutcome),
     /// What is new on a topic, and when the read was sent that confirmed it, as told from when
     /// the question arrived: the asker knows when it sent the question, and nothing else that
     /// both clocks have in common.
--- a/components/front/src/quarantine/crash_detection.rs
+++ b/components/front/src/quarantine/crash_detection.rs
@@ -9,7 +9,7 @@
 use ::quarantine::{Evidence, Fingerprint, TargetIncarnation};
 use events::{Event, emit};
 use parking_lot::Mutex;
-use placing::RunId;
+use placing::GenerationId;
 use smol::net::TcpStream;
 use timer::{Timer, boot_time};
 use types::{Moment, TargetId};
@@ -86,7 +86,7 @@
 
 /// A request that was lost with its connection. Its body is not kept.
 struct Loss {
-    id: RunId,
+    id: GenerationId,
     fingerprint: Fingerprint,
     sent: Moment,
     lost: Moment,
--- a/components/front/src/store/follow.rs
+++ b/components/front/src/store/follow.rs
@@ -416,7 +416,7 @@
                 target: Arc::clone(&target.id),
             });
             front.client.forget(target.addr);
-            front.placement.owner.lock().forget(&target.id);
+            front.placement.owner.lock().remove_engine(&target.id);
         }
         Change::Closed(data_centre) => switched(data_centre, true),
         Change::Opened(data_centre) => switched(data_centre, false),
--- a/components/front/tests/idle.rs
+++ b/components/front/tests/idle.rs
@@ -6,7 +6,7 @@
     EngineReport, EngineState, GenerationReport,
     generations::idle::{Diagnosis, IDLE_TIMEOUT, IdleMonitor, Observation},
 };
-use placing::Report;
+use placing::LoadReport;
 use proptest::prelude::*;
 
 const NOW: Duration = Duration::from_secs(100);
@@ -14,7 +14,7 @@
 fn report(events: u64) -> EngineReport {
     EngineReport {
         state: EngineState::Ready,
-        load: Report::default(),
+        load: LoadReport::default(),
         generations: vec![GenerationReport {
             generation: "g-1".into(),
             events,
--- a/components/front/tests/joining.rs
+++ b/components/front/tests/joining.rs
@@ -5,22 +5,22 @@
 
 use fastrand::Rng;
 use front::instances::joining::{GREETED_PER_ORDER, peers_to_greet, rereads_members};
-use placing::{Candidate, ranked};
+use placing::{OwnerCandidate, rank_owners};
 use types::InstanceId;
 
 const STRONG: u32 = 500;
 const WEAK: u32 = 120;
 const TOPICS: [&str; 3] = ["reader of operator", "reader of targets", "synopsis 0/1"];
 
-fn candidate(number: usize, strong: usize) -> Candidate {
-    Candidate {
+fn candidate(number: usize, strong: usize) -> OwnerCandidate {
+    OwnerCandidate {
         id: format!("i-{number}").into(),
         capacity: if number < strong { STRONG } else { WEAK },
     }
 }
 
-fn orders(all: &[Candidate]) -> Vec<Vec<InstanceId>> {
-    let order = |topic: &&str| ranked(topic, all.iter().cloned());
+fn orders(all: &[OwnerCandidate]) -> Vec<Vec<InstanceId>> {
+    let order = |topic: &&str| rank_owners(topic, all.iter().cloned());
     TOPICS.iter().map(order).collect()
 }
 
@@ -28,7 +28,7 @@
 /// some and looked again, the store and the strongest would be called for seconds.
 #[test]
 fn few_of_two_hundred_that_start_together_greet_or_look_again() {
-    let all: Vec<Candidate> = (0..195).map(|n| candidate(n, 15)).collect();
+    let all: Vec<OwnerCandidate> = (0..195).map(|n| candidate(n, 15)).collect();
     let orders = orders(&all);
     let greetings: usize = all
         .iter()
@@ -45,7 +45,7 @@
 
 #[test]
 fn on_few_instances_each_greets_all_and_looks_again() {
-    let all: Vec<Candidate> = (0..7).map(|n| candidate(n, 0)).collect();
+    let all: Vec<OwnerCandidate> = (0..7).map(|n| candidate(n, 0)).collect();
     let orders = orders(&all);
     for c in &all {
         assert_eq!(peers_to_greet(&c.id, &orders).len(), 6);
@@ -69,7 +69,8 @@
     let seeds = [0, count / 3, count / 2];
     let knowing = |me: usize| {
         let at = order.iter().position(|n| *n == me).expect("it is there");
-        let greeted: Vec<Candidate> = order[..at].iter().map(|n| candidate(*n, strong)).collect();
+        let greeted: Vec<OwnerCandidate> =
+            order[..at].iter().map(|n| candidate(*n, strong)).collect();
         let heads = orders(&greeted).into_iter().take(2);
         let heads = heads.flat_map(|order| order.into_iter().take(GREETED_PER_ORDER));
         let mut known: BTreeSet<usize> = heads.map(|id| number(&id)).collect();
@@ -86,7 +87,7 @@
 }
 
 fn orders_of(view: &Knowing, strong: usize) -> Vec<Vec<InstanceId>> {
-    let known: Vec<Candidate> = view.known.iter().map(|n| candidate(*n, strong)).collect();
+    let known: Vec<OwnerCandidate> = view.known.iter().map(|n| candidate(*n, strong)).collect();
     orders(&known)
 }
 
--- a/components/placing/src/account.rs
+++ b/components/placing/src/account.rs
@@ -4,7 +4,9 @@
 
 use types::{DataCentreId, InstanceId, Moment, RouteId, ServiceId, TargetId, Tokens};
 
-use crate::{length::Length, memory::Holder, message::RunId, pace::Pace};
+use crate::{
+    length::LengthEstimate, memory::Allocation, message::GenerationId, throughput::Throughput,
+};
 
 /// An engine that may get work, as listings and configuration describe it.
 #[derive(Clone, Debug, PartialEq)]
@@ -23,7 +25,7 @@
 
 /// One generation on an engine.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Run {
+pub struct Generation {
     /// The entry that holds its caller.
     pub entry: InstanceId,
     /// Its service.
@@ -31,90 +33,93 @@
     /// The engine.
     pub target: TargetId,
     /// Tokens of the prompt.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Its route.
     pub route: RouteId,
     /// Tokens of the longest answer allowed.
-    pub longest: Tokens,
+    pub max_tokens: Tokens,
     /// What is expected of its length.
-    pub length: Length,
+    pub length: LengthEstimate,
     /// Rank, the lowest first.
-    pub rank: u32,
+    pub priority: u32,
     /// When it was granted.
-    pub granted: Moment,
+    pub granted_at: Moment,
     /// When its first event was expected, as it was granted.
-    pub due: Moment,
+    pub first_event_due: Moment,
     /// When its first event came.
-    pub started: Option<Moment>,
+    pub started_at: Option<Moment>,
     /// Tokens made, as known at `counted`.
-    pub made: Tokens,
+    pub tokens_generated: Tokens,
     /// When they were counted.
-    pub counted: Moment,
+    pub counted_at: Moment,
     /// When its entry last confirmed it.
-    pub confirmed: Moment,
+    pub confirmed_at: Moment,
     /// The engine that its memory is being copied to.
     pub copying_to: Option<TargetId>,
 }
 
-impl Run {
+impl Generation {
     /// Tokens made by now, estimated.
     #[must_use]
-    pub fn made_by(&self, now: Moment, pace: Pace) -> Tokens {
-        if self.started.is_none() {
+    pub fn generated_by(&self, now: Moment, throughput: Throughput) -> Tokens {
+        if self.started_at.is_none() {
             return 0;
         }
-        self.made + pace.made_in(now.saturating_sub(self.counted))
+        self.tokens_generated + throughput.tokens_in(now.saturating_sub(self.counted_at))
     }
 
     /// How late its first event is, if its entry has said since that it still waits for it. An
     /// entry that is gone waits for nothing.
     #[must_use]
-    pub fn lateness(&self, now: Moment) -> Duration {
-        if self.started.is_some() || self.confirmed <= self.due {
+    pub fn first_event_delay(&self, now: Moment) -> Duration {
+        if self.started_at.is_some() || self.confirmed_at <= self.first_event_due {
             return Duration::ZERO;
         }
-        now.saturating_sub(self.due)
+        now.saturating_sub(self.first_event_due)
     }
 
     /// What it holds and will hold.
     #[must_use]
-    pub fn holder(&self, now: Moment, pace: Pace) -> Holder {
-        Holder {
-            prompt: self.prompt,
-            made: self.made_by(now, pace),
+    pub fn allocation(&self, now: Moment, throughput: Throughput) -> Allocation {
+        Allocation {
+            prompt_tokens: self.prompt_tokens,
+            tokens_generated: self.generated_by(now, throughput),
             length: self.length,
         }
     }
 
     /// Time that it still runs, estimated.
     #[must_use]
-    pub fn rest(&self, now: Moment, pace: Pace) -> Duration {
-        pace.time_for(self.length.rest(self.made_by(now, pace)))
+    pub fn time_left(&self, now: Moment, throughput: Throughput) -> Duration {
+        throughput.decode_time(
+            self.length
+                .expected_remaining(self.generated_by(now, throughput)),
+        )
     }
 }
 
 /// What an engine says of itself. It is old when it arrives.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Tokens that its generations hold.
-    pub held: Tokens,
+    pub tokens_held: Tokens,
     /// Generations in its queue.
-    pub waiting: u32,
+    pub queued: u32,
 }
 
 /// What is known to run on one engine.
 #[derive(Clone, Debug, Default)]
-pub struct Account {
+pub struct EngineAccount {
     /// What it said itself, and when that came.
-    pub report: Option<(Moment, Report)>,
+    pub report: Option<(Moment, LoadReport)>,
     /// Its generations.
-    pub runs: BTreeSet<RunId>,
+    pub generations: BTreeSet<GenerationId>,
     /// Copies that come in, or wait here to be used.
-    pub copies: BTreeSet<RunId>,
+    pub incoming_copies: BTreeSet<GenerationId>,
     /// When it has read all prompts that it was given.
-    pub busy_until: Moment,
+    pub prefill_until: Moment,
     /// When a first event came from it last.
-    pub last_start: Moment,
+    pub last_first_event: Moment,
     /// It gets nothing until then.
-    pub doubted_until: Moment,
+    pub uncertain_until: Moment,
 }
--- a/components/placing/src/demand.rs
+++ b/components/placing/src/demand.rs
@@ -9,72 +9,72 @@
 
 use types::{RouteId, Tokens};
 
-use crate::tuning::{as_f64, whole};
+use crate::tuning::{as_f64, round_tokens};
 
 /// How far up the estimate of a large prompt goes where one is larger than it, and down where one
 /// is smaller, as parts of the estimate. They balance where one prompt in twenty is larger.
-const UP: f64 = 0.095;
+const QUANTILE_STEP_UP: f64 = 0.095;
 /// See [`UP`].
-const DOWN: f64 = 0.005;
+const QUANTILE_STEP_DOWN: f64 = 0.005;
 /// What one ask counts in the part that is refused: some fifty asks are remembered.
-const WEIGHT: f64 = 0.02;
+const REJECTION_WEIGHT: f64 = 0.02;
 /// A route is as short of engines as it can be where this part is refused.
-const SHORT_AT: f64 = 0.5;
+const FULL_SHORTAGE_AT: f64 = 0.5;
 
 #[derive(Clone, Copy, Debug)]
-struct Route {
+struct RouteDemand {
     /// Tokens that nineteen of twenty prompts stay below.
-    large: f64,
+    large_prompt: f64,
     /// Part of the asks that was refused lately.
-    refused: f64,
+    rejected_share: f64,
 }
 
-impl Route {
+impl RouteDemand {
     fn shortage(&self) -> f64 {
-        (self.refused / SHORT_AT).min(1.0)
+        (self.rejected_share / FULL_SHORTAGE_AT).min(1.0)
     }
 }
 
 /// What is asked for on each route.
 #[derive(Debug, Default)]
 pub(crate) struct Demand {
-    routes: HashMap<RouteId, Route>,
+    routes: HashMap<RouteId, RouteDemand>,
 }
 
 impl Demand {
     /// Learns from a prompt that is asked for.
-    pub fn asked(&mut self, route: &RouteId, prompt: Tokens) {
-        let size = as_f64(prompt);
-        let known = self.routes.entry(route.clone()).or_insert(Route {
-            large: size,
-            refused: 0.0,
+    pub fn record_request(&mut self, route: &RouteId, prompt_tokens: Tokens) {
+        let size = as_f64(prompt_tokens);
+        let known = self.routes.entry(route.clone()).or_insert(RouteDemand {
+            large_prompt: size,
+            rejected_share: 0.0,
         });
-        known.large *= if size > known.large {
-            1.0 + UP
+        known.large_prompt *= if size > known.large_prompt {
+            1.0 + QUANTILE_STEP_UP
         } else {
-            1.0 - DOWN
+            1.0 - QUANTILE_STEP_DOWN
         };
     }
 
     /// Learns how an ask was answered in the end.
-    pub fn answered(&mut self, route: &RouteId, refused: bool) {
+    pub fn record_outcome(&mut self, route: &RouteId, rejected: bool) {
         if let Some(known) = self.routes.get_mut(route) {
-            let seen = if refused { 1.0 } else { 0.0 };
-            known.refused += WEIGHT * (seen - known.refused);
+            let seen = if rejected { 1.0 } else { 0.0 };
+            known.rejected_share += REJECTION_WEIGHT * (seen - known.rejected_share);
         }
     }
 
     /// Tokens by which room is looked for, for a prompt of a route.
-    pub fn judged(&self, route: &str, prompt: Tokens) -> Tokens {
+    pub fn effective_prompt_tokens(&self, route: &str, prompt_tokens: Tokens) -> Tokens {
         let Some(known) = self.routes.get(route) else {
-            return prompt;
+            return prompt_tokens;
         };
-        let more = (known.large - as_f64(prompt)).max(0.0);
-        prompt + whole(more * known.shortage())
+        let more = (known.large_prompt - as_f64(prompt_tokens)).max(0.0);
+        prompt_tokens + round_tokens(more * known.shortage())
     }
 
     /// How short a route is of engines, from 0, where nobody is refused, up to 1.
     pub fn shortage(&self, route: &str) -> f64 {
-        self.routes.get(route).map_or(0.0, Route::shortage)
+        self.routes.get(route).map_or(0.0, RouteDemand::shortage)
     }
 }
--- a/components/placing/src/lib.rs
+++ b/components/placing/src/lib.rs
@@ -4,25 +4,28 @@
 //! decisions take the time and what happened as arguments; there is no I/O and no clock in here.
 
 pub mod account;
-pub mod carry;
 mod demand;
 pub mod length;
 pub mod memory;
 pub mod message;
+pub mod migration;
 pub mod owner;
-pub mod pace;
+pub mod ownership;
 mod queue;
-pub mod rank;
-mod returns;
+mod retry_schedule;
 pub mod shard;
 mod sync;
+pub mod throughput;
 pub mod tuning;
 
-pub use account::{Engine, Report, Run};
-pub use length::{Length, Lengths};
-pub use message::{Answer, Ask, Carried, Carry, Load, Note, RequestDigest, RunId, Running, Sync};
+pub use account::{Engine, Generation, LoadReport};
+pub use length::{LengthEstimate, LengthEstimator};
+pub use message::{
+    ActiveGeneration, EngineLoad, GenerationId, GenerationUpdate, Migration, MigrationOutcome,
+    PlacementAnswer, PlacementRequest, RequestDigest, StateSync,
+};
 pub use owner::Owner;
-pub use pace::Pace;
-pub use rank::{Candidate, ranked};
+pub use ownership::{OwnerCandidate, rank_owners};
 pub use shard::{Shard, ShardCounts};
+pub use throughput::Throughput;
 pub use tuning::Tuning;
--- a/components/placing/src/memory.rs
+++ b/components/placing/src/memory.rs
@@ -7,56 +7,62 @@
 
 use types::Tokens;
 
-use crate::{length::Length, tuning::as_f64};
+use crate::{length::LengthEstimate, tuning::as_f64};
 
 /// Points ahead, in tokens of each generation, at which the sum is looked at.
-const AHEAD: [Tokens; 9] = [0, 60, 120, 240, 480, 800, 1_200, 1_500, 1_900];
+const LOOKAHEAD_TOKENS: [Tokens; 9] = [0, 60, 120, 240, 480, 800, 1_200, 1_500, 1_900];
 /// Standard deviations of the sum that are added. With none, one engine in two would be fuller
 /// than promised at its worst moment.
-const MARGIN: f64 = 1.0;
+const MARGIN_STD_DEVS: f64 = 1.0;
 
 /// One generation or copy in an engine's memory.
 #[derive(Clone, Copy, Debug)]
-pub struct Holder {
+pub struct Allocation {
     /// Tokens of its prompt.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Tokens made so far.
-    pub made: Tokens,
+    pub tokens_generated: Tokens,
     /// What is expected of its length.
-    pub length: Length,
+    pub length: LengthEstimate,
 }
 
 /// Tokens held at the worst moment to come.
 #[must_use]
-pub fn peak(holders: &[Holder]) -> f64 {
-    AHEAD
+pub fn peak_tokens(allocations: &[Allocation]) -> f64 {
+    LOOKAHEAD_TOKENS
         .iter()
-        .map(|ahead| held(holders, *ahead))
+        .map(|ahead| expected_tokens(allocations, *ahead))
         .fold(0.0, f64::max)
 }
 
 /// Tokens held if each generation kept its memory to the end of all.
 #[must_use]
-pub fn all_ends(holders: &[Holder]) -> f64 {
-    let end = |holder: &Holder| {
-        let made = holder.made;
-        as_f64(holder.prompt + made + holder.length.rest(made))
+pub fn sum_of_final_tokens(allocations: &[Allocation]) -> f64 {
+    let end = |allocation: &Allocation| {
+        let tokens_generated = allocation.tokens_generated;
+        as_f64(
+            allocation.prompt_tokens
+                + tokens_generated
+                + allocation.length.expected_remaining(tokens_generated),
+        )
     };
-    holders.iter().map(end).sum()
+    allocations.iter().map(end).sum()
 }
 
-fn held(holders: &[Holder], ahead: Tokens) -> f64 {
+fn expected_tokens(allocations: &[Allocation], ahead: Tokens) -> f64 {
     let mut sum = 0.0;
     let mut variance = 0.0;
-    for holder in holders {
-        let chance = if ahead == 0 {
+    for allocation in allocations {
+        let probability = if ahead == 0 {
             1.0
         } else {
-            holder.length.survives(holder.made, ahead)
+            allocation
+                .length
+                .survival_probability(allocation.tokens_generated, ahead)
         };
-        let size = as_f64(holder.prompt + holder.made + ahead);
-        sum += size * chance;
-        variance += size * size * chance * (1.0 - chance);
+        let size = as_f64(allocation.prompt_tokens + allocation.tokens_generated + ahead);
+        sum += size * probability;
+        variance += size * size * probability * (1.0 - probability);
     }
-    sum + MARGIN * variance.sqrt()
+    sum + MARGIN_STD_DEVS * variance.sqrt()
 }
--- a/components/placing/src/message.rs
+++ b/components/placing/src/message.rs
@@ -8,16 +8,17 @@
 use crate::shard::Shard;
 
 /// Id of one generation: that of its request.
-pub type RunId = Arc<str>;
+pub type GenerationId = Arc<str>;
 
 /// What stays the same of a request when its caller sends it again under another id.
 pub type RequestDigest = u64;
 
 /// An entry asks for an engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Ask {
+pub struct PlacementRequest {
     /// The generation.
-    pub run: RunId,
+    #[serde(rename = "run")]
+    pub generation: GenerationId,
     /// The request, whatever its id.
     pub digest: RequestDigest,
     /// Who asks.
@@ -29,17 +30,23 @@
     /// The route, by which lengths are learned.
     pub route: RouteId,
     /// Tokens of the prompt.
-    pub prompt: Tokens,
+    #[serde(rename = "prompt")]
+    pub prompt_tokens: Tokens,
     /// Tokens of the longest answer allowed.
-    pub longest: Tokens,
+    #[serde(rename = "longest")]
+    pub max_tokens: Tokens,
     /// The caller's estimate of the answer's tokens.
-    pub hint: Option<Tokens>,
+    #[serde(rename = "hint")]
+    pub length_hint: Option<Tokens>,
     /// Rank, the lowest first.
-    pub rank: u32,
+    #[serde(rename = "rank")]
+    pub priority: u32,
     /// Time left until the first event should be out, counted from this request's arrival.
-    pub aim_left: Duration,
+    #[serde(rename = "aim_left")]
+    pub objective_left: Duration,
     /// Time that the caller still waits.
-    pub left: Duration,
+    #[serde(rename = "left")]
+    pub deadline_left: Duration,
     /// How long it has waited already.
     pub waited: Duration,
     /// Engines that have refused or failed it.
@@ -48,9 +55,10 @@
 
 /// The owner's answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Answer {
+pub enum PlacementAnswer {
     /// Send it there.
-    Go {
+    #[serde(rename = "Go")]
+    Assigned {
         /// The engine.
         target: TargetId,
     },
@@ -60,7 +68,8 @@
         after: Duration,
     },
     /// No room in time; the caller should come back.
-    Full {
+    #[serde(rename = "Full")]
+    Rejected {
         /// When.
         after: Duration,
     },
@@ -68,44 +77,54 @@
 
 /// What happened to a generation.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Note {
+pub enum GenerationUpdate {
     /// Its first event has come.
     Started {
         /// The generation.
-        run: RunId,
+        #[serde(rename = "run")]
+        generation: GenerationId,
     },
     /// It holds nothing any more.
     Ended {
         /// The generation.
-        run: RunId,
+        #[serde(rename = "run")]
+        generation: GenerationId,
         /// The engine refused or failed it.
-        doubt: bool,
+        #[serde(rename = "doubt")]
+        target_failed: bool,
         /// Tokens that it made, if it came to its end.
-        made: Option<Tokens>,
+        #[serde(rename = "made")]
+        tokens_generated: Option<Tokens>,
     },
 }
 
 /// A generation that an entry holds.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Running {
+pub struct ActiveGeneration {
     /// The generation.
-    pub run: RunId,
+    #[serde(rename = "run")]
+    pub generation: GenerationId,
     /// Its service.
     pub service: ServiceId,
     /// The engine.
     pub target: TargetId,
     /// Tokens of the prompt.
-    pub prompt: Tokens,
+    #[serde(rename = "prompt")]
+    pub prompt_tokens: Tokens,
     /// Tokens made so far.
-    pub made: Tokens,
+    #[serde(rename = "made")]
+    pub tokens_generated: Tokens,
     /// Its route.
     pub route: RouteId,
     /// Tokens of the longest answer allowed.
-    pub longest: Tokens,
+    #[serde(rename = "longest")]
+    pub max_tokens: Tokens,
     /// The caller's estimate of the answer's tokens.
-    pub hint: Option<Tokens>,
+    #[serde(rename = "hint")]
+    pub length_hint: Option<Tokens>,
     /// Rank, the lowest first.
-    pub rank: u32,
+    #[serde(rename = "rank")]
+    pub priority: u32,
     /// Whether its first event has come.
     pub started: bool,
 }
@@ -113,31 +132,35 @@
 /// All that an entry holds on engines of one account, sent to the owner from time to time: what single notes lost on their
 /// way, and what a new owner must learn.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Sync {
+pub struct StateSync {
     /// The entry.
     pub entry: InstanceId,
     /// The part of a service's engines that this is about.
     pub shard: Shard,
     /// What it holds there.
-    pub runs: Vec<Running>,
+    #[serde(rename = "runs")]
+    pub generations: Vec<ActiveGeneration>,
 }
 
 /// How full an engine is.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Load {
+pub struct EngineLoad {
     /// The engine.
     pub target: TargetId,
     /// Time until it has read the prompts that it was given.
-    pub busy: Duration,
+    #[serde(rename = "busy")]
+    pub prefill_backlog: Duration,
     /// Generations there.
-    pub runs: u32,
+    #[serde(rename = "runs")]
+    pub generations: u32,
 }
 
 /// An order to an entry: carry a generation over to another engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Carry {
+pub struct Migration {
     /// The generation.
-    pub run: RunId,
+    #[serde(rename = "run")]
+    pub generation: GenerationId,
     /// Where it runs.
     pub from: TargetId,
     /// Where it is to go on.
@@ -146,7 +169,7 @@
 
 /// How carrying over ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Carried {
+pub enum MigrationOutcome {
     /// It goes on at the other engine.
     Done,
     /// The other engine has no room, or can't be reached; the generation still runs.
--- a/components/placing/src/owner.rs
+++ b/components/placing/src/owner.rs
@@ -9,19 +9,22 @@
 use types::{Moment, ServiceId, TargetId, Tokens};
 
 use crate::{
-    account::{Account, Engine, Report, Run},
+    account::{Engine, EngineAccount, Generation, LoadReport},
     demand::Demand,
-    length::{Length, Lengths},
-    memory::{Holder, all_ends, peak},
-    message::{Answer, Ask, Load, Note, RunId, Running},
-    pace::{Learned, Pace},
-    queue::{Asked, Waiting},
-    returns::Returns,
+    length::{LengthEstimate, LengthEstimator},
+    memory::{Allocation, peak_tokens, sum_of_final_tokens},
+    message::{
+        ActiveGeneration, EngineLoad, GenerationId, GenerationUpdate, PlacementAnswer,
+        PlacementRequest,
+    },
+    queue::{EvaluatedRequest, WaitingRequest},
+    retry_schedule::RetrySchedule,
+    throughput::{Throughput, ThroughputEstimator},
     tuning::{Tuning, as_f64},
 };
 
 /// Tokens that each generation in an engine's queue stands for.
-const QUEUED_PROMPT: Tokens = 2_700;
+const QUEUED_PROMPT_TOKENS: Tokens = 2_700;
 
 /// The account of all generations that this instance has granted or was told of.
 ///
@@ -30,17 +33,17 @@
 #[derive(Debug, Default)]
 pub struct Owner {
     pub(crate) tuning: Tuning,
-    pub(crate) accounts: BTreeMap<TargetId, Account>,
-    pub(crate) runs: HashMap<RunId, Run>,
-    pub(crate) lengths: Lengths,
+    pub(crate) accounts: BTreeMap<TargetId, EngineAccount>,
+    pub(crate) generations: HashMap<GenerationId, Generation>,
+    pub(crate) lengths: LengthEstimator,
     /// How fast each service's engines work.
-    pub(crate) paces: HashMap<ServiceId, Learned>,
+    pub(crate) throughputs: HashMap<ServiceId, ThroughputEstimator>,
     /// What is asked for, by route.
     pub(crate) demand: Demand,
     /// Callers that were told to come back.
-    pub(crate) returns: Returns,
+    pub(crate) retries: RetrySchedule,
     /// Asks that were told to wait.
-    pub(crate) waiting: HashMap<RunId, Waiting>,
+    pub(crate) waiting: HashMap<GenerationId, WaitingRequest>,
 }
 
 impl Owner {
@@ -54,72 +57,92 @@
     }
 
     /// Answers an ask, given the engines of its service that may get work.
-    pub fn ask(&mut self, now: Moment, ask: &Ask, engines: &[Engine]) -> Answer {
-        self.forget_stale(now);
+    pub fn place(
+        &mut self,
+        now: Moment,
+        request: &PlacementRequest,
+        engines: &[Engine],
+    ) -> PlacementAnswer {
+        self.remove_stale(now);
         // Asked again after an answer that got lost: the grant before holds nothing.
-        self.release(&ask.run);
-        if !self.waiting.contains_key(&ask.run) {
-            self.demand.asked(&ask.route, ask.prompt);
+        self.release(&request.generation);
+        if !self.waiting.contains_key(&request.generation) {
+            self.demand
+                .record_request(&request.route, request.prompt_tokens);
         }
-        let asked = self.asked(now, ask);
-        let Some((first_event, target)) = self.best(now, &asked, engines) else {
-            return self.wait_for_memory(now, &asked, engines);
+        let evaluated = self.evaluate(now, request);
+        let Some((time_to_first_event, target)) = self.best_engine(now, &evaluated, engines) else {
+            return self.wait_for_memory(now, &evaluated, engines);
         };
-        if self.tuning.refuses_by_forecast && !self.in_time(&asked, first_event) {
-            return self.wait_for_readers(now, &asked, first_event);
+        if self.tuning.rejects_by_forecast
+            && !self.can_meet_objective(&evaluated, time_to_first_event)
+        {
+            return self.wait_for_prefill(now, &evaluated, time_to_first_event);
         }
-        if self.others_before(now, &asked) >= self.open_engines(now, &asked, engines) {
-            return self.wait_for_memory(now, &asked, engines);
+        if self.waiting_ahead(now, &evaluated) >= self.available_engines(now, &evaluated, engines) {
+            return self.wait_for_memory(now, &evaluated, engines);
         }
-        self.waiting.remove(&ask.run);
-        self.demand.answered(&ask.route, false);
-        self.grant(now, &asked, &target);
-        Answer::Go { target }
+        self.waiting.remove(&request.generation);
+        self.demand.record_outcome(&request.route, false);
+        self.assign(now, &evaluated, &target);
+        PlacementAnswer::Assigned { target }
     }
 
-    fn asked<'a>(&self, now: Moment, ask: &'a Ask) -> Asked<'a> {
-        let aim_left = if self.tuning.knows_returning {
-            self.returns.aim_left(now, ask)
+    fn evaluate<'a>(&self, now: Moment, request: &'a PlacementRequest) -> EvaluatedRequest<'a> {
+        let objective_left = if self.tuning.recognizes_retries {
+            self.retries.objective_left(now, request)
         } else {
-            ask.aim_left
+            request.objective_left
         };
-        let pace = self.pace(&ask.shard.service);
-        Asked {
-            ask,
-            aim_left,
-            pace,
-            read: pace.read_time(ask.prompt),
-            judged: self.judged(ask),
-            length: self.expected(&ask.route, ask.longest, ask.hint),
+        let throughput = self.throughput(&request.shard.service);
+        EvaluatedRequest {
+            request,
+            objective_left,
+            throughput,
+            prefill_time: throughput.prefill_time(request.prompt_tokens),
+            effective_prompt_tokens: self.effective_prompt_tokens(request),
+            length: self.estimate_length(&request.route, request.max_tokens, request.length_hint),
         }
     }
 
     /// Tokens by which room is looked for: between an ask's own and those of a large prompt of its
     /// route.
-    fn judged(&self, ask: &Ask) -> Tokens {
-        if self.tuning.levels_sizes {
-            self.demand.judged(&ask.route, ask.prompt)
+    fn effective_prompt_tokens(&self, request: &PlacementRequest) -> Tokens {
+        if self.tuning.levels_prompt_sizes {
+            self.demand
+                .effective_prompt_tokens(&request.route, request.prompt_tokens)
         } else {
-            ask.prompt
+            request.prompt_tokens
         }
     }
 
     /// Whether the first event comes in time, or on an engine that would idle otherwise.
-    fn in_time(&self, asked: &Asked<'_>, first_event: Duration) -> bool {
-        let idle = first_event <= asked.read + self.tuning.idle_slack;
-        let large = first_event - asked.read + asked.pace.read_time(asked.judged);
-        idle || (!asked.is_late() && large <= asked.aim_left)
+    fn can_meet_objective(
+        &self,
+        evaluated: &EvaluatedRequest<'_>,
+        time_to_first_event: Duration,
+    ) -> bool {
+        let idle = time_to_first_event <= evaluated.prefill_time + self.tuning.idle_slack;
+        let large = time_to_first_event - evaluated.prefill_time
+            + evaluated
+                .throughput
+                .prefill_time(evaluated.effective_prompt_tokens);
+        idle || (!evaluated.is_late() && large <= evaluated.objective_left)
     }
 
     /// Notes what happened to a generation.
-    pub fn note(&mut self, now: Moment, note: &Note) {
-        match note {
-            Note::Started { run } => self.start(now, run),
-            Note::Ended { run, doubt, made } => {
-                self.learn(run, *made);
-                let target = self.release(run);
-                if let (true, Some(target)) = (*doubt, target) {
-                    self.doubt(now, &target);
+    pub fn apply_update(&mut self, now: Moment, update: &GenerationUpdate) {
+        match update {
+            GenerationUpdate::Started { generation } => self.mark_started(now, generation),
+            GenerationUpdate::Ended {
+                generation,
+                target_failed,
+                tokens_generated,
+            } => {
+                self.record_length(generation, *tokens_generated);
+                let target = self.release(generation);
+                if let (true, Some(target)) = (*target_failed, target) {
+                    self.mark_uncertain(now, &target);
                 }
             }
         }
@@ -127,112 +150,137 @@
 
     /// Takes what an engine says of itself. An instance that reaches nobody else knows only its own
     /// generations; without reports it would take engines for empty that others have filled.
-    pub fn reported(&mut self, now: Moment, target: &TargetId, report: Report) {
+    pub fn record_report(&mut self, now: Moment, target: &TargetId, report: LoadReport) {
         self.account(target).report = Some((now, report));
     }
 
     /// How full the engines are.
     #[must_use]
-    pub fn loads(&self, now: Moment) -> Vec<Load> {
-        let load = |(target, account): (&TargetId, &Account)| Load {
+    pub fn loads(&self, now: Moment) -> Vec<EngineLoad> {
+        let load = |(target, account): (&TargetId, &EngineAccount)| EngineLoad {
             target: Arc::clone(target),
-            busy: account.busy_until.saturating_sub(now),
-            runs: u32::try_from(account.runs.len()).unwrap_or(u32::MAX),
+            prefill_backlog: account.prefill_until.saturating_sub(now),
+            generations: u32::try_from(account.generations.len()).unwrap_or(u32::MAX),
         };
         self.accounts.iter().map(load).collect()
     }
 
     /// A generation in the account.
     #[must_use]
-    pub fn run(&self, id: &str) -> Option<&Run> {
-        self.runs.get(id)
+    pub fn generation(&self, id: &str) -> Option<&Generation> {
+        self.generations.get(id)
     }
 
     /// Puts an engine aside for a while.
-    pub fn doubt(&mut self, now: Moment, target: &TargetId) {
-        let until = now + self.tuning.doubt;
-        self.account(target).doubted_until = until;
+    pub fn mark_uncertain(&mut self, now: Moment, target: &TargetId) {
+        let until = now + self.tuning.failure_cooldown;
+        self.account(target).uncertain_until = until;
     }
 
     /// Forgets engines that hold nothing and are no longer listed.
-    pub fn retain(&mut self, listed: impl Fn(&TargetId) -> bool) {
+    pub fn retain_engines(&mut self, listed: impl Fn(&TargetId) -> bool) {
         self.accounts.retain(|id, account| {
-            !account.runs.is_empty() || !account.copies.is_empty() || listed(id)
+            !account.generations.is_empty() || !account.incoming_copies.is_empty() || listed(id)
         });
     }
 
     /// Forgets an engine that is gone, or began a new life.
-    pub fn forget(&mut self, target: &TargetId) {
+    pub fn remove_engine(&mut self, target: &TargetId) {
         let Some(account) = self.accounts.remove(target) else {
             return;
         };
-        for run in account.runs {
-            self.runs.remove(&run);
+        for generation in account.generations {
+            self.generations.remove(&generation);
         }
     }
 
-    fn best(
+    fn best_engine(
         &mut self,
         now: Moment,
-        asked: &Asked<'_>,
+        evaluated: &EvaluatedRequest<'_>,
         engines: &[Engine],
     ) -> Option<(Duration, TargetId)> {
-        let ask = asked.ask;
+        let request = evaluated.request;
         let mut best: Option<(Duration, Duration, &Engine)> = None;
         for engine in engines {
-            if ask.avoid.contains(&engine.id) || !self.admits(now, engine, asked) {
+            if request.avoid.contains(&engine.id) || !self.can_admit(now, engine, evaluated) {
                 continue;
             }
-            let first_event = self.first_event(now, engine, asked);
-            let late = self.lateness(now, &engine.id);
-            let cost = first_event + late + self.surcharge(now, ask, engine);
+            let time_to_first_event = self.time_to_first_event(now, engine, evaluated);
+            let delay = self.first_event_delay(now, &engine.id);
+            let cost = time_to_first_event + delay + self.placement_penalty(now, request, engine);
             if best.is_none_or(|(least, ..)| cost < least) {
-                best = Some((cost, first_event, engine));
+                best = Some((cost, time_to_first_event, engine));
             }
         }
-        best.map(|(_, first_event, engine)| (first_event, Arc::clone(&engine.id)))
+        best.map(|(_, time_to_first_event, engine)| (time_to_first_event, Arc::clone(&engine.id)))
     }
 
     /// Time until the first event of a prompt given to an engine now.
-    fn first_event(&mut self, now: Moment, engine: &Engine, asked: &Asked<'_>) -> Duration {
-        let busy = self.account(&engine.id).busy_until;
-        let known = busy.saturating_sub(now);
-        let queued = self.fresh_report(now, &engine.id).map_or(0, |r| r.waiting);
-        let said = asked.pace.read_time(QUEUED_PROMPT).saturating_mul(queued);
-        known.max(said) + asked.read
+    fn time_to_first_event(
+        &mut self,
+        now: Moment,
+        engine: &Engine,
+        evaluated: &EvaluatedRequest<'_>,
+    ) -> Duration {
+        let prefill_until = self.account(&engine.id).prefill_until;
+        let known = prefill_until.saturating_sub(now);
+        let queued = self.fresh_report(now, &engine.id).map_or(0, |r| r.queued);
+        let reported_prefill = evaluated
+            .throughput
+            .prefill_time(QUEUED_PROMPT_TOKENS)
+            .saturating_mul(queued);
+        known.max(reported_prefill) + evaluated.prefill_time
     }
 
     /// How late an engine is with the first event that it owes for longest. One that has gone dark
     /// is listed for seconds still, and would look emptier from moment to moment: each prompt that
     /// goes there meanwhile is lost.
-    fn lateness(&self, now: Moment, target: &TargetId) -> Duration {
+    fn first_event_delay(&self, now: Moment, target: &TargetId) -> Duration {
         let Some(account) = self.accounts.get(target) else {
             return Duration::ZERO;
         };
-        let runs = account.runs.iter().filter_map(|run| self.runs.get(run));
-        runs.map(|run| run.lateness(now)).max().unwrap_or_default()
+        let generations = account
+            .generations
+            .iter()
+            .filter_map(|generation| self.generations.get(generation));
+        generations
+            .map(|generation| generation.first_event_delay(now))
+            .max()
+            .unwrap_or_default()
     }
 
-    fn fresh_report(&self, now: Moment, target: &TargetId) -> Option<Report> {
+    fn fresh_report(&self, now: Moment, target: &TargetId) -> Option<LoadReport> {
         let (at, report) = self.accounts.get(target)?.report?;
-        (now.saturating_sub(at) < self.tuning.report_life).then_some(report)
+        (now.saturating_sub(at) < self.tuning.report_max_age).then_some(report)
     }
 
     /// Tokens that others hold on an engine, as far as its own report tells.
-    fn held_by_others(&self, now: Moment, target: &TargetId, mine: &[Holder]) -> f64 {
+    fn tokens_of_others(&self, now: Moment, target: &TargetId, mine: &[Allocation]) -> f64 {
         let Some(report) = self.fresh_report(now, target) else {
             return 0.0;
         };
-        let mine: Tokens = mine.iter().map(|holder| holder.prompt + holder.made).sum();
-        as_f64(report.held.saturating_sub(mine))
+        let mine: Tokens = mine
+            .iter()
+            .map(|allocation| allocation.prompt_tokens + allocation.tokens_generated)
+            .sum();
+        as_f64(report.tokens_held.saturating_sub(mine))
     }
 
-    fn surcharge(&mut self, now: Moment, ask: &Ask, engine: &Engine) -> Duration {
+    fn placement_penalty(
+        &mut self,
+        now: Moment,
+        request: &PlacementRequest,
+        engine: &Engine,
+    ) -> Duration {
         let tuning = self.tuning;
-        let filled = self.promised(&self.holders(now, &engine.id)) / as_f64(engine.memory.max(1));
-        let mut extra = tuning.crowding.mul_f64(filled.clamp(0.0, 1.0));
-        if engine.data_centre != ask.data_centre {
-            extra += tuning.distance;
+        let filled = self.projected_tokens(&self.allocations(now, &engine.id))
+            / as_f64(engine.memory.max(1));
+        let mut extra = tuning
+            .memory_pressure_penalty
+            .mul_f64(filled.clamp(0.0, 1.0));
+        if engine.data_centre != request.data_centre {
+            extra += tuning.remote_penalty;
         }
         extra
     }
@@ -242,169 +290,193 @@
         &mut self,
         now: Moment,
         engine: &Engine,
-        more: Holder,
+        more: Allocation,
         share: f64,
     ) -> bool {
         let account = self.account(&engine.id);
-        if account.doubted_until > now {
+        if account.uncertain_until > now {
             return false;
         }
-        let places = account.runs.len() + account.copies.len();
+        let places = account.generations.len() + account.incoming_copies.len();
         if places >= usize::try_from(engine.slots).unwrap_or(usize::MAX) {
             return false;
         }
-        let mut holders = self.holders(now, &engine.id);
-        let others = self.held_by_others(now, &engine.id, &holders);
-        holders.push(more);
-        self.promised(&holders) + others <= as_f64(engine.memory) * share
+        let mut allocations = self.allocations(now, &engine.id);
+        let others = self.tokens_of_others(now, &engine.id, &allocations);
+        allocations.push(more);
+        self.projected_tokens(&allocations) + others <= as_f64(engine.memory) * share
     }
 
     /// Memory that is promised to generations on one engine.
-    fn promised(&self, holders: &[Holder]) -> f64 {
-        if self.tuning.sums_by_moment {
-            peak(holders)
+    fn projected_tokens(&self, allocations: &[Allocation]) -> f64 {
+        if self.tuning.uses_peak_memory {
+            peak_tokens(allocations)
         } else {
-            all_ends(holders)
+            sum_of_final_tokens(allocations)
         }
     }
 
     /// All that holds memory on an engine: its generations, and copies that come in.
-    fn holders(&self, now: Moment, target: &TargetId) -> Vec<Holder> {
+    fn allocations(&self, now: Moment, target: &TargetId) -> Vec<Allocation> {
         let Some(account) = self.accounts.get(target) else {
             return Vec::new();
         };
-        let all = account.runs.iter().chain(&account.copies);
-        all.filter_map(|run| self.runs.get(run))
-            .map(|run| run.holder(now, self.pace(&run.service)))
+        let all = account.generations.iter().chain(&account.incoming_copies);
+        all.filter_map(|generation| self.generations.get(generation))
+            .map(|generation| generation.allocation(now, self.throughput(&generation.service)))
             .collect()
     }
 
     /// The chance that a generation which is begun now has ended within a time.
     #[must_use]
-    pub fn ends_within(&self, ask: &Ask, time: Duration) -> f64 {
-        let length = self.expected(&ask.route, ask.longest, ask.hint);
-        let pace = self.pace(&ask.shard.service);
-        let writing = time.saturating_sub(pace.read_time(ask.prompt));
-        1.0 - length.survives(0, pace.made_in(writing))
+    pub fn completion_probability(&self, request: &PlacementRequest, time: Duration) -> f64 {
+        let length = self.estimate_length(&request.route, request.max_tokens, request.length_hint);
+        let throughput = self.throughput(&request.shard.service);
+        let writing = time.saturating_sub(throughput.prefill_time(request.prompt_tokens));
+        1.0 - length.survival_probability(0, throughput.tokens_in(writing))
     }
 
     /// What is expected of a generation's length.
-    pub(crate) fn expected(&self, route: &str, longest: Tokens, hint: Option<Tokens>) -> Length {
-        let hint = hint.filter(|_| self.tuning.takes_hints);
-        self.lengths.expect(route, longest, hint)
+    pub(crate) fn estimate_length(
+        &self,
+        route: &str,
+        max_tokens: Tokens,
+        length_hint: Option<Tokens>,
+    ) -> LengthEstimate {
+        let length_hint = length_hint.filter(|_| self.tuning.uses_length_hints);
+        self.lengths.estimate(route, max_tokens, length_hint)
     }
 
     /// How fast a service's engines work, as far as they have shown it.
-    pub(crate) fn pace(&self, service: &ServiceId) -> Pace {
-        let learned = self.paces.get(service).filter(|_| self.tuning.learns_pace);
-        learned.map_or_else(|| self.tuning.pace(), Learned::pace)
+    pub(crate) fn throughput(&self, service: &ServiceId) -> Throughput {
+        let estimator = self
+            .throughputs
+            .get(service)
+            .filter(|_| self.tuning.learns_throughput);
+        estimator.map_or_else(|| self.tuning.throughput(), ThroughputEstimator::throughput)
     }
 
-    fn learned(&mut self, service: &ServiceId) -> &mut Learned {
-        let expected = self.tuning.pace();
-        self.paces
+    fn estimator(&mut self, service: &ServiceId) -> &mut ThroughputEstimator {
+        let prior = self.tuning.throughput();
+        self.throughputs
             .entry(service.clone())
-            .or_insert_with(|| Learned::new(expected))
+            .or_insert_with(|| ThroughputEstimator::new(prior))
     }
 
     /// Learns from a first event. An engine reads one prompt after the other, so this one's turn
     /// came when the one before it had been read.
-    fn learn_reading(&mut self, now: Moment, run: &Run) {
-        let account = self.account(&run.target);
-        let from = account.last_start.max(run.granted);
-        account.last_start = now;
+    fn record_prefill(&mut self, now: Moment, generation: &Generation) {
+        let account = self.account(&generation.target);
+        let from = account.last_first_event.max(generation.granted_at);
+        account.last_first_event = now;
         let time = now.saturating_sub(from);
-        self.learned(&run.service).read(run.prompt, time);
+        self.estimator(&generation.service)
+            .record_prefill(generation.prompt_tokens, time);
     }
 
     /// Learns from how far a generation has come since its entry last told.
-    pub(crate) fn learn_making(&mut self, now: Moment, running: &Running) {
-        let known = self.runs.get(&running.run);
-        let Some(run) = known.filter(|run| run.started.is_some() && run.made > 0) else {
+    pub(crate) fn record_decode(&mut self, now: Moment, running: &ActiveGeneration) {
+        let known = self.generations.get(&running.generation);
+        let Some(generation) = known.filter(|generation| {
+            generation.started_at.is_some() && generation.tokens_generated > 0
+        }) else {
             return;
         };
-        let made = running.made.saturating_sub(run.made);
-        let time = now.saturating_sub(run.counted);
-        self.learned(&running.service).made(made, time);
+        let tokens_generated = running
+            .tokens_generated
+            .saturating_sub(generation.tokens_generated);
+        let time = now.saturating_sub(generation.counted_at);
+        self.estimator(&running.service)
+            .record_decode(tokens_generated, time);
     }
 
     /// Learns from a generation that came to its end.
-    fn learn(&mut self, id: &RunId, made: Option<Tokens>) {
+    fn record_length(&mut self, id: &GenerationId, tokens_generated: Option<Tokens>) {
         if !self.tuning.learns_lengths {
             return;
         }
-        if let (Some(run), Some(made)) = (self.runs.get(id), made) {
-            self.lengths.ended(&run.route, run.longest, made);
+        if let (Some(generation), Some(tokens_generated)) =
+            (self.generations.get(id), tokens_generated)
+        {
+            self.lengths
+                .record(&generation.route, generation.max_tokens, tokens_generated);
         }
     }
 
-    fn grant(&mut self, now: Moment, asked: &Asked<'_>, target: &TargetId) {
-        let ask = asked.ask;
-        let due = self.account(target).busy_until.max(now) + asked.read;
-        let run = Run {
-            entry: Arc::clone(&ask.entry),
-            service: Arc::clone(&ask.shard.service),
+    fn assign(&mut self, now: Moment, evaluated: &EvaluatedRequest<'_>, target: &TargetId) {
+        let request = evaluated.request;
+        let first_event_due = self.account(target).prefill_until.max(now) + evaluated.prefill_time;
+        let generation = Generation {
+            entry: Arc::clone(&request.entry),
+            service: Arc::clone(&request.shard.service),
             target: Arc::clone(target),
-            prompt: ask.prompt,
-            route: Arc::clone(&ask.route),
-            longest: ask.longest,
-            length: asked.length,
-            rank: ask.rank,
-            granted: now,
-            due,
-            started: None,
-            made: 0,
-            counted: now,
-            confirmed: now,
+            prompt_tokens: request.prompt_tokens,
+            route: Arc::clone(&request.route),
+            max_tokens: request.max_tokens,
+            length: evaluated.length,
+            priority: request.priority,
+            granted_at: now,
+            first_event_due,
+            started_at: None,
+            tokens_generated: 0,
+            counted_at: now,
+            confirmed_at: now,
             copying_to: None,
         };
         let account = self.account(target);
-        account.busy_until = due;
-        account.runs.insert(Arc::clone(&ask.run));
-        self.runs.insert(Arc::clone(&ask.run), run);
+        account.prefill_until = first_event_due;
+        account.generations.insert(Arc::clone(&request.generation));
+        self.generations
+            .insert(Arc::clone(&request.generation), generation);
     }
 
-    fn start(&mut self, now: Moment, id: &RunId) {
-        let Some(run) = self.runs.get_mut(id) else {
+    fn mark_started(&mut self, now: Moment, id: &GenerationId) {
+        let Some(generation) = self.generations.get_mut(id) else {
             return;
         };
-        run.started = Some(now);
-        run.counted = now;
-        let run = run.clone();
-        self.learn_reading(now, &run);
-        self.settle_reading(now, &run.target);
+        generation.started_at = Some(now);
+        generation.counted_at = now;
+        let generation = generation.clone();
+        self.record_prefill(now, &generation);
+        self.trim_prefill_backlog(now, &generation.target);
     }
 
     /// Sets an engine free whose prompts are all read.
-    fn settle_reading(&mut self, now: Moment, target: &TargetId) {
+    fn trim_prefill_backlog(&mut self, now: Moment, target: &TargetId) {
         let Some(account) = self.accounts.get(target) else {
             return;
         };
         let unread: Duration = account
-            .runs
+            .generations
             .iter()
-            .filter_map(|run| self.runs.get(run))
-            .filter(|run| run.started.is_none())
-            .map(|run| self.pace(&run.service).read_time(run.prompt))
+            .filter_map(|generation| self.generations.get(generation))
+            .filter(|generation| generation.started_at.is_none())
+            .map(|generation| {
+                self.throughput(&generation.service)
+                    .prefill_time(generation.prompt_tokens)
+            })
             .sum();
         let most = now + unread;
         let account = self.account(target);
-        account.busy_until = account.busy_until.min(most);
+        account.prefill_until = account.prefill_until.min(most);
     }
 
     /// Takes a generation out of the account; tells where it ran.
-    pub(crate) fn release(&mut self, id: &RunId) -> Option<TargetId> {
-        let run = self.runs.remove(id)?;
-        if let Some(account) = self.accounts.get_mut(&run.target) {
-            account.runs.remove(id);
+    pub(crate) fn release(&mut self, id: &GenerationId) -> Option<TargetId> {
+        let generation = self.generations.remove(id)?;
+        if let Some(account) = self.accounts.get_mut(&generation.target) {
+            account.generations.remove(id);
         }
-        if let Some(account) = run.copying_to.and_then(|to| self.accounts.get_mut(&to)) {
-            account.copies.remove(id);
+        if let Some(account) = generation
+            .copying_to
+            .and_then(|to| self.accounts.get_mut(&to))
+        {
+            account.incoming_copies.remove(id);
         }
-        Some(run.target)
+        Some(generation.target)
     }
 
-    pub(crate) fn account(&mut self, target: &TargetId) -> &mut Account {
+    pub(crate) fn account(&mut self, target: &TargetId) -> &mut EngineAccount {
         self.accounts.entry(Arc::clone(target)).or_default()
     }
 }
--- a/components/placing/src/rank.rs
+++ b/components/placing/src/ownership.rs
@@ -5,7 +5,7 @@
 
 /// An instance that may own.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Candidate {
+pub struct OwnerCandidate {
     /// The instance.
     pub id: InstanceId,
     /// Its share of processors, in thousandths of a core.
@@ -18,7 +18,10 @@
 /// An owner answers every entry's asks. One with a small part of a core answers late, and entries then
 /// take it for dead, decide for themselves and overfill engines.
 #[must_use]
-pub fn ranked(service: &str, members: impl IntoIterator<Item = Candidate>) -> Vec<InstanceId> {
+pub fn rank_owners(
+    service: &str,
+    members: impl IntoIterator<Item = OwnerCandidate>,
+) -> Vec<InstanceId> {
     let mut all: Vec<(u32, u64, InstanceId)> = members
         .into_iter()
         .map(|c| {
--- a/components/placing/src/queue.rs
+++ b/components/placing/src/queue.rs
@@ -6,43 +6,43 @@
 
 use crate::{
     account::Engine,
-    length::Length,
-    memory::Holder,
-    message::{Answer, Ask, RunId},
+    length::LengthEstimate,
+    memory::Allocation,
+    message::{GenerationId, PlacementAnswer, PlacementRequest},
     owner::Owner,
-    pace::Pace,
     shard::Shard,
+    throughput::Throughput,
     tuning::as_f64,
 };
 
 /// An ask as the account sees it.
-pub(crate) struct Asked<'a> {
+pub(crate) struct EvaluatedRequest<'a> {
     /// The ask itself.
-    pub ask: &'a Ask,
+    pub request: &'a PlacementRequest,
     /// Time until its first event should be out, counted from its caller's first request.
-    pub aim_left: Duration,
+    pub objective_left: Duration,
     /// The pace of its service's engines.
-    pub pace: Pace,
+    pub throughput: Throughput,
     /// Time to read its prompt.
-    pub read: Duration,
+    pub prefill_time: Duration,
     /// Tokens by which room is looked for: more than its own where its prompt is small. Judged by
     /// their own, large prompts would be refused while small ones that come later take each gap.
-    pub judged: Tokens,
+    pub effective_prompt_tokens: Tokens,
     /// What is expected of its length.
-    pub length: Length,
+    pub length: LengthEstimate,
 }
 
-impl Asked<'_> {
+impl EvaluatedRequest<'_> {
     /// Whether even an idle engine could not serve it in time.
     pub fn is_late(&self) -> bool {
-        self.aim_left < self.read
+        self.objective_left < self.prefill_time
     }
 
     /// What it is judged to hold.
-    pub fn judged_holder(&self) -> Holder {
-        Holder {
-            prompt: self.judged,
-            made: 0,
+    pub fn effective_allocation(&self) -> Allocation {
+        Allocation {
+            prompt_tokens: self.effective_prompt_tokens,
+            tokens_generated: 0,
             length: self.length,
         }
     }
@@ -50,20 +50,20 @@
 
 /// An ask that was told to wait.
 #[derive(Clone, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct WaitingRequest {
     /// The account that it waits for; others' engines are none of its concern.
     shard: Shard,
     late: bool,
-    rank: u32,
+    priority: u32,
     /// How long it had waited when it last asked.
     waited: Duration,
     /// When it last asked.
-    asked: Moment,
+    last_asked_at: Moment,
 }
 
 /// The turn of a waiting ask. The lowest goes first: what can still be in time, then by rank, then
 /// by how long it has waited.
-type Turn = (bool, u32, Reverse<Duration>, RunId);
+type WaitOrder = (bool, u32, Reverse<Duration>, GenerationId);
 
 impl Owner {
     /// Memory comes free when generations end, so waiting helps as long as the prompt can still
@@ -72,41 +72,51 @@
     pub(crate) fn wait_for_memory(
         &mut self,
         now: Moment,
-        asked: &Asked<'_>,
+        evaluated: &EvaluatedRequest<'_>,
         engines: &[Engine],
-    ) -> Answer {
-        if asked.is_late() {
-            if asked.ask.waited < self.late_wait(asked) {
-                return self.wait(now, asked);
+    ) -> PlacementAnswer {
+        if evaluated.is_late() {
+            if evaluated.request.waited < self.max_late_wait(evaluated) {
+                return self.wait(now, evaluated);
             }
-            return self.refuse(now, asked, asked.read);
+            return self.reject(now, evaluated, evaluated.prefill_time);
         }
-        let usable = asked.aim_left.saturating_sub(asked.read);
+        let usable = evaluated
+            .objective_left
+            .saturating_sub(evaluated.prefill_time);
         // Where there is no engine at all, any that comes has room.
-        if self.tuning.refuses_by_forecast && !engines.is_empty() {
-            let open = as_f64_count(self.rooms(now, asked, engines));
-            let before = as_f64_count(self.others_before(now, asked));
-            let ends = self.ends_soon(now, asked, usable, engines);
+        if self.tuning.rejects_by_forecast && !engines.is_empty() {
+            let open = as_f64_count(self.engines_with_room(now, evaluated, engines));
+            let before = as_f64_count(self.waiting_ahead(now, evaluated));
+            let ends = self.expected_completions(now, evaluated, usable, engines);
             if before + 1.0 > open + ends {
-                return self.refuse(now, asked, usable);
+                return self.reject(now, evaluated, usable);
             }
         }
-        self.wait(now, asked)
+        self.wait(now, evaluated)
     }
 
     /// Generations that will probably have ended within a time: a standard deviation fewer than on
     /// average.
-    fn ends_soon(&self, now: Moment, asked: &Asked<'_>, time: Duration, engines: &[Engine]) -> f64 {
-        let pace = asked.pace;
-        let more = pace.made_in(time);
+    fn expected_completions(
+        &self,
+        now: Moment,
+        evaluated: &EvaluatedRequest<'_>,
+        time: Duration,
+        engines: &[Engine],
+    ) -> f64 {
+        let throughput = evaluated.throughput;
+        let more = throughput.tokens_in(time);
         let accounts = engines.iter().filter_map(|e| self.accounts.get(&e.id));
-        let runs = accounts.flat_map(|account| &account.runs);
+        let generations = accounts.flat_map(|account| &account.generations);
         let mut mean = 0.0;
         let mut variance = 0.0;
-        for run in runs.filter_map(|run| self.runs.get(run)) {
-            let goes_on = run.length.survives(run.made_by(now, pace), more);
-            mean += 1.0 - goes_on;
-            variance += goes_on * (1.0 - goes_on);
+        for generation in generations.filter_map(|generation| self.generations.get(generation)) {
+            let still_runs = generation
+                .length
+                .survival_probability(generation.generated_by(now, throughput), more);
+            mean += 1.0 - still_runs;
+            variance += still_runs * (1.0 - still_runs);
         }
         mean - variance.sqrt()
     }
@@ -115,90 +125,113 @@
     /// either, for what is left of its time shrinks as fast as the queue. A caller that is late
     /// already waits a little for an idle engine; others are told at once, and work that can
     /// still be in time is not held up by theirs.
-    pub(crate) fn wait_for_readers(
+    pub(crate) fn wait_for_prefill(
         &mut self,
         now: Moment,
-        asked: &Asked<'_>,
-        first_event: Duration,
-    ) -> Answer {
-        if asked.is_late() && asked.ask.waited < self.late_wait(asked) {
-            return self.wait(now, asked);
+        evaluated: &EvaluatedRequest<'_>,
+        time_to_first_event: Duration,
+    ) -> PlacementAnswer {
+        if evaluated.is_late() && evaluated.request.waited < self.max_late_wait(evaluated) {
+            return self.wait(now, evaluated);
         }
-        self.refuse(now, asked, first_event.saturating_sub(asked.aim_left))
+        self.reject(
+            now,
+            evaluated,
+            time_to_first_event.saturating_sub(evaluated.objective_left),
+        )
     }
 
-    fn refuse(&mut self, now: Moment, asked: &Asked<'_>, earliest: Duration) -> Answer {
-        self.waiting.remove(&asked.ask.run);
-        self.demand.answered(&asked.ask.route, true);
-        let earliest = earliest.max(self.tuning.wait);
-        if !self.tuning.knows_returning {
-            return Answer::Full { after: earliest };
+    fn reject(
+        &mut self,
+        now: Moment,
+        evaluated: &EvaluatedRequest<'_>,
+        earliest: Duration,
+    ) -> PlacementAnswer {
+        self.waiting.remove(&evaluated.request.generation);
+        self.demand.record_outcome(&evaluated.request.route, true);
+        let earliest = earliest.max(self.tuning.wait_interval);
+        if !self.tuning.recognizes_retries {
+            return PlacementAnswer::Rejected { after: earliest };
         }
-        self.returns.refuse(now, asked.ask);
+        self.retries.record_rejection(now, evaluated.request);
         let engines = u32::try_from(self.accounts.len())
             .unwrap_or(u32::MAX)
             .max(1);
-        let spacing = (asked.read / engines).mul_f64(1.0 / self.tuning.return_share);
-        let after = self.returns.book(now, earliest, spacing, asked.ask);
-        Answer::Full { after }
+        let spacing = (evaluated.prefill_time / engines).mul_f64(1.0 / self.tuning.retry_share);
+        let after = self
+            .retries
+            .schedule_retry(now, earliest, spacing, evaluated.request);
+        PlacementAnswer::Rejected { after }
     }
 
-    fn wait(&mut self, now: Moment, asked: &Asked<'_>) -> Answer {
-        let ask = asked.ask;
-        let waiting = Waiting {
-            shard: ask.shard.clone(),
-            late: asked.is_late(),
-            rank: ask.rank,
-            waited: ask.waited,
-            asked: now,
+    fn wait(&mut self, now: Moment, evaluated: &EvaluatedRequest<'_>) -> PlacementAnswer {
+        let request = evaluated.request;
+        let waiting = WaitingRequest {
+            shard: request.shard.clone(),
+            late: evaluated.is_late(),
+            priority: request.priority,
+            waited: request.waited,
+            last_asked_at: now,
         };
-        self.waiting.insert(Arc::clone(&ask.run), waiting);
+        self.waiting
+            .insert(Arc::clone(&request.generation), waiting);
         // Each that waits asks again and again; together they must leave the owner its time.
-        let many = u32::try_from(self.waiting.len()).unwrap_or(u32::MAX) / self.tuning.wait_crowd;
-        let after = self.tuning.wait.saturating_mul(many + 1);
-        Answer::Wait {
-            after: after.min(self.tuning.wait_most),
+        let many =
+            u32::try_from(self.waiting.len()).unwrap_or(u32::MAX) / self.tuning.waiting_per_step;
+        let after = self.tuning.wait_interval.saturating_mul(many + 1);
+        PlacementAnswer::Wait {
+            after: after.min(self.tuning.max_wait_interval),
         }
     }
 
     /// Engines that have room for an ask. Those that wait before it may take one each.
-    pub(crate) fn open_engines(
+    pub(crate) fn available_engines(
         &mut self,
         now: Moment,
-        asked: &Asked<'_>,
+        evaluated: &EvaluatedRequest<'_>,
         engines: &[Engine],
     ) -> usize {
         if self.waiting.is_empty() {
             return engines.len();
         }
-        self.rooms(now, asked, engines)
+        self.engines_with_room(now, evaluated, engines)
     }
 
     /// Engines that have room for an ask.
-    fn rooms(&mut self, now: Moment, asked: &Asked<'_>, engines: &[Engine]) -> usize {
-        let open = |engine: &&Engine| self.admits(now, engine, asked);
+    fn engines_with_room(
+        &mut self,
+        now: Moment,
+        evaluated: &EvaluatedRequest<'_>,
+        engines: &[Engine],
+    ) -> usize {
+        let open = |engine: &&Engine| self.can_admit(now, engine, evaluated);
         engines.iter().filter(open).count()
     }
 
     /// How many wait whose turn comes before this one.
-    pub(crate) fn others_before(&mut self, now: Moment, asked: &Asked<'_>) -> usize {
-        if !self.tuning.takes_turns {
+    pub(crate) fn waiting_ahead(&mut self, now: Moment, evaluated: &EvaluatedRequest<'_>) -> usize {
+        if !self.tuning.orders_waiting {
             return 0;
         }
-        let life = self.tuning.wait_life;
+        let life = self.tuning.waiting_expiry;
         self.waiting
-            .retain(|_, waiting| now.saturating_sub(waiting.asked) < life);
-        let ask = asked.ask;
-        let mine: Turn = (
-            asked.is_late(),
-            ask.rank,
-            Reverse(ask.waited),
-            Arc::clone(&ask.run),
+            .retain(|_, waiting| now.saturating_sub(waiting.last_asked_at) < life);
+        let request = evaluated.request;
+        let mine: WaitOrder = (
+            evaluated.is_late(),
+            request.priority,
+            Reverse(request.waited),
+            Arc::clone(&request.generation),
         );
-        let before = |(run, other): &(&RunId, &Waiting)| {
-            let waited = other.waited + now.saturating_sub(other.asked);
-            let turn: Turn = (other.late, other.rank, Reverse(waited), Arc::clone(run));
-            other.shard == ask.shard && **run != ask.run && turn < mine
+        let before = |(generation, other): &(&GenerationId, &WaitingRequest)| {
+            let waited = other.waited + now.saturating_sub(other.last_asked_at);
+            let turn: WaitOrder = (
+                other.late,
+                other.priority,
+                Reverse(waited),
+                Arc::clone(generation),
+            );
+            other.shard == request.shard && **generation != request.generation && turn < mine
         };
         self.waiting.iter().filter(before).count()
     }
@@ -206,41 +239,56 @@
     /// Whether an engine may take an ask, as far as its memory goes. Late work leaves more of it
     /// free where many are refused, for what comes next and can be in time; and long work does, for the generations that
     /// move when another engine leaves.
-    pub(crate) fn admits(&mut self, now: Moment, engine: &Engine, asked: &Asked<'_>) -> bool {
+    pub(crate) fn can_admit(
+        &mut self,
+        now: Moment,
+        engine: &Engine,
+        evaluated: &EvaluatedRequest<'_>,
+    ) -> bool {
         let tuning = self.tuning;
-        let share = match (asked.is_late(), self.is_long(asked)) {
-            (true, _) => between(tuning.long_share, tuning.late_share, self.shortage(asked)),
+        let share = match (evaluated.is_late(), self.is_long(evaluated)) {
+            (true, _) => interpolate(
+                tuning.long_share,
+                tuning.late_share,
+                self.shortage(evaluated),
+            ),
             (false, true) => tuning.long_share,
             (false, false) => tuning.memory_share,
         };
-        self.has_room(now, engine, asked.judged_holder(), share)
+        self.has_room(now, engine, evaluated.effective_allocation(), share)
     }
 
     /// How long a caller that is late already waits: longer where few are refused, since it will
     /// probably find room, and does not come back another time.
-    fn late_wait(&self, asked: &Asked<'_>) -> Duration {
-        let (calm, short) = (self.tuning.late_wait_calm, self.tuning.late_wait);
-        let wait = between(
+    fn max_late_wait(&self, evaluated: &EvaluatedRequest<'_>) -> Duration {
+        let (calm, short) = (
+            self.tuning.late_wait_uncontended,
+            self.tuning.late_wait_contended,
+        );
+        let wait = interpolate(
             calm.as_secs_f64(),
             short.as_secs_f64(),
-            self.shortage(asked),
+            self.shortage(evaluated),
         );
         Duration::from_secs_f64(wait)
     }
 
     /// How short the route of an ask is of engines, from 0 up to 1.
-    fn shortage(&self, asked: &Asked<'_>) -> f64 {
-        self.demand.shortage(&asked.ask.route)
+    fn shortage(&self, evaluated: &EvaluatedRequest<'_>) -> f64 {
+        self.demand.shortage(&evaluated.request.route)
     }
 
     /// Whether a generation probably outlives the notice of an engine that is reclaimed.
-    pub(crate) fn is_long(&self, asked: &Asked<'_>) -> bool {
-        asked.pace.time_for(asked.length.rest(0)) > self.tuning.short_for
+    pub(crate) fn is_long(&self, evaluated: &EvaluatedRequest<'_>) -> bool {
+        evaluated
+            .throughput
+            .decode_time(evaluated.length.expected_remaining(0))
+            > self.tuning.short_generation
     }
 }
 
 /// The value that lies a part of the way from one to another.
-fn between(from: f64, to: f64, part: f64) -> f64 {
+fn interpolate(from: f64, to: f64, part: f64) -> f64 {
     from + (to - from) * part
 }
 
--- a/components/placing/src/shard.rs
+++ b/components/placing/src/shard.rs
@@ -12,16 +12,16 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Engines of one part at most; a choice among more finds no better engine.
-const ENGINES: usize = 64;
+const MAX_ENGINES_PER_SHARD: usize = 64;
 
 /// How long a service keeps its number of parts after it last had the engines for them. Replacements
 /// start before the engines that they replace leave, so counts swing within seconds; each change of
 /// the number changes all owners.
-const KEEP: Duration = Duration::from_secs(30);
+const SHRINK_DELAY: Duration = Duration::from_secs(30);
 
 /// A part of a service's engines.
 #[derive(Clone, Debug, Deserialize, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
-#[display("{service} {index}/{of}")]
+#[display("{service} {index}/{count}")]
 pub struct Shard {
     /// The service.
     pub service: ServiceId,
@@ -29,48 +29,56 @@
     pub index: u32,
     /// Parts of the service. Instances that count differently for a moment put an engine into
     /// two accounts, as after a change of owners; what entries say sets it right.
-    pub of: u32,
+    #[serde(rename = "of")]
+    pub count: u32,
 }
 
 impl Shard {
     /// One part of a service.
     #[must_use]
-    pub const fn new(service: ServiceId, index: u32, of: u32) -> Self {
-        Self { service, index, of }
+    pub const fn new(service: ServiceId, index: u32, count: u32) -> Self {
+        Self {
+            service,
+            index,
+            count,
+        }
     }
 
     /// Parts into which so many engines are divided: a power of two, so that an engine more or
     /// less moves most engines nowhere.
     #[must_use]
-    pub fn count(engines: usize) -> u32 {
-        let least = engines.div_ceil(ENGINES).max(1).next_power_of_two();
+    pub fn count_for(engines: usize) -> u32 {
+        let least = engines
+            .div_ceil(MAX_ENGINES_PER_SHARD)
+            .max(1)
+            .next_power_of_two();
         u32::try_from(least).unwrap_or(u32::MAX)
     }
 
     /// The part that an engine belongs to.
     #[must_use]
-    pub fn with(service: ServiceId, target: &str, of: u32) -> Self {
-        let index = place(target, of);
-        Self::new(service, index, of)
+    pub fn of_target(service: ServiceId, target: &str, count: u32) -> Self {
+        let index = index_of(target, count);
+        Self::new(service, index, count)
     }
 
     /// Whether an engine belongs to it.
     #[must_use]
-    pub fn holds(&self, target: &str) -> bool {
-        self.of <= 1 || place(target, self.of) == self.index
+    pub fn contains(&self, target: &str) -> bool {
+        self.count <= 1 || index_of(target, self.count) == self.index
     }
 
     /// The part after this one.
     #[must_use]
     pub fn next(&self) -> Self {
-        let index = (self.index + 1) % self.of.max(1);
-        Self::new(self.service.clone(), index, self.of)
+        let index = (self.index + 1) % self.count.max(1);
+        Self::new(self.service.clone(), index, self.count)
     }
 }
 
 /// Where something belongs among so many, by its name.
-fn place(name: &str, of: u32) -> u32 {
-    let rest = xxh3_64(name.as_bytes()) % u64::from(of.max(1));
+fn index_of(name: &str, count: u32) -> u32 {
+    let rest = xxh3_64(name.as_bytes()) % u64::from(count.max(1));
     u32::try_from(rest).unwrap_or_default()
 }
 
@@ -83,10 +91,10 @@
 
 impl ShardCounts {
     /// Parts of a service that has so many engines now.
-    pub fn of(&mut self, now: Moment, service: &ServiceId, engines: usize) -> u32 {
-        let needed = Shard::count(engines);
+    pub fn count_for(&mut self, now: Moment, service: &ServiceId, engines: usize) -> u32 {
+        let needed = Shard::count_for(engines);
         let (count, at) = self.counts.entry(service.clone()).or_insert((needed, now));
-        if needed >= *count || at.saturating_add(KEEP) <= now {
+        if needed >= *count || at.saturating_add(SHRINK_DELAY) <= now {
             *count = needed;
             *at = now;
         }
--- a/components/placing/src/sync.rs
+++ b/components/placing/src/sync.rs
@@ -5,92 +5,96 @@
 use types::{InstanceId, Moment};
 
 use crate::{
-    account::Run,
-    message::{RunId, Running, Sync},
+    account::Generation,
+    message::{ActiveGeneration, GenerationId, StateSync},
     owner::Owner,
 };
 
 impl Owner {
     /// Takes all that an entry holds on the engines of one account.
-    pub fn sync(&mut self, now: Moment, sync: &Sync) {
-        let held: BTreeSet<&RunId> = sync.runs.iter().map(|running| &running.run).collect();
+    pub fn apply_sync(&mut self, now: Moment, sync: &StateSync) {
+        let held: BTreeSet<&GenerationId> = sync
+            .generations
+            .iter()
+            .map(|running| &running.generation)
+            .collect();
         // A grant may be on its way still; what is older and unknown to the entry has ended.
-        let settled = now.saturating_sub(self.tuning.wait_life);
-        let gone: Vec<RunId> = self
-            .runs
+        let settled = now.saturating_sub(self.tuning.waiting_expiry);
+        let gone: Vec<GenerationId> = self
+            .generations
             .iter()
-            .filter(|(id, run)| {
-                run.entry == sync.entry
-                    && run.service == sync.shard.service
-                    && sync.shard.holds(&run.target)
-                    && run.granted <= settled
+            .filter(|(id, generation)| {
+                generation.entry == sync.entry
+                    && generation.service == sync.shard.service
+                    && sync.shard.contains(&generation.target)
+                    && generation.granted_at <= settled
                     && !held.contains(*id)
             })
             .map(|(id, _)| Arc::clone(id))
             .collect();
-        for run in gone {
-            self.release(&run);
+        for generation in gone {
+            self.release(&generation);
         }
-        for running in &sync.runs {
+        for running in &sync.generations {
             self.confirm(now, &sync.entry, running);
         }
     }
 
-    fn confirm(&mut self, now: Moment, entry: &InstanceId, running: &Running) {
-        let known = self.runs.get(&running.run);
-        let moved = known.is_some_and(|run| run.target != running.target);
-        let copying = known.is_some_and(|run| run.copying_to.is_some());
+    fn confirm(&mut self, now: Moment, entry: &InstanceId, running: &ActiveGeneration) {
+        let known = self.generations.get(&running.generation);
+        let moved = known.is_some_and(|generation| generation.target != running.target);
+        let copying = known.is_some_and(|generation| generation.copying_to.is_some());
         if moved && copying {
             return;
         }
         if moved {
-            self.release(&running.run);
+            self.release(&running.generation);
         }
         let account = self.account(&running.target);
-        account.runs.insert(Arc::clone(&running.run));
-        self.learn_making(now, running);
-        let pace = self.pace(&running.service);
-        let due = now + pace.read_time(running.prompt);
-        let length = self.expected(&running.route, running.longest, running.hint);
-        let run = self
-            .runs
-            .entry(Arc::clone(&running.run))
-            .or_insert_with(|| Run {
+        account.generations.insert(Arc::clone(&running.generation));
+        self.record_decode(now, running);
+        let throughput = self.throughput(&running.service);
+        let first_event_due = now + throughput.prefill_time(running.prompt_tokens);
+        let length = self.estimate_length(&running.route, running.max_tokens, running.length_hint);
+        let generation = self
+            .generations
+            .entry(Arc::clone(&running.generation))
+            .or_insert_with(|| Generation {
                 entry: Arc::clone(entry),
                 service: Arc::clone(&running.service),
                 target: Arc::clone(&running.target),
-                prompt: running.prompt,
+                prompt_tokens: running.prompt_tokens,
                 route: Arc::clone(&running.route),
-                longest: running.longest,
+                max_tokens: running.max_tokens,
                 length,
-                rank: running.rank,
-                granted: now,
-                due,
-                started: None,
-                made: 0,
-                counted: now,
-                confirmed: now,
+                priority: running.priority,
+                granted_at: now,
+                first_event_due,
+                started_at: None,
+                tokens_generated: 0,
+                counted_at: now,
+                confirmed_at: now,
                 copying_to: None,
             });
-        run.confirmed = now;
-        run.made = running.made;
-        run.counted = now;
-        if running.started && run.started.is_none() {
-            run.started = Some(now);
+        generation.confirmed_at = now;
+        generation.tokens_generated = running.tokens_generated;
+        generation.counted_at = now;
+        if running.started && generation.started_at.is_none() {
+            generation.started_at = Some(now);
         }
     }
 
     /// Forgets what its entry has not confirmed for long: the entry is gone.
-    pub(crate) fn forget_stale(&mut self, now: Moment) {
-        let oldest = now.saturating_sub(self.tuning.run_life);
-        let stale: Vec<RunId> = self
-            .runs
+    pub(crate) fn remove_stale(&mut self, now: Moment) {
+        let oldest = now.saturating_sub(self.tuning.generation_expiry);
+        let stale: Vec<GenerationId> = self
+            .generations
             .iter()
-            .filter(|(_, run)| run.confirmed < oldest)
+            .filter(|(_, generation)| generation.confirmed_at < oldest)
             .map(|(id, _)| Arc::clone(id))
             .collect();
-        for run in stale {
-            self.release(&run);
+        for generation in stale {
+            self.release(&generation);
         }
     }
 }
--- a/components/placing/tests/choosing.rs
+++ b/components/placing/tests/choosing.rs
@@ -4,9 +4,12 @@
 
 use std::{collections::BTreeSet, time::Duration};
 
-use placing::{Answer, Candidate, Engine, Note, Running, Sync, ranked};
+use placing::{
+    ActiveGeneration, Engine, GenerationUpdate, OwnerCandidate, PlacementAnswer, StateSync,
+    rank_owners,
+};
 use proptest::prelude::*;
-use support::{MEMORY, ask, engine, owner, sent};
+use support::{MEMORY, engine, owner, request, sent};
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -22,7 +25,7 @@
     ];
     let got: BTreeSet<_> = ["a", "b", "c"]
         .into_iter()
-        .filter_map(|run| sent(owner.ask(now, &ask(run), &engines)))
+        .filter_map(|generation| sent(owner.place(now, &request(generation), &engines)))
         .collect();
     assert_eq!(got.len(), 3);
 }
@@ -31,9 +34,9 @@
 fn an_engine_near_by_goes_first_while_it_is_as_free() {
     let (mut owner, now) = owner();
     let engines = [engine("far", "dc-2"), engine("near", "dc-1")];
-    let first = sent(owner.ask(now, &ask("a"), &engines));
+    let first = sent(owner.place(now, &request("a"), &engines));
     assert_eq!(first.as_deref(), Some("near"));
-    let second = sent(owner.ask(now, &ask("b"), &engines));
+    let second = sent(owner.place(now, &request("b"), &engines));
     assert_eq!(second.as_deref(), Some("far"));
 }
 
@@ -44,31 +47,36 @@
 fn an_engine_does_not_get_more_than_it_can_hold_at_the_worst_moment() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1")];
-    let patient = |run: String| placing::Ask {
-        hint: Some(2_000),
-        longest: 3_000,
-        aim_left: Duration::from_secs(600),
-        ..ask(&run)
+    let patient = |generation: String| placing::PlacementRequest {
+        length_hint: Some(2_000),
+        max_tokens: 3_000,
+        objective_left: Duration::from_secs(600),
+        ..request(&generation)
     };
     for number in 0..200 {
-        let ask = patient(format!("before-{number}"));
-        assert!(sent(owner.ask(now, &ask, &engines)).is_some());
-        let made = Some(2_000);
-        owner.note(
+        let request = patient(format!("before-{number}"));
+        assert!(sent(owner.place(now, &request, &engines)).is_some());
+        let tokens_generated = Some(2_000);
+        owner.apply_update(
             now,
-            &Note::Ended {
-                run: ask.run,
-                doubt: false,
-                made,
+            &GenerationUpdate::Ended {
+                generation: request.generation,
+                target_failed: false,
+                tokens_generated,
             },
         );
     }
     let mut taken = 0;
     for number in 0..20 {
-        let ask = patient(format!("run-{number}"));
-        if sent(owner.ask(now, &ask, &engines)).is_some() {
+        let request = patient(format!("run-{number}"));
+        if sent(owner.place(now, &request, &engines)).is_some() {
             taken += 1;
-            owner.note(now, &Note::Started { run: ask.run });
+            owner.apply_update(
+                now,
+                &GenerationUpdate::Started {
+                    generation: request.generation,
+                },
+            );
         }
     }
     assert!(taken >= 5, "{taken}");
@@ -81,10 +89,10 @@
 fn a_prompt_that_cannot_be_read_in_time_is_refused_at_once() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1")];
-    let answers: Vec<Answer> = (0..6)
-        .map(|n| owner.ask(now, &ask(&format!("run-{n}")), &engines))
+    let answers: Vec<PlacementAnswer> = (0..6)
+        .map(|n| owner.place(now, &request(&format!("run-{n}")), &engines))
         .collect();
-    let refused = |answer: &Answer| matches!(answer, Answer::Full { after } if !after.is_zero());
+    let refused = |answer: &PlacementAnswer| matches!(answer, PlacementAnswer::Rejected { after } if !after.is_zero());
     assert!(!refused(&answers[0]));
     assert!(refused(&answers[5]), "{:?}", answers[5]);
 }
@@ -95,39 +103,39 @@
 fn the_more_urgent_goes_first_when_memory_comes_free() {
     let (mut owner, mut now) = owner();
     let engines = [engine("e-1", "dc-1")];
-    let mut runs = Vec::new();
+    let mut generations = Vec::new();
     for number in 0..20 {
-        let mut ask = ask(&format!("run-{number}"));
-        ask.hint = Some(2_000);
-        ask.aim_left = Duration::from_secs(60);
+        let mut request = request(&format!("run-{number}"));
+        request.length_hint = Some(2_000);
+        request.objective_left = Duration::from_secs(60);
         now += 100 * MS;
-        if sent(owner.ask(now, &ask, &engines)).is_some() {
-            runs.push(ask.run);
+        if sent(owner.place(now, &request, &engines)).is_some() {
+            generations.push(request.generation);
         }
     }
-    let waits = |answer| matches!(answer, Answer::Wait { .. });
-    let patient = |run: &str| placing::Ask {
-        hint: Some(2_000),
-        aim_left: Duration::from_secs(60),
-        ..ask(run)
+    let waits = |answer| matches!(answer, PlacementAnswer::Wait { .. });
+    let patient = |generation: &str| placing::PlacementRequest {
+        length_hint: Some(2_000),
+        objective_left: Duration::from_secs(60),
+        ..request(generation)
     };
     let late = patient("late");
     let mut urgent = patient("urgent");
-    urgent.rank = 0;
-    assert!(waits(owner.ask(now, &late, &engines)));
-    assert!(waits(owner.ask(now, &urgent, &engines)));
-    let run = runs[0].clone();
-    owner.note(
+    urgent.priority = 0;
+    assert!(waits(owner.place(now, &late, &engines)));
+    assert!(waits(owner.place(now, &urgent, &engines)));
+    let generation = generations[0].clone();
+    owner.apply_update(
         now,
-        &Note::Ended {
-            run,
-            doubt: false,
-            made: None,
+        &GenerationUpdate::Ended {
+            generation,
+            target_failed: false,
+            tokens_generated: None,
         },
     );
     now += 10 * MS;
-    assert!(waits(owner.ask(now, &late, &engines)));
-    assert!(sent(owner.ask(now, &urgent, &engines)).is_some());
+    assert!(waits(owner.place(now, &late, &engines)));
+    assert!(sent(owner.place(now, &urgent, &engines)).is_some());
 }
 
 /// An engine refuses what it should have had room for. Asked again at once it would refuse again,
@@ -137,25 +145,25 @@
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1"), engine("e-2", "dc-2")];
     assert_eq!(
-        sent(owner.ask(now, &ask("a"), &engines)).as_deref(),
+        sent(owner.place(now, &request("a"), &engines)).as_deref(),
         Some("e-1")
     );
-    let run = "a".into();
-    owner.note(
+    let generation = "a".into();
+    owner.apply_update(
         now,
-        &Note::Ended {
-            run,
-            doubt: true,
-            made: None,
+        &GenerationUpdate::Ended {
+            generation,
+            target_failed: true,
+            tokens_generated: None,
         },
     );
     assert_eq!(
-        sent(owner.ask(now, &ask("b"), &engines)).as_deref(),
+        sent(owner.place(now, &request("b"), &engines)).as_deref(),
         Some("e-2")
     );
     let later = now + 3_000 * MS;
     assert_eq!(
-        sent(owner.ask(later, &ask("c"), &engines)).as_deref(),
+        sent(owner.place(later, &request("c"), &engines)).as_deref(),
         Some("e-1")
     );
 }
@@ -166,12 +174,12 @@
 fn places_of_an_entry_that_is_gone_come_free() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1")];
-    owner.ask(now, &ask("a"), &engines);
-    assert_eq!(owner.loads(now)[0].runs, 1);
+    owner.place(now, &request("a"), &engines);
+    assert_eq!(owner.loads(now)[0].generations, 1);
     let later = now + 4_000 * MS;
-    owner.ask(later, &ask("b"), &engines);
-    assert_eq!(owner.loads(later)[0].runs, 1);
-    assert!(owner.run("a").is_none());
+    owner.place(later, &request("b"), &engines);
+    assert_eq!(owner.loads(later)[0].generations, 1);
+    assert!(owner.generation("a").is_none());
 }
 
 /// An instance that reaches nobody knows only its own generations. An engine that others have
@@ -180,29 +188,34 @@
 fn an_engine_that_says_it_is_full_gets_nothing() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1"), engine("e-2", "dc-2")];
-    let full = placing::Report {
-        held: MEMORY - 1_000,
-        waiting: 0,
+    let full = placing::LoadReport {
+        tokens_held: MEMORY - 1_000,
+        queued: 0,
     };
-    owner.reported(now, &"e-1".into(), full);
+    owner.record_report(now, &"e-1".into(), full);
     assert_eq!(
-        sent(owner.ask(now, &ask("a"), &engines)).as_deref(),
+        sent(owner.place(now, &request("a"), &engines)).as_deref(),
         Some("e-2")
     );
-    let queue = placing::Report {
-        held: 0,
-        waiting: 9,
+    let queue = placing::LoadReport {
+        tokens_held: 0,
+        queued: 9,
     };
-    owner.reported(now, &"e-1".into(), queue);
+    owner.record_report(now, &"e-1".into(), queue);
     assert_eq!(
-        sent(owner.ask(now, &ask("b"), &engines)).as_deref(),
+        sent(owner.place(now, &request("b"), &engines)).as_deref(),
         Some("e-2")
     );
     // What it said long ago says nothing.
     let later = now + 2_500 * MS;
-    owner.note(later, &Note::Started { run: "b".into() });
+    owner.apply_update(
+        later,
+        &GenerationUpdate::Started {
+            generation: "b".into(),
+        },
+    );
     assert_eq!(
-        sent(owner.ask(later, &ask("c"), &engines)).as_deref(),
+        sent(owner.place(later, &request("c"), &engines)).as_deref(),
         Some("e-1")
     );
 }
@@ -214,37 +227,42 @@
     let (mut owner, now) = owner();
     let engines = [engine("dark", "dc-1"), engine("far", "dc-2")];
     assert_eq!(
-        sent(owner.ask(now, &ask("a"), &engines)).as_deref(),
+        sent(owner.place(now, &request("a"), &engines)).as_deref(),
         Some("dark")
     );
-    let waiting = |run: &str, target: &str| Running {
-        run: run.into(),
+    let waiting = |generation: &str, target: &str| ActiveGeneration {
+        generation: generation.into(),
         service: "drafts".into(),
         target: target.into(),
-        prompt: 3_000,
-        made: 0,
+        prompt_tokens: 3_000,
+        tokens_generated: 0,
         route: "drafts".into(),
-        longest: 2_000,
-        hint: None,
-        rank: 1,
+        max_tokens: 2_000,
+        length_hint: None,
+        priority: 1,
         started: false,
     };
     // Its entry still waits for it, long after the prompt should have been read.
     let later = now + 1_500 * MS;
-    let held = Sync {
+    let held = StateSync {
         entry: "entry-1".into(),
-        shard: ask("a").shard,
-        runs: vec![waiting("a", "dark")],
+        shard: request("a").shard,
+        generations: vec![waiting("a", "dark")],
     };
-    owner.sync(later, &held);
+    owner.apply_sync(later, &held);
     assert_eq!(
-        sent(owner.ask(later, &ask("b"), &engines)).as_deref(),
+        sent(owner.place(later, &request("b"), &engines)).as_deref(),
         Some("far")
     );
     // The first event came after all.
-    owner.note(later, &Note::Started { run: "a".into() });
+    owner.apply_update(
+        later,
+        &GenerationUpdate::Started {
+            generation: "a".into(),
+        },
+    );
     assert_eq!(
-        sent(owner.ask(later, &ask("c"), &engines)).as_deref(),
+        sent(owner.place(later, &request("c"), &engines)).as_deref(),
         Some("dark")
     );
 }
@@ -255,31 +273,38 @@
 fn a_new_owner_learns_from_the_entries() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1"), engine("e-2", "dc-1")];
-    let runs = (0..10)
-        .map(|n| Running {
-            run: format!("run-{n}").into(),
+    let generations = (0..10)
+        .map(|n| ActiveGeneration {
+            generation: format!("run-{n}").into(),
             service: "drafts".into(),
             target: "e-1".into(),
-            prompt: 3_000,
-            made: 100,
+            prompt_tokens: 3_000,
+            tokens_generated: 100,
             route: "drafts".into(),
-            longest: 2_000,
-            hint: None,
-            rank: 1,
+            max_tokens: 2_000,
+            length_hint: None,
+            priority: 1,
             started: true,
         })
         .collect();
     let entry = "entry-1".into();
-    let shard = ask("a").shard;
-    owner.sync(now, &Sync { entry, shard, runs });
-    for run in ["a", "b"] {
-        let target = sent(owner.ask(now, &ask(run), &engines));
+    let shard = request("a").shard;
+    owner.apply_sync(
+        now,
+        &StateSync {
+            entry,
+            shard,
+            generations,
+        },
+    );
+    for generation in ["a", "b"] {
+        let target = sent(owner.place(now, &request(generation), &engines));
         assert_eq!(target.as_deref(), Some("e-2"));
     }
 }
 
-fn candidate(id: &str, capacity: u32) -> Candidate {
-    Candidate {
+fn candidate(id: &str, capacity: u32) -> OwnerCandidate {
+    OwnerCandidate {
         id: id.into(),
         capacity,
     }
@@ -295,7 +320,7 @@
         candidate("small-2", 120),
     ];
     for service in ["a", "b", "c", "d"] {
-        assert_eq!(&*ranked(service, all.clone())[0], "big");
+        assert_eq!(&*rank_owners(service, all.clone())[0], "big");
     }
 }
 
@@ -305,18 +330,18 @@
 fn what_fits_does_not_wait_behind_what_does_not() {
     let (mut owner, mut now) = owner();
     let engines = [engine("e-1", "dc-1"), engine("e-2", "dc-1")];
-    let patient = |run: &str, prompt| placing::Ask {
-        prompt,
-        aim_left: Duration::from_secs(600),
-        ..ask(run)
+    let patient = |generation: &str, prompt_tokens| placing::PlacementRequest {
+        prompt_tokens,
+        objective_left: Duration::from_secs(600),
+        ..request(generation)
     };
-    for (run, prompt) in [("a", 20_000), ("b", 20_000)] {
-        assert!(sent(owner.ask(now, &patient(run, prompt), &engines)).is_some());
+    for (generation, prompt_tokens) in [("a", 20_000), ("b", 20_000)] {
+        assert!(sent(owner.place(now, &patient(generation, prompt_tokens), &engines)).is_some());
     }
-    let waits = |answer| matches!(answer, Answer::Wait { .. });
-    assert!(waits(owner.ask(now, &patient("huge", 25_000), &engines)));
+    let waits = |answer| matches!(answer, PlacementAnswer::Wait { .. });
+    assert!(waits(owner.place(now, &patient("huge", 25_000), &engines)));
     now += 10 * MS;
-    assert!(sent(owner.ask(now, &patient("small", 1_000), &engines)).is_some());
+    assert!(sent(owner.place(now, &patient("small", 1_000), &engines)).is_some());
 }
 
 /// Many wait for memory. If each asked again as often as one alone, the asks themselves would take
@@ -326,27 +351,27 @@
     let (mut owner, now) = owner();
     let engines: [Engine; 0] = [];
     let after = |answer| match answer {
-        Answer::Wait { after } => after,
+        PlacementAnswer::Wait { after } => after,
         _ => Duration::ZERO,
     };
-    let first = after(owner.ask(now, &ask("first"), &engines));
+    let first = after(owner.place(now, &request("first"), &engines));
     for number in 0..60 {
-        owner.ask(now, &ask(&format!("run-{number}")), &engines);
+        owner.place(now, &request(&format!("run-{number}")), &engines);
     }
-    let last = after(owner.ask(now, &ask("last"), &engines));
+    let last = after(owner.place(now, &request("last"), &engines));
     assert!(!first.is_zero() && last >= 3 * first, "{first:?} {last:?}");
 }
 
 #[test]
 fn a_member_that_goes_moves_only_what_it_owned() {
-    let all: Vec<Candidate> = (0..9)
+    let all: Vec<OwnerCandidate> = (0..9)
         .map(|n| candidate(&format!("instance-{n}"), 250))
         .collect();
     for service in ["a", "b", "c", "d"] {
-        let order = ranked(service, all.clone());
+        let order = rank_owners(service, all.clone());
         let without = order[4].clone();
         let rest = all.iter().filter(|c| c.id != without).cloned();
-        let now = ranked(service, rest);
+        let now = rank_owners(service, rest);
         assert_eq!(now[..4], order[..4]);
         assert_eq!(now[4..], order[5..]);
     }
@@ -355,7 +380,11 @@
 /// What happens to an owner.
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { run: u8, prompt: u64, hint: u64 },
+    Place {
+        generation: u8,
+        prompt_tokens: u64,
+        length_hint: u64,
+    },
     Start(u8),
     End(u8),
     Leave(u8),
@@ -364,11 +393,13 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        (any::<u8>(), 1..6_000_u64, 1..2_500_u64).prop_map(|(run, prompt, hint)| Step::Ask {
-            run,
-            prompt,
-            hint
-        }),
+        (any::<u8>(), 1..6_000_u64, 1..2_500_u64).prop_map(
+            |(generation, prompt_tokens, length_hint)| Step::Place {
+                generation,
+                prompt_tokens,
+                length_hint
+            }
+        ),
         any::<u8>().prop_map(Step::Start),
         any::<u8>().prop_map(Step::End),
         (0..4_u8).prop_map(Step::Leave),
@@ -385,41 +416,41 @@
         let engines: Vec<Engine> = (0..4)
             .map(|n| Engine { slots: 5, ..engine(&format!("e-{n}"), "dc-1") })
             .collect();
-        let mut asked = BTreeSet::new();
+        let mut evaluated = BTreeSet::new();
         for step in steps {
             match step {
-                Step::Ask { run, prompt, hint } => {
-                    let mut ask = ask(&format!("run-{run}"));
-                    ask.prompt = prompt;
-                    ask.hint = Some(hint);
-                    owner.ask(now, &ask, &engines);
-                    asked.insert(ask.run);
+                Step::Place { generation, prompt_tokens, length_hint } => {
+                    let mut request = request(&format!("run-{generation}"));
+                    request.prompt_tokens = prompt_tokens;
+                    request.length_hint = Some(length_hint);
+                    owner.place(now, &request, &engines);
+                    evaluated.insert(request.generation);
                 }
-                Step::Start(run) => {
-                    owner.note(now, &Note::Started { run: format!("run-{run}").into() });
+                Step::Start(generation) => {
+                    owner.apply_update(now, &GenerationUpdate::Started { generation: format!("run-{generation}").into() });
                 }
-                Step::End(run) => {
-                    let run = format!("run-{run}").into();
-                    owner.note(now, &Note::Ended { run, doubt: false, made: None });
+                Step::End(generation) => {
+                    let generation = format!("run-{generation}").into();
+                    owner.apply_update(now, &GenerationUpdate::Ended { generation, target_failed: false, tokens_generated: None });
                 }
                 Step::Leave(number) => {
                     let from = format!("e-{number}").into();
-                    let order = owner.next_carry(now, &from, &"dc-1".into(), &engines, &|_, _| false);
+                    let order = owner.next_migration(now, &from, &"dc-1".into(), &engines, &|_, _| false);
                     if let Some(order) = order {
-                        owner.carried(&order, placing::Carried::Done);
+                        owner.finish_migration(&order, placing::MigrationOutcome::Done);
                     }
                 }
                 Step::Pass(ms) => now += Duration::from_millis(ms),
             }
             for load in owner.loads(now) {
-                prop_assert!(load.runs <= 5, "{load:?}");
+                prop_assert!(load.generations <= 5, "{load:?}");
             }
         }
-        for run in asked {
-            owner.note(now, &Note::Ended { run, doubt: false, made: None });
+        for generation in evaluated {
+            owner.apply_update(now, &GenerationUpdate::Ended { generation, target_failed: false, tokens_generated: None });
         }
         for load in owner.loads(now) {
-            prop_assert_eq!(load.runs, 0);
+            prop_assert_eq!(load.generations, 0);
         }
     }
 }
--- a/components/placing/tests/overload.rs
+++ b/components/placing/tests/overload.rs
@@ -8,11 +8,11 @@
 
 use std::{collections::BTreeSet, time::Duration};
 
-use placing::{Answer, Ask, Engine, Note, Owner, Tuning};
+use placing::{Engine, GenerationUpdate, Owner, PlacementAnswer, PlacementRequest, Tuning};
 use support::{
-    ask, engine,
-    load::{AIM, Caller, Fate, Load, count, play},
-    owner, sent,
+    engine,
+    load::{AIM, Caller, Fate, Workload, count, play},
+    owner, request, sent,
 };
 use types::Moment;
 
@@ -20,11 +20,11 @@
 
 /// Ten engines, and callers that come so much more often than ten engines can serve.
 fn overload(every: Duration) -> Vec<Caller> {
-    let load = Load {
+    let load = Workload {
         engines: 10,
         every,
         lasts: Duration::from_secs(40),
-        prompts: (1_200, 4_800),
+        prompt_range: (1_200, 4_800),
         answers: (100, 1_700),
     };
     play(&load, Tuning::default())
@@ -46,8 +46,8 @@
 fn nobody_waits_long_to_be_refused() {
     for every in [100 * MS, 50 * MS] {
         let callers = overload(every);
-        let longest = callers.iter().map(|it| it.kept).max();
-        assert!(longest <= Some(AIM / 4), "{longest:?}");
+        let longest_wait = callers.iter().map(|it| it.kept).max();
+        assert!(longest_wait <= Some(AIM / 4), "{longest_wait:?}");
     }
 }
 
@@ -62,29 +62,33 @@
         .into_iter()
         .filter(|it| it.told.is_none_or(|back| back < end))
         .collect();
-    let (in_time, late) = (count(&during, Fate::InTime), count(&during, Fate::Late));
-    assert!(late * 20 <= in_time + late, "{late} of {}", in_time + late);
+    let (can_meet_objective, late) = (count(&during, Fate::InTime), count(&during, Fate::Late));
+    assert!(
+        late * 20 <= can_meet_objective + late,
+        "{late} of {}",
+        can_meet_objective + late
+    );
 }
 
 /// A gap that comes free fits a small prompt sooner than a large one. Judged each by its own size,
 /// callers with large prompts are refused again and again.
 #[test]
 fn large_prompts_are_served_half_as_often_as_all_at_least() {
-    let load = Load {
+    let load = Workload {
         engines: 10,
         every: 12 * MS,
         lasts: Duration::from_secs(40),
-        prompts: (600, 6_000),
+        prompt_range: (600, 6_000),
         answers: (4, 40),
     };
     let callers = play(&load, Tuning::default());
-    let served = |it: &&Caller| it.fate != Some(Fate::Refused);
-    let mut sizes: Vec<_> = callers.iter().map(|it| it.prompt).collect();
+    let served = |it: &&Caller| it.fate != Some(Fate::RejectedRequest);
+    let mut sizes: Vec<_> = callers.iter().map(|it| it.prompt_tokens).collect();
     sizes.sort_unstable();
     let large_from = sizes[sizes.len() * 9 / 10];
     let large: Vec<&Caller> = callers
         .iter()
-        .filter(|it| it.prompt >= large_from)
+        .filter(|it| it.prompt_tokens >= large_from)
         .collect();
     let of_large = large.iter().copied().filter(served).count();
     let of_all = callers.iter().filter(served).count();
@@ -97,21 +101,21 @@
 }
 
 /// Engines whose reading is taken for seconds.
-fn busy(owner: &mut Owner, now: Moment, engines: &[Engine]) {
+fn fill_prefill_queue(owner: &mut Owner, now: Moment, engines: &[Engine]) {
     for number in 0..engines.len() * 3 {
-        let long = Ask {
-            prompt: 6_000,
-            aim_left: Duration::from_secs(600),
-            ..ask(&format!("before-{number}"))
+        let long = PlacementRequest {
+            prompt_tokens: 6_000,
+            objective_left: Duration::from_secs(600),
+            ..request(&format!("before-{number}"))
         };
-        assert!(sent(owner.ask(now, &long, engines)).is_some());
+        assert!(sent(owner.place(now, &long, engines)).is_some());
     }
 }
 
-fn told(answer: Answer) -> Option<Duration> {
+fn told(answer: PlacementAnswer) -> Option<Duration> {
     match answer {
-        Answer::Full { after } => Some(after),
-        Answer::Go { .. } | Answer::Wait { .. } => None,
+        PlacementAnswer::Rejected { after } => Some(after),
+        PlacementAnswer::Assigned { .. } | PlacementAnswer::Wait { .. } => None,
     }
 }
 
@@ -121,9 +125,9 @@
 fn callers_that_are_refused_together_come_back_one_after_the_other() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1"), engine("e-2", "dc-1")];
-    busy(&mut owner, now, &engines);
+    fill_prefill_queue(&mut owner, now, &engines);
     let times: BTreeSet<Duration> = (0..20)
-        .filter_map(|n| told(owner.ask(now, &ask(&format!("c-{n}")), &engines)))
+        .filter_map(|n| told(owner.place(now, &request(&format!("c-{n}")), &engines)))
         .collect();
     assert_eq!(times.len(), 20);
     let latest = Duration::from_secs(36) / 3;
@@ -136,38 +140,38 @@
 fn a_caller_that_comes_back_is_late_from_its_first_request() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1")];
-    busy(&mut owner, now, &engines);
-    let first = ask("first");
-    let after = told(owner.ask(now, &first, &engines)).expect("a refusal");
+    fill_prefill_queue(&mut owner, now, &engines);
+    let first = request("first");
+    let after = told(owner.place(now, &first, &engines)).expect("a refusal");
     let later = after.max(2_500 * MS);
     let now = now + later;
     // The engine reads for another second: in time for one that comes now, and late for this one.
-    let again = |run: &str, left| Ask {
+    let again = |generation: &str, deadline_left| PlacementRequest {
         digest: first.digest,
-        left,
-        ..ask(run)
+        deadline_left,
+        ..request(generation)
     };
     for number in 0..6 {
-        owner.note(
+        owner.apply_update(
             now,
-            &Note::Ended {
-                run: format!("before-{number}").into(),
-                doubt: false,
-                made: None,
+            &GenerationUpdate::Ended {
+                generation: format!("before-{number}").into(),
+                target_failed: false,
+                tokens_generated: None,
             },
         );
     }
-    let reading = Ask {
-        prompt: 5_000,
-        aim_left: Duration::from_secs(600),
-        ..ask("reading")
+    let reading = PlacementRequest {
+        prompt_tokens: 5_000,
+        objective_left: Duration::from_secs(600),
+        ..request("reading")
     };
-    assert!(sent(owner.ask(now, &reading, &engines)).is_some());
-    let back = again("back", first.left - later);
-    assert_eq!(sent(owner.ask(now, &back, &engines)), None);
+    assert!(sent(owner.place(now, &reading, &engines)).is_some());
+    let back = again("back", first.deadline_left - later);
+    assert_eq!(sent(owner.place(now, &back, &engines)), None);
     // Another caller asks for the very same.
-    let other = again("other", first.left);
-    assert!(sent(owner.ask(now, &other, &engines)).is_some());
+    let other = again("other", first.deadline_left);
+    assert!(sent(owner.place(now, &other, &engines)).is_some());
 }
 
 /// Everything that engines hold is taken, and more callers wait than generations will end in time.
@@ -178,56 +182,69 @@
     let engines = [engine("e-1", "dc-1")];
     let mut number = 0;
     loop {
-        let patient = Ask {
-            aim_left: Duration::from_secs(600),
-            ..ask(&format!("before-{number}"))
+        let patient = PlacementRequest {
+            objective_left: Duration::from_secs(600),
+            ..request(&format!("before-{number}"))
         };
-        if sent(owner.ask(now, &patient, &engines)).is_none() {
+        if sent(owner.place(now, &patient, &engines)).is_none() {
             break;
         }
-        owner.note(now, &Note::Started { run: patient.run });
+        owner.apply_update(
+            now,
+            &GenerationUpdate::Started {
+                generation: patient.generation,
+            },
+        );
         number += 1;
     }
     let now = now + Duration::from_secs(1);
-    let answers: Vec<Answer> = (0..30)
-        .map(|n| owner.ask(now, &ask(&format!("c-{n}")), &engines))
+    let answers: Vec<PlacementAnswer> = (0..30)
+        .map(|n| owner.place(now, &request(&format!("c-{n}")), &engines))
         .collect();
     let waiting = answers
         .iter()
-        .filter(|answer| matches!(answer, Answer::Wait { .. }))
+        .filter(|answer| matches!(answer, PlacementAnswer::Wait { .. }))
         .count();
     assert!(waiting <= number, "{waiting} wait behind {number}");
-    assert!(matches!(answers.last(), Some(Answer::Full { .. })));
+    assert!(matches!(
+        answers.last(),
+        Some(PlacementAnswer::Rejected { .. })
+    ));
 }
 
 /// Lets an owner refuse many callers of the route, on another engine.
 fn refuse_many(owner: &mut Owner, now: Moment) {
     let engines = [engine("e-busy", "dc-1")];
-    busy(owner, now, &engines);
+    fill_prefill_queue(owner, now, &engines);
     for number in 0..60 {
-        let refused = ask(&format!("refused-{number}"));
-        assert!(told(owner.ask(now, &refused, &engines)).is_some());
+        let refused = request(&format!("refused-{number}"));
+        assert!(told(owner.place(now, &refused, &engines)).is_some());
     }
 }
 
 /// Fills an engine so far that two more generations fit.
 fn nearly_fill(owner: &mut Owner, now: Moment, engines: &[Engine]) {
     for number in 0..7 {
-        let known = Ask {
-            hint: Some(600),
-            aim_left: Duration::from_secs(600),
-            ..ask(&format!("held-{number}"))
+        let known = PlacementRequest {
+            length_hint: Some(600),
+            objective_left: Duration::from_secs(600),
+            ..request(&format!("held-{number}"))
         };
-        assert!(sent(owner.ask(now, &known, engines)).is_some());
-        owner.note(now, &Note::Started { run: known.run });
+        assert!(sent(owner.place(now, &known, engines)).is_some());
+        owner.apply_update(
+            now,
+            &GenerationUpdate::Started {
+                generation: known.generation,
+            },
+        );
     }
 }
 
 /// An ask that can't be in time any more.
-fn late(run: &str) -> Ask {
-    Ask {
-        aim_left: Duration::ZERO,
-        ..ask(run)
+fn late(generation: &str) -> PlacementRequest {
+    PlacementRequest {
+        objective_left: Duration::ZERO,
+        ..request(generation)
     }
 }
 
@@ -239,8 +256,8 @@
     let engines = [engine("e-1", "dc-1")];
     refuse_many(&mut owner, now);
     nearly_fill(&mut owner, now, &engines);
-    assert_eq!(sent(owner.ask(now, &late("late"), &engines)), None);
-    assert!(sent(owner.ask(now, &ask("new"), &engines)).is_some());
+    assert_eq!(sent(owner.place(now, &late("late"), &engines)), None);
+    assert!(sent(owner.place(now, &request("new"), &engines)).is_some());
 }
 
 /// Hardly anybody is refused, and a caller that came back is late. Kept out of the last room it would
@@ -250,7 +267,7 @@
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1")];
     nearly_fill(&mut owner, now, &engines);
-    assert!(sent(owner.ask(now, &late("late"), &engines)).is_some());
+    assert!(sent(owner.place(now, &late("late"), &engines)).is_some());
 }
 
 /// A long generation is moved when its engine is reclaimed, and the engine is gone before it has
@@ -262,19 +279,25 @@
     let full = engine("full", "dc-1");
     let free = engine("free", "dc-1");
     for number in 0..5 {
-        let run = format!("before-{number}");
+        let generation = format!("before-{number}");
         assert!(
-            sent(owner.ask(now, &ask(&run), std::slice::from_ref(&full))).is_some() || number > 2
+            sent(owner.place(now, &request(&generation), std::slice::from_ref(&full))).is_some()
+                || number > 2
+        );
+        owner.apply_update(
+            now,
+            &GenerationUpdate::Started {
+                generation: generation.into(),
+            },
         );
-        owner.note(now, &Note::Started { run: run.into() });
     }
-    let reading = Ask {
-        prompt: 1_400,
-        longest: 10,
-        hint: Some(4),
-        ..ask("reading")
+    let reading = PlacementRequest {
+        prompt_tokens: 1_400,
+        max_tokens: 10,
+        length_hint: Some(4),
+        ..request("reading")
     };
-    assert!(sent(owner.ask(now, &reading, std::slice::from_ref(&free))).is_some());
-    let got = sent(owner.ask(now, &ask("next"), &[full, free]));
+    assert!(sent(owner.place(now, &reading, std::slice::from_ref(&free))).is_some());
+    let got = sent(owner.place(now, &request("next"), &[full, free]));
     assert_eq!(got.as_deref(), Some("free"));
 }
--- a/components/placing/tests/paces.rs
+++ b/components/placing/tests/paces.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use placing::{Ask, Note, Owner, Running, Sync, Tuning};
-use support::{ask, engine, owner, sent};
+use placing::{ActiveGeneration, GenerationUpdate, Owner, PlacementRequest, StateSync, Tuning};
+use support::{engine, owner, request, sent};
 use types::Moment;
 
 const MS: Duration = Duration::from_millis(1);
@@ -14,20 +14,25 @@
 fn read_prompts(owner: &mut Owner, mut now: Moment, count: usize, read: Duration) -> Moment {
     let engines = [engine("e-1", "dc-1")];
     for number in 0..count {
-        let ask = Ask {
-            aim_left: Duration::from_secs(600),
-            ..ask(&format!("read-{number}"))
+        let request = PlacementRequest {
+            objective_left: Duration::from_secs(600),
+            ..request(&format!("read-{number}"))
         };
-        assert!(sent(owner.ask(now, &ask, &engines)).is_some());
+        assert!(sent(owner.place(now, &request, &engines)).is_some());
         now += read;
-        let run = ask.run;
-        owner.note(now, &Note::Started { run: run.clone() });
-        let ended = Note::Ended {
-            run,
-            doubt: false,
-            made: None,
+        let generation = request.generation;
+        owner.apply_update(
+            now,
+            &GenerationUpdate::Started {
+                generation: generation.clone(),
+            },
+        );
+        let ended = GenerationUpdate::Ended {
+            generation,
+            target_failed: false,
+            tokens_generated: None,
         };
-        owner.note(now, &ended);
+        owner.apply_update(now, &ended);
     }
     now
 }
@@ -36,7 +41,7 @@
 fn taken_together(owner: &mut Owner, now: Moment) -> usize {
     let engines = [engine("e-1", "dc-1")];
     (0..5)
-        .filter(|n| sent(owner.ask(now, &ask(&format!("now-{n}")), &engines)).is_some())
+        .filter(|n| sent(owner.place(now, &request(&format!("now-{n}")), &engines)).is_some())
         .count()
 }
 
@@ -68,30 +73,30 @@
 #[test]
 fn slow_generations_are_expected_to_end_later() {
     let mut owner = Owner::new(Tuning::default());
-    let next = ask("next");
-    let before = owner.ends_within(&next, Duration::from_secs(8));
+    let next = request("next");
+    let before = owner.completion_probability(&next, Duration::from_secs(8));
     let mut now = Duration::from_secs(100);
     for round in 1..60 {
         now += 700 * MS;
-        let running = |n: u32| Running {
-            run: format!("run-{n}").into(),
+        let running = |n: u32| ActiveGeneration {
+            generation: format!("run-{n}").into(),
             service: "drafts".into(),
             target: format!("e-{}", n % 4).into(),
-            prompt: 3_000,
-            made: round * 26,
+            prompt_tokens: 3_000,
+            tokens_generated: round * 26,
             route: "drafts".into(),
-            longest: 2_000,
-            hint: Some(1_000),
-            rank: 1,
+            max_tokens: 2_000,
+            length_hint: Some(1_000),
+            priority: 1,
             started: true,
         };
-        let sync = Sync {
+        let sync = StateSync {
             entry: "entry-1".into(),
             shard: next.shard.clone(),
-            runs: (0..30).map(running).collect(),
+            generations: (0..30).map(running).collect(),
         };
-        owner.sync(now, &sync);
+        owner.apply_sync(now, &sync);
     }
-    let after = owner.ends_within(&next, Duration::from_secs(8));
+    let after = owner.completion_probability(&next, Duration::from_secs(8));
     assert!(after < before / 1.5, "{before} before, {after} after");
 }
--- a/components/placing/tests/shards.rs
+++ b/components/placing/tests/shards.rs
@@ -4,37 +4,40 @@
 
 use std::{collections::BTreeSet, time::Duration};
 
-use placing::{Answer, Ask, Note, Running, Shard, ShardCounts, Sync};
+use placing::{
+    ActiveGeneration, GenerationUpdate, PlacementAnswer, PlacementRequest, Shard, ShardCounts,
+    StateSync,
+};
 use proptest::prelude::*;
-use support::{ask, engine, owner, sent};
+use support::{engine, owner, request, sent};
 use types::ServiceId;
 
 fn shard(service: &str, index: u32, of: u32) -> Shard {
     Shard::new(service.into(), index, of)
 }
 
-fn running(run: &str, service: &str, target: &str) -> Running {
-    Running {
-        run: run.into(),
+fn running(generation: &str, service: &str, target: &str) -> ActiveGeneration {
+    ActiveGeneration {
+        generation: generation.into(),
         service: service.into(),
         target: target.into(),
-        prompt: 3_000,
-        made: 10,
+        prompt_tokens: 3_000,
+        tokens_generated: 10,
         route: "drafts".into(),
-        longest: 2_000,
-        hint: None,
-        rank: 1,
+        max_tokens: 2_000,
+        length_hint: None,
+        priority: 1,
         started: true,
     }
 }
 
 #[test]
 fn a_service_of_today_has_one_account_and_a_large_one_many() {
-    assert_eq!(Shard::count(0), 1);
-    assert_eq!(Shard::count(64), 1);
-    assert_eq!(Shard::count(65), 2);
-    assert_eq!(Shard::count(1_000), 16);
-    assert_eq!(Shard::count(12_000), 256);
+    assert_eq!(Shard::count_for(0), 1);
+    assert_eq!(Shard::count_for(64), 1);
+    assert_eq!(Shard::count_for(65), 2);
+    assert_eq!(Shard::count_for(1_000), 16);
+    assert_eq!(Shard::count_for(12_000), 256);
 }
 
 /// One instance owns the accounts of two services. An entry tells what it holds of the one, and that
@@ -42,17 +45,17 @@
 #[test]
 fn what_an_entry_holds_of_one_account_says_nothing_of_another() {
     let (mut owner, now) = owner();
-    let tell = |service: &str, runs: Vec<Running>| Sync {
+    let tell = |service: &str, generations: Vec<ActiveGeneration>| StateSync {
         entry: "entry-1".into(),
         shard: shard(service, 0, 1),
-        runs,
+        generations,
     };
-    owner.sync(now, &tell("drafts", vec![running("a", "drafts", "e-1")]));
+    owner.apply_sync(now, &tell("drafts", vec![running("a", "drafts", "e-1")]));
     let later = now + Duration::from_secs(1);
-    owner.sync(later, &tell("tags", vec![running("b", "tags", "e-2")]));
-    assert!(owner.run("a").is_some() && owner.run("b").is_some());
-    owner.sync(later, &tell("drafts", Vec::new()));
-    assert!(owner.run("a").is_none() && owner.run("b").is_some());
+    owner.apply_sync(later, &tell("tags", vec![running("b", "tags", "e-2")]));
+    assert!(owner.generation("a").is_some() && owner.generation("b").is_some());
+    owner.apply_sync(later, &tell("drafts", Vec::new()));
+    assert!(owner.generation("a").is_none() && owner.generation("b").is_some());
 }
 
 /// Prompts wait for the engines of one account. Those of another are free, and nobody should wait
@@ -62,35 +65,38 @@
     let (mut owner, now) = owner();
     let full = [engine("e-1", "dc-1")];
     let free = [engine("e-2", "dc-1")];
-    let patient = |run: &str, index: u32| Ask {
+    let patient = |generation: &str, index: u32| PlacementRequest {
         shard: shard("drafts", index, 2),
-        aim_left: Duration::from_secs(60),
-        ..ask(run)
+        objective_left: Duration::from_secs(60),
+        ..request(generation)
     };
     let mut number = 0;
-    while sent(owner.ask(now, &patient(&format!("run-{number}"), 0), &full)).is_some() {
-        let run = format!("run-{number}").into();
-        owner.note(now, &Note::Started { run });
+    while sent(owner.place(now, &patient(&format!("run-{number}"), 0), &full)).is_some() {
+        let generation = format!("run-{number}").into();
+        owner.apply_update(now, &GenerationUpdate::Started { generation });
         number += 1;
     }
     let mut late = patient("late", 1);
-    late.rank = 9;
-    assert!(matches!(owner.ask(now, &late, &free), Answer::Go { .. }));
+    late.priority = 9;
+    assert!(matches!(
+        owner.place(now, &late, &free),
+        PlacementAnswer::Assigned { .. }
+    ));
 }
 
 proptest! {
     /// Each engine belongs to one part, whoever asks, and no part gets far more than another.
     #[test]
     fn parts_divide_the_engines_evenly(engines in 1..2_000_usize) {
-        let of = Shard::count(engines);
+        let of = Shard::count_for(engines);
         let mut counts = vec![0_usize; usize::try_from(of).expect("small")];
         for number in 0..engines {
             let id = format!("i-{number:010x}");
             let mine: BTreeSet<u32> = (0..of)
-                .filter(|index| shard("drafts", *index, of).holds(&id))
+                .filter(|index| shard("drafts", *index, of).contains(&id))
                 .collect();
             prop_assert_eq!(mine.len(), 1);
-            let with = Shard::with("drafts".into(), &id, of);
+            let with = Shard::of_target("drafts".into(), &id, of);
             prop_assert!(mine.contains(&with.index));
             counts[usize::try_from(with.index).expect("small")] += 1;
         }
@@ -109,7 +115,7 @@
     for wave in 0..20_u64 {
         for (after_ms, engines) in [(0, 63), (300, 74), (2_000, 63)] {
             let now = Duration::from_millis(wave * 3_300 + after_ms);
-            seen.push(counts.of(now, &service, engines));
+            seen.push(counts.count_for(now, &service, engines));
         }
     }
     seen.dedup();
@@ -120,7 +126,7 @@
 fn a_service_that_has_shrunk_for_good_has_fewer_parts_in_the_end() {
     let mut counts = ShardCounts::default();
     let service: ServiceId = "synopsis".into();
-    assert_eq!(counts.of(Duration::from_secs(1), &service, 200), 4);
-    assert_eq!(counts.of(Duration::from_secs(20), &service, 60), 4);
-    assert_eq!(counts.of(Duration::from_secs(32), &service, 60), 1);
+    assert_eq!(counts.count_for(Duration::from_secs(1), &service, 200), 4);
+    assert_eq!(counts.count_for(Duration::from_secs(20), &service, 60), 4);
+    assert_eq!(counts.count_for(Duration::from_secs(32), &service, 60), 1);
 }
--- a/components/placing/tests/support/load.rs
+++ b/components/placing/tests/support/load.rs
@@ -6,10 +6,10 @@
     time::Duration,
 };
 
-use placing::{Answer, Ask, Engine, Note, Owner, Tuning};
+use placing::{Engine, GenerationUpdate, Owner, PlacementAnswer, PlacementRequest, Tuning};
 use types::{Moment, TargetId, Tokens};
 
-use super::{ask, engine};
+use super::{engine, request};
 
 /// Time in which the first event should be out.
 pub const AIM: Duration = Duration::from_millis(1_800);
@@ -18,11 +18,11 @@
 /// Time between two tokens.
 const TOKEN: Duration = Duration::from_millis(9);
 /// Time that a caller waits before it gives up.
-const PATIENCE: Duration = Duration::from_secs(36);
+const CALLER_TIMEOUT: Duration = Duration::from_secs(36);
 
 /// A load.
 #[derive(Clone, Copy, Debug)]
-pub struct Load {
+pub struct Workload {
     /// Engines.
     pub engines: usize,
     /// Time between two callers.
@@ -30,7 +30,7 @@
     /// How long callers come.
     pub lasts: Duration,
     /// Tokens of the smallest and the largest prompt.
-    pub prompts: (Tokens, Tokens),
+    pub prompt_range: (Tokens, Tokens),
     /// Tokens of the shortest and the longest answer.
     pub answers: (Tokens, Tokens),
 }
@@ -43,7 +43,7 @@
     /// Its first event came late.
     Late,
     /// It was refused, came back and was refused again.
-    Refused,
+    RejectedRequest,
 }
 
 /// One caller, and what became of it.
@@ -52,7 +52,7 @@
     /// When it came first.
     pub came: Moment,
     /// Tokens of its prompt.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Tokens of its answer.
     pub answer: Tokens,
     /// How it fared, once that is known.
@@ -66,7 +66,7 @@
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Step {
     /// A caller's request asks; `came` is when this request arrived.
-    Ask { came: Moment },
+    Place { came: Moment },
     /// Its first event comes.
     Start,
     /// It ends.
@@ -74,7 +74,7 @@
 }
 
 /// Plays a load; tells how each caller fared.
-pub fn play(load: &Load, tuning: Tuning) -> Vec<Caller> {
+pub fn play(load: &Workload, tuning: Tuning) -> Vec<Caller> {
     let mut play = Play::new(load, tuning);
     while let Some(Reverse((now, number, step))) = play.steps.pop() {
         play.step(now, number, step);
@@ -97,7 +97,7 @@
 }
 
 impl Play {
-    fn new(load: &Load, tuning: Tuning) -> Self {
+    fn new(load: &Workload, tuning: Tuning) -> Self {
         let start = Duration::from_secs(100);
         let engines = (0..load.engines).map(|n| engine(&format!("e-{n}"), "dc-1"));
         let count = load.lasts.as_micros() / load.every.as_micros();
@@ -107,7 +107,7 @@
                 + load
                     .every
                     .saturating_mul(u32::try_from(n).unwrap_or_default()),
-            prompt: spread(n, 0.618, load.prompts),
+            prompt_tokens: spread(n, 0.618, load.prompt_range),
             answer: spread(n, 0.414, load.answers),
             fate: None,
             kept: Duration::ZERO,
@@ -115,7 +115,7 @@
         };
         let callers: Vec<Caller> = (0..count).map(caller).collect();
         let asks = callers.iter().enumerate();
-        let asks = asks.map(|(n, it)| Reverse((it.came, n, Step::Ask { came: it.came })));
+        let asks = asks.map(|(n, it)| Reverse((it.came, n, Step::Place { came: it.came })));
         Self {
             owner: Owner::new(tuning),
             engines: engines.collect(),
@@ -127,39 +127,46 @@
 
     fn step(&mut self, now: Moment, number: usize, step: Step) {
         match step {
-            Step::Ask { came } => self.ask(now, number, came),
+            Step::Place { came } => self.place(now, number, came),
             Step::Start => self.start(now, number),
             Step::End => {
-                let made = Some(self.callers[number].answer);
-                let run = run(number, &self.callers[number]).into();
-                let doubt = false;
-                self.owner.note(now, &Note::Ended { run, doubt, made });
+                let tokens_generated = Some(self.callers[number].answer);
+                let generation = generation(number, &self.callers[number]).into();
+                let target_failed = false;
+                self.owner.apply_update(
+                    now,
+                    &GenerationUpdate::Ended {
+                        generation,
+                        target_failed,
+                        tokens_generated,
+                    },
+                );
             }
         }
     }
 
-    fn ask(&mut self, now: Moment, number: usize, came: Moment) {
+    fn place(&mut self, now: Moment, number: usize, came: Moment) {
         let caller = &self.callers[number];
         let waited = now.saturating_sub(came);
-        let asked = Ask {
+        let evaluated = PlacementRequest {
             digest: u64::try_from(number).unwrap_or_default(),
-            prompt: caller.prompt,
-            hint: None,
-            aim_left: AIM.saturating_sub(waited),
-            left: (caller.came + PATIENCE).saturating_sub(now),
+            prompt_tokens: caller.prompt_tokens,
+            length_hint: None,
+            objective_left: AIM.saturating_sub(waited),
+            deadline_left: (caller.came + CALLER_TIMEOUT).saturating_sub(now),
             waited,
-            ..ask(&run(number, caller))
+            ..request(&generation(number, caller))
         };
-        match self.owner.ask(now, &asked, &self.engines) {
-            Answer::Go { target } => self.send(now, number, &target),
-            Answer::Wait { after } => self.push(now + after, number, Step::Ask { came }),
-            Answer::Full { after } => self.refuse(now, number, waited, after),
+        match self.owner.place(now, &evaluated, &self.engines) {
+            PlacementAnswer::Assigned { target } => self.send(now, number, &target),
+            PlacementAnswer::Wait { after } => self.push(now + after, number, Step::Place { came }),
+            PlacementAnswer::Rejected { after } => self.reject(now, number, waited, after),
         }
     }
 
     /// An engine reads one prompt after the other.
     fn send(&mut self, now: Moment, number: usize, target: &TargetId) {
-        let tokens = u32::try_from(self.callers[number].prompt).unwrap_or_default();
+        let tokens = u32::try_from(self.callers[number].prompt_tokens).unwrap_or_default();
         let read = Duration::from_secs_f64(f64::from(tokens) / READS / 1_000.0);
         let until = self.reads_until.entry(target.clone()).or_default();
         *until = now.max(*until) + read;
@@ -169,24 +176,29 @@
 
     fn start(&mut self, now: Moment, number: usize) {
         let caller = &mut self.callers[number];
-        let in_time = now.saturating_sub(caller.came) <= AIM;
-        caller.fate = Some(if in_time { Fate::InTime } else { Fate::Late });
+        let can_meet_objective = now.saturating_sub(caller.came) <= AIM;
+        caller.fate = Some(if can_meet_objective {
+            Fate::InTime
+        } else {
+            Fate::Late
+        });
         let tokens = u32::try_from(caller.answer).unwrap_or_default();
-        let run = run(number, caller).into();
-        self.owner.note(now, &Note::Started { run });
+        let generation = generation(number, caller).into();
+        self.owner
+            .apply_update(now, &GenerationUpdate::Started { generation });
         self.push(now + TOKEN.saturating_mul(tokens), number, Step::End);
     }
 
-    fn refuse(&mut self, now: Moment, number: usize, waited: Duration, after: Duration) {
+    fn reject(&mut self, now: Moment, number: usize, waited: Duration, after: Duration) {
         let caller = &mut self.callers[number];
         caller.kept = caller.kept.max(waited);
         if caller.told.is_some() {
-            caller.fate = Some(Fate::Refused);
+            caller.fate = Some(Fate::RejectedRequest);
             return;
         }
         let back = now + after;
         caller.told = Some(back);
-        self.push(back, number, Step::Ask { came: back });
+        self.push(back, number, Step::Place { came: back });
     }
 
     fn push(&mut self, at: Moment, number: usize, step: Step) {
@@ -195,7 +207,7 @@
 }
 
 /// A request's id: another one once its caller has come back.
-fn run(number: usize, caller: &Caller) -> String {
+fn generation(number: usize, caller: &Caller) -> String {
     format!("{number}-{}", u32::from(caller.told.is_some()))
 }
 
--- a/components/placing/tests/support/mod.rs
+++ b/components/placing/tests/support/mod.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use placing::{Answer, Ask, Engine, Owner, RequestDigest, Shard, Tuning};
+use placing::{Engine, Owner, PlacementAnswer, PlacementRequest, RequestDigest, Shard, Tuning};
 use types::{Moment, TargetId, Tokens};
 
 /// Tokens that an engine of these tests holds.
@@ -23,35 +23,37 @@
 }
 
 /// A digest for a request that nobody repeats.
-fn digest(run: &str) -> RequestDigest {
-    run.bytes().fold(7, |sum, byte| sum * 31 + u64::from(byte))
+fn digest(generation: &str) -> RequestDigest {
+    generation
+        .bytes()
+        .fold(7, |sum, byte| sum * 31 + u64::from(byte))
 }
 
 /// A long generation that somebody in `dc-1` asks for.
-pub fn ask(run: &str) -> Ask {
-    Ask {
-        run: run.into(),
-        digest: digest(run),
+pub fn request(generation: &str) -> PlacementRequest {
+    PlacementRequest {
+        generation: generation.into(),
+        digest: digest(generation),
         entry: "entry-1".into(),
         data_centre: "dc-1".into(),
         shard: Shard::new("drafts".into(), 0, 1),
         route: "drafts".into(),
-        prompt: 3_000,
-        longest: 2_000,
-        hint: Some(1_000),
-        rank: 1,
-        aim_left: Duration::from_millis(1_800),
-        left: Duration::from_secs(36),
+        prompt_tokens: 3_000,
+        max_tokens: 2_000,
+        length_hint: Some(1_000),
+        priority: 1,
+        objective_left: Duration::from_millis(1_800),
+        deadline_left: Duration::from_secs(36),
         waited: Duration::ZERO,
         avoid: Vec::new(),
     }
 }
 
 /// Where an ask is sent, if anywhere.
-pub fn sent(answer: Answer) -> Option<TargetId> {
+pub fn sent(answer: PlacementAnswer) -> Option<TargetId> {
     match answer {
-        Answer::Go { target } => Some(target),
-        Answer::Wait { .. } | Answer::Full { .. } => None,
+        PlacementAnswer::Assigned { target } => Some(target),
+        PlacementAnswer::Wait { .. } | PlacementAnswer::Rejected { .. } => None,
     }
 }
 
