--- a/components/policy/src/account.rs
+++ b/components/policy/src/account.rs
@@ -108,13 +108,13 @@
         let Some(report) = self.report.filter(|_| self.may_run_unknown_work) else {
             return occupied;
         };
-        let not_in_it: u32 = self
+        let not_in_report: u32 = self
             .permits
             .values()
             .filter(|permit| !permit.was_running_at(report.taken_at))
             .map(|permit| permit.slots)
             .sum();
-        occupied.max(report.report.running + report.report.waiting + not_in_it)
+        occupied.max(report.report.running + report.report.waiting + not_in_report)
     }
 
     /// Returns whether the target may get new work: it is in service, and its report is of the
@@ -232,9 +232,9 @@
         let Some(permit) = self.permits.get_mut(key) else {
             return;
         };
-        let span = now.saturating_sub(permit.updated_at).as_secs_f64();
-        if permit.produced > 0 && span > 0.0 && held.produced < held.max_output {
-            let rate = held.produced.saturating_sub(permit.produced) as f64 / span;
+        let elapsed = now.saturating_sub(permit.updated_at).as_secs_f64();
+        if permit.produced > 0 && elapsed > 0.0 && held.produced < held.max_output {
+            let rate = held.produced.saturating_sub(permit.produced) as f64 / elapsed;
             let weight = if self.token_rate > 0.0 {
                 RATE_WEIGHT
             } else {
@@ -262,8 +262,8 @@
         lengths: &mut LengthEstimator,
         tuning: &Tuning,
     ) -> &MemoryProjection {
-        let fresh = |at: Moment| now.saturating_sub(at) < MAX_PROJECTION_AGE;
-        if !self.projected_at.is_some_and(fresh) {
+        let is_fresh = |at: Moment| now.saturating_sub(at) < MAX_PROJECTION_AGE;
+        if !self.projected_at.is_some_and(is_fresh) {
             self.projection = MemoryProjection::new();
             for permit in self.permits.values() {
                 let source = GenerationSource {
@@ -271,13 +271,13 @@
                     route: &permit.route,
                     workspace: &permit.workspace,
                 };
-                let running = RunningGeneration {
+                let generation = RunningGeneration {
                     prompt_tokens: permit.prompt_tokens,
                     produced: permit.estimated_tokens(now, self.token_rate),
                     max_output: permit.max_output,
                     curve: lengths.curve(&source),
                 };
-                self.projection.add(&running, tuning.memory_estimate);
+                self.projection.add(&generation, tuning.memory_estimate);
             }
             self.projected_at = Some(now);
         }
--- a/components/policy/src/baseline/local.rs
+++ b/components/policy/src/baseline/local.rs
@@ -23,76 +23,76 @@
 struct RunningRequest {
     request: Request,
     target: TargetId,
-    tries: u32,
+    attempts: u32,
 }
 
 /// Places requests by the knowledge of one instance alone, with a given way to pick targets.
 pub struct LocalPolicy {
-    pick: Box<dyn TargetPicker>,
+    picker: Box<dyn TargetPicker>,
     view: View,
-    known: BTreeMap<TargetId, LocalTarget>,
+    targets: BTreeMap<TargetId, LocalTarget>,
     running: BTreeMap<RequestId, RunningRequest>,
     waiting: VecDeque<(Request, u32)>,
 }
 
 impl LocalPolicy {
-    /// Creates a baseline that picks targets with `pick`.
+    /// Creates a baseline that picks targets with `picker`.
     #[must_use]
-    pub fn new(pick: Box<dyn TargetPicker>) -> Self {
+    pub fn new(picker: Box<dyn TargetPicker>) -> Self {
         Self {
-            pick,
+            picker,
             view: View::default(),
-            known: BTreeMap::new(),
+            targets: BTreeMap::new(),
             running: BTreeMap::new(),
             waiting: VecDeque::new(),
         }
     }
 
-    fn place(&mut self, now: Moment, request: Request, tries: u32, out: &mut Vec<Action>) {
+    fn place(&mut self, now: Moment, request: Request, attempts: u32, out: &mut Vec<Action>) {
         if request.deadline <= now {
             refuse(request.id, out);
             return;
         }
-        let open = self.open(&request);
+        let available = self.available_targets(&request);
         let limits = self.view.limits.get(&request.service).cloned();
-        let picked = limits.and_then(|l| self.pick.pick(&request, &l, &self.known, &open));
-        let Some(known) = picked.and_then(|id| self.known.get_mut(&id)) else {
-            self.waiting.push_back((request, tries));
+        let picked = limits.and_then(|l| self.picker.pick(&request, &l, &self.targets, &available));
+        let Some(picked) = picked.and_then(|id| self.targets.get_mut(&id)) else {
+            self.waiting.push_back((request, attempts));
             return;
         };
-        known.running += 1;
+        picked.running += 1;
         let permit = DispatchPermit {
             permit: 0,
-            target: known.target.clone(),
+            target: picked.target.clone(),
             valid_until: now + PERMIT_LIFETIME,
         };
         out.push(Action::Dispatch {
             request: request.id,
             permit,
         });
-        let target = known.target.id.clone();
+        let target = picked.target.id.clone();
         self.running.insert(
             request.id,
             RunningRequest {
                 request,
                 target,
-                tries: tries + 1,
+                attempts: attempts + 1,
             },
         );
     }
 
-    fn open(&self, request: &Request) -> Vec<TargetId> {
-        let open = self.known.values().map(|k| &k.target).filter(|t| {
+    fn available_targets(&self, request: &Request) -> Vec<TargetId> {
+        let available = self.targets.values().map(|k| &k.target).filter(|t| {
             t.service == request.service
                 && t.standing == Standing::Live
                 && !self.view.data_centres_out.contains(&t.data_centre)
         });
-        open.map(|t| t.id.clone()).collect()
+        available.map(|t| t.id.clone()).collect()
     }
 
     fn end(&mut self, id: RequestId) -> Option<RunningRequest> {
         let running = self.running.remove(&id)?;
-        if let Some(known) = self.known.get_mut(&running.target) {
+        if let Some(known) = self.targets.get_mut(&running.target) {
             known.running = known.running.saturating_sub(1);
         }
         Some(running)
@@ -101,24 +101,24 @@
     fn place_waiting(&mut self, now: Moment, out: &mut Vec<Action>) {
         let mut waiting: Vec<(Request, u32)> = std::mem::take(&mut self.waiting).into();
         waiting.sort_by_key(|(request, _)| request.class);
-        for (request, tries) in waiting {
-            self.place(now, request, tries, out);
+        for (request, attempts) in waiting {
+            self.place(now, request, attempts, out);
         }
     }
 
-    fn change(&mut self, view: View) {
-        let mut known = BTreeMap::new();
+    fn apply_view(&mut self, view: View) {
+        let mut targets = BTreeMap::new();
         for target in &view.targets {
-            let before = self.known.remove(&target.id);
+            let before = self.targets.remove(&target.id);
             let (report, running) = before.map_or_else(Default::default, |k| (k.report, k.running));
             let entry = LocalTarget {
                 target: target.clone(),
                 report,
                 running,
             };
-            known.insert(target.id.clone(), entry);
+            targets.insert(target.id.clone(), entry);
         }
-        self.known = known;
+        self.targets = targets;
         self.view = view;
     }
 }
@@ -151,20 +151,20 @@
                     return;
                 };
                 let counted = !matches!(outcome, Outcome::Unsent);
-                let tries = running.tries - u32::from(!counted);
-                if retry && tries < MAX_ATTEMPTS {
-                    self.place(now, running.request, tries, out);
+                let attempts = running.attempts - u32::from(!counted);
+                if retry && attempts < MAX_ATTEMPTS {
+                    self.place(now, running.request, attempts, out);
                 } else if retry {
                     refuse(request, out);
                 }
                 self.place_waiting(now, out);
             }
             Event::TargetReported { target, report } => {
-                if let Some(known) = self.known.get_mut(&target) {
+                if let Some(known) = self.targets.get_mut(&target) {
                     known.report = report;
                 }
             }
-            Event::ViewChanged(view) => self.change(view),
+            Event::ViewChanged(view) => self.apply_view(view),
             Event::Tick => self.place_waiting(now, out),
             _ => {}
         }
--- a/components/policy/src/baseline/pick.rs
+++ b/components/policy/src/baseline/pick.rs
@@ -25,8 +25,8 @@
         &mut self,
         request: &Request,
         limits: &TargetLimits,
-        known: &BTreeMap<TargetId, LocalTarget>,
-        open: &[TargetId],
+        targets: &BTreeMap<TargetId, LocalTarget>,
+        available: &[TargetId],
     ) -> Option<TargetId>;
 }
 
@@ -41,11 +41,11 @@
         &mut self,
         _request: &Request,
         _limits: &TargetLimits,
-        _known: &BTreeMap<TargetId, LocalTarget>,
-        open: &[TargetId],
+        _targets: &BTreeMap<TargetId, LocalTarget>,
+        available: &[TargetId],
     ) -> Option<TargetId> {
         self.next = self.next.wrapping_add(1);
-        open.get(self.next % open.len().max(1)).cloned()
+        available.get(self.next % available.len().max(1)).cloned()
     }
 }
 
@@ -59,15 +59,15 @@
         &mut self,
         _request: &Request,
         _limits: &TargetLimits,
-        known: &BTreeMap<TargetId, LocalTarget>,
-        open: &[TargetId],
+        targets: &BTreeMap<TargetId, LocalTarget>,
+        available: &[TargetId],
     ) -> Option<TargetId> {
         let load = |id: &&TargetId| {
-            known
+            targets
                 .get(*id)
                 .map_or(0, |k| k.report.running + k.report.waiting + k.running)
         };
-        open.iter().min_by_key(load).cloned()
+        available.iter().min_by_key(load).cloned()
     }
 }
 
@@ -83,12 +83,12 @@
         &mut self,
         _request: &Request,
         limits: &TargetLimits,
-        known: &BTreeMap<TargetId, LocalTarget>,
-        open: &[TargetId],
+        targets: &BTreeMap<TargetId, LocalTarget>,
+        available: &[TargetId],
     ) -> Option<TargetId> {
-        let running = |id: &TargetId| known.get(id).map_or(0, |k| k.running);
+        let running = |id: &TargetId| targets.get(id).map_or(0, |k| k.running);
         let share = |id: &TargetId| {
-            let warm = known.get(id).is_none_or(|k| k.report.warm);
+            let warm = targets.get(id).is_none_or(|k| k.report.warm);
             let limit = if warm {
                 limits.warm_limit
             } else {
@@ -96,7 +96,7 @@
             };
             (limit / self.instances.max(1)).max(1)
         };
-        let free = open.iter().filter(|id| running(id) < share(id));
+        let free = available.iter().filter(|id| running(id) < share(id));
         free.min_by_key(|id| running(id)).cloned()
     }
 }
--- a/components/policy/src/choose.rs
+++ b/components/policy/src/choose.rs
@@ -32,24 +32,24 @@
 impl ShardState {
     pub(crate) fn demand<'a>(
         &self,
-        waiting: &'a QueuedRequest,
+        queued: &'a QueuedRequest,
         limits: &TargetLimits,
         owner_state: &mut OwnerState,
     ) -> Demand<'a> {
         let source = GenerationSource {
             service: &self.shard.service,
-            route: &waiting.ask.route,
-            workspace: &waiting.ask.workspace,
+            route: &queued.ask.route,
+            workspace: &queued.ask.workspace,
         };
         let generation = (limits.kind == ServiceKind::Model).then(|| RunningGeneration {
-            prompt_tokens: waiting.ask.prompt,
+            prompt_tokens: queued.ask.prompt,
             produced: 0,
-            max_output: waiting.ask.max_output,
+            max_output: queued.ask.max_output,
             curve: owner_state.lengths.curve(&source),
         });
         Demand {
-            ask: &waiting.ask,
-            class: waiting.effective_class,
+            ask: &queued.ask,
+            class: queued.effective_class,
             generation,
         }
     }
@@ -58,25 +58,25 @@
     pub(crate) fn choose(
         &self,
         now: Moment,
-        need: &Demand<'_>,
-        kept: &BTreeSet<TargetId>,
+        demand: &Demand<'_>,
+        reserved: &BTreeSet<TargetId>,
         limits: &TargetLimits,
         owner_state: &OwnerState,
     ) -> Option<TargetId> {
         self.accounts
             .iter()
             .filter(|(id, account)| {
-                !kept.contains(*id)
-                    && !need.ask.avoid.contains(id)
+                !reserved.contains(*id)
+                    && !demand.ask.avoid.contains(id)
                     && account.accepts_work(&owner_state.view)
-                    && self.free_slots(now, account, need.class, limits) > 0
+                    && self.free_slots(now, account, demand.class, limits) > 0
             })
             .filter_map(|(id, account)| {
-                let load = load_with(now, account, need, limits, owner_state)?;
-                let reuse = account.prefixes.cached_share(&need.ask.prefix);
+                let load = load_with(now, account, demand, limits, owner_state)?;
+                let cached_share = account.prefixes.cached_share(&demand.ask.prefix);
                 Some(Candidate {
                     target: id.clone(),
-                    score: load - MAX_CACHE_BONUS * reuse,
+                    score: load - MAX_CACHE_BONUS * cached_share,
                 })
             })
             .min_by(|a, b| a.score.total_cmp(&b.score))
@@ -110,20 +110,21 @@
     pub(crate) fn reserve_target(
         &self,
         ask: &Ask,
-        kept: &BTreeSet<TargetId>,
+        reserved: &BTreeSet<TargetId>,
         limits: &TargetLimits,
         owner_state: &OwnerState,
     ) -> Option<TargetId> {
-        let open: Vec<(&TargetId, &TargetAccount)> = self
+        let candidates: Vec<(&TargetId, &TargetAccount)> = self
             .accounts
             .iter()
             .filter(|(_, account)| account.accepts_work(&owner_state.view))
             .collect();
-        if kept.len() >= (open.len() / 4).max(1) {
+        if reserved.len() >= (candidates.len() / 4).max(1) {
             return None;
         }
-        open.into_iter()
-            .filter(|(id, _)| !kept.contains(*id) && !ask.avoid.contains(id))
+        candidates
+            .into_iter()
+            .filter(|(id, _)| !reserved.contains(*id) && !ask.avoid.contains(id))
             .min_by(|(_, a), (_, b)| {
                 let load = |account: &TargetAccount| {
                     account.last_projection().peak(&owner_state.tuning)
@@ -141,15 +142,15 @@
     pub(crate) fn slots_for(
         &self,
         now: Moment,
-        waiting: &QueuedRequest,
+        queued: &QueuedRequest,
         account: &TargetAccount,
         limits: &TargetLimits,
         owner_state: &OwnerState,
     ) -> u32 {
-        let room = self
-            .free_slots(now, account, waiting.effective_class, limits)
+        let free = self
+            .free_slots(now, account, queued.effective_class, limits)
             .max(1);
-        if waiting.ask.slots <= 1 {
+        if queued.ask.slots <= 1 {
             return 1;
         }
         let total: u32 = self
@@ -163,14 +164,14 @@
         for account in self.accounts.values() {
             for (key, permit) in &account.permits {
                 entries.insert(key.entry.clone());
-                if key.entry == waiting.entry {
+                if key.entry == queued.entry {
                     held += permit.slots;
                 }
             }
         }
         let share = total / u32::try_from(entries.len().max(1)).unwrap_or(u32::MAX);
         let fair = share.saturating_sub(held).max(1);
-        waiting.ask.slots.min(fair).min(room)
+        queued.ask.slots.min(fair).min(free)
     }
 }
 
@@ -179,23 +180,23 @@
 fn load_with(
     now: Moment,
     account: &TargetAccount,
-    need: &Demand<'_>,
+    demand: &Demand<'_>,
     limits: &TargetLimits,
     owner_state: &OwnerState,
 ) -> Option<f64> {
     let occupied = account.occupied_slots();
     let slots = account.limiter.slots(limits);
     let by_slots = f64::from(occupied + 1) / f64::from(slots.max(1));
-    let Some(running) = &need.generation else {
+    let Some(generation) = &demand.generation else {
         return Some(by_slots);
     };
     let capacity = account.capacity(limits).max(1);
     let mut projection = account.last_projection().clone();
-    projection.add(running, owner_state.tuning.memory_estimate);
+    projection.add(generation, owner_state.tuning.memory_estimate);
     let load = projection.peak(&owner_state.tuning) / capacity as f64;
     if occupied == 0 {
         // An idle engine is as empty as it can get, so waiting for more room would be pointless.
-        return (running.prompt_tokens < capacity).then_some(load);
+        return (generation.prompt_tokens < capacity).then_some(load);
     }
     let fits = load <= owner_state.tuning.admit_share
         && !account.is_admission_paused(now, &owner_state.tuning);
--- a/components/policy/src/entry/deadlines.rs
+++ b/components/policy/src/entry/deadlines.rs
@@ -15,24 +15,24 @@
     /// Refuses requests whose deadline has passed, or for which no owner or target has been found
     /// for too long.
     pub(super) fn refuse_expired(&mut self, now: Moment, out: &mut Vec<Action>) {
-        let late = |p: &&PendingRequest| match p.stage {
+        let overdue = |p: &&PendingRequest| match p.stage {
             Stage::Placed(_) => false,
             Stage::Asked(_) => p.request.deadline <= now,
             Stage::Waiting => p.request.deadline <= now || self.has_waited_too_long(now, p),
         };
-        let late: Vec<RequestId> = self
+        let overdue: Vec<RequestId> = self
             .requests
             .values()
-            .filter(late)
+            .filter(overdue)
             .map(|p| p.request.id)
             .collect();
-        for id in late {
+        for id in overdue {
             let pending = &self.requests[&id];
             let expired = pending.request.deadline <= now;
             let stage = pending.stage.clone();
             let service = pending.request.service.clone();
-            if let Stage::Asked(ask) = stage {
-                self.withdraw(ask, out);
+            if let Stage::Asked(permit_request) = stage {
+                self.withdraw(permit_request, out);
             }
             let refusal = if expired {
                 refusals::too_late(self.shards.retry_after(&service))
@@ -48,8 +48,8 @@
     /// Returns whether a request has waited too long for an owner or a target. The target listing
     /// lags and ownership changes, so that a short absence of either is tolerated.
     fn has_waited_too_long(&self, now: Moment, pending: &PendingRequest) -> bool {
-        let serves = self.shards.has_targets(&pending.request.service);
-        let limit = if serves {
+        let has_targets = self.shards.has_targets(&pending.request.service);
+        let limit = if has_targets {
             NO_OWNER_TIMEOUT
         } else {
             NO_TARGET_TIMEOUT
--- a/components/policy/src/entry/held_report.rs
+++ b/components/policy/src/entry/held_report.rs
@@ -14,7 +14,7 @@
 };
 
 /// Interval between two reports of the permits held.
-pub const REPORT_PERIOD: Duration = Duration::from_millis(250);
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Entry {
     /// Ends a request's use of its permit, and returns the permit if nothing else can use it.
@@ -32,20 +32,20 @@
         permit.users.remove(&id);
         permit.tally.add(outcome);
         self.fill_block(now, key, out);
-        if self.permits.get(&key).is_some_and(|p| p.is_idle(now)) {
+        if self.permits.get(&key).is_some_and(|p| p.is_returnable(now)) {
             self.return_permit(key, out);
         }
     }
 
     /// Returns the permits that nothing uses and nothing can use any more.
-    pub(super) fn return_idle_permits(&mut self, now: Moment, out: &mut Vec<Action>) {
-        let spent: Vec<PermitKey> = self
+    pub(super) fn return_unneeded_permits(&mut self, now: Moment, out: &mut Vec<Action>) {
+        let returnable: Vec<PermitKey> = self
             .permits
             .values()
-            .filter(|p| p.is_idle(now))
+            .filter(|p| p.is_returnable(now))
             .map(|p| p.key)
             .collect();
-        for key in spent {
+        for key in returnable {
             self.return_permit(key, out);
         }
     }
@@ -69,7 +69,7 @@
     /// Reports to each owner all permits held of it. A lost `Done` or `Grant` would otherwise leave
     /// memory reserved for ever.
     pub(super) fn report_held(&mut self, now: Moment, out: &mut Vec<Action>) {
-        if now.saturating_sub(self.last_report_at) < REPORT_PERIOD {
+        if now.saturating_sub(self.last_report_at) < REPORT_INTERVAL {
             return;
         }
         self.last_report_at = now;
--- a/components/policy/src/entry/machine.rs
+++ b/components/policy/src/entry/machine.rs
@@ -154,7 +154,7 @@
         let before = self.requests.insert(request.id, pending);
         assert!(before.is_none(), "request {} arrived twice", request.id);
         if request.kind == ServiceKind::Plain {
-            self.call_demand.arrive(now, &request.service);
+            self.call_demand.record_call(now, &request.service);
         }
         self.place(now, request.id, out);
     }
@@ -221,10 +221,10 @@
         now: Moment,
         id: RequestId,
         outcome: Outcome,
-        again: bool,
+        retry: bool,
         out: &mut Vec<Action>,
     ) {
-        if !again {
+        if !retry {
             self.remove_request(now, id, outcome, out);
             return;
         }
@@ -233,7 +233,7 @@
         };
         assert!(
             !pending.seen,
-            "request {id} is to run again though its caller has seen tokens"
+            "request {id} is to be retried although its caller has seen tokens"
         );
         let Stage::Placed(key) = std::mem::replace(&mut pending.stage, Stage::Waiting) else {
             return;
@@ -288,7 +288,7 @@
         self.retry_unanswered(now, out);
         self.place_waiting(now, out);
         self.rebalance(now, out);
-        self.return_idle_permits(now, out);
+        self.return_unneeded_permits(now, out);
         self.refill(now, out);
         self.report_held(now, out);
     }
--- a/components/policy/src/entry/owner_messages.rs
+++ b/components/policy/src/entry/owner_messages.rs
@@ -10,7 +10,7 @@
     entry::{
         machine::Entry,
         pending::{DENIED_RETRY_DELAY, MOVE_AFTER, Stage},
-        permit::{Permit, PermitKey, Tally},
+        permit::{OutcomeTally, Permit, PermitKey},
         refusals,
     },
 };
@@ -31,17 +31,17 @@
         {
             return;
         }
-        let until = grant.stamp + grant.life;
+        let valid_until = grant.stamp + grant.life;
         let request = self.permit_requests.remove(&grant.ask).map(|a| a.request);
         let target = self.granted_target(grant);
-        let (Some(request), Some(target), true) = (request, target, until > now) else {
+        let (Some(request), Some(target), true) = (request, target, valid_until > now) else {
             return_unused(from, grant, out);
             self.retry_request(now, request.flatten(), out);
             return;
         };
-        let asker = request.and_then(|id| self.requests.get(&id));
-        let block = self.call_demand.contains(&grant.shard.service);
-        if asker.is_none() && !block {
+        let requester = request.and_then(|id| self.requests.get(&id));
+        let is_plain = self.call_demand.contains(&grant.shard.service);
+        if requester.is_none() && !is_plain {
             return_unused(from, grant, out);
             return;
         }
@@ -71,7 +71,7 @@
         request: Option<RequestId>,
         target: Target,
     ) -> Permit {
-        let asker = request
+        let requester = request
             .and_then(|id| self.requests.get(&id))
             .map(|p| &p.request);
         Permit {
@@ -82,16 +82,16 @@
             valid_until: grant.stamp + grant.life,
             slots: grant.slots,
             cold: grant.cold,
-            kind: asker.map_or(ServiceKind::Plain, |r| r.kind),
-            workspace: asker.map_or_else(|| WorkspaceId::from(""), |r| r.workspace.clone()),
-            route: asker.map_or_else(|| RouteId::from(""), |r| r.route.clone()),
-            class: asker.map_or_else(Default::default, |r| r.class),
-            prompt_tokens: asker.map_or(0, |r| r.prompt_tokens),
-            max_output: asker.map_or(0, |r| r.max_output),
+            kind: requester.map_or(ServiceKind::Plain, |r| r.kind),
+            workspace: requester.map_or_else(|| WorkspaceId::from(""), |r| r.workspace.clone()),
+            route: requester.map_or_else(|| RouteId::from(""), |r| r.route.clone()),
+            class: requester.map_or_else(Default::default, |r| r.class),
+            prompt_tokens: requester.map_or(0, |r| r.prompt_tokens),
+            max_output: requester.map_or(0, |r| r.max_output),
             users: BTreeSet::new(),
             produced: 0,
             seen: false,
-            tally: Tally::default(),
+            tally: OutcomeTally::default(),
         }
     }
 
@@ -140,13 +140,13 @@
     pub(super) fn handle_revoke(
         &mut self,
         from: &InstanceId,
-        recall: &Recall,
+        revoke: &Recall,
         out: &mut Vec<Action>,
     ) {
         let permit = self
             .permits
             .values()
-            .find(|p| p.owner == *from && p.shard == recall.shard && p.key.1 == recall.permit);
+            .find(|p| p.owner == *from && p.shard == revoke.shard && p.key.1 == revoke.permit);
         let Some(permit) = permit else { return };
         if permit.kind == ServiceKind::Plain {
             return;
@@ -192,13 +192,13 @@
             .map(|a| a.shard.clone())
             .collect();
         for from in shards {
-            let mut mine = self.movable_requests(now, &from);
-            let Some(plan) = self.shards.plan_rebalance(&from, mine.len()) else {
+            let mut own_requests = self.movable_requests(now, &from);
+            let Some(plan) = self.shards.plan_rebalance(&from, own_requests.len()) else {
                 continue;
             };
-            mine.truncate(plan.count);
-            for (ask, id) in mine {
-                self.withdraw(ask, out);
+            own_requests.truncate(plan.count);
+            for (permit_request, id) in own_requests {
+                self.withdraw(permit_request, out);
                 self.request_permit_from(now, id, plan.to.clone(), plan.owner.clone(), out);
             }
         }
@@ -207,17 +207,25 @@
     /// This entry's requests that have waited at a shard for a while, last in order of service
     /// first.
     fn movable_requests(&self, now: Moment, shard: &Shard) -> Vec<(AskId, RequestId)> {
-        let mut found = Vec::new();
-        for (ask, sent) in &self.permit_requests {
-            let waits = now.saturating_sub(sent.sent_at) >= MOVE_AFTER;
-            if let Some(id) = sent.request.filter(|_| waits && sent.shard == *shard)
+        let mut movable = Vec::new();
+        for (permit_request, sent) in &self.permit_requests {
+            let has_waited = now.saturating_sub(sent.sent_at) >= MOVE_AFTER;
+            if let Some(id) = sent.request.filter(|_| has_waited && sent.shard == *shard)
                 && let Some(pending) = self.requests.get(&id)
             {
-                found.push((pending.request.class, pending.request.deadline, *ask, id));
+                movable.push((
+                    pending.request.class,
+                    pending.request.deadline,
+                    *permit_request,
+                    id,
+                ));
             }
         }
-        found.sort_by(|a, b| b.cmp(a));
-        found.into_iter().map(|(_, _, ask, id)| (ask, id)).collect()
+        movable.sort_by(|a, b| b.cmp(a));
+        movable
+            .into_iter()
+            .map(|(_, _, permit_request, id)| (permit_request, id))
+            .collect()
     }
 }
 
--- a/components/policy/src/entry/permit.rs
+++ b/components/policy/src/entry/permit.rs
@@ -51,7 +51,7 @@
     /// Whether any of them reached the caller.
     pub seen: bool,
     /// Outcomes of the calls that have ended.
-    pub tally: Tally,
+    pub tally: OutcomeTally,
 }
 
 impl Permit {
@@ -63,7 +63,7 @@
 
     /// Returns whether nothing uses it and nothing may use it any more.
     #[must_use]
-    pub fn is_idle(&self, now: Moment) -> bool {
+    pub fn is_returnable(&self, now: Moment) -> bool {
         self.users.is_empty()
             && (self.valid_until <= now || self.cold || self.kind == ServiceKind::Model)
     }
@@ -96,17 +96,17 @@
 
 /// Outcomes of the calls under one permit.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tally {
+pub struct OutcomeTally {
     finished: u32,
     produced: Tokens,
-    first: Duration,
-    took: Duration,
+    first_token_time: Duration,
+    duration: Duration,
     cancelled: bool,
     failed: bool,
     overloaded: bool,
 }
 
-impl Tally {
+impl OutcomeTally {
     /// Adds the outcome of one call.
     pub fn add(&mut self, outcome: Outcome) {
         match outcome {
@@ -118,8 +118,8 @@
             } => {
                 self.finished += 1;
                 self.produced += produced;
-                self.first += first;
-                self.took += took;
+                self.first_token_time += first;
+                self.duration += took;
             }
             Outcome::Cancelled { produced } => {
                 self.cancelled = true;
@@ -140,8 +140,8 @@
         } else if self.finished > 0 {
             Outcome::Finished {
                 produced: self.produced / Tokens::from(self.finished),
-                first: self.first / self.finished,
-                took: self.took / self.finished,
+                first: self.first_token_time / self.finished,
+                took: self.duration / self.finished,
             }
         } else if self.cancelled {
             Outcome::Cancelled {
--- a/components/policy/src/entry/permit_requests.rs
+++ b/components/policy/src/entry/permit_requests.rs
@@ -37,7 +37,7 @@
         };
         pending.stage = Stage::Asked(ask);
         let request = &pending.request;
-        let told = request.true_output.filter(|_| self.known_lengths);
+        let known_length = request.true_output.filter(|_| self.known_lengths);
         let message = Ask {
             shard: shard.clone(),
             ask,
@@ -49,19 +49,19 @@
             within: request.deadline.saturating_sub(now),
             waited: now.saturating_sub(pending.arrived_at),
             prompt: request.prompt_tokens,
-            max_output: told.unwrap_or(request.max_output),
+            max_output: known_length.unwrap_or(request.max_output),
             slots: self.call_demand.slots(request),
             prefix: request.prefix.clone(),
             avoid: pending.avoid.clone(),
         };
         self.shards.record_permit_request(&shard, &request.prefix);
-        let sent = OutstandingPermitRequest {
+        let outstanding = OutstandingPermitRequest {
             request: Some(id),
             shard,
             owner: owner.clone(),
             sent_at: now,
         };
-        self.permit_requests.insert(ask, sent);
+        self.permit_requests.insert(ask, outstanding);
         out.push(Action::Send {
             to: owner,
             message: message.into(),
@@ -75,28 +75,30 @@
 
     /// Withdraws a permit request. If it is granted meanwhile, the permit is returned on arrival.
     pub(super) fn withdraw(&mut self, ask: AskId, out: &mut Vec<Action>) {
-        let Some(sent) = self.permit_requests.remove(&ask) else {
+        let Some(outstanding) = self.permit_requests.remove(&ask) else {
             return;
         };
         let message = Withdraw {
-            shard: sent.shard,
+            shard: outstanding.shard,
             ask,
         };
         out.push(Action::Send {
-            to: sent.owner,
+            to: outstanding.owner,
             message: message.into(),
         });
     }
 
     /// Repeats permit requests that have not been answered in time.
     pub(super) fn retry_unanswered(&mut self, now: Moment, out: &mut Vec<Action>) {
-        let silent: Vec<(AskId, Option<RequestId>)> = self
+        let unanswered: Vec<(AskId, Option<RequestId>)> = self
             .permit_requests
             .iter()
-            .filter(|(_, sent)| now.saturating_sub(sent.sent_at) >= PERMIT_REQUEST_TIMEOUT)
-            .map(|(ask, sent)| (*ask, sent.request))
+            .filter(|(_, outstanding)| {
+                now.saturating_sub(outstanding.sent_at) >= PERMIT_REQUEST_TIMEOUT
+            })
+            .map(|(ask, outstanding)| (*ask, outstanding.request))
             .collect();
-        for (ask, request) in silent {
+        for (ask, request) in unanswered {
             self.withdraw(ask, out);
             self.retry_request(now, request, out);
         }
--- a/components/policy/src/entry/plain_calls.rs
+++ b/components/policy/src/entry/plain_calls.rs
@@ -26,30 +26,33 @@
 
 /// Demand for plain calls of one service at this entry.
 #[derive(Clone, Debug)]
-struct Demand {
+struct ServiceDemand {
     last_call_at: Moment,
     last_request: Option<Request>,
     /// Maximum number of concurrent calls since the last refill.
     peak: u32,
     /// No block is requested before this moment.
-    pause_until: Moment,
+    refill_not_before: Moment,
 }
 
 /// Demand for plain calls by service.
 #[derive(Debug, Default)]
 pub struct CallDemand {
-    by_service: BTreeMap<ServiceId, Demand>,
+    by_service: BTreeMap<ServiceId, ServiceDemand>,
 }
 
 impl CallDemand {
     /// Records the arrival of a call.
-    pub fn arrive(&mut self, now: Moment, service: &ServiceId) {
-        let demand = self.by_service.entry(service.clone()).or_insert(Demand {
-            last_call_at: now,
-            last_request: None,
-            peak: 1,
-            pause_until: Moment::ZERO,
-        });
+    pub fn record_call(&mut self, now: Moment, service: &ServiceId) {
+        let demand = self
+            .by_service
+            .entry(service.clone())
+            .or_insert(ServiceDemand {
+                last_call_at: now,
+                last_request: None,
+                peak: 1,
+                refill_not_before: Moment::ZERO,
+            });
         demand.last_call_at = now;
     }
 
@@ -63,7 +66,7 @@
     /// are returned unused; requesting them again at once would only pass them to and fro.
     pub fn pause_refill(&mut self, now: Moment, service: &ServiceId) {
         if let Some(demand) = self.by_service.get_mut(service) {
-            demand.pause_until = now + COLD_REFILL_DELAY;
+            demand.refill_not_before = now + COLD_REFILL_DELAY;
         }
     }
 
@@ -144,12 +147,12 @@
         {
             return None;
         }
-        let waits = |p: &&PendingRequest| {
+        let is_eligible = |p: &&PendingRequest| {
             p.request.service == permit.shard.service
                 && !matches!(p.stage, Stage::Placed(_))
                 && !p.avoid.contains(&permit.target.id)
         };
-        let waiting = self.requests.values().filter(waits);
+        let waiting = self.requests.values().filter(is_eligible);
         waiting
             .min_by_key(|p| (p.request.class, p.request.deadline))
             .map(|p| p.request.id)
@@ -164,19 +167,19 @@
     }
 
     fn refill_service(&mut self, now: Moment, service: &ServiceId, out: &mut Vec<Action>) {
-        let out_already = self
+        let is_requested = self
             .permit_requests
             .values()
             .any(|a| a.request.is_none() && a.shard.service == *service);
-        let fresh = self.permits.values().any(|p| {
+        let has_fresh_block = self.permits.values().any(|p| {
             p.shard.service == *service && p.valid_until > now + MIN_BLOCK_LIFETIME && !p.cold
         });
         let Some(demand) = self.call_demand.by_service.get_mut(service) else {
             return;
         };
-        if fresh
-            || out_already
-            || now < demand.pause_until
+        if has_fresh_block
+            || is_requested
+            || now < demand.refill_not_before
             || now.saturating_sub(demand.last_call_at) >= IDLE_TIMEOUT
         {
             return;
--- a/components/policy/src/entry/shard_directory.rs
+++ b/components/policy/src/entry/shard_directory.rs
@@ -75,10 +75,10 @@
             info.targets = 0;
         }
         for target in &view.targets {
-            let open = target.standing == Standing::Live
+            let accepts_work = target.standing == Standing::Live
                 && !view.data_centres_out.contains(&target.data_centre);
             let shard = Shard::new(&target.service, &target.data_centre);
-            self.shards.entry(shard).or_default().targets += u32::from(open);
+            self.shards.entry(shard).or_default().targets += u32::from(accepts_work);
         }
     }
 
@@ -161,7 +161,7 @@
     /// the whole queue would change from shard to shard with every heartbeat, and stand in hundreds
     /// beside empty ones. Each instance therefore moves its part of half the difference, and only
     /// once per summary.
-    pub fn plan_rebalance(&mut self, from: &Shard, mine: usize) -> Option<Rebalance> {
+    pub fn plan_rebalance(&mut self, from: &Shard, own_requests: usize) -> Option<Rebalance> {
         let here = self.shards.get_mut(from)?;
         if !std::mem::take(&mut here.is_summary_new) {
             return None;
@@ -172,9 +172,9 @@
         if to == *from {
             return None;
         }
-        let level = (queued * targets_there - queued_there * targets) / (targets + targets_there);
-        let part = mine as f32 / queued.max(1.0);
-        let count = (level * part * REBALANCE_SHARE).round();
+        let surplus = (queued * targets_there - queued_there * targets) / (targets + targets_there);
+        let own_share = own_requests as f32 / queued.max(1.0);
+        let count = (surplus * own_share * REBALANCE_SHARE).round();
         (count >= 1.0).then_some(Rebalance {
             to,
             owner,
@@ -193,8 +193,8 @@
         let load = summary.map_or(0.0, |s| s.load);
         // Until the next summary the other instances, which see the same ones, choose the same way.
         // Without counting their requests all would rush to one shard.
-        let asked = info.requests_since_summary * self.instances;
-        let queued = summary.map_or(0, |s| s.queued) + asked;
+        let requested = info.requests_since_summary * self.instances;
+        let queued = summary.map_or(0, |s| s.queued) + requested;
         let targets = summary.map_or(info.targets, |s| s.targets).max(1);
         let mut score = load + queued_per_target(queued, targets);
         if self.home.as_ref() != Some(&shard.data_centre) {
@@ -203,8 +203,8 @@
         if summary.is_some_and(|s| !s.granting) {
             score += 1.0;
         }
-        let seen = prefix.first().and_then(|block| self.prefixes.get(block));
-        if load < MAX_AFFINITY_LOAD && seen == Some(&shard.data_centre) {
+        let cached_in = prefix.first().and_then(|block| self.prefixes.get(block));
+        if load < MAX_AFFINITY_LOAD && cached_in == Some(&shard.data_centre) {
             score -= AFFINITY_BONUS;
         }
         score
--- a/components/policy/src/entry/view_changes.rs
+++ b/components/policy/src/entry/view_changes.rs
@@ -12,14 +12,14 @@
         self.view = view.clone();
         self.shards.update(view);
         // Requests to shards that no longer take work are placed elsewhere at once.
-        let closed: Vec<(AskId, Option<RequestId>)> = self
+        let without_targets: Vec<(AskId, Option<RequestId>)> = self
             .permit_requests
             .iter()
             .filter(|(_, a)| self.shards.get(&a.shard).is_none_or(|i| i.targets == 0))
-            .map(|(ask, a)| (*ask, a.request))
+            .map(|(permit_request, a)| (*permit_request, a.request))
             .collect();
-        for (ask, request) in closed {
-            self.withdraw(ask, out);
+        for (permit_request, request) in without_targets {
+            self.withdraw(permit_request, out);
             self.retry_request(now, request, out);
         }
         self.place_waiting(now, out);
@@ -41,10 +41,13 @@
             .permit_requests
             .iter()
             .filter(|(_, a)| a.shard == *shard)
-            .map(|(ask, _)| *ask)
+            .map(|(permit_request, _)| *permit_request)
             .collect();
-        for ask in lost {
-            let request = self.permit_requests.remove(&ask).and_then(|a| a.request);
+        for permit_request in lost {
+            let request = self
+                .permit_requests
+                .remove(&permit_request)
+                .and_then(|a| a.request);
             self.retry_request(now, request, out);
         }
         self.place_waiting(now, out);
@@ -55,10 +58,13 @@
             .permit_requests
             .iter()
             .filter(|(_, a)| a.owner == *peer)
-            .map(|(ask, _)| *ask)
+            .map(|(permit_request, _)| *permit_request)
             .collect();
-        for ask in lost {
-            let request = self.permit_requests.remove(&ask).and_then(|a| a.request);
+        for permit_request in lost {
+            let request = self
+                .permit_requests
+                .remove(&permit_request)
+                .and_then(|a| a.request);
             self.retry_request(now, request, out);
         }
     }
--- a/components/policy/src/grant_rate.rs
+++ b/components/policy/src/grant_rate.rs
@@ -29,13 +29,13 @@
 
     /// Records a grant; `waiting` is the number of requests of the class that still wait.
     pub fn record_grant(&mut self, now: Moment, class: Class, waiting: usize) {
-        let pace = &mut self.classes[class as usize];
-        if let Some(last) = pace.last_grant {
+        let rate = &mut self.classes[class as usize];
+        if let Some(last) = rate.last_grant {
             let gap = now.saturating_sub(last).as_secs_f64();
-            let between = pace.mean_interval_s.get_or_insert(gap);
-            *between += WEIGHT * (gap - *between);
+            let interval = rate.mean_interval_s.get_or_insert(gap);
+            *interval += WEIGHT * (gap - *interval);
         }
-        pace.last_grant = (waiting > 0).then_some(now);
+        rate.last_grant = (waiting > 0).then_some(now);
     }
 
     /// Records that a request of the class waits from now on.
@@ -47,13 +47,13 @@
     /// `None` without observations.
     #[must_use]
     pub fn interval(&self, now: Moment, class: Class) -> Option<Duration> {
-        let pace = &self.classes[class as usize];
-        let mut between = pace.mean_interval_s?;
-        let stalled = pace
+        let rate = &self.classes[class as usize];
+        let mut interval = rate.mean_interval_s?;
+        let stalled = rate
             .last_grant
             .map_or(0.0, |last| now.saturating_sub(last).as_secs_f64());
-        between += WEIGHT * (stalled - between).max(0.0);
-        Some(Duration::from_secs_f64(between))
+        interval += WEIGHT * (stalled - interval).max(0.0);
+        Some(Duration::from_secs_f64(interval))
     }
 
     /// Returns the expected wait behind `ahead` requests of the same class; `None` without
--- a/components/policy/src/granting.rs
+++ b/components/policy/src/granting.rs
@@ -56,43 +56,49 @@
         out: &mut Vec<Action>,
     ) -> bool {
         self.refresh_projections(now, limits, owner_state);
-        let mut kept: BTreeSet<TargetId> = BTreeSet::new();
-        let mut passed: Vec<QueuePosition> = Vec::new();
-        for place in self.queue.service_order() {
-            let Some(waiting) = self.queue.get(place).cloned() else {
+        let mut reserved_targets: BTreeSet<TargetId> = BTreeSet::new();
+        let mut overtaken: Vec<QueuePosition> = Vec::new();
+        for position in self.queue.service_order() {
+            let Some(queued) = self.queue.get(position).cloned() else {
                 continue;
             };
-            let peer = owner_state.entries.get(&waiting.entry).copied();
-            let Some(peer) = peer.filter(|peer| peer.is_recent(now)) else {
+            let contact = owner_state.entries.get(&queued.entry).copied();
+            let Some(contact) = contact.filter(|contact| contact.is_recent(now)) else {
                 continue;
             };
-            let need = self.demand(&waiting, limits, owner_state);
-            if let Some(target) = self.choose(now, &need, &kept, limits, owner_state) {
-                self.record_bypassed(&passed, waiting.effective_class);
-                self.grant(now, place, &target, peer, limits, owner_state, out);
+            let demand = self.demand(&queued, limits, owner_state);
+            if let Some(target) = self.choose(now, &demand, &reserved_targets, limits, owner_state)
+            {
+                self.record_bypassed(&overtaken, queued.effective_class);
+                self.grant(now, position, &target, contact, limits, owner_state, out);
                 return true;
             }
-            if waiting.bypassed >= BYPASS_LIMIT {
-                kept.extend(self.reserve_target(&waiting.ask, &kept, limits, owner_state));
+            if queued.bypassed >= BYPASS_LIMIT {
+                reserved_targets.extend(self.reserve_target(
+                    &queued.ask,
+                    &reserved_targets,
+                    limits,
+                    owner_state,
+                ));
             }
-            passed.push(place);
+            overtaken.push(position);
         }
         false
     }
 
     /// Records that a request of class `rank` overtakes the ones in `passed`.
-    fn record_bypassed(&mut self, passed: &[QueuePosition], rank: Class) {
-        for place in passed {
+    fn record_bypassed(&mut self, overtaken: &[QueuePosition], class: Class) {
+        for position in overtaken {
             let less_urgent = self
                 .queue
-                .get(*place)
-                .is_some_and(|w| w.effective_class < rank);
+                .get(*position)
+                .is_some_and(|w| w.effective_class < class);
             let times = if less_urgent {
                 LESS_URGENT_BYPASS_WEIGHT
             } else {
                 1
             };
-            self.queue.record_bypass(*place, times);
+            self.queue.record_bypass(*position, times);
         }
     }
 
@@ -119,38 +125,38 @@
     fn grant(
         &mut self,
         now: Moment,
-        place: QueuePosition,
+        position: QueuePosition,
         id: &TargetId,
-        peer: EntryContact,
+        contact: EntryContact,
         limits: &TargetLimits,
         owner_state: &mut OwnerState,
         out: &mut Vec<Action>,
     ) {
-        let granting = self.can_grant(now);
+        let can_grant = self.can_grant(now);
         assert!(
-            granting,
-            "granted on {} before everybody told what it holds; last events:\n{}",
+            can_grant,
+            "granted a permit on {} before all entries had reported the permits they hold; last events:\n{}",
             self.shard,
             owner_state.decision_log.to_text()
         );
-        let Some(waiting) = self.queue.get(place).cloned() else {
+        let Some(queued) = self.queue.get(position).cloned() else {
             return;
         };
         let Some(target) = self.accounts.get(id).and_then(|a| a.listed.clone()) else {
             return;
         };
-        let need = self.demand(&waiting, limits, owner_state);
-        let slots = self.slots_for(now, &waiting, &self.accounts[id], limits, owner_state);
+        let demand = self.demand(&queued, limits, owner_state);
+        let slots = self.slots_for(now, &queued, &self.accounts[id], limits, owner_state);
         let calls = f64::from(slots) * TOKENS_PER_PLAIN_CALL;
-        let tokens = need
+        let tokens = demand
             .generation
             .as_ref()
             .map_or(calls, RunningGeneration::expected_final_tokens);
-        self.queue.dequeue_and_charge(place, tokens);
+        self.queue.dequeue_and_charge(position, tokens);
         self.grant_rate.record_grant(
             now,
-            waiting.effective_class,
-            self.queue.len_of(waiting.effective_class),
+            queued.effective_class,
+            self.queue.len_of(queued.effective_class),
         );
         let Some(account) = self.accounts.get_mut(id) else {
             return;
@@ -158,17 +164,17 @@
         let grant = Grant {
             shard: self.shard.clone(),
             epoch: self.epoch,
-            ask: waiting.ask.ask,
+            ask: queued.ask.ask,
             permit: owner_state.next_permit(),
             target: target.id.clone(),
             incarnation: target.incarnation,
-            reserved: if need.generation.is_some() {
+            reserved: if demand.generation.is_some() {
                 tokens as u64
             } else {
                 0
             },
             slots,
-            stamp: peer.stamp,
+            stamp: contact.stamp,
             life: PERMIT_LIFE,
             cold: account.limiter.is_cold(),
         };
@@ -176,24 +182,24 @@
             now,
             format!(
                 "permit {} for ask {} of {} on {id}, {slots} slots, cold {}",
-                grant.permit, grant.ask, waiting.entry, grant.cold
+                grant.permit, grant.ask, queued.entry, grant.cold
             ),
         );
         let key = PermitKey {
-            entry: waiting.entry.clone(),
+            entry: queued.entry.clone(),
             permit: grant.permit,
         };
-        let permit = new_permit(now, &waiting.ask, &grant, peer.incarnation, tokens);
-        let earlier = account.insert(key, permit);
-        account.prefixes.record(&waiting.ask.prefix);
+        let permit = new_permit(now, &queued.ask, &grant, contact.incarnation, tokens);
+        let previous = account.insert(key, permit);
+        account.prefixes.record(&queued.ask.prefix);
         assert!(
-            earlier.is_none(),
+            previous.is_none(),
             "permit {} was granted twice; last events:\n{}",
             grant.permit,
             owner_state.decision_log.to_text()
         );
         assert_invariants(account, &target, limits, owner_state);
-        send(&waiting.entry, grant.into(), out);
+        send(&queued.entry, grant.into(), out);
     }
 }
 
@@ -236,7 +242,7 @@
 ) {
     assert!(
         !account.limiter.is_cold() || account.max_occupied_slots() <= limits.cold_limit,
-        "cold target {} got {} of {} requests; last events:\n{}",
+        "cold target {} has {} concurrent requests, its limit is {}; last events:\n{}",
         target.id,
         account.max_occupied_slots(),
         limits.cold_limit,
@@ -244,7 +250,7 @@
     );
     assert!(
         account.accepts_work(&owner_state.view),
-        "target {} got work while leaving, out of service or restarted; last events:\n{}",
+        "target {} was given work while leaving, out of service or restarted; last events:\n{}",
         target.id,
         owner_state.decision_log.to_text()
     );
--- a/components/policy/src/instance.rs
+++ b/components/policy/src/instance.rs
@@ -45,7 +45,7 @@
         self
     }
 
-    fn feed(&mut self, now: Moment, event: &Event, out: &mut Vec<Action>) {
+    fn dispatch_event(&mut self, now: Moment, event: &Event, out: &mut Vec<Action>) {
         match event {
             Event::Received { message, .. } if is_for_entry(message) => {
                 self.entry.handle(now, event, out);
@@ -60,16 +60,16 @@
 
     /// Removes the messages to this instance itself from `out` and returns them: they are handled
     /// directly and do not go over the network.
-    fn take_own(&self, out: &mut Vec<Action>) -> Vec<Message> {
-        let mut own = Vec::new();
+    fn take_messages_to_self(&self, out: &mut Vec<Action>) -> Vec<Message> {
+        let mut local = Vec::new();
         out.retain(|action| match action {
             Action::Send { to, message } if *to == self.me.id => {
-                own.push(message.clone());
+                local.push(message.clone());
                 false
             }
             _ => true,
         });
-        own
+        local
     }
 }
 
@@ -82,13 +82,13 @@
 
 impl Policy for Instance {
     fn handle(&mut self, now: Moment, event: Event, out: &mut Vec<Action>) {
-        self.feed(now, &event, out);
+        self.dispatch_event(now, &event, out);
         loop {
-            let own = self.take_own(out);
-            if own.is_empty() {
+            let local = self.take_messages_to_self(out);
+            if local.is_empty() {
                 return;
             }
-            for message in own {
+            for message in local {
                 let from = self.me.id.clone();
                 let incarnation = self.me.incarnation;
                 let event = Event::Received {
@@ -96,7 +96,7 @@
                     incarnation,
                     message,
                 };
-                self.feed(now, &event, out);
+                self.dispatch_event(now, &event, out);
             }
         }
     }
--- a/components/policy/src/length.rs
+++ b/components/policy/src/length.rs
@@ -24,16 +24,16 @@
 const PRIOR_HAZARD: f64 = 0.12;
 /// Upper bound of a hazard, so that a generation longer than all observed ones is still expected to
 /// go on.
-const HAZARD_MAX: f64 = 0.98;
+const MAX_HAZARD: f64 = 0.98;
 /// Lower bound of a hazard, so that the tail of the distribution ends.
-const HAZARD_MIN: f64 = 1e-4;
+const MIN_HAZARD: f64 = 1e-4;
 /// Observations between two decay steps.
-const DECAY_EVERY: u32 = 256;
+const DECAY_INTERVAL: u32 = 256;
 /// Factor on all counts in a decay step. Together with the interval it makes the estimate remember
 /// about 2,500 observations.
-const DECAY: f64 = 0.9;
+const DECAY_FACTOR: f64 = 0.9;
 /// Observations of a service after which a cached curve is rebuilt.
-const REBUILD_EVERY: u64 = 8;
+const REBUILD_INTERVAL: u64 = 8;
 /// With up to this many observations of a service, each new one causes its curves to be rebuilt.
 const ALWAYS_REBUILD_BELOW: u64 = 64;
 
@@ -94,7 +94,7 @@
 
     fn decay(&mut self) {
         for count in self.at_risk.iter_mut().chain(&mut self.ended) {
-            *count *= DECAY;
+            *count *= DECAY_FACTOR;
         }
     }
 
@@ -122,7 +122,7 @@
         let mut cumulative = [0.0; BUCKETS];
         let mut slope = [0.0; BUCKETS];
         for at in 0..BUCKETS {
-            let hazard = hazards[at].clamp(HAZARD_MIN, HAZARD_MAX);
+            let hazard = hazards[at].clamp(MIN_HAZARD, MAX_HAZARD);
             let step = -(1.0 - hazard).ln();
             let next = EDGES.get(at + 1).copied().unwrap_or(EDGES[at] * 6 / 5);
             slope[at] = step / (next - EDGES[at]) as f64;
@@ -134,7 +134,7 @@
     }
 
     /// Returns the cumulative hazard at a length.
-    fn at(&self, length: Tokens) -> f64 {
+    fn cumulative_hazard(&self, length: Tokens) -> f64 {
         let at = bucket(length);
         self.cumulative[at] + self.slope[at] * (length - EDGES[at]) as f64
     }
@@ -143,23 +143,23 @@
     /// least `more` further ones.
     #[must_use]
     pub fn survival(&self, produced: Tokens, more: Tokens) -> f64 {
-        (self.at(produced) - self.at(produced + more)).exp()
+        (self.cumulative_hazard(produced) - self.cumulative_hazard(produced + more)).exp()
     }
 
     /// Returns the expected number of further tokens of a generation that has produced `produced`,
     /// limited to `most` in all.
     #[must_use]
-    pub fn expected_remaining(&self, produced: Tokens, most: Tokens) -> f64 {
-        let base = self.at(produced);
+    pub fn expected_remaining(&self, produced: Tokens, max_output: Tokens) -> f64 {
+        let base = self.cumulative_hazard(produced);
         let mut from = produced;
         let mut sum = 0.0;
         for edge in &EDGES[bucket(produced) + 1..] {
-            let to = (*edge).min(most);
+            let to = (*edge).min(max_output);
             if to <= from {
                 break;
             }
-            let middle = (base - self.at(from + (to - from) / 2)).exp();
-            sum += middle * (to - from) as f64;
+            let survival = (base - self.cumulative_hazard(from + (to - from) / 2)).exp();
+            sum += survival * (to - from) as f64;
             from = to;
         }
         sum
@@ -170,7 +170,7 @@
 #[derive(Debug)]
 struct CachedCurve {
     curve: Arc<SurvivalCurve>,
-    at: u64,
+    observations: u64,
 }
 
 #[derive(Debug)]
@@ -193,7 +193,7 @@
         Self {
             table: HazardTable::new(),
             observations: 0,
-            until_decay: DECAY_EVERY,
+            until_decay: DECAY_INTERVAL,
             routes: BTreeMap::new(),
         }
     }
@@ -214,7 +214,7 @@
         if self.until_decay > 0 {
             return;
         }
-        self.until_decay = DECAY_EVERY;
+        self.until_decay = DECAY_INTERVAL;
         self.table.decay();
         for route in self.routes.values_mut() {
             route.table.decay();
@@ -264,10 +264,10 @@
             .or_insert_with(ServiceLengths::new);
         let observations = service.observations;
         let route = service.route(source.route);
-        if let Some(built) = route.curves.get(source.workspace) {
-            let age = observations - built.at;
-            if age == 0 || (age < REBUILD_EVERY && observations > ALWAYS_REBUILD_BELOW) {
-                return Arc::clone(&built.curve);
+        if let Some(cached) = route.curves.get(source.workspace) {
+            let age = observations - cached.observations;
+            if age == 0 || (age < REBUILD_INTERVAL && observations > ALWAYS_REBUILD_BELOW) {
+                return Arc::clone(&cached.curve);
             }
         }
         self.rebuild(source, observations)
@@ -286,11 +286,11 @@
             hazards = table.hazards(&hazards, PARENT_WEIGHT);
         }
         let curve = Arc::new(SurvivalCurve::new(&hazards));
-        let built = CachedCurve {
+        let cached = CachedCurve {
             curve: Arc::clone(&curve),
-            at: observations,
+            observations,
         };
-        route.curves.insert(source.workspace.clone(), built);
+        route.curves.insert(source.workspace.clone(), cached);
         curve
     }
 
--- a/components/policy/src/limiter.rs
+++ b/components/policy/src/limiter.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimiter {
     cold: bool,
-    since: Moment,
+    state_changed_at: Moment,
     finished: u32,
     probing: bool,
     limit: f64,
@@ -57,7 +57,7 @@
     pub const fn new(now: Moment) -> Self {
         Self {
             cold: true,
-            since: now,
+            state_changed_at: now,
             finished: 0,
             probing: true,
             limit: 1.0,
@@ -75,14 +75,14 @@
 
     /// When the target last became cold or warm.
     #[must_use]
-    pub const fn since(&self) -> Moment {
-        self.since
+    pub const fn state_changed_at(&self) -> Moment {
+        self.state_changed_at
     }
 
     /// Puts the target back into cold start and discards the evidence that it is warm.
     pub fn mark_cold(&mut self, now: Moment) {
         if !self.cold {
-            self.since = now;
+            self.state_changed_at = now;
         }
         self.cold = true;
         self.finished = 0;
@@ -116,8 +116,8 @@
     }
 
     /// Records that a request got its first token; `busy` tells whether the limit was used up.
-    pub fn record_first_token(&mut self, limits: &TargetLimits, busy: bool) {
-        if !self.cold && self.probing && busy {
+    pub fn record_first_token(&mut self, limits: &TargetLimits, saturated: bool) {
+        if !self.cold && self.probing && saturated {
             self.limit = (self.limit + 1.0).min(f64::from(limits.warm_limit));
         }
         self.slow_first_tokens = 0;
@@ -129,23 +129,23 @@
         &mut self,
         now: Moment,
         limits: &TargetLimits,
-        first: Duration,
-        busy: bool,
-        may_warm: bool,
+        first_token: Duration,
+        saturated: bool,
+        may_be_warm: bool,
     ) -> bool {
         if self.cold {
             self.finished = self.finished.saturating_add(1);
-            self.leave_cold_if_proven(now, limits, may_warm);
+            self.leave_cold_if_proven(now, limits, may_be_warm);
             return false;
         }
-        let first = first.as_secs_f64();
-        if self.is_cold_first_token(first) {
+        let first_token = first_token.as_secs_f64();
+        if self.is_cold_first_token(first_token) {
             return self.record_slow_first_token(now);
         }
-        self.record_first_token(limits, busy);
-        self.first_token_times.push(first);
+        self.record_first_token(limits, saturated);
+        self.first_token_times.push(first_token);
         if self.first_token_times.len() >= WINDOW_SAMPLES {
-            self.adjust_limit(limits, busy);
+            self.adjust_limit(limits, saturated);
         }
         false
     }
@@ -159,8 +159,8 @@
     }
 
     /// Ends cold start if enough requests have finished and `may_warm` holds.
-    pub fn leave_cold_if_proven(&mut self, now: Moment, limits: &TargetLimits, may_warm: bool) {
-        if self.cold && may_warm && self.finished >= limits.warm_after {
+    pub fn leave_cold_if_proven(&mut self, now: Moment, limits: &TargetLimits, may_be_warm: bool) {
+        if self.cold && may_be_warm && self.finished >= limits.warm_after {
             self.warm_up(now, limits);
         }
     }
@@ -174,14 +174,15 @@
 
     fn warm_up(&mut self, now: Moment, limits: &TargetLimits) {
         self.cold = false;
-        self.since = now;
+        self.state_changed_at = now;
         self.probing = true;
         self.limit = f64::from(limits.cold_limit.max(1));
     }
 
-    fn is_cold_first_token(&self, first: f64) -> bool {
-        self.baseline
-            .is_some_and(|usual| first > (usual * COLD_FACTOR).max(MIN_COLD_FIRST_TOKEN_SECONDS))
+    fn is_cold_first_token(&self, first_token: f64) -> bool {
+        self.baseline.is_some_and(|baseline| {
+            first_token > (baseline * COLD_FACTOR).max(MIN_COLD_FIRST_TOKEN_SECONDS)
+        })
     }
 
     fn record_slow_first_token(&mut self, now: Moment) -> bool {
@@ -193,17 +194,17 @@
         true
     }
 
-    fn adjust_limit(&mut self, limits: &TargetLimits, busy: bool) {
+    fn adjust_limit(&mut self, limits: &TargetLimits, saturated: bool) {
         self.first_token_times.sort_by(f64::total_cmp);
         let median = self.first_token_times[self.first_token_times.len() / 2];
         self.first_token_times.clear();
-        let usual = *self.baseline.get_or_insert(median);
-        if median > usual * CROWDED_FACTOR {
+        let baseline = *self.baseline.get_or_insert(median);
+        if median > baseline * CROWDED_FACTOR {
             self.probing = false;
             self.limit = (self.limit * CROWDED_BACKOFF).max(1.0);
-        } else if busy {
+        } else if saturated {
             self.limit = (self.limit + self.limit.sqrt()).min(f64::from(limits.warm_limit));
         }
-        self.baseline = Some(usual + BASELINE_WEIGHT * (median - usual));
+        self.baseline = Some(baseline + BASELINE_WEIGHT * (median - baseline));
     }
 }
--- a/components/policy/src/load_reports.rs
+++ b/components/policy/src/load_reports.rs
@@ -9,7 +9,7 @@
     account::{TargetAccount, TimedReport},
     api::TargetLimits,
     permit::PermitKey,
-    shard::LAPSE_MARGIN,
+    shard::EXPIRY_MARGIN,
 };
 
 /// How long orphaned work counts if no report shows that it has ended.
@@ -32,14 +32,15 @@
             return false;
         }
         let last = self.report.replace(report);
-        let same_life = |last: &TimedReport| last.report.incarnation == report.report.incarnation;
-        if let Some(last) = last.filter(same_life)
+        let same_incarnation =
+            |last: &TimedReport| last.report.incarnation == report.report.incarnation;
+        if let Some(last) = last.filter(same_incarnation)
             && report.report.preemptions > last.report.preemptions
         {
             self.admission_paused_until = now + PREEMPTION_PAUSE;
         }
-        let bears = report.report.running + report.report.waiting;
-        if bears == 0 && report.taken_at > self.created_at {
+        let unfinished = report.report.running + report.report.waiting;
+        if unfinished == 0 && report.taken_at > self.created_at {
             self.may_run_unknown_work = false;
         }
         self.drop_ended_orphans(now);
@@ -51,7 +52,7 @@
     pub fn update_warmth(&mut self, now: Moment, limits: &TargetLimits) {
         let Some(report) = self.report else { return };
         if !report.report.warm {
-            if report.taken_at >= self.limiter.since() {
+            if report.taken_at >= self.limiter.state_changed_at() {
                 self.limiter.mark_cold(now);
                 self.trusts_warm_report = false;
             }
@@ -86,22 +87,22 @@
             return;
         };
         let taken = report.taken_at;
-        let mut lost: Vec<PermitKey> = Vec::new();
+        let mut orphans: Vec<PermitKey> = Vec::new();
         let mut running = 0;
         for (key, permit) in &self.permits {
-            let listed_after = permit.updated_at >= taken + LAPSE_MARGIN;
+            let listed_after = permit.updated_at >= taken + EXPIRY_MARGIN;
             match permit.orphaned_at {
-                Some(since) if since < taken => lost.push(key.clone()),
+                Some(since) if since < taken => orphans.push(key.clone()),
                 None if listed_after && permit.started_at.is_some_and(|at| at <= taken) => {
                     running += permit.slots;
                 }
                 _ => {}
             }
         }
-        let bears = report.report.running + report.report.waiting;
-        let bears = bears.saturating_sub(running);
-        let ended = lost.len().saturating_sub(bears as usize);
-        for key in lost.iter().take(ended) {
+        let unfinished = report.report.running + report.report.waiting;
+        let unfinished = unfinished.saturating_sub(running);
+        let ended = orphans.len().saturating_sub(unfinished as usize);
+        for key in orphans.iter().take(ended) {
             self.remove(key);
         }
         self.expire_orphans(now);
--- a/components/policy/src/memory.rs
+++ b/components/policy/src/memory.rs
@@ -76,27 +76,27 @@
     }
 
     /// Adds a generation to the projection.
-    pub fn add(&mut self, running: &RunningGeneration, admission: MemoryEstimate) {
-        match admission {
+    pub fn add(&mut self, generation: &RunningGeneration, estimate: MemoryEstimate) {
+        match estimate {
             MemoryEstimate::ExpectedFinals => {
-                self.expected_final_sum += running.expected_final_tokens()
+                self.expected_final_sum += generation.expected_final_tokens()
             }
-            MemoryEstimate::KnownLengths => self.known_lengths.push(running.clone()),
-            MemoryEstimate::ProjectedPeak => self.add_projected(running),
+            MemoryEstimate::KnownLengths => self.known_lengths.push(generation.clone()),
+            MemoryEstimate::ProjectedPeak => self.add_projected(generation),
         }
     }
 
-    fn add_projected(&mut self, running: &RunningGeneration) {
+    fn add_projected(&mut self, generation: &RunningGeneration) {
         for (at, &horizon) in HORIZONS.iter().enumerate() {
-            let alive = running.survival(horizon);
-            if alive <= 0.0 {
+            let survival = generation.survival(horizon);
+            if survival <= 0.0 {
                 break;
             }
-            let size = (running.prompt_tokens + running.produced + horizon) as f64;
-            self.mean[at] += size * alive;
-            let variance = size * size * alive * (1.0 - alive);
+            let size = (generation.prompt_tokens + generation.produced + horizon) as f64;
+            self.mean[at] += size * survival;
+            let variance = size * size * survival * (1.0 - survival);
             self.variance[at] += variance;
-            self.third_moment[at] += variance * size * (1.0 - 2.0 * alive);
+            self.third_moment[at] += variance * size * (1.0 - 2.0 * survival);
         }
     }
 
@@ -110,9 +110,9 @@
         }
     }
 
-    fn curve_peak(&self, spread: f64) -> f64 {
+    fn curve_peak(&self, deviations: f64) -> f64 {
         (0..HORIZONS.len())
-            .map(|at| self.mean[at] + self.margin(at, spread))
+            .map(|at| self.mean[at] + self.margin(at, deviations))
             .fold(0.0, f64::max)
     }
 
@@ -122,13 +122,13 @@
     /// at long ones few do, and the sum has a long upper tail. The margin therefore takes the
     /// skewness of the sum into account (Cornish-Fisher) instead of being a fixed multiple of the
     /// standard deviation.
-    fn margin(&self, at: usize, spread: f64) -> f64 {
+    fn margin(&self, at: usize, deviations: f64) -> f64 {
         let deviation = self.variance[at].sqrt();
         if deviation <= 0.0 {
             return 0.0;
         }
         let skewness = self.third_moment[at] / (self.variance[at] * deviation);
-        let skewed = spread + (spread * spread - 1.0) * skewness / 6.0;
+        let skewed = deviations + (deviations * deviations - 1.0) * skewness / 6.0;
         deviation * skewed.max(0.0)
     }
 
@@ -147,16 +147,16 @@
 
 /// Returns the exact peak if each generation runs to its limit. The peak lies right before one of
 /// them ends.
-fn known_lengths_peak(told: &[RunningGeneration]) -> f64 {
-    let mut order: Vec<&RunningGeneration> = told.iter().collect();
-    order.sort_by_key(|running| running.max_remaining());
+fn known_lengths_peak(generations: &[RunningGeneration]) -> f64 {
+    let mut order: Vec<&RunningGeneration> = generations.iter().collect();
+    order.sort_by_key(|generation| generation.max_remaining());
     let mut base: Tokens = order.iter().map(|r| r.prompt_tokens + r.produced).sum();
-    let mut alive = order.len() as Tokens;
+    let mut still_running = order.len() as Tokens;
     let mut peak = base;
-    for running in order {
-        peak = peak.max(base + alive * running.max_remaining());
-        base -= running.prompt_tokens + running.produced;
-        alive -= 1;
+    for generation in order {
+        peak = peak.max(base + still_running * generation.max_remaining());
+        base -= generation.prompt_tokens + generation.produced;
+        still_running -= 1;
     }
     peak as f64
 }
--- a/components/policy/src/owner.rs
+++ b/components/policy/src/owner.rs
@@ -114,7 +114,9 @@
                 self.record_contact(now, from, incarnation, held.stamp);
                 self.handle_held(now, from, incarnation, held, out);
             }
-            Message::Heartbeat(beat) => self.record_contact(now, from, incarnation, beat.stamp),
+            Message::Heartbeat(heartbeat) => {
+                self.record_contact(now, from, incarnation, heartbeat.stamp)
+            }
             _ => {}
         }
     }
@@ -221,7 +223,8 @@
                     return;
                 }
                 self.release_shard(now, shard, out);
-                let line = format!("owner of {shard} in term {epoch}, asks {entries_to_query:?}");
+                let line =
+                    format!("owner of {shard} in term {epoch}, queries {entries_to_query:?}");
                 self.owner_state.decision_log.record(now, line);
                 let state =
                     ShardState::new(now, shard, *epoch, entries_to_query, &self.owner_state, out);
@@ -241,7 +244,7 @@
 
     fn remove_peer(&mut self, now: Moment, peer: &InstanceId, out: &mut Vec<Action>) {
         self.owner_state.entries.remove(peer);
-        let line = format!("entry {peer} is gone");
+        let line = format!("entry {peer} is lost");
         self.owner_state.decision_log.record(now, line);
         for state in self.shards.values_mut() {
             state.remove_peer(peer);
--- a/components/policy/src/owner_state.rs
+++ b/components/policy/src/owner_state.rs
@@ -110,21 +110,21 @@
         incarnation: Incarnation,
         stamp: Moment,
     ) -> bool {
-        let fresh = EntryContact {
+        let contact = EntryContact {
             incarnation,
             stamp,
             received_at: now,
         };
-        let Some(peer) = self.entries.get_mut(from) else {
-            self.entries.insert(from.clone(), fresh);
+        let Some(known) = self.entries.get_mut(from) else {
+            self.entries.insert(from.clone(), contact);
             return false;
         };
-        if incarnation > peer.incarnation {
-            *peer = fresh;
+        if incarnation > known.incarnation {
+            *known = contact;
             return true;
         }
-        if incarnation == peer.incarnation && stamp >= peer.stamp {
-            *peer = fresh;
+        if incarnation == known.incarnation && stamp >= known.stamp {
+            *known = contact;
         }
         false
     }
@@ -132,26 +132,26 @@
     /// Applies a new view and records which targets are new, restarted or back in service.
     pub fn apply_view(&mut self, now: Moment, view: &View) {
         let was_out = std::mem::take(&mut self.view.data_centres_out);
-        let mut facts = BTreeMap::new();
+        let mut targets = BTreeMap::new();
         for target in &view.targets {
             let out = &target.data_centre;
             let returned = was_out.contains(out) && !view.data_centres_out.contains(out);
             let known = self.targets.get(&target.id).copied();
-            let same = known.filter(|fact| fact.incarnation == target.incarnation);
+            let same = known.filter(|history| history.incarnation == target.incarnation);
             let started = same.is_none() && self.has_view;
             let restarted_at = if started || returned {
                 Some(now)
             } else {
-                same.and_then(|fact| fact.restarted_at)
+                same.and_then(|history| history.restarted_at)
             };
-            let fact = TargetHistory {
+            let history = TargetHistory {
                 incarnation: target.incarnation,
                 restarted_at,
-                report: known.and_then(|fact| fact.report),
+                report: known.and_then(|history| history.report),
             };
-            facts.insert(target.id.clone(), fact);
+            targets.insert(target.id.clone(), history);
         }
-        self.targets = facts;
+        self.targets = targets;
         self.has_view = true;
         self.view = view.clone();
     }
@@ -167,8 +167,8 @@
             taken_at: now.saturating_sub(report.age),
             report,
         };
-        if let Some(fact) = self.targets.get_mut(target) {
-            fact.report = Some(report);
+        if let Some(history) = self.targets.get_mut(target) {
+            history.report = Some(report);
         }
         report
     }
@@ -184,7 +184,7 @@
     pub fn is_recently_started(&self, now: Moment, target: &TargetId) -> bool {
         self.targets
             .get(target)
-            .and_then(|fact| fact.restarted_at)
+            .and_then(|history| history.restarted_at)
             .is_some_and(|since| now.saturating_sub(since) < RECENT_START)
     }
 
@@ -193,6 +193,6 @@
     pub fn started_with_this_view(&self, now: Moment, target: &TargetId) -> bool {
         self.targets
             .get(target)
-            .is_some_and(|fact| fact.restarted_at == Some(now))
+            .is_some_and(|history| history.restarted_at == Some(now))
     }
 }
--- a/components/policy/src/permit_updates.rs
+++ b/components/policy/src/permit_updates.rs
@@ -33,12 +33,12 @@
             permit: done.permit,
         };
         let occupied = account.occupied_slots();
-        let given_back = if done.outcome == Outcome::Failed {
+        let returned = if done.outcome == Outcome::Failed {
             account.orphan(now, &key)
         } else {
             account.remove(&key)
         };
-        let Some(permit) = given_back else {
+        let Some(permit) = returned else {
             return;
         };
         update_limit(now, account, &permit, occupied, &done.outcome, limits);
@@ -49,13 +49,13 @@
         if TargetAccount::is_model(limits) {
             self.record_length(&permit, length, &done.outcome, owner_state);
         }
-        let spent = match done.outcome {
+        let used_tokens = match done.outcome {
             Outcome::Unsent | Outcome::Unreachable | Outcome::Overloaded => 0.0,
             _ if TargetAccount::is_model(limits) => permit.prompt_tokens as f64 + length as f64,
             _ => permit.charged_tokens,
         };
         self.queue
-            .adjust_charge(&permit.workspace, spent - permit.charged_tokens);
+            .adjust_charge(&permit.workspace, used_tokens - permit.charged_tokens);
     }
 
     fn record_length(
@@ -70,8 +70,8 @@
             route: &permit.route,
             workspace: &permit.workspace,
         };
-        let whole = matches!(outcome, Outcome::Finished { .. }) && length < permit.max_output;
-        if whole {
+        let complete = matches!(outcome, Outcome::Finished { .. }) && length < permit.max_output;
+        if complete {
             owner_state
                 .lengths
                 .record_end(&source, permit.produced, length);
@@ -117,7 +117,7 @@
     fn drop_unlisted(&mut self, from: &InstanceId, incarnation: u64, held: &Held) {
         let listed: BTreeSet<PermitId> = held.permits.iter().map(|p| p.permit).collect();
         for account in self.accounts.values_mut() {
-            let gone: Vec<PermitKey> = account
+            let expired: Vec<PermitKey> = account
                 .permits
                 .iter()
                 .filter(|(key, permit)| {
@@ -129,7 +129,7 @@
                 })
                 .map(|(key, _)| key.clone())
                 .collect();
-            for key in gone {
+            for key in expired {
                 account.remove(&key);
             }
         }
@@ -159,12 +159,13 @@
             account.insert(key, permit);
             return;
         };
-        let (before, since, late) = (known.produced, known.granted_at, known.slow_start_recorded);
+        let (before, since, slow_start_recorded) =
+            (known.produced, known.granted_at, known.slow_start_recorded);
         if before == 0 && held.produced > 0 {
-            let busy = account
+            let saturated = account
                 .limiter
                 .is_saturated(limits, account.occupied_slots());
-            account.limiter.record_first_token(limits, busy);
+            account.limiter.record_first_token(limits, saturated);
         }
         account.record_progress(now, stamp, &key, held);
         if !TargetAccount::is_model(limits) {
@@ -178,12 +179,12 @@
         owner_state
             .lengths
             .record_progress(&source, before, held.produced);
-        if held.produced == 0 && !late {
-            let turned = account
+        if held.produced == 0 && !slow_start_recorded {
+            let turned_cold = account
                 .limiter
                 .record_missing_first_token(now, now.saturating_sub(since));
             if let Some(permit) = account.permits.get_mut(&key) {
-                permit.slow_start_recorded = turned;
+                permit.slow_start_recorded = turned_cold;
             }
         }
     }
@@ -198,19 +199,20 @@
     outcome: &Outcome,
     limits: &TargetLimits,
 ) {
-    let busy = account.limiter.is_saturated(limits, occupied);
-    let may_warm = account.may_be_warm();
-    if account.limiter.is_cold() && permit.granted_at < account.limiter.since() {
+    let saturated = account.limiter.is_saturated(limits, occupied);
+    let may_be_warm = account.may_be_warm();
+    if account.limiter.is_cold() && permit.granted_at < account.limiter.state_changed_at() {
         // The request started before the target turned cold, so it says nothing about its present
         // capacity.
         return;
     }
     match outcome {
         Outcome::Finished { first, .. } => {
-            let turned = account
-                .limiter
-                .record_finished(now, limits, *first, busy, may_warm);
-            if turned {
+            let turned_cold =
+                account
+                    .limiter
+                    .record_finished(now, limits, *first, saturated, may_be_warm);
+            if turned_cold {
                 account.trusts_warm_report = false;
             }
         }
--- a/components/policy/src/queueing.rs
+++ b/components/policy/src/queueing.rs
@@ -15,7 +15,7 @@
 /// Factor on the estimated interval between grants when requests are denied ahead of their
 /// deadline. Below 1, so that a request that would just be served isn't denied because of a wrong
 /// estimate.
-const MIN_WAIT_SHARE: f64 = 0.7;
+const GRANT_INTERVAL_FACTOR: f64 = 0.7;
 
 impl ShardState {
     /// Queues a permit request, or denies it at once if it could not be served in time.
@@ -66,10 +66,10 @@
         if self.queue.len() < limit {
             return true;
         }
-        let Some(displaced) = self.queue.evict_less_urgent(class) else {
+        let Some(evicted) = self.queue.evict_less_urgent(class) else {
             return false;
         };
-        self.deny_queued(now, &displaced, owner_state, out);
+        self.deny_queued(now, &evicted, owner_state, out);
         true
     }
 
@@ -77,23 +77,17 @@
     fn deny_queued(
         &self,
         now: Moment,
-        waiting: &QueuedRequest,
+        queued: &QueuedRequest,
         owner_state: &mut OwnerState,
         out: &mut Vec<Action>,
     ) {
-        let ahead = self.queue.len_of(waiting.effective_class);
+        let ahead = self.queue.len_of(queued.effective_class);
         let wait = self
             .grant_rate
-            .expected_wait(now, waiting.effective_class, ahead)
+            .expected_wait(now, queued.effective_class, ahead)
             .unwrap_or_default();
         let after = owner_state.with_jitter(wait);
-        deny(
-            &waiting.entry,
-            &self.shard,
-            waiting.ask.ask,
-            Some(after),
-            out,
-        );
+        deny(&queued.entry, &self.shard, queued.ask.ask, Some(after), out);
     }
 
     /// Returns whether no target of the shard will take work, so that requests have to go
@@ -116,8 +110,8 @@
     /// Denies all queued requests without a retry delay, so that their entries try another shard or
     /// owner.
     pub fn deny_all(&mut self, out: &mut Vec<Action>) {
-        for waiting in self.queue.drain_if(|_| true) {
-            deny(&waiting.entry, &self.shard, waiting.ask.ask, None, out);
+        for queued in self.queue.drain_if(|_| true) {
+            deny(&queued.entry, &self.shard, queued.ask.ask, None, out);
         }
     }
 
@@ -135,17 +129,17 @@
         owner_state: &mut OwnerState,
         out: &mut Vec<Action>,
     ) {
-        let mut hopeless = self.queue.drain_if(|waiting| waiting.deadline <= now);
+        let mut unservable = self.queue.drain_if(|queued| queued.deadline <= now);
         if now.saturating_sub(self.deadlines_checked_at) >= DEADLINE_CHECK_INTERVAL {
             self.deadlines_checked_at = now;
             for class in Class::ALL {
-                let between = self.grant_rate.interval(now, class).unwrap_or_default();
-                let between = between.mul_f64(MIN_WAIT_SHARE);
-                hopeless.extend(self.queue.drain_unservable(now, class, between));
+                let interval = self.grant_rate.interval(now, class).unwrap_or_default();
+                let interval = interval.mul_f64(GRANT_INTERVAL_FACTOR);
+                unservable.extend(self.queue.drain_unservable(now, class, interval));
             }
         }
-        for waiting in hopeless {
-            self.deny_queued(now, &waiting, owner_state, out);
+        for queued in unservable {
+            self.deny_queued(now, &queued, owner_state, out);
         }
     }
 }
--- a/components/policy/src/retry_budget.rs
+++ b/components/policy/src/retry_budget.rs
@@ -22,23 +22,23 @@
 impl RetryBudgets {
     /// Records a first attempt; 100 of them allow `percent` retries.
     pub fn deposit(&mut self, service: &ServiceId, percent: u32) {
-        let saved = self
+        let balance = self
             .balances
             .entry(service.clone())
             .or_insert(INITIAL_BALANCE);
-        *saved = (*saved + f64::from(percent) / 100.0).min(MAX_BALANCE);
+        *balance = (*balance + f64::from(percent) / 100.0).min(MAX_BALANCE);
     }
 
     /// Spends one retry. Returns false if the budget is used up.
     pub fn try_spend(&mut self, service: &ServiceId) -> bool {
-        let saved = self
+        let balance = self
             .balances
             .entry(service.clone())
             .or_insert(INITIAL_BALANCE);
-        if *saved < 1.0 {
+        if *balance < 1.0 {
             return false;
         }
-        *saved -= 1.0;
+        *balance -= 1.0;
         true
     }
 }
--- a/components/policy/src/revoke.rs
+++ b/components/policy/src/revoke.rs
@@ -52,7 +52,7 @@
             if let Some(permit) = account.permits.get_mut(&key) {
                 permit.revoked = true;
             }
-            let line = format!("permit {} recalled from {id}", key.permit);
+            let line = format!("permit {} revoked on {id}", key.permit);
             owner_state.decision_log.record(now, line);
             let recall = Recall {
                 shard: self.shard.clone(),
@@ -72,9 +72,9 @@
     if now.saturating_sub(account.last_revoked_at) < MIN_REVOKE_INTERVAL {
         return false;
     }
-    let recall_share = owner_state.tuning.revoke_share;
-    let soon = account.last_projection().near_term() / account.capacity(limits).max(1) as f64;
-    account.used_share(now) >= recall_share || soon >= recall_share
+    let revoke_share = owner_state.tuning.revoke_share;
+    let near_term = account.last_projection().near_term() / account.capacity(limits).max(1) as f64;
+    account.used_share(now) >= revoke_share || near_term >= revoke_share
 }
 
 /// Returns the unseen permit that costs least to run again: background work first, then the one
--- a/components/policy/src/shard.rs
+++ b/components/policy/src/shard.rs
@@ -21,9 +21,9 @@
 
 /// Added to a permit's lifetime when an owner waits for permits to expire, as clocks may run at
 /// slightly different rates.
-pub const LAPSE_MARGIN: Duration = Duration::from_millis(250);
+pub const EXPIRY_MARGIN: Duration = Duration::from_millis(250);
 /// Interval between queries to an entry that has not answered.
-const QUERY_PERIOD: Duration = Duration::from_millis(200);
+const QUERY_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a cold target waits for its first load report of the term.
 const COLD_REPORT_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long slots stay reserved for urgent work after the last urgent request.
@@ -57,7 +57,7 @@
         now: Moment,
         shard: &Shard,
         epoch: Epoch,
-        ask: &[InstanceId],
+        entries_to_query: &[InstanceId],
         owner_state: &OwnerState,
         out: &mut Vec<Action>,
     ) -> Self {
@@ -68,7 +68,7 @@
             queue: WaitQueue::new(),
             accounts: BTreeMap::new(),
             grant_rate: GrantRate::new(),
-            unanswered_queries: ask.iter().cloned().collect(),
+            unanswered_queries: entries_to_query.iter().cloned().collect(),
             queried_at: now,
             started_at: now,
             deadlines_checked_at: now,
@@ -99,7 +99,7 @@
     /// hold, or all unused permits of an earlier owner have expired.
     #[must_use]
     pub fn can_grant(&self, now: Moment) -> bool {
-        self.unanswered_queries.is_empty() || now >= self.started_at + PERMIT_LIFE + LAPSE_MARGIN
+        self.unanswered_queries.is_empty() || now >= self.started_at + PERMIT_LIFE + EXPIRY_MARGIN
     }
 
     /// Returns whether a cold target may get work: this is the only owner, it knows all work that
@@ -141,7 +141,7 @@
     /// Removes a lost entry's requests, and no longer waits for its answer.
     pub fn remove_peer(&mut self, peer: &InstanceId) {
         self.unanswered_queries.remove(peer);
-        self.queue.drain_if(|waiting| waiting.entry == *peer);
+        self.queue.drain_if(|queued| queued.entry == *peer);
     }
 
     /// Marks permits of an entry's incarnations before `below` as orphaned.
@@ -195,7 +195,7 @@
     pub fn tick(&mut self, now: Moment, owner_state: &mut OwnerState, out: &mut Vec<Action>) {
         self.deny_unservable(now, owner_state, out);
         self.queue.promote_aged(now);
-        if !self.unanswered_queries.is_empty() && now >= self.queried_at + QUERY_PERIOD {
+        if !self.unanswered_queries.is_empty() && now >= self.queried_at + QUERY_INTERVAL {
             self.send_queries(now, out);
         }
         for account in self.accounts.values_mut() {
--- a/components/policy/src/summary.rs
+++ b/components/policy/src/summary.rs
@@ -12,21 +12,21 @@
         let Some(limits) = owner_state.view.limits.get(&self.shard.service) else {
             return self.summary_of(now, 0.0, 0);
         };
-        let open: Vec<&TargetAccount> = self
+        let accepting: Vec<&TargetAccount> = self
             .accounts
             .values()
             .filter(|account| account.accepts_work(&owner_state.view))
             .collect();
-        let slots: u32 = open.iter().map(|a| a.limiter.slots(limits)).sum();
-        let occupied: u32 = open.iter().map(|a| a.occupied_slots()).sum();
-        let memory: u64 = open.iter().map(|a| a.capacity(limits)).sum();
-        let peaks: f64 = open
+        let slots: u32 = accepting.iter().map(|a| a.limiter.slots(limits)).sum();
+        let occupied: u32 = accepting.iter().map(|a| a.occupied_slots()).sum();
+        let memory: u64 = accepting.iter().map(|a| a.capacity(limits)).sum();
+        let peaks: f64 = accepting
             .iter()
             .map(|a| a.last_projection().peak(&owner_state.tuning))
             .sum();
         let by_slots = f64::from(occupied) / f64::from(slots.max(1));
         let by_memory = peaks / memory.max(1) as f64;
-        self.summary_of(now, by_slots.max(by_memory), open.len())
+        self.summary_of(now, by_slots.max(by_memory), accepting.len())
     }
 
     fn summary_of(&self, now: Moment, load: f64, targets: usize) -> ShardSummary {
--- a/components/policy/src/wait_queue.rs
+++ b/components/policy/src/wait_queue.rs
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct DeadlineOrder {
     deadline: Moment,
-    place: QueuePosition,
+    position: QueuePosition,
 }
 
 /// Order among the requests of a class.
@@ -94,8 +94,8 @@
 /// Permit requests that wait for one shard.
 #[derive(Debug, Default)]
 pub struct WaitQueue {
-    next: QueuePosition,
-    waiting: BTreeMap<QueuePosition, QueuedRequest>,
+    next_position: QueuePosition,
+    queued: BTreeMap<QueuePosition, QueuedRequest>,
     positions: BTreeMap<RequestKey, QueuePosition>,
     classes: [ClassQueue; 3],
     class_lengths: [usize; 3],
@@ -113,13 +113,13 @@
     /// Returns the number of requests.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.waiting.len()
+        self.queued.len()
     }
 
     /// Returns whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.queued.is_empty()
     }
 
     /// Returns the number of requests of a class.
@@ -135,17 +135,17 @@
     }
 
     /// Adds a request, and replaces an earlier one with the same id from the same entry.
-    pub fn push(&mut self, waiting: QueuedRequest) {
-        self.remove(&waiting.entry.clone(), waiting.ask.ask);
-        let place = self.next;
-        self.next += 1;
+    pub fn push(&mut self, queued: QueuedRequest) {
+        self.remove(&queued.entry.clone(), queued.ask.ask);
+        let position = self.next_position;
+        self.next_position += 1;
         let key = RequestKey {
-            entry: waiting.entry.clone(),
-            ask: waiting.ask.ask,
+            entry: queued.entry.clone(),
+            ask: queued.ask.ask,
         };
-        self.positions.insert(key, place);
-        self.add_to_class(place, &waiting);
-        self.waiting.insert(place, waiting);
+        self.positions.insert(key, position);
+        self.add_to_class(position, &queued);
+        self.queued.insert(position, queued);
     }
 
     /// Removes a request.
@@ -154,21 +154,24 @@
             entry: entry.clone(),
             ask,
         };
-        let place = *self.positions.get(&key)?;
-        self.remove_at(place)
+        let position = *self.positions.get(&key)?;
+        self.remove_at(position)
     }
 
     /// Removes and returns all requests for which `gone` holds.
-    pub fn drain_if(&mut self, mut gone: impl FnMut(&QueuedRequest) -> bool) -> Vec<QueuedRequest> {
-        let places: Vec<QueuePosition> = self
-            .waiting
+    pub fn drain_if(
+        &mut self,
+        mut is_removed: impl FnMut(&QueuedRequest) -> bool,
+    ) -> Vec<QueuedRequest> {
+        let found: Vec<QueuePosition> = self
+            .queued
             .iter()
-            .filter(|(_, waiting)| gone(waiting))
-            .map(|(place, _)| *place)
+            .filter(|(_, queued)| is_removed(queued))
+            .map(|(position, _)| *position)
             .collect();
-        places
+        found
             .into_iter()
-            .filter_map(|place| self.remove_at(place))
+            .filter_map(|position| self.remove_at(position))
             .collect()
     }
 
@@ -179,60 +182,60 @@
         &mut self,
         now: Moment,
         class: Class,
-        between: Duration,
+        interval: Duration,
     ) -> Vec<QueuedRequest> {
-        let mut turns: Vec<DeadlineOrder> = self.classes[class as usize]
+        let mut orders: Vec<DeadlineOrder> = self.classes[class as usize]
             .values()
             .flatten()
             .copied()
             .collect();
-        turns.sort_unstable();
+        orders.sort_unstable();
         let mut wait = Duration::ZERO;
-        let mut hopeless = Vec::new();
-        for turn in turns {
-            if now + wait > turn.deadline {
-                hopeless.push(turn.place);
+        let mut unservable = Vec::new();
+        for order in orders {
+            if now + wait > order.deadline {
+                unservable.push(order.position);
             } else {
-                wait += between;
+                wait += interval;
             }
         }
-        hopeless
+        unservable
             .into_iter()
-            .filter_map(|place| self.remove_at(place))
+            .filter_map(|position| self.remove_at(position))
             .collect()
     }
 
     /// Removes and returns the latest request of the least urgent class below `class`.
     pub fn evict_less_urgent(&mut self, class: Class) -> Option<QueuedRequest> {
-        let place = *self
-            .waiting
+        let position = *self
+            .queued
             .iter()
-            .filter(|(_, waiting)| waiting.effective_class > class)
-            .max_by_key(|(place, waiting)| (waiting.effective_class, **place))?
+            .filter(|(_, queued)| queued.effective_class > class)
+            .max_by_key(|(position, queued)| (queued.effective_class, **position))?
             .0;
-        self.remove_at(place)
+        self.remove_at(position)
     }
 
     /// Promotes background requests that have waited long to normal.
     pub fn promote_aged(&mut self, now: Moment) {
         let aged: Vec<QueuePosition> = self
-            .waiting
+            .queued
             .iter()
             .filter(|(_, w)| w.effective_class == Class::Background)
             .filter(|(_, w)| {
                 w.ask.waited.saturating_add(now.saturating_sub(w.queued_at))
                     >= BACKGROUND_PROMOTION_AGE
             })
-            .map(|(place, _)| *place)
+            .map(|(position, _)| *position)
             .collect();
-        for place in aged {
-            let Some(mut waiting) = self.waiting.remove(&place) else {
+        for position in aged {
+            let Some(mut queued) = self.queued.remove(&position) else {
                 continue;
             };
-            self.remove_from_class(place, &waiting);
-            waiting.effective_class = Class::Normal;
-            self.add_to_class(place, &waiting);
-            self.waiting.insert(place, waiting);
+            self.remove_from_class(position, &queued);
+            queued.effective_class = Class::Normal;
+            self.add_to_class(position, &queued);
+            self.queued.insert(position, queued);
         }
     }
 
@@ -241,18 +244,18 @@
     pub fn service_order(&self) -> Vec<QueuePosition> {
         let mut order = Vec::new();
         for class in &self.classes {
-            let mut ranks: Vec<ServiceOrder> = Vec::new();
-            for (workspace, turns) in class {
+            let mut candidates: Vec<ServiceOrder> = Vec::new();
+            for (workspace, orders) in class {
                 let quantum = (self.virtual_start(workspace) / QUANTUM) as u64;
-                let turns = turns.iter().take(MAX_CANDIDATES_PER_WORKSPACE);
-                ranks.extend(turns.map(|&order| ServiceOrder { quantum, order }));
+                let orders = orders.iter().take(MAX_CANDIDATES_PER_WORKSPACE);
+                candidates.extend(orders.map(|&order| ServiceOrder { quantum, order }));
             }
-            ranks.sort_unstable();
+            candidates.sort_unstable();
             order.extend(
-                ranks
+                candidates
                     .iter()
                     .take(MAX_CANDIDATES_PER_CLASS)
-                    .map(|rank| rank.order.place),
+                    .map(|candidate| candidate.order.position),
             );
         }
         order
@@ -260,30 +263,30 @@
 
     /// Returns the request at a position.
     #[must_use]
-    pub fn get(&self, place: QueuePosition) -> Option<&QueuedRequest> {
-        self.waiting.get(&place)
+    pub fn get(&self, position: QueuePosition) -> Option<&QueuedRequest> {
+        self.queued.get(&position)
     }
 
     /// Records that a request behind this one was served; it counts `times`.
-    pub fn record_bypass(&mut self, place: QueuePosition, times: u32) {
-        if let Some(waiting) = self.waiting.get_mut(&place) {
-            waiting.bypassed += times;
+    pub fn record_bypass(&mut self, position: QueuePosition, times: u32) {
+        if let Some(queued) = self.queued.get_mut(&position) {
+            queued.bypassed += times;
         }
     }
 
     /// Removes the request at a position and charges `tokens` to its workspace.
     pub fn dequeue_and_charge(
         &mut self,
-        place: QueuePosition,
+        position: QueuePosition,
         tokens: f64,
     ) -> Option<QueuedRequest> {
-        let waiting = self.remove_at(place)?;
-        let start = self.virtual_start(&waiting.ask.workspace);
+        let queued = self.remove_at(position)?;
+        let start = self.virtual_start(&queued.ask.workspace);
         self.virtual_time = self.virtual_time.max(start);
-        let workspace = waiting.ask.workspace.clone();
+        let workspace = queued.ask.workspace.clone();
         self.virtual_finish.insert(workspace, start + tokens);
         self.prune_idle_workspaces();
-        Some(waiting)
+        Some(queued)
     }
 
     /// Adjusts a workspace's charge by `tokens` once the true size of a request is known.
@@ -311,41 +314,41 @@
         }
     }
 
-    fn remove_at(&mut self, place: QueuePosition) -> Option<QueuedRequest> {
-        let waiting = self.waiting.remove(&place)?;
+    fn remove_at(&mut self, position: QueuePosition) -> Option<QueuedRequest> {
+        let queued = self.queued.remove(&position)?;
         let key = RequestKey {
-            entry: waiting.entry.clone(),
-            ask: waiting.ask.ask,
+            entry: queued.entry.clone(),
+            ask: queued.ask.ask,
         };
         self.positions.remove(&key);
-        self.remove_from_class(place, &waiting);
-        Some(waiting)
+        self.remove_from_class(position, &queued);
+        Some(queued)
     }
 
-    fn add_to_class(&mut self, place: QueuePosition, waiting: &QueuedRequest) {
-        let turn = DeadlineOrder {
-            deadline: waiting.deadline,
-            place,
+    fn add_to_class(&mut self, position: QueuePosition, queued: &QueuedRequest) {
+        let order = DeadlineOrder {
+            deadline: queued.deadline,
+            position,
         };
-        self.classes[waiting.effective_class as usize]
-            .entry(waiting.ask.workspace.clone())
+        self.classes[queued.effective_class as usize]
+            .entry(queued.ask.workspace.clone())
             .or_default()
-            .insert(turn);
-        self.class_lengths[waiting.effective_class as usize] += 1;
+            .insert(order);
+        self.class_lengths[queued.effective_class as usize] += 1;
     }
 
-    fn remove_from_class(&mut self, place: QueuePosition, waiting: &QueuedRequest) {
-        let turn = DeadlineOrder {
-            deadline: waiting.deadline,
-            place,
+    fn remove_from_class(&mut self, position: QueuePosition, queued: &QueuedRequest) {
+        let order = DeadlineOrder {
+            deadline: queued.deadline,
+            position,
         };
-        let class = &mut self.classes[waiting.effective_class as usize];
-        if let Some(turns) = class.get_mut(&waiting.ask.workspace) {
-            turns.remove(&turn);
-            if turns.is_empty() {
-                class.remove(&waiting.ask.workspace);
+        let class = &mut self.classes[queued.effective_class as usize];
+        if let Some(orders) = class.get_mut(&queued.ask.workspace) {
+            orders.remove(&order);
+            if orders.is_empty() {
+                class.remove(&queued.ask.workspace);
             }
         }
-        self.class_lengths[waiting.effective_class as usize] -= 1;
+        self.class_lengths[queued.effective_class as usize] -= 1;
     }
 }
