--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a generation: what can happen until its caller has seen a token.
+//! One attempt at a generation, up to the first token that the caller receives.
 
 use futures_lite::future;
 use relay::ActiveStream;
@@ -10,155 +10,159 @@
     refusals,
 };
 
-/// Bytes of an engine's refusal that the caller gets to see.
-const SAID_LIMIT: usize = 500;
+/// Bytes of an engine's error body that the caller receives.
+const ERROR_BODY_LIMIT: usize = 500;
 
-/// What one try came to.
-pub enum Tried<T> {
-    /// It gave this.
-    Good(T),
-    /// It gave nothing; another try may be made.
-    Again {
-        /// How it ended.
+/// Result of one attempt.
+pub enum AttemptResult<T> {
+    /// The attempt succeeded.
+    Success(T),
+    /// The attempt failed before the caller received a token; another one may be made.
+    Retry {
+        /// How the work ended.
         outcome: WorkOutcome,
-        /// Whether the engine may have run any of it.
+        /// Whether the engine may have run part of it.
         ran: bool,
     },
-    /// It failed for good.
-    Over {
-        /// How it ended; `None` if it is still to be stopped, which must not keep the caller
-        /// waiting.
+    /// The request failed for good.
+    Failed {
+        /// How the work ended. `None` if it has yet to be cancelled, which must not delay the
+        /// caller.
         outcome: Option<WorkOutcome>,
-        /// What to tell the caller.
+        /// The answer to the caller.
         refusal: Refusal,
     },
 }
 
-/// What happened first.
-pub enum Step {
-    /// A piece came.
+/// The next event of an attempt.
+pub enum AttemptEvent {
+    /// The engine sent a piece of the stream.
     Piece(Piece),
-    /// The permit was pulled back.
-    PulledBack,
+    /// The permit was revoked.
+    Revoked,
     /// The deadline passed.
-    Late,
-    /// The engine did not start it.
-    NotStarted(TargetError),
-    /// It can't go on.
-    Broken,
+    DeadlineExceeded,
+    /// The engine did not start the generation.
+    StartFailed(TargetError),
+    /// The generation can't be continued.
+    StreamFailed,
 }
 
-/// Work under a permit, of which the caller has seen nothing.
+/// Work under a permit of which the caller has received nothing yet.
 ///
-/// The permit stands for memory of the engine. Ended before the engine has let go of the work,
-/// as when a caller's connection is dropped in the middle of everything, it would let the owner
-/// put other work on top: a cold engine would get more than it bears. So if this is dropped, the
-/// work is cancelled first and then the permit is ended.
-pub struct Work {
+/// A permit reserves memory of an engine. If it ended while the engine still works on the request,
+/// for instance because the caller disconnected, the owner would place other work on top and
+/// overload a cold engine. Therefore dropping an attempt first cancels the work and only then ends
+/// the permit.
+pub struct Attempt {
     permit: Option<Box<dyn PermitHandle>>,
-    /// The generation, once the engine has named it.
-    pub running: Option<ActiveStream>,
-    /// Whether a request for it may have left.
+    /// The generation, once the engine has accepted it.
+    pub stream: Option<ActiveStream>,
+    /// Whether any byte of the request may have been sent.
     pub sent: bool,
 }
 
-impl Work {
-    /// Nothing was sent yet.
+impl Attempt {
+    /// Creates an attempt of which nothing has been sent.
     pub const fn new(permit: Box<dyn PermitHandle>) -> Self {
         Self {
             permit: Some(permit),
-            running: None,
+            stream: None,
             sent: false,
         }
     }
 
-    /// The permit.
+    /// Returns the permit.
     pub fn permit(&self) -> &dyn PermitHandle {
         let permit = self.permit.as_deref();
-        permit.expect("the permit is there until the work is taken apart")
+        permit.expect("an attempt has its permit until it is taken apart")
     }
 
-    /// Does something that no caller sees yet, until the permit is pulled back. Pulling back
-    /// comes first, so that no token goes out after it.
-    pub async fn next(&mut self) -> Step {
-        let Some(running) = &mut self.running else {
-            return Step::Broken;
+    /// Waits for the next event. A revocation takes precedence over a piece, so that no token is
+    /// sent after it.
+    pub async fn next(&mut self) -> AttemptEvent {
+        let Some(stream) = &mut self.stream else {
+            return AttemptEvent::StreamFailed;
         };
         let permit = self.permit.as_deref();
-        let permit = permit.expect("the permit is there until the work is taken apart");
+        let permit = permit.expect("an attempt has its permit until it is taken apart");
         let piece = async {
-            match running.next().await {
-                Ok(piece) => Step::Piece(piece),
-                Err(_) => Step::Broken,
+            match stream.next().await {
+                Ok(piece) => AttemptEvent::Piece(piece),
+                Err(_) => AttemptEvent::StreamFailed,
             }
         };
-        guarded(permit, piece).await
+        unless_revoked(permit, piece).await
     }
 
-    /// What a step other than a piece means.
-    pub async fn give_up<T>(&mut self, step: Step) -> Tried<T> {
-        match step {
-            Step::Piece(_) | Step::PulledBack => Tried::Again {
-                outcome: stop(self.running.take(), self.sent).await,
+    /// Ends the attempt because of an event other than an expected piece. Waits for the engine to
+    /// confirm a cancellation before the attempt may be repeated.
+    pub async fn give_up<T>(&mut self, event: AttemptEvent) -> AttemptResult<T> {
+        match event {
+            AttemptEvent::Piece(_) | AttemptEvent::Revoked => AttemptResult::Retry {
+                outcome: stop(self.stream.take(), self.sent).await,
                 ran: true,
             },
-            Step::Late => Tried::Over {
+            AttemptEvent::DeadlineExceeded => AttemptResult::Failed {
                 outcome: None,
                 refusal: refusals::deadline(Run::Unknown),
             },
-            Step::Broken => {
-                // Whether the engine can still be told matters to nobody who waits.
-                self.running = None;
-                Tried::Again {
+            AttemptEvent::StreamFailed => {
+                // Cancelled in the background: the retry does not wait for a failed engine.
+                self.stream = None;
+                AttemptResult::Retry {
                     outcome: WorkOutcome::Failed,
                     ran: true,
                 }
             }
-            Step::NotStarted(e) => not_started(e),
+            AttemptEvent::StartFailed(e) => start_failed(e),
         }
     }
 
-    /// Takes it apart: from now on the caller of this answers for both.
+    /// Takes the attempt apart. The receiver becomes responsible for ending both parts.
     pub fn take(mut self) -> (Box<dyn PermitHandle>, Option<ActiveStream>) {
         let permit = self.permit.take();
-        let permit = permit.expect("the permit is there until the work is taken apart");
-        (permit, self.running.take())
+        let permit = permit.expect("an attempt has its permit until it is taken apart");
+        (permit, self.stream.take())
     }
 }
 
-impl Drop for Work {
+impl Drop for Attempt {
     fn drop(&mut self) {
         let Some(permit) = self.permit.take() else {
             return;
         };
-        let running = self.running.take();
-        if running.is_none() {
-            permit.finish(unnamed(self.sent));
+        let stream = self.stream.take();
+        if stream.is_none() {
+            permit.finish(outcome_without_stream(self.sent));
             return;
         }
         let sent = self.sent;
-        workers::spawn(async move { permit.finish(stop(running, sent).await) }).detach();
+        workers::spawn(async move { permit.finish(stop(stream, sent).await) }).detach();
     }
 }
 
-/// Waits for a step until the permit is pulled back.
-pub async fn guarded(permit: &dyn PermitHandle, step: impl Future<Output = Step>) -> Step {
-    let pulled = async {
+/// Waits for an event, or for the revocation of the permit.
+pub async fn unless_revoked(
+    permit: &dyn PermitHandle,
+    event: impl Future<Output = AttemptEvent>,
+) -> AttemptEvent {
+    let revoked = async {
         permit.revoked().await;
-        Step::PulledBack
+        AttemptEvent::Revoked
     };
-    future::or(pulled, step).await
+    future::or(revoked, event).await
 }
 
-async fn stop(running: Option<ActiveStream>, sent: bool) -> WorkOutcome {
-    match running {
-        Some(running) => cancelled(running).await,
-        None => unnamed(sent),
+async fn stop(stream: Option<ActiveStream>, sent: bool) -> WorkOutcome {
+    match stream {
+        Some(stream) => cancel(stream).await,
+        None => outcome_without_stream(sent),
     }
 }
 
-/// A request that was sent and not answered may run without anybody knowing its name.
-const fn unnamed(sent: bool) -> WorkOutcome {
+/// Without a stream id, a request that was sent can't be cancelled and may still run.
+const fn outcome_without_stream(sent: bool) -> WorkOutcome {
     if sent {
         WorkOutcome::Failed
     } else {
@@ -166,51 +170,52 @@
     }
 }
 
-/// Cancels a generation. The engine's memory must be free again before the account says so; if
-/// the engine could not be told, the work may run on, and the account has to go on counting it.
-pub async fn cancelled(running: ActiveStream) -> WorkOutcome {
-    let produced = running.produced();
-    if running.cancel().await {
+/// Cancels a generation. Returns `Cancelled` only once the engine has confirmed it, because the
+/// permit may be given back only when the engine's memory is free; otherwise the work may still
+/// run and is accounted as failed.
+pub async fn cancel(stream: ActiveStream) -> WorkOutcome {
+    let produced = stream.produced();
+    if stream.cancel().await {
         WorkOutcome::Cancelled { produced }
     } else {
         WorkOutcome::Failed
     }
 }
 
-fn not_started<T>(error: TargetError) -> Tried<T> {
+fn start_failed<T>(error: TargetError) -> AttemptResult<T> {
     match error {
-        TargetError::Unsent { .. } => Tried::Again {
+        TargetError::Unsent { .. } => AttemptResult::Retry {
             outcome: WorkOutcome::Unreachable,
             ran: false,
         },
-        TargetError::Turned { .. } => Tried::Again {
+        TargetError::Turned { .. } => AttemptResult::Retry {
             outcome: WorkOutcome::Overloaded,
             ran: false,
         },
-        TargetError::Wrong { status, body } => Tried::Over {
+        TargetError::Wrong { status, body } => AttemptResult::Failed {
             outcome: Some(WorkOutcome::Cancelled { produced: 0 }),
             refusal: engine_refusal(status, &body),
         },
-        TargetError::Lost { .. } | TargetError::Gone => Tried::Again {
+        TargetError::Lost { .. } | TargetError::Gone => AttemptResult::Retry {
             outcome: WorkOutcome::Failed,
             ran: true,
         },
     }
 }
 
-/// The engine found the request wrong: it tells so before it runs anything.
+/// Passes on an engine's error answer. Engines reject an invalid request before they run any of it.
 fn engine_refusal(status: u16, body: &[u8]) -> Refusal {
-    let said = String::from_utf8_lossy(&body[..body.len().min(SAID_LIMIT)]);
+    let detail = String::from_utf8_lossy(&body[..body.len().min(ERROR_BODY_LIMIT)]);
     Refusal::new(
         status,
         "engine-refused",
         "The engine refused the request",
-        &said,
+        &detail,
     )
 }
 
-/// A refusal of a later try must not say `not-run` when an earlier one may have run.
-pub fn truthful(refusal: Refusal, ran: bool) -> Refusal {
+/// Corrects a refusal that says `not-run` if an earlier attempt may have run.
+pub fn with_earlier_runs(refusal: Refusal, ran: bool) -> Refusal {
     if ran && refusal.run == Run::NotRun {
         return refusal.with_run(Run::Unknown);
     }
--- a/components/gateway/src/auth.rs
+++ b/components/gateway/src/auth.rs
@@ -1,4 +1,4 @@
-//! Which workspace a caller belongs to.
+//! Authenticates callers.
 
 use std::fmt::Write;
 
@@ -9,7 +9,7 @@
 
 use crate::refusals;
 
-/// Finds the workspace by the caller's bearer key.
+/// Returns the workspace to which the caller's bearer key belongs.
 pub fn workspace(headers: &HeaderMap, in_force: &dyn InForce) -> Result<WorkspaceId, Refusal> {
     let key = bearer(headers).ok_or_else(refusals::bad_key)?;
     in_force
@@ -24,7 +24,7 @@
     (scheme.eq_ignore_ascii_case(b"bearer ") && !key.is_empty()).then_some(key)
 }
 
-/// Bytes in lower-case hexadecimal.
+/// Encodes bytes in lower-case hexadecimal.
 pub fn hex(bytes: &[u8]) -> String {
     let mut text = String::with_capacity(bytes.len() * 2);
     for byte in bytes {
--- a/components/gateway/src/buffered.rs
+++ b/components/gateway/src/buffered.rs
@@ -1,4 +1,4 @@
-//! Whole answers: the pieces of a generation put together into one JSON document.
+//! Buffered answers: joins the events of a generation into one JSON document.
 
 use std::sync::Arc;
 
@@ -13,22 +13,22 @@
 
 use crate::{
     admission::WorkOutcome,
-    attempt::{Step, Tried, Work},
+    attempt::{Attempt, AttemptEvent, AttemptResult},
     completion_request::Api,
     delivery,
     gateway::Core,
-    generate::{Begun, Generation},
+    generate::{Generation, StartedGeneration},
     merge::merge,
     metrics::Outcome,
     problem,
-    progress::Pace,
+    progress::ProgressThrottle,
     refusals,
 };
 
-/// Bytes of events gathered for one answer at most.
-const GATHER_LIMIT: usize = 8 * 1024 * 1024;
+/// Largest size of the events buffered for one answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 
-/// One event of an engine, as far as it matters here.
+/// The fields of an engine's event that are needed here.
 #[derive(Deserialize)]
 struct Chunk {
     id: Option<String>,
@@ -45,7 +45,7 @@
     finish_reason: Option<String>,
 }
 
-/// The document that a caller gets.
+/// The JSON document for the caller.
 #[derive(Serialize)]
 struct Document {
     id: String,
@@ -63,112 +63,120 @@
     total_tokens: Tokens,
 }
 
-/// What the events of a generation add up to.
+/// The joined events of a generation.
 #[derive(Default)]
-struct Sum {
+struct JoinedAnswer {
     id: Option<String>,
     created: Option<u64>,
     model: Option<String>,
     text: String,
-    /// Chat only: the message so far.
+    /// The chat message; empty for the text API.
     message: Map<String, Value>,
     finish_reason: Option<String>,
 }
 
-/// A generation gathered to its end.
+/// The events of a completed generation.
 struct BufferedAnswer {
     request: Arc<str>,
     data: Vec<Bytes>,
-    /// Memory that the data takes up.
+    /// Memory reserved for the data.
     _share: Share,
 }
 
-/// Answers with one document. Until it is whole the caller has seen nothing, so the generation
-/// may be pulled back and run again elsewhere all along.
+/// Answers with one document. Until it is complete the caller receives nothing, so the permit may
+/// be revoked and the generation run again elsewhere at any time before.
 pub async fn answer(generation: Generation) -> Result<Response<Body>, Refusal> {
     let core = Arc::clone(&generation.core);
-    let ask = &generation;
-    let cut = Mutex::new(Vec::new());
-    let cut_off = &cut;
-    let tried = ask
-        .tries(|mut work| async move {
-            let tried = match ask.begin(&mut work).await {
-                Tried::Good(begun) => gather(ask, &mut work, begun, cut_off).await,
-                Tried::Again { outcome, ran } => Tried::Again { outcome, ran },
-                Tried::Over { outcome, refusal } => Tried::Over { outcome, refusal },
+    let request = &generation;
+    let partial = Mutex::new(Vec::new());
+    let partial_data = &partial;
+    let result = request
+        .with_retries(|mut attempt| async move {
+            let result = match request.start(&mut attempt).await {
+                AttemptResult::Success(started) => {
+                    buffer(request, &mut attempt, started, partial_data).await
+                }
+                AttemptResult::Retry { outcome, ran } => AttemptResult::Retry { outcome, ran },
+                AttemptResult::Failed { outcome, refusal } => {
+                    AttemptResult::Failed { outcome, refusal }
+                }
             };
-            (work, tried)
+            (attempt, result)
         })
         .await;
-    let (work, gathered) = match tried {
-        Ok(good) => good,
-        Err(refusal) => return incomplete(&generation, refusal, &cut.into_inner()),
+    let (attempt, answer) = match result {
+        Ok(success) => success,
+        Err(refusal) => return incomplete(&generation, refusal, &partial.into_inner()),
     };
-    let produced = finish(&core, work);
-    let sum = Sum::of(&gathered.data).inspect_err(|e| generation.flight.note(e.run.into()))?;
-    generation.flight.note(Outcome::Whole);
+    let produced = finish(&core, attempt);
+    let joined = JoinedAnswer::of(&answer.data)
+        .inspect_err(|e| generation.in_flight.set_outcome(e.run.into()))?;
+    generation.in_flight.set_outcome(Outcome::Whole);
     core.quarantine.record_success(&generation.fingerprint);
-    let document = sum.document(&generation, produced);
+    let document = joined.document(&generation, produced);
     Ok(Reply::json(200, &document)
-        .with_header(REQUEST_ID, &gathered.request)
+        .with_header(REQUEST_ID, &answer.request)
         .done())
 }
 
-/// Ends the permit of a generation that has ended; tells the tokens that it produced.
-fn finish(core: &Core, work: Work) -> Tokens {
-    let (permit, running) = work.take();
-    let Some(running) = running else {
+/// Gives back the permit of a completed generation; returns the number of tokens produced.
+fn finish(core: &Core, attempt: Attempt) -> Tokens {
+    let (permit, stream) = attempt.take();
+    let Some(stream) = stream else {
         return 0;
     };
-    delivery::tell_resumes(core, &running);
-    let produced = running.produced();
+    delivery::report_resumptions(core, &stream);
+    let produced = stream.produced();
     permit.finish(WorkOutcome::Finished {
         produced,
-        first: running.time_to_first_token().unwrap_or_default(),
-        took: running.elapsed(),
+        first: stream.time_to_first_token().unwrap_or_default(),
+        took: stream.elapsed(),
     });
     produced
 }
 
-/// No further try was allowed: if an engine broke off in the middle, the caller gets what there
-/// was, marked as a part.
+/// Answers when no further attempt is allowed. If an engine failed in the middle of the answer, the
+/// caller gets the text produced until then, marked as partial.
 fn incomplete(
     generation: &Generation,
     refusal: Refusal,
-    cut: &[Bytes],
+    partial_data: &[Bytes],
 ) -> Result<Response<Body>, Refusal> {
-    if cut.is_empty() {
+    if partial_data.is_empty() {
         return Err(refusal);
     }
-    let mut partial = refusals::partial(&format!("no further try was possible: {refusal}"));
+    let mut partial = refusals::partial(&format!("no further attempt was possible: {refusal}"));
     partial.retry_after = refusal.retry_after;
-    generation.core.metrics.refused(&partial.code);
-    generation.flight.note(Outcome::Partial);
-    let text = Sum::of(cut).map(Sum::into_text).unwrap_or_default();
+    generation.core.metrics.record_refusal(&partial.code);
+    generation.in_flight.set_outcome(Outcome::Partial);
+    let text = JoinedAnswer::of(partial_data)
+        .map(JoinedAnswer::into_text)
+        .unwrap_or_default();
     Ok(problem::response_with_text(&partial, &text))
 }
 
-/// Gathers a generation to its end. What an engine that broke off had produced goes to `cut`.
-async fn gather(
-    ask: &Generation,
-    work: &mut Work,
-    begun: Begun,
-    cut: &Mutex<Vec<Bytes>>,
-) -> Tried<BufferedAnswer> {
-    let core = &ask.core;
-    let arrived = ask.caller.arrived;
+/// Buffers a generation to its end. If the stream fails, the events received until then are stored
+/// in `partial_data`.
+async fn buffer(
+    request: &Generation,
+    attempt: &mut Attempt,
+    started: StartedGeneration,
+    partial_data: &Mutex<Vec<Bytes>>,
+) -> AttemptResult<BufferedAnswer> {
+    let core = &request.core;
+    let arrived = request.caller.arrived;
     core.metrics
-        .first_token(core.admission.now().saturating_sub(arrived));
-    let Begun { mut piece, request } = begun;
+        .record_first_token(core.admission.now().saturating_sub(arrived));
+    let StartedGeneration { mut piece, request } = started;
     let mut data = Vec::new();
     let mut share = core.answers.share();
-    let mut pace = Pace::new(0, core.timer.now());
+    let mut progress = ProgressThrottle::new(0, core.timer.now());
     let mut size = 0;
     loop {
         let (first, more) = match piece {
             Piece::Tokens { first, data, .. } => (first, data),
             Piece::End => {
-                return Tried::Good(BufferedAnswer {
+                return AttemptResult::Success(BufferedAnswer {
                     request,
                     data,
                     _share: share,
@@ -179,7 +187,7 @@
         let bytes = more.iter().map(Bytes::len).sum();
         data.extend(more);
         size += bytes;
-        let refusal = if size > GATHER_LIMIT {
+        let refusal = if size > MAX_ANSWER_BYTES {
             Some(refusals::answer_too_large())
         } else if !share.grow(bytes) {
             Some(refusals::answers_crowded())
@@ -187,35 +195,36 @@
             None
         };
         if let Some(refusal) = refusal {
-            return Tried::Over {
+            return AttemptResult::Failed {
                 outcome: None,
                 refusal,
             };
         }
-        if pace.due(produced, core.timer.now()) {
-            work.permit().report_buffered(produced);
+        if progress.is_due(produced, core.timer.now()) {
+            attempt.permit().report_buffered(produced);
         }
-        piece = match work.next().await {
-            Step::Piece(piece) => piece,
-            step => {
-                if matches!(step, Step::Broken) {
-                    *cut.lock() = data;
+        piece = match attempt.next().await {
+            AttemptEvent::Piece(piece) => piece,
+            event => {
+                if matches!(event, AttemptEvent::StreamFailed) {
+                    *partial_data.lock() = data;
                 }
-                return work.give_up(step).await;
+                return attempt.give_up(event).await;
             }
         };
     }
 }
 
-impl Sum {
+impl JoinedAnswer {
     fn of(data: &[Bytes]) -> Result<Self, Refusal> {
-        let mut sum = Self::default();
+        let mut joined = Self::default();
         for event in data {
-            let chunk: Chunk = serde_json::from_slice(event)
-                .map_err(|e| refusals::partial(&format!("the engine sent no valid event: {e}")))?;
-            sum.add(chunk);
+            let chunk: Chunk = serde_json::from_slice(event).map_err(|e| {
+                refusals::partial(&format!("the engine sent an invalid event: {e}"))
+            })?;
+            joined.add(chunk);
         }
-        Ok(sum)
+        Ok(joined)
     }
 
     fn add(&mut self, chunk: Chunk) {
@@ -230,7 +239,7 @@
         self.finish_reason = choice.finish_reason.or(self.finish_reason.take());
     }
 
-    /// The text alone, of either API.
+    /// Returns only the text, of either API.
     fn into_text(mut self) -> String {
         if let Some(Value::String(content)) = self.message.get("content") {
             self.text.push_str(content);
@@ -239,9 +248,9 @@
     }
 
     fn document(self, generation: &Generation, produced: Tokens) -> Document {
-        let call = &generation.call;
+        let completion = &generation.completion;
         let reason = self.finish_reason.unwrap_or_else(|| "stop".into());
-        let (object, choice) = match call.api {
+        let (object, choice) = match completion.api {
             Api::Chat => ("chat.completion", chat_choice(self.message, reason)),
             Api::Text => ("text_completion", text_choice(self.text, reason)),
         };
@@ -249,12 +258,12 @@
             id: self.id.unwrap_or_default(),
             object,
             created: self.created.unwrap_or_default(),
-            model: self.model.unwrap_or_else(|| call.model.to_string()),
+            model: self.model.unwrap_or_else(|| completion.model.to_string()),
             choices: [choice],
             usage: Usage {
-                prompt_tokens: call.prompt_tokens,
+                prompt_tokens: completion.prompt_tokens,
                 completion_tokens: produced,
-                total_tokens: call.prompt_tokens + produced,
+                total_tokens: completion.prompt_tokens + produced,
             },
         }
     }
--- a/components/gateway/src/completion_request.rs
+++ b/components/gateway/src/completion_request.rs
@@ -1,4 +1,4 @@
-//! Reading the body of a generation's request.
+//! Parses the body of a request for a generation, and rewrites it for the engine.
 
 use std::sync::Arc;
 
@@ -8,10 +8,10 @@
 
 use crate::refusals::bad_request;
 
-/// Bytes of a prompt that make about one token.
+/// Average length of a token, in bytes of the prompt.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// Which of the two APIs was called.
+/// The called API.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Api {
     /// `/v1/chat/completions`
@@ -21,7 +21,7 @@
 }
 
 impl Api {
-    /// Its path, which is the same at engines.
+    /// Returns the path of the API, which is the same at the gateway and at engines.
     pub const fn path(self) -> &'static str {
         match self {
             Self::Chat => "/v1/chat/completions",
@@ -30,36 +30,36 @@
     }
 }
 
-/// A generation's request, as far as it matters here.
+/// A parsed request for a generation.
 #[derive(Debug)]
-pub struct Call {
-    /// Which API.
+pub struct CompletionRequest {
+    /// The called API.
     pub api: Api,
-    /// The model's name.
+    /// Name of the model.
     pub model: Arc<str>,
     /// Whether the caller wants a stream.
     pub stream: bool,
-    /// The most tokens that the caller wants.
+    /// Largest number of tokens that the caller wants.
     pub max_output: Option<Tokens>,
-    /// The prompt's bytes, joined.
+    /// The bytes of the prompt; those of a chat are joined.
     pub prompt: Vec<u8>,
-    /// Estimated tokens of the prompt.
+    /// Number of tokens in the prompt; estimated unless the prompt is a list of tokens.
     pub prompt_tokens: Tokens,
-    /// How many tokens it really produces; for the oracle baseline only.
+    /// How many tokens the generation will really produce; for the oracle baseline only.
     pub true_output: Option<Tokens>,
     body: Map<String, Value>,
 }
 
-impl Call {
-    /// Reads a body.
+impl CompletionRequest {
+    /// Parses a body.
     ///
     /// # Errors
-    /// Tells the caller what is wrong with it.
-    pub fn read(api: Api, body: &[u8]) -> Result<Self, Refusal> {
+    /// Returns a refusal that names the invalid field.
+    pub fn parse(api: Api, body: &[u8]) -> Result<Self, Refusal> {
         let body: Value = serde_json::from_slice(body)
             .map_err(|e| bad_request("bad-json", &format!("the body is not JSON: {e}")))?;
         let Value::Object(body) = body else {
-            return Err(wrong("the body", "an object"));
+            return Err(invalid("the body", "an object"));
         };
         check_choices(&body)?;
         let (prompt, prompt_tokens) = prompt(api, &body)?;
@@ -75,19 +75,20 @@
         })
     }
 
-    /// The body for the engine: always a stream, with the limit and the urgency filled in.
+    /// Returns the body for the engine, which always requests a stream and sets `max_tokens` and
+    /// `priority`.
     pub fn for_engine(&self, max_output: Tokens, class: Class) -> Bytes {
         let mut body = self.body.clone();
         body.remove("max_completion_tokens");
         body.insert("stream".into(), true.into());
         body.insert("max_tokens".into(), max_output.into());
         body.insert("priority".into(), priority(class).into());
-        // A JSON value always has a text.
+        // A JSON value can always be encoded.
         serde_json::to_vec(&body).unwrap_or_default().into()
     }
 }
 
-/// Engines serve smaller numbers first.
+/// Returns the engine's priority of a class. Engines serve smaller numbers first.
 const fn priority(class: Class) -> u8 {
     match class {
         Class::Urgent => 0,
@@ -96,14 +97,14 @@
     }
 }
 
-fn wrong(what: &str, right: &str) -> Refusal {
-    bad_request("bad-value", &format!("{what} must be {right}"))
+fn invalid(field: &str, expected: &str) -> Refusal {
+    bad_request("bad-value", &format!("{field} must be {expected}"))
 }
 
 fn model(body: &Map<String, Value>) -> Result<Arc<str>, Refusal> {
     match body.get("model") {
         Some(Value::String(model)) if !model.is_empty() => Ok(model.as_str().into()),
-        _ => Err(wrong("`model`", "the name of a model")),
+        _ => Err(invalid("`model`", "the name of a model")),
     }
 }
 
@@ -111,17 +112,18 @@
     match body.get("stream") {
         None | Some(Value::Null) => Ok(false),
         Some(Value::Bool(stream)) => Ok(*stream),
-        Some(_) => Err(wrong("`stream`", "true or false")),
+        Some(_) => Err(invalid("`stream`", "true or false")),
     }
 }
 
-/// Several answers to one prompt would need several accounts of tokens in one stream.
+/// Rejects requests for several answers to one prompt: the tokens of a stream are counted as one
+/// sequence.
 fn check_choices(body: &Map<String, Value>) -> Result<(), Refusal> {
     for field in ["n", "best_of"] {
         match body.get(field) {
             None | Some(Value::Null) => {}
             Some(value) if value.as_u64() == Some(1) => {}
-            Some(_) => return Err(wrong(&format!("`{field}`"), "1: one answer a request")),
+            Some(_) => return Err(invalid(&format!("`{field}`"), "1: one answer per request")),
         }
     }
     Ok(())
@@ -133,7 +135,7 @@
             None | Some(Value::Null) => {}
             Some(value) => match value.as_u64() {
                 Some(tokens) if tokens > 0 => return Ok(Some(tokens)),
-                _ => return Err(wrong(&format!("`{field}`"), "a whole number above zero")),
+                _ => return Err(invalid(&format!("`{field}`"), "a whole number above zero")),
             },
         }
     }
@@ -156,34 +158,34 @@
 }
 
 fn chat_prompt(body: &Map<String, Value>) -> Result<(Vec<u8>, Tokens), Refusal> {
-    let right = "a list of one or more objects with `role` and `content`";
+    let expected = "a list of one or more objects with `role` and `content`";
     let messages = body.get("messages").and_then(Value::as_array);
     let messages = messages.filter(|list| !list.is_empty());
-    let messages = messages.ok_or_else(|| wrong("`messages`", right))?;
+    let messages = messages.ok_or_else(|| invalid("`messages`", expected))?;
     let mut text = Vec::new();
     for message in messages {
         let role = message.get("role").and_then(Value::as_str);
-        let role = role.ok_or_else(|| wrong("`messages`", right))?;
+        let role = role.ok_or_else(|| invalid("`messages`", expected))?;
         text.extend_from_slice(role.as_bytes());
         text.push(b'\n');
         match message.get("content") {
             None | Some(Value::Null) => {}
             Some(Value::String(content)) => text.extend_from_slice(content.as_bytes()),
             Some(parts @ Value::Array(_)) => text.extend_from_slice(parts.to_string().as_bytes()),
-            Some(_) => return Err(wrong("`messages`", right)),
+            Some(_) => return Err(invalid("`messages`", expected)),
         }
         text.push(b'\n');
     }
-    let tokens = estimate(&text);
+    let tokens = estimate_tokens(&text);
     Ok((text, tokens))
 }
 
 fn text_prompt(body: &Map<String, Value>) -> Result<(Vec<u8>, Tokens), Refusal> {
-    let right = "a text or a list of token numbers";
+    let expected = "a text or a list of token numbers";
     match body.get("prompt") {
         Some(Value::String(text)) => {
             let text = text.clone().into_bytes();
-            let tokens = estimate(&text);
+            let tokens = estimate_tokens(&text);
             Ok((text, tokens))
         }
         Some(Value::Array(list)) if list.iter().all(Value::is_u64) => {
@@ -191,10 +193,10 @@
             let text = numbers.flat_map(u64::to_le_bytes).collect();
             Ok((text, list.len() as Tokens))
         }
-        _ => Err(wrong("`prompt`", right)),
+        _ => Err(invalid("`prompt`", expected)),
     }
 }
 
-fn estimate(text: &[u8]) -> Tokens {
+fn estimate_tokens(text: &[u8]) -> Tokens {
     (text.len() as u64).div_ceil(BYTES_PER_TOKEN).max(1)
 }
--- a/components/gateway/src/delivery.rs
+++ b/components/gateway/src/delivery.rs
@@ -1,4 +1,5 @@
-//! Carrying a stream to its end, also when its caller goes away.
+//! Delivers a stream to its caller until its end, and keeps reading it for a while if the caller
+//! disconnects.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,203 +15,208 @@
     refusals, streams::Superseded, writer::Writer,
 };
 
-/// How long a generation runs on for a caller that went away, so that it can come back. After
-/// that it is cancelled, because its memory is needed.
-pub const GRACE: Duration = Duration::from_secs(10);
+/// How long a generation keeps running after its caller disconnected, so that the caller can resume
+/// it. Then it is cancelled to free the engine's memory.
+pub const RESUME_GRACE: Duration = Duration::from_secs(10);
 
-/// A stream that is carried to a caller.
-pub struct Carried {
-    /// The gateway.
+/// A stream that is being delivered to its caller.
+pub struct StreamDelivery {
+    /// The gateway's shared state.
     pub core: Arc<Core>,
     /// The generation.
-    pub running: ActiveStream,
-    /// Who asked.
+    pub stream: ActiveStream,
+    /// The caller's workspace.
     pub workspace: WorkspaceId,
-    /// What stays the same of the request when it is sent again, where it is known: not where its
-    /// caller goes on with the stream of another instance.
+    /// Identifies the request across retries. `None` if the caller resumed the stream here: the
+    /// request is then unknown.
     pub fingerprint: Option<Fingerprint>,
-    /// The way to the caller.
+    /// Writes to the caller.
     pub writer: Writer,
-    /// Counts it as in flight; `None` once the request as such is over here.
-    pub flight: Option<InFlightGuard>,
+    /// Counts the request as in flight; `None` once the request has ended at this instance.
+    pub in_flight: Option<InFlightGuard>,
 }
 
-impl Carried {
-    fn note(&self, outcome: Outcome) {
-        if let Some(flight) = &self.flight {
-            flight.note(outcome);
+impl StreamDelivery {
+    fn set_outcome(&self, outcome: Outcome) {
+        if let Some(in_flight) = &self.in_flight {
+            in_flight.set_outcome(outcome);
         }
     }
 
-    fn finished(&self) -> WorkOutcome {
+    fn finished_outcome(&self) -> WorkOutcome {
         WorkOutcome::Finished {
-            produced: self.running.produced(),
-            first: self.running.time_to_first_token().unwrap_or_default(),
-            took: self.running.elapsed(),
+            produced: self.stream.produced(),
+            first: self.stream.time_to_first_token().unwrap_or_default(),
+            took: self.stream.elapsed(),
         }
     }
 }
 
-/// How carrying ended.
-enum Stop {
-    /// The generation ended, or its caller went away.
-    End(StreamEnd),
-    /// The caller goes on with it over another connection.
+/// How the delivery ended.
+enum DeliveryEnd {
+    /// The stream ended, or its caller disconnected.
+    Stream(StreamEnd),
+    /// The caller resumed the stream over another connection.
     Superseded,
 }
 
-/// Carries a stream until its end.
-pub async fn carry(mut carried: Carried, piece: Option<Piece>) {
-    let core = Arc::clone(&carried.core);
-    let target = carried.running.target().id.clone();
-    let held = core.streams.hold(&target, carried.running.id());
-    let stop = pump(&mut carried, piece, held.superseded()).await;
-    if !matches!(stop, Stop::End(StreamEnd::Closed)) {
-        drop(held);
-        return finish(carried, stop, false).await;
+/// Delivers a stream until its end, beginning with `piece` if it has already been read.
+pub async fn deliver(mut delivery: StreamDelivery, piece: Option<Piece>) {
+    let core = Arc::clone(&delivery.core);
+    let target = delivery.stream.target().id.clone();
+    let registration = core.streams.register(&target, delivery.stream.id());
+    let end = forward(&mut delivery, piece, registration.superseded()).await;
+    if !matches!(end, DeliveryEnd::Stream(StreamEnd::Closed)) {
+        drop(registration);
+        return finish(delivery, end, false).await;
     }
-    let stop = linger(&mut carried, held.superseded()).await;
-    drop(held);
-    finish(carried, stop, true).await;
+    let end = wait_for_resumption(&mut delivery, registration.superseded()).await;
+    drop(registration);
+    finish(delivery, end, true).await;
 }
 
-async fn pump(carried: &mut Carried, piece: Option<Piece>, superseded: Superseded) -> Stop {
-    let Carried {
-        running, writer, ..
-    } = carried;
-    let work = async {
+async fn forward(
+    delivery: &mut StreamDelivery,
+    piece: Option<Piece>,
+    superseded: Superseded,
+) -> DeliveryEnd {
+    let StreamDelivery { stream, writer, .. } = delivery;
+    let forward = async {
         let written = match piece {
             Some(Piece::Tokens { first, data, .. }) => writer.write_tokens(first, data).await,
-            Some(Piece::End) => return Stop::End(StreamEnd::Finished),
+            Some(Piece::End) => return DeliveryEnd::Stream(StreamEnd::Finished),
             None => Ok(()),
         };
         match written {
-            Ok(()) => Stop::End(running.forward_to(writer).await),
-            Err(_) => Stop::End(StreamEnd::Closed),
+            Ok(()) => DeliveryEnd::Stream(stream.forward_to(writer).await),
+            Err(_) => DeliveryEnd::Stream(StreamEnd::Closed),
         }
     };
-    or_superseded(work, superseded).await
+    unless_superseded(forward, superseded).await
 }
 
-/// Reads on for an absent caller, for a while.
-async fn linger(carried: &mut Carried, superseded: Superseded) -> Stop {
-    let timer = carried.core.timer;
-    let grace = carried.core.grace;
+/// Keeps reading after the caller disconnected, until the stream ends, the caller resumes it or the
+/// grace period is over.
+async fn wait_for_resumption(delivery: &mut StreamDelivery, superseded: Superseded) -> DeliveryEnd {
+    let timer = delivery.core.timer;
+    let grace = delivery.core.grace;
     let read = async {
-        match read_on(carried).await {
-            Ok(()) => Stop::End(StreamEnd::Finished),
-            // Whether the link broke or the engine did, the caller may still come back.
+        match read_to_end(delivery).await {
+            Ok(()) => DeliveryEnd::Stream(StreamEnd::Finished),
+            // The caller may still resume the stream, even if the connection or the engine failed.
             Err(_) => future::pending().await,
         }
     };
-    let over = async {
+    let grace_over = async {
         timer.sleep(grace).await;
-        Stop::End(StreamEnd::Closed)
+        DeliveryEnd::Stream(StreamEnd::Closed)
     };
-    or_superseded(future::or(read, over), superseded).await
+    unless_superseded(future::or(read, grace_over), superseded).await
 }
 
-/// Reads a stream to its end for its account only. A broken link is not mended: maybe it broke
-/// because the caller goes on at another instance, and resuming here would take it from there.
-async fn read_on(carried: &mut Carried) -> Result<(), StreamError> {
-    let Carried {
-        running, writer, ..
-    } = carried;
-    running.disable_resume();
-    while let Piece::Tokens { .. } = running.next().await? {
-        writer.note(running.produced());
+/// Reads a stream to its end and only reports progress. A lost connection is not replaced: the
+/// caller may have resumed the stream at another instance, and reconnecting here would take the
+/// stream away from there.
+async fn read_to_end(delivery: &mut StreamDelivery) -> Result<(), StreamError> {
+    let StreamDelivery { stream, writer, .. } = delivery;
+    stream.disable_resume();
+    while let Piece::Tokens { .. } = stream.next().await? {
+        writer.report_progress(stream.produced());
     }
     Ok(())
 }
 
-async fn or_superseded(work: impl Future<Output = Stop>, superseded: Superseded) -> Stop {
-    let other = async {
+async fn unless_superseded(
+    work: impl Future<Output = DeliveryEnd>,
+    superseded: Superseded,
+) -> DeliveryEnd {
+    let superseded = async {
         superseded.wait().await;
-        Stop::Superseded
+        DeliveryEnd::Superseded
     };
-    future::or(other, work).await
+    future::or(superseded, work).await
 }
 
-async fn finish(carried: Carried, stop: Stop, left: bool) {
-    tell_resumes(&carried.core, &carried.running);
-    match stop {
-        Stop::End(StreamEnd::Finished) => finished(carried, left).await,
-        Stop::End(StreamEnd::Failed(broken)) => broke_off(carried, &broken).await,
-        Stop::End(StreamEnd::Closed) => cancelled(carried).await,
-        Stop::Superseded => superseded(carried).await,
+async fn finish(delivery: StreamDelivery, end: DeliveryEnd, caller_left: bool) {
+    report_resumptions(&delivery.core, &delivery.stream);
+    match end {
+        DeliveryEnd::Stream(StreamEnd::Finished) => finished(delivery, caller_left).await,
+        DeliveryEnd::Stream(StreamEnd::Failed(error)) => failed(delivery, &error).await,
+        DeliveryEnd::Stream(StreamEnd::Closed) => cancelled(delivery).await,
+        DeliveryEnd::Superseded => superseded(delivery).await,
     }
 }
 
-/// Counts and logs the new connections that a stream needed.
-pub fn tell_resumes(core: &Core, running: &ActiveStream) {
-    let times = running.resume_count();
+/// Counts and logs how often the stream was resumed over a new connection.
+pub fn report_resumptions(core: &Core, stream: &ActiveStream) {
+    let times = stream.resume_count();
     if times == 0 {
         return;
     }
-    core.metrics.resumed(times);
+    core.metrics.record_resumptions(times);
     events::emit(&Event::LinkReplaced {
-        target: running.target().id.clone(),
+        target: stream.target().id.clone(),
         times,
     });
 }
 
-async fn finished(mut carried: Carried, left: bool) {
-    if let Some(fingerprint) = &carried.fingerprint {
-        carried.core.quarantine.record_success(fingerprint);
+async fn finished(mut delivery: StreamDelivery, caller_left: bool) {
+    if let Some(fingerprint) = &delivery.fingerprint {
+        delivery.core.quarantine.record_success(fingerprint);
     }
-    let outcome = carried.finished();
-    // First, as a slow caller may take a while to read the rest.
-    carried.writer.finish(outcome);
-    let gone = left || carried.writer.done().await.is_err();
-    carried.note(if gone { Outcome::Left } else { Outcome::Whole });
+    let outcome = delivery.finished_outcome();
+    // The permit is given back first, because a slow caller may take a while to read the rest.
+    delivery.writer.finish_permit(outcome);
+    let left = caller_left || delivery.writer.write_done().await.is_err();
+    delivery.set_outcome(if left { Outcome::Left } else { Outcome::Whole });
 }
 
-async fn broke_off(mut carried: Carried, broken: &StreamError) {
-    let produced = carried.running.produced();
-    if let Some(fingerprint) = carried.fingerprint {
-        let (core, target) = (&carried.core, carried.running.target());
-        let sent = core
+async fn failed(mut delivery: StreamDelivery, error: &StreamError) {
+    let produced = delivery.stream.produced();
+    if let Some(fingerprint) = delivery.fingerprint {
+        let (core, target) = (&delivery.core, delivery.stream.target());
+        let sent_at = core
             .admission
             .now()
-            .saturating_sub(carried.running.elapsed());
-        core.look_into(fingerprint, ServiceKind::Model, target, sent);
+            .saturating_sub(delivery.stream.elapsed());
+        core.detect_crash(fingerprint, ServiceKind::Model, target, sent_at);
     }
-    let refusal = refusals::partial(&format!("{broken}; {produced} tokens were produced"));
-    carried.writer.finish(WorkOutcome::Failed);
-    carried.core.metrics.refused(&refusal.code);
-    carried.note(Outcome::Partial);
+    let refusal = refusals::partial(&format!("{error}; {produced} tokens were produced"));
+    delivery.writer.finish_permit(WorkOutcome::Failed);
+    delivery.core.metrics.record_refusal(&refusal.code);
+    delivery.set_outcome(Outcome::Partial);
     events::emit(&Event::AnswerCut {
-        workspace: carried.workspace.clone(),
-        target: carried.running.target().id.clone(),
-        reason: broken.to_string().into(),
+        workspace: delivery.workspace.clone(),
+        target: delivery.stream.target().id.clone(),
+        reason: error.to_string().into(),
     });
-    // If the caller has gone as well there is nobody left to tell.
-    let _ = carried.writer.partial(&refusal).await;
+    // Fails if the caller has disconnected too; then nobody needs the event.
+    let _ = delivery.writer.write_partial(&refusal).await;
 }
 
-async fn cancelled(carried: Carried) {
-    let Carried {
-        running,
+async fn cancelled(delivery: StreamDelivery) {
+    let StreamDelivery {
+        stream,
         mut writer,
-        flight,
+        in_flight,
         ..
-    } = carried;
-    let outcome = attempt::cancelled(running).await;
-    writer.finish(outcome);
-    drop(flight);
+    } = delivery;
+    let outcome = attempt::cancel(stream).await;
+    writer.finish_permit(outcome);
+    drop(in_flight);
 }
 
-/// The caller goes on over another connection, but the generation still takes up memory under
-/// the permit that is held here. So it is read on until its end, and the permit with it; the
-/// request as such is over here, and a shutdown does not wait for it.
-async fn superseded(mut carried: Carried) {
-    carried.writer.close();
-    carried.flight = None;
-    let ended = read_on(&mut carried).await;
-    let outcome = match ended {
-        Ok(()) => carried.finished(),
+/// Handles a stream that its caller resumed over another connection. The generation still uses
+/// memory under the permit held here, so the stream is read to its end and the permit kept until
+/// then. The request itself has ended here, and a shutdown does not wait for it.
+async fn superseded(mut delivery: StreamDelivery) {
+    delivery.writer.close();
+    delivery.in_flight = None;
+    let result = read_to_end(&mut delivery).await;
+    let outcome = match result {
+        Ok(()) => delivery.finished_outcome(),
         Err(_) => WorkOutcome::Failed,
     };
-    carried.writer.finish(outcome);
-    carried.running.detach();
+    delivery.writer.finish_permit(outcome);
+    delivery.stream.detach();
 }
--- a/components/gateway/src/forward.rs
+++ b/components/gateway/src/forward.rs
@@ -1,4 +1,4 @@
-//! What of a plain call's head is passed on, and what of its answer.
+//! Selects which headers of a plain call and of its answer are forwarded.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 
 use crate::{refusals, request};
 
-/// Headers that concern one connection only, or that the other side sets itself.
+/// Headers that apply to one connection only, or that the client or server sets itself.
 const HOP_BY_HOP: [&str; 11] = [
     "connection",
     "content-length",
@@ -23,9 +23,9 @@
     "transfer-encoding",
     "upgrade",
 ];
-/// Headers meant for celerystand itself. The key stays here: a service that gets it could act
-/// in the workspace's name.
-const OURS: [&str; 5] = [
+/// Headers for celerystand itself. The key is not forwarded: a service that received it could act
+/// on behalf of the workspace.
+const CELERYSTAND_HEADERS: [&str; 5] = [
     "authorization",
     "x-request-id",
     request::CLASS,
@@ -33,21 +33,24 @@
     request::ROUTE,
 ];
 
-/// A header as text.
+/// Name and value of a header.
 pub type Header = (Arc<str>, Arc<str>);
 
-/// The headers of a request to pass on.
+/// Returns the headers of a request to forward.
 pub fn request_headers(headers: &HeaderMap) -> Vec<Header> {
-    let named = named_by_connection(headers);
+    let per_connection = connection_headers(headers);
     headers
         .iter()
-        .filter(|(name, _)| passes(name.as_str(), &named) && !OURS.contains(&name.as_str()))
+        .filter(|(name, _)| {
+            is_end_to_end(name.as_str(), &per_connection)
+                && !CELERYSTAND_HEADERS.contains(&name.as_str())
+        })
         .filter_map(|(name, value)| Some((name.as_str().into(), value.to_str().ok()?.into())))
         .collect()
 }
 
-/// The headers that `Connection` declares to be for one connection only.
-fn named_by_connection(headers: &HeaderMap) -> Vec<String> {
+/// Returns the names that the `Connection` header declares to apply to one connection only.
+fn connection_headers(headers: &HeaderMap) -> Vec<String> {
     headers
         .get_all(header::CONNECTION)
         .iter()
@@ -57,17 +60,18 @@
         .collect()
 }
 
-fn passes(name: &str, named: &[String]) -> bool {
-    !HOP_BY_HOP.contains(&name) && !named.iter().any(|other| other == name)
+/// Whether a header may be forwarded.
+fn is_end_to_end(name: &str, per_connection: &[String]) -> bool {
+    !HOP_BY_HOP.contains(&name) && !per_connection.iter().any(|other| other == name)
 }
 
-/// Path and query to pass on. A path that a service might read as another one than the route
-/// was chosen by is refused: it would get past the route's terms.
+/// Returns the path and query to forward. A path with dot segments is refused: the service might
+/// resolve it to another path than the route was chosen by, and so bypass the route's terms.
 pub fn path(uri: &Uri) -> Result<Arc<str>, Refusal> {
-    if uri.path().split('/').any(climbs) {
+    if uri.path().split('/').any(is_dot_segment) {
         return Err(refusals::bad_request(
             "bad-path",
-            "the path must not hold `.` or `..` as a part",
+            "the path must not contain `.` or `..` as a segment",
         ));
     }
     Ok(uri
@@ -76,20 +80,20 @@
         .into())
 }
 
-fn climbs(part: &str) -> bool {
-    let plain = part.to_ascii_lowercase().replace("%2e", ".");
-    plain == "." || plain == ".."
+fn is_dot_segment(part: &str) -> bool {
+    let decoded = part.to_ascii_lowercase().replace("%2e", ".");
+    decoded == "." || decoded == ".."
 }
 
-/// A service's answer for the caller, with the request's name.
-pub fn response(answer: &PlainAnswer, request: &str) -> Response<Body> {
+/// Returns the response for a service's answer, with the request id.
+pub fn response(answer: &PlainAnswer, request_id: &str) -> Response<Body> {
     let mut reply = Reply::new(answer.status).with_body(full(answer.body.clone()));
     for (name, value) in &answer.headers {
-        // An answer to `HEAD` tells the length of a body that it does not have.
-        let bodiless = answer.body.is_empty() && **name == *"content-length";
-        if bodiless || !HOP_BY_HOP.contains(&name.as_ref()) {
+        // An answer to `HEAD` has the length of a body that it does not contain.
+        let is_length_without_body = answer.body.is_empty() && **name == *"content-length";
+        if is_length_without_body || !HOP_BY_HOP.contains(&name.as_ref()) {
             reply = reply.with_added(name, value);
         }
     }
-    reply.with_header(REQUEST_ID, request).done()
+    reply.with_header(REQUEST_ID, request_id).done()
 }
--- a/components/gateway/src/gateway.rs
+++ b/components/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What a gateway is made of.
+//! The gateway and the state that its requests share.
 
 use std::{
     sync::{
@@ -30,52 +30,53 @@
     streams::Streams,
 };
 
-/// Bytes of request bodies held at once.
-const BODIES: usize = 32 * 1024 * 1024;
-/// Bytes of whole answers gathered at once.
-const ANSWERS: usize = 64 * 1024 * 1024;
-/// Time after its deadline within which a request is still left to admission, which refuses late
-/// requests and knows when to come back.
-const UNDECIDED: Duration = Duration::from_secs(1);
+/// Memory for the bodies of all requests, in bytes.
+const BODY_BUDGET: usize = 32 * 1024 * 1024;
+/// Memory for all buffered answers, in bytes.
+const ANSWER_BUDGET: usize = 64 * 1024 * 1024;
+/// Time after the deadline of a request in which admission may still refuse it. Its refusal is
+/// preferred because it contains a retry delay.
+const ADMISSION_GRACE: Duration = Duration::from_secs(1);
 
-/// The parts that a gateway works with.
+/// The dependencies and settings of a gateway.
 pub struct GatewayParts {
-    /// Decides who may send where and when.
+    /// Grants permits to send requests.
     pub admission: Arc<dyn Admission>,
     /// The client of engines.
     pub engine: Arc<dyn Engine>,
     /// The client of plain services.
     pub plain: Arc<dyn Plain>,
-    /// At most one run per idempotency key.
+    /// Claims on idempotency keys: a key runs at most once.
     pub claims: Arc<dyn Claims>,
-    /// Requests that crash targets.
+    /// Rejects requests that crash targets.
     pub quarantine: Arc<dyn Quarantine>,
     /// The configuration in force.
     pub config: Arc<dyn Config>,
     /// The process's timer.
     pub timer: Timer,
-    /// Limits towards callers.
+    /// Limits for callers.
     pub limits: Limits,
-    /// This instance's name.
+    /// Name of this instance.
     pub instance: InstanceId,
-    /// Counters.
+    /// Metrics.
     pub metrics: Metrics,
-    /// Key that authenticates the ids of events, the same at all instances.
+    /// Key that authenticates event ids, the same at all instances.
     pub stream_key: Arc<str>,
 }
 
-/// Tells another instance that a caller goes on elsewhere with a stream that it holds.
+/// Notifies another instance that a caller resumed one of its streams here.
 ///
-/// An instance whose caller went away cancels the generation after a while. If the caller has
-/// come back at another instance by then, that would cut its new stream; so the new instance
-/// tells the old one, whose gateway takes it by `Gateway::handle_takeover`.
+/// An instance cancels a generation some time after its caller disconnected. If the caller has
+/// resumed the stream at another instance, this would end the resumed stream. So the new instance
+/// notifies the old one, which handles it with `Gateway::handle_takeover`.
 #[async_trait]
 pub trait Takeover: Send + Sync {
-    /// Tells `holder`, with a few tries of its own; a holder that is gone needs no telling.
+    /// Notifies `holder`, with a few attempts. Failures are not reported: an instance that is gone
+    /// can't cancel anything.
     async fn notify(&self, holder: &InstanceId, target: &TargetId, stream: &StreamId);
 }
 
-/// Answers callers. Clones share everything.
+/// Serves requests of callers. Clones share all state.
 #[derive(Clone)]
 pub struct Gateway {
     pub(crate) core: Arc<Core>,
@@ -93,20 +94,20 @@
     pub instance: InstanceId,
     pub metrics: Metrics,
     pub relay: Relay,
-    pub flights: InFlightRequests,
+    pub in_flight: InFlightRequests,
     pub bodies: Budget,
     pub answers: Budget,
     pub streams: Streams,
-    pub tickets: ResumeHandleCodec,
+    pub resume_handles: ResumeHandleCodec,
     pub takeover: Option<Arc<dyn Takeover>>,
     pub grace: Duration,
-    /// Tells the requests of two lives of this instance apart.
-    life: u64,
-    requests: AtomicU64,
+    /// Random number that distinguishes the request ids of two incarnations of this instance.
+    incarnation: u64,
+    request_count: AtomicU64,
 }
 
 impl Gateway {
-    /// Makes a gateway.
+    /// Creates a gateway.
     #[must_use]
     pub fn new(parts: GatewayParts) -> Self {
         Self {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Makes a gateway that tells other instances when their callers go on here.
+    /// Creates a gateway that notifies other instances when their callers resume a stream here.
     #[must_use]
     pub fn with_takeover(parts: GatewayParts, takeover: Arc<dyn Takeover>) -> Self {
         Self {
@@ -122,8 +123,10 @@
         }
     }
 
-    /// Sets how long a generation runs on for a caller that went away. Only before the gateway
-    /// is shared.
+    /// Sets how long a generation keeps running after its caller disconnected.
+    ///
+    /// # Panics
+    /// Panics if the gateway has been cloned.
     #[must_use]
     pub fn with_grace(mut self, grace: Duration) -> Self {
         let core = Arc::get_mut(&mut self.core).expect("the gateway is not shared yet");
@@ -131,18 +134,18 @@
         self
     }
 
-    /// Requests that are running or waiting, for a graceful shutdown.
+    /// Returns the number of running and waiting requests, which a graceful shutdown waits for.
     #[must_use]
     pub fn open_requests(&self) -> usize {
-        self.core.flights.open()
+        self.core.in_flight.total()
     }
 
-    /// Writes the state for a dump.
+    /// Returns the state as lines of text for a dump.
     #[must_use]
     pub fn dump(&self) -> Vec<String> {
         let core = &self.core;
-        let mut lines = vec![format!("requests in flight: {}", core.flights.open())];
-        for (workspace, count) in core.flights.by_workspace() {
+        let mut lines = vec![format!("requests in flight: {}", core.in_flight.total())];
+        for (workspace, count) in core.in_flight.by_workspace() {
             lines.push(format!("workspace {workspace}: {count} in flight"));
         }
         for (target, stream) in core.streams.list() {
@@ -151,7 +154,8 @@
         lines
     }
 
-    /// Another instance reads this stream for its caller now: let go of it without cancelling.
+    /// Handles the notice that another instance has taken over this stream: stops delivering it here
+    /// without cancelling it.
     pub fn handle_takeover(&self, target: &TargetId, stream: &StreamId) {
         self.core.streams.supersede(target, stream);
     }
@@ -163,11 +167,11 @@
             relay: Relay::new(Arc::clone(&parts.engine), parts.timer),
             engine: parts.engine,
             quarantine: parts.quarantine,
-            flights: InFlightRequests::new(parts.metrics.clone()),
-            bodies: Budget::new(BODIES),
-            answers: Budget::new(ANSWERS),
+            in_flight: InFlightRequests::new(parts.metrics.clone()),
+            bodies: Budget::new(BODY_BUDGET),
+            answers: Budget::new(ANSWER_BUDGET),
             streams: Streams::default(),
-            tickets: ResumeHandleCodec::new(&parts.stream_key),
+            resume_handles: ResumeHandleCodec::new(&parts.stream_key),
             admission: parts.admission,
             plain: parts.plain,
             claims: parts.claims,
@@ -177,48 +181,49 @@
             instance: parts.instance,
             metrics: parts.metrics,
             takeover,
-            grace: delivery::GRACE,
-            life: fastrand::u64(..),
-            requests: AtomicU64::new(0),
+            grace: delivery::RESUME_GRACE,
+            incarnation: fastrand::u64(..),
+            request_count: AtomicU64::new(0),
         }
     }
 
-    /// The configuration in force, while requests are taken.
+    /// Returns the configuration in force, or a refusal while no requests are accepted.
     pub fn current(&self) -> Result<Arc<Current>, Refusal> {
         if !self.admission.is_ready() {
             return Err(refusals::not_ready());
         }
         let current = self.config.current().ok_or_else(refusals::not_ready)?;
-        // Before the first change there are no workspaces: calling each key wrong would mislead.
+        // Version 0 has no workspaces: refusing every key as unknown would be misleading.
         if current.in_force.version() == 0 {
             return Err(refusals::not_ready());
         }
         Ok(current)
     }
 
-    /// Waits for a permit. A request that admission has not decided upon some time after its
-    /// deadline is refused here, so that no caller depends on another task's good health.
-    pub async fn permit(
+    /// Waits for the result of admission, `permit`. If there is none shortly after the deadline, the
+    /// request is refused here, so that a hung admission task never leaves a caller without an
+    /// answer.
+    pub async fn wait_for_permit(
         &self,
         deadline: Moment,
-        decided: impl Future<Output = Result<Box<dyn PermitHandle>, Refusal>>,
+        permit: impl Future<Output = Result<Box<dyn PermitHandle>, Refusal>>,
     ) -> Result<Box<dyn PermitHandle>, Refusal> {
-        let undecided = async {
-            let left = self.left(deadline).saturating_add(UNDECIDED);
-            self.timer.sleep(left).await;
+        let timeout = async {
+            let time_left = self.time_left(deadline).saturating_add(ADMISSION_GRACE);
+            self.timer.sleep(time_left).await;
             Err(refusals::deadline(Run::NotRun))
         };
-        future::or(decided, undecided).await
+        future::or(permit, timeout).await
     }
 
-    /// A name for a request, unique in the deployment.
-    pub fn request_name(&self) -> Arc<str> {
-        let number = self.requests.fetch_add(1, Ordering::Relaxed);
-        format!("{}-{:x}-{number}", self.instance, self.life).into()
+    /// Returns a new request id, unique in the deployment.
+    pub fn new_request_id(&self) -> Arc<str> {
+        let number = self.request_count.fetch_add(1, Ordering::Relaxed);
+        format!("{}-{:x}-{number}", self.instance, self.incarnation).into()
     }
 
-    /// Time left until a deadline on this process's clock.
-    pub fn left(&self, deadline: Moment) -> Duration {
+    /// Returns the time left until a deadline on this process's clock.
+    pub fn time_left(&self, deadline: Moment) -> Duration {
         deadline.saturating_sub(self.admission.now())
     }
 }
--- a/components/gateway/src/generate.rs
+++ b/components/gateway/src/generate.rs
@@ -1,4 +1,5 @@
-//! Generations: admission, tries until the first token, then a stream or a whole answer.
+//! Requests for generations: admission, attempts until the first token, then a streamed or a
+//! buffered answer.
 
 use std::sync::Arc;
 
@@ -13,43 +14,43 @@
 
 use crate::{
     admission::{AdmissionRequest, WorkOutcome},
-    attempt::{self, Step, Tried, Work, truthful},
+    attempt::{self, Attempt, AttemptEvent, AttemptResult, with_earlier_runs},
     buffered,
-    completion_request::{Api, Call},
+    completion_request::{Api, CompletionRequest},
     gateway::Core,
     in_flight::InFlightGuard,
     prefix, refusals,
-    request::{self, Caller, Wishes},
+    request::{self, Caller, RequestOptions},
     writer,
 };
 
-/// Tokens of an answer where neither caller nor configuration says.
+/// Largest number of tokens to produce if the configuration sets none.
 const DEFAULT_MAX_OUTPUT: Tokens = 1024;
-/// Requests of a workspace in flight where the configuration does not say.
+/// Requests that a workspace may have in flight if the configuration sets no limit.
 pub const DEFAULT_IN_FLIGHT: u32 = 1000;
 
-/// A generation on its way through the gateway.
+/// A request for a generation while the gateway processes it.
 pub struct Generation {
-    /// The gateway.
+    /// The gateway's shared state.
     pub core: Arc<Core>,
     /// The caller.
     pub caller: Caller,
     /// The route.
     pub rule: RouteRule,
-    /// The urgency.
+    /// Urgency.
     pub class: Class,
-    /// When the first token must have come.
+    /// When the first token must have arrived.
     pub deadline: Moment,
-    /// The most tokens to produce.
+    /// Largest number of tokens to produce.
     pub max_output: Tokens,
-    /// The request's body, read.
-    pub call: Call,
-    /// What stays the same of it when it is sent again.
+    /// The parsed request body.
+    pub completion: CompletionRequest,
+    /// Identifies the request across retries.
     pub fingerprint: Fingerprint,
-    /// Memory that the body takes up.
+    /// Memory reserved for the body.
     pub _share: Share,
-    /// Counts it as in flight.
-    pub flight: InFlightGuard,
+    /// Counts the request as in flight.
+    pub in_flight: InFlightGuard,
 }
 
 /// Answers a request for a generation.
@@ -59,37 +60,39 @@
     api: Api,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
-    let wishes = Wishes::read(req.headers())?;
-    let held = request::body(core, req).await?;
-    let call = Call::read(api, &held.bytes)?;
+    let options = RequestOptions::read(req.headers())?;
+    let body = request::body(core, req).await?;
+    let completion = CompletionRequest::parse(api, &body.bytes)?;
     let rule = caller
         .current
         .in_force
-        .model(&caller.workspace, &call.model, &wishes.route)
-        .ok_or_else(|| refusals::no_model(&call.model, &wishes.route))?;
+        .model(&caller.workspace, &completion.model, &options.route)
+        .ok_or_else(|| refusals::no_model(&completion.model, &options.route))?;
     let limit = rule.knobs.in_flight.unwrap_or(DEFAULT_IN_FLIGHT);
-    let class = wishes.class(rule.knobs.class);
-    let flight = core.flights.enter(&caller.workspace, limit, class)?;
-    let most = rule.knobs.max_output.unwrap_or(DEFAULT_MAX_OUTPUT);
+    let class = options.class(rule.knobs.class);
+    let in_flight = core.in_flight.enter(&caller.workspace, limit, class)?;
+    let max_allowed = rule.knobs.max_output.unwrap_or(DEFAULT_MAX_OUTPUT);
     let fingerprint = Fingerprint::new(&[
         api.path().as_bytes(),
-        wishes.route.as_bytes(),
+        options.route.as_bytes(),
         caller.workspace.as_bytes(),
-        &held.bytes,
+        &body.bytes,
     ]);
     let generation = Generation {
         core: Arc::clone(core),
         fingerprint,
         class,
-        deadline: wishes.deadline(caller.arrived, rule.knobs.deadline_ms),
-        max_output: call.max_output.map_or(most, |wish| wish.min(most)),
+        deadline: options.deadline(caller.arrived, rule.knobs.deadline_ms),
+        max_output: completion
+            .max_output
+            .map_or(max_allowed, |wanted| wanted.min(max_allowed)),
         caller,
         rule,
-        call,
-        _share: held.share,
-        flight,
+        completion,
+        _share: body.share,
+        in_flight,
     };
-    if generation.call.stream {
+    if generation.completion.stream {
         writer::answer(generation).await
     } else {
         buffered::answer(generation).await
@@ -97,8 +100,8 @@
 }
 
 impl Generation {
-    /// What admission needs to know.
-    pub fn wanted(&self) -> AdmissionRequest {
+    /// Returns what admission needs to know of the request.
+    pub fn admission_request(&self) -> AdmissionRequest {
         AdmissionRequest {
             service: self.rule.service.clone(),
             kind: self.rule.kind,
@@ -106,150 +109,162 @@
             route: self.rule.route.clone(),
             class: self.class,
             deadline: self.deadline,
-            // No token out means that it may run again.
+            // A generation may run again as long as the caller has received no token of it.
             idempotent: true,
-            prompt_tokens: self.call.prompt_tokens,
+            prompt_tokens: self.completion.prompt_tokens,
             max_output: self.max_output,
-            prefix: prefix::hashes(&self.call.prompt),
-            true_output: self.call.true_output,
+            prefix: prefix::hashes(&self.completion.prompt),
+            true_output: self.completion.true_output,
         }
     }
 
-    /// What the engine gets.
+    /// Returns the call to send to the engine, with a new request id.
     pub fn engine_call(&self) -> EngineCall {
         EngineCall {
-            path: self.call.api.path().into(),
-            body: self.call.for_engine(self.max_output, self.class),
-            request: self.core.request_name(),
+            path: self.completion.api.path().into(),
+            body: self.completion.for_engine(self.max_output, self.class),
+            request: self.core.new_request_id(),
         }
     }
 
-    /// One try: starts the generation and waits for its first piece.
-    pub async fn begin(&self, work: &mut Work) -> Tried<Begun> {
-        if !work.permit().may_send() {
-            return Tried::Again {
+    /// Makes one attempt: starts the generation and waits for its first piece.
+    pub async fn start(&self, attempt: &mut Attempt) -> AttemptResult<StartedGeneration> {
+        if !attempt.permit().may_send() {
+            return AttemptResult::Retry {
                 outcome: WorkOutcome::Unsent,
                 ran: false,
             };
         }
         let call = self.engine_call();
-        let target = work.permit().target().clone();
-        work.sent = true;
+        let target = attempt.permit().target().clone();
+        attempt.sent = true;
         let start = async {
             let start = self.core.relay.start(&target, &call);
-            let late = async {
-                self.late().await;
-                Err(Step::Late)
+            let deadline = async {
+                self.until_deadline().await;
+                Err(AttemptEvent::DeadlineExceeded)
             };
-            let started = async { start.await.map_err(Step::NotStarted) };
-            future::or(started, late).await
+            let started = async { start.await.map_err(AttemptEvent::StartFailed) };
+            future::or(started, deadline).await
         };
-        match self.started(work, start).await {
+        match self.wait_for_start(attempt, start).await {
             Ok(()) => {}
-            Err(step) => return work.give_up(step).await,
+            Err(event) => return attempt.give_up(event).await,
         }
-        let late = async {
-            self.late().await;
-            Step::Late
+        let deadline = async {
+            self.until_deadline().await;
+            AttemptEvent::DeadlineExceeded
         };
-        match future::or(work.next(), late).await {
-            Step::Piece(piece) => Tried::Good(Begun {
+        match future::or(attempt.next(), deadline).await {
+            AttemptEvent::Piece(piece) => AttemptResult::Success(StartedGeneration {
                 piece,
                 request: call.request,
             }),
-            step => work.give_up(step).await,
+            event => attempt.give_up(event).await,
         }
     }
 
-    /// Waits for the engine to take the request, until the permit is pulled back.
-    async fn started(
+    /// Waits until the engine accepts the request or the permit is revoked, and stores the stream
+    /// in the attempt.
+    async fn wait_for_start(
         &self,
-        work: &mut Work,
-        start: impl Future<Output = Result<ActiveStream, Step>>,
-    ) -> Result<(), Step> {
-        let mut running = None;
-        let step = attempt::guarded(work.permit(), async {
+        attempt: &mut Attempt,
+        start: impl Future<Output = Result<ActiveStream, AttemptEvent>>,
+    ) -> Result<(), AttemptEvent> {
+        let mut stream = None;
+        let event = attempt::unless_revoked(attempt.permit(), async {
             match start.await {
                 Ok(started) => {
-                    running = Some(started);
-                    // Not looked at: `running` says that it started.
-                    Step::Broken
+                    stream = Some(started);
+                    // Ignored: `stream` shows that the generation has started.
+                    AttemptEvent::StreamFailed
                 }
-                Err(step) => step,
+                Err(event) => event,
             }
         })
         .await;
-        work.running = running;
-        match work.running {
+        attempt.stream = stream;
+        match attempt.stream {
             Some(_) => Ok(()),
-            None => Err(step),
+            None => Err(event),
         }
     }
 
-    async fn late(&self) {
-        self.core.timer.sleep(self.core.left(self.deadline)).await;
+    async fn until_deadline(&self) {
+        self.core
+            .timer
+            .sleep(self.core.time_left(self.deadline))
+            .await;
     }
 
-    /// Tries until one is good, within what admission allows.
-    pub async fn tries<T, F>(&self, attempt: impl FnMut(Work) -> F) -> Result<(Work, T), Refusal>
+    /// Makes attempts until one succeeds or admission allows no further one. A failure is recorded
+    /// as the outcome of the request.
+    pub async fn with_retries<T, F>(
+        &self,
+        run_attempt: impl FnMut(Attempt) -> F,
+    ) -> Result<(Attempt, T), Refusal>
     where
-        F: Future<Output = (Work, Tried<T>)>,
+        F: Future<Output = (Attempt, AttemptResult<T>)>,
     {
-        self.try_on(attempt)
+        self.run_attempts(run_attempt)
             .await
-            .inspect_err(|refusal| self.flight.note(refusal.run.into()))
+            .inspect_err(|refusal| self.in_flight.set_outcome(refusal.run.into()))
     }
 
-    async fn try_on<T, F>(&self, mut attempt: impl FnMut(Work) -> F) -> Result<(Work, T), Refusal>
+    async fn run_attempts<T, F>(
+        &self,
+        mut run_attempt: impl FnMut(Attempt) -> F,
+    ) -> Result<(Attempt, T), Refusal>
     where
-        F: Future<Output = (Work, Tried<T>)>,
+        F: Future<Output = (Attempt, AttemptResult<T>)>,
     {
-        self.core.check(&self.fingerprint)?;
-        let admit = self.core.admission.admit(self.wanted());
-        let mut permit = self.core.permit(self.deadline, admit).await?;
+        self.core.check_quarantine(&self.fingerprint)?;
+        let admit = self.core.admission.admit(self.admission_request());
+        let mut permit = self.core.wait_for_permit(self.deadline, admit).await?;
         let mut ever_ran = false;
         loop {
-            let (target, sent) = (permit.target().clone(), self.core.admission.now());
-            let (work, tried) = attempt(Work::new(permit)).await;
-            match tried {
-                Tried::Good(good) => return Ok((work, good)),
-                Tried::Over { outcome, refusal } => {
+            let (target, sent_at) = (permit.target().clone(), self.core.admission.now());
+            let (attempt, result) = run_attempt(Attempt::new(permit)).await;
+            match result {
+                AttemptResult::Success(value) => return Ok((attempt, value)),
+                AttemptResult::Failed { outcome, refusal } => {
                     if let Some(outcome) = outcome {
-                        work.take().0.finish(outcome);
+                        attempt.take().0.finish(outcome);
                     }
-                    return Err(truthful(refusal, ever_ran));
+                    return Err(with_earlier_runs(refusal, ever_ran));
                 }
-                Tried::Again { outcome, ran } => {
+                AttemptResult::Retry { outcome, ran } => {
                     ever_ran |= ran;
                     if ran && outcome == WorkOutcome::Failed {
                         let kind = self.rule.kind;
-                        self.core.look_into(self.fingerprint, kind, &target, sent);
+                        self.core
+                            .detect_crash(self.fingerprint, kind, &target, sent_at);
                     }
-                    let checked = self.core.check(&self.fingerprint);
+                    let checked = self.core.check_quarantine(&self.fingerprint);
                     if let Err(refusal) = checked {
-                        work.take().0.finish(outcome);
-                        return Err(truthful(refusal, ever_ran));
+                        attempt.take().0.finish(outcome);
+                        return Err(with_earlier_runs(refusal, ever_ran));
                     }
-                    self.core.metrics.retried();
-                    let again = work.take().0.retry(outcome);
-                    let again = self.core.permit(self.deadline, again).await;
-                    permit = again.map_err(|refusal| truthful(refusal, ever_ran))?;
+                    self.core.metrics.record_retry();
+                    let retry = attempt.take().0.retry(outcome);
+                    let retry = self.core.wait_for_permit(self.deadline, retry).await;
+                    permit = retry.map_err(|refusal| with_earlier_runs(refusal, ever_ran))?;
                 }
             }
         }
     }
 }
 
-/// A generation whose first piece has come.
-pub struct Begun {
-    /// Its first piece.
+/// A generation whose first piece has arrived.
+pub struct StartedGeneration {
+    /// The first piece.
     pub piece: Piece,
-    /// The request's name, as the engine got it.
+    /// The request id that the engine received.
     pub request: Arc<str>,
 }
 
-impl Begun {
-    /// Tokens so far.
+impl StartedGeneration {
+    /// Returns the number of tokens produced so far.
     pub const fn produced(&self) -> Tokens {
         match self.piece {
             Piece::Tokens { first, count, .. } => first + count,
--- a/components/gateway/src/handler.rs
+++ b/components/gateway/src/handler.rs
@@ -1,4 +1,4 @@
-//! From a caller's request to the part that answers it.
+//! Routes callers' requests to the module that answers them.
 
 use std::net::SocketAddr;
 
@@ -12,8 +12,8 @@
     streams,
 };
 
-/// Path by which callers go on with a stream.
-const STREAMS: &str = "/v1/streams";
+/// Path by which callers resume a stream.
+const STREAMS_PATH: &str = "/v1/streams";
 
 #[async_trait]
 impl Handler for Gateway {
@@ -21,7 +21,7 @@
         match self.answer(req).await {
             Ok(resp) => resp,
             Err(refusal) => {
-                self.core.metrics.refused(&refusal.code);
+                self.core.metrics.record_refusal(&refusal.code);
                 problem::response(&refusal)
             }
         }
@@ -33,11 +33,11 @@
         let caller = Caller::identify(&self.core, req.headers())?;
         let path = req.uri().path();
         if let Some(api) = api(path) {
-            expect(&req, &Method::POST)?;
+            expect_method(&req, &Method::POST)?;
             return generate::answer(&self.core, caller, api, req).await;
         }
-        if path == STREAMS {
-            expect(&req, &Method::GET)?;
+        if path == STREAMS_PATH {
+            expect_method(&req, &Method::GET)?;
             return streams::answer(&self.core, caller, &req).await;
         }
         plain::answer(&self.core, caller, req).await
@@ -50,7 +50,7 @@
         .find(|api| api.path() == path)
 }
 
-fn expect(req: &Request<Incoming>, method: &Method) -> Result<(), Refusal> {
+fn expect_method(req: &Request<Incoming>, method: &Method) -> Result<(), Refusal> {
     if req.method() == method {
         return Ok(());
     }
--- a/components/gateway/src/idempotency.rs
+++ b/components/gateway/src/idempotency.rs
@@ -1,10 +1,10 @@
 //! Non-idempotent calls with an idempotency key.
 //!
-//! The key is claimed before admission. Claiming after it would hold a place at a target for as
-//! long as the table service takes, so a slow store would slow down lookups that have no need
-//! of it; and a repeat whose answer is on record would queue for a place it does not use. The
-//! price is a second write when admission refuses: then the claim is released, because the call
-//! provably did not run.
+//! The key is claimed before admission. Claiming it under a permit would occupy the target for as
+//! long as the table service takes, so a slow store would slow down lookups that do not use it; and
+//! a repeated call whose answer is already recorded would wait for a permit that it does not need.
+//! The cost is a second write when admission refuses the call: the claim is then released, because
+//! the call certainly did not run.
 
 use std::sync::Arc;
 
@@ -25,42 +25,44 @@
     request::Caller,
 };
 
-/// Bytes of a key at most.
-const KEY_LIMIT: usize = 255;
-/// Content type of an answer that names none.
-const NO_TYPE: &str = "application/octet-stream";
+/// Longest key, in bytes.
+const MAX_KEY_LEN: usize = 255;
+/// Content type recorded for an answer without one.
+const DEFAULT_CONTENT_TYPE: &str = "application/octet-stream";
 
-type Outcome = Result<PlainAnswer, Refusal>;
+/// What the caller gets.
+type CallResult = Result<PlainAnswer, Refusal>;
 
-/// Answers a keyed call.
+/// Answers a call with an idempotency key.
 ///
-/// It runs on a task of its own: once it is sent, its outcome is worth recording even if the
-/// caller goes away, and a claim must never be left without an end.
+/// The call runs on its own task: once it is sent, its answer has to be recorded even if the caller
+/// disconnects, and a claim must always be settled.
 pub async fn answer(
     mut request: PlainRequest,
     caller: &Caller,
     key: &str,
 ) -> Result<Response<Body>, Refusal> {
-    check(key)?;
+    check_key(key)?;
     let call = KeyedCall {
         workspace: caller.workspace.clone(),
         key: key.into(),
         digest: digest(&request.call),
     };
-    // The record keeps no encoding: replayed, a compressed answer could not be read.
-    let plain_text = |name: &str| name != ACCEPT_ENCODING.as_str();
-    request.call.headers.retain(|(name, _)| plain_text(name));
-    let name = Arc::clone(&request.call.request);
+    // The record does not store the content encoding, so a replayed compressed answer would be
+    // unreadable.
+    let is_kept = |name: &str| name != ACCEPT_ENCODING.as_str();
+    request.call.headers.retain(|(name, _)| is_kept(name));
+    let request_id = Arc::clone(&request.call.request);
     let (tx, rx) = bounded(1);
     workers::spawn(run(request, call, tx)).detach();
-    // The task always answers; if it did not, nothing would be known.
-    let outcome = rx.recv().await;
-    let outcome = outcome.unwrap_or_else(|_| Err(refusals::outcome_unknown()));
-    outcome.map(|answer| forward::response(&answer, &name))
+    // The channel closes without an answer only if the task panics.
+    let result = rx.recv().await;
+    let result = result.unwrap_or_else(|_| Err(refusals::outcome_unknown()));
+    result.map(|answer| forward::response(&answer, &request_id))
 }
 
-fn check(key: &str) -> Result<(), Refusal> {
-    let fits = !key.is_empty() && key.len() <= KEY_LIMIT;
+fn check_key(key: &str) -> Result<(), Refusal> {
+    let fits = !key.is_empty() && key.len() <= MAX_KEY_LEN;
     if fits && key.bytes().all(|b| b.is_ascii_graphic() || b == b' ') {
         return Ok(());
     }
@@ -70,7 +72,7 @@
     ))
 }
 
-/// Tells calls apart: method, path and body, each with its length before it.
+/// Returns a digest of method, path and body, each preceded by its length.
 fn digest(call: &PlainCall) -> Arc<str> {
     let mut hash = Sha256::new();
     for part in [call.method.as_bytes(), call.path.as_bytes(), &call.body] {
@@ -80,65 +82,65 @@
     auth::hex(&hash.finalize()).into()
 }
 
-async fn run(request: PlainRequest, call: KeyedCall, tx: Sender<Outcome>) {
+async fn run(request: PlainRequest, call: KeyedCall, tx: Sender<CallResult>) {
     let claims = Arc::clone(&request.core.claims);
-    let patience = request.core.left(request.admission_request.deadline);
-    let claimed = claims.claim(&call, patience).await;
+    let timeout = request.core.time_left(request.admission_request.deadline);
+    let claimed = claims.claim(&call, timeout).await;
     if !matches!(claimed, Ok(Claimed::Mine)) {
-        let outcome = settled(claimed);
-        request.note(&outcome);
-        reply(&tx, outcome).await;
+        let result = unclaimed_result(claimed);
+        request.record_result(&result);
+        reply(&tx, result).await;
         return;
     }
     if tx.is_closed() {
-        // The caller went away before anything was sent.
+        // The caller disconnected before anything was sent.
         claims.release(&call).await;
         return;
     }
-    let gone = async { tx.closed().await };
-    let outcome = request.run(gone).await;
-    let settle = Settle::after(&outcome);
-    reply(&tx, outcome).await;
-    // The caller has its answer already; a slow store must not keep it waiting.
-    match settle {
-        Settle::Record(recorded) => claims.record(&call, recorded).await,
-        Settle::Release => claims.release(&call).await,
-        Settle::GiveUp => claims.give_up(&call).await,
+    let caller_left = async { tx.closed().await };
+    let result = request.run(caller_left).await;
+    let resolution = ClaimResolution::after(&result);
+    reply(&tx, result).await;
+    // The caller already has its answer and does not wait for the store.
+    match resolution {
+        ClaimResolution::Record(recorded) => claims.record(&call, recorded).await,
+        ClaimResolution::Release => claims.release(&call).await,
+        ClaimResolution::Abandon => claims.give_up(&call).await,
     }
-    // Until here it counts as in flight, so that a shutdown waits for the record.
+    // The request counts as in flight until here, so that a shutdown waits for the record.
     drop(request);
 }
 
-/// What becomes of a claim.
-enum Settle {
-    /// The answer goes on record.
+/// How a claim is settled.
+enum ClaimResolution {
+    /// The answer is recorded.
     Record(Recorded),
-    /// The call provably did not run.
+    /// The call certainly did not run: the key becomes free.
     Release,
-    /// Nobody will know.
-    GiveUp,
+    /// It is unknown whether the call ran: the key must not be used again.
+    Abandon,
 }
 
-impl Settle {
-    fn after(outcome: &Outcome) -> Self {
-        match outcome {
+impl ClaimResolution {
+    fn after(result: &CallResult) -> Self {
+        match result {
             Ok(answer) => Self::Record(record(answer)),
             Err(refusal) if proves_not_run(refusal) => Self::Release,
-            Err(_) => Self::GiveUp,
+            Err(_) => Self::Abandon,
         }
     }
 }
 
-async fn reply(tx: &Sender<Outcome>, outcome: Outcome) {
-    // A caller that went away needs no answer.
-    let _ = tx.send(outcome).await;
+async fn reply(tx: &Sender<CallResult>, result: CallResult) {
+    // Fails only if the caller has disconnected.
+    let _ = tx.send(result).await;
 }
 
-fn settled(claimed: Result<Claimed, ClaimError>) -> Outcome {
+fn unclaimed_result(claimed: Result<Claimed, ClaimError>) -> CallResult {
     match claimed {
         Ok(Claimed::Before(recorded)) => Ok(replay(&recorded)),
         Ok(Claimed::Mine | Claimed::Unknown) => Err(refusals::outcome_unknown()),
-        Err(ClaimError::OtherCall) => Err(refusals::other_call()),
+        Err(ClaimError::OtherCall) => Err(refusals::key_reused()),
         Err(ClaimError::StoreDown) => Err(refusals::store_down()),
         Err(ClaimError::StillRunning) => Err(refusals::still_running()),
     }
@@ -149,7 +151,10 @@
         .headers
         .iter()
         .find(|(name, _)| name.eq_ignore_ascii_case("content-type"))
-        .map_or_else(|| NO_TYPE.into(), |(_, value)| Arc::clone(value));
+        .map_or_else(
+            || DEFAULT_CONTENT_TYPE.into(),
+            |(_, value)| Arc::clone(value),
+        );
     let text = std::str::from_utf8(&answer.body);
     Recorded {
         status: answer.status,
@@ -159,7 +164,7 @@
     }
 }
 
-/// The answer on record; a header tells that it is a repeat.
+/// Returns the recorded answer, with a header that marks it as replayed.
 fn replay(recorded: &Recorded) -> PlainAnswer {
     let body = if recorded.base64 {
         STANDARD
--- a/components/gateway/src/in_flight.rs
+++ b/components/gateway/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests in flight: by workspace, and in all.
+//! Counts requests in flight, per workspace and in total.
 
 use std::{
     collections::HashMap,
@@ -16,30 +16,30 @@
     refusals,
 };
 
-/// Counts requests in flight. Clones share the counts.
+/// Counts of requests in flight. Clones share the counts.
 #[derive(Clone)]
 pub struct InFlightRequests {
-    all: Arc<AtomicUsize>,
+    total: Arc<AtomicUsize>,
     by_workspace: Arc<Mutex<HashMap<WorkspaceId, u32>>>,
     metrics: Metrics,
 }
 
 impl InFlightRequests {
-    /// Starts at zero.
+    /// Creates counts at zero.
     pub fn new(metrics: Metrics) -> Self {
         Self {
-            all: Arc::default(),
+            total: Arc::default(),
             by_workspace: Arc::default(),
             metrics,
         }
     }
 
-    /// Requests in flight in all.
-    pub fn open(&self) -> usize {
-        self.all.load(Ordering::Acquire)
+    /// Returns the total number of requests in flight.
+    pub fn total(&self) -> usize {
+        self.total.load(Ordering::Acquire)
     }
 
-    /// Lets a request of a workspace in, if the workspace has fewer than `limit`.
+    /// Counts a request of a workspace as in flight, unless the workspace already has `limit` requests.
     pub fn enter(
         &self,
         workspace: &WorkspaceId,
@@ -55,17 +55,17 @@
         }
         *count += 1;
         drop(by_workspace);
-        self.all.fetch_add(1, Ordering::AcqRel);
-        self.metrics.entered();
+        self.total.fetch_add(1, Ordering::AcqRel);
+        self.metrics.increment_in_flight();
         Ok(InFlightGuard {
-            flights: self.clone(),
+            requests: self.clone(),
             workspace: WorkspaceId::clone(workspace),
             class,
             outcome: Mutex::new(Outcome::Left),
         })
     }
 
-    /// Requests in flight by workspace.
+    /// Returns the number of requests in flight by workspace, sorted.
     pub fn by_workspace(&self) -> Vec<(WorkspaceId, u32)> {
         let by_workspace = self.by_workspace.lock();
         let mut counts: Vec<_> = by_workspace.iter().map(|(w, n)| (w.clone(), *n)).collect();
@@ -74,25 +74,25 @@
     }
 }
 
-/// One request in flight; over when dropped.
+/// One request in flight. Dropping it ends the count and records the outcome.
 pub struct InFlightGuard {
-    flights: InFlightRequests,
+    requests: InFlightRequests,
     workspace: WorkspaceId,
     class: Class,
-    /// A request dropped without a word is one whose caller went away.
+    /// Initially `Left`: a request dropped before any outcome lost its caller.
     outcome: Mutex<Outcome>,
 }
 
 impl InFlightGuard {
-    /// Notes how the request ends.
-    pub fn note(&self, outcome: Outcome) {
+    /// Sets how the request ended.
+    pub fn set_outcome(&self, outcome: Outcome) {
         *self.outcome.lock() = outcome;
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let mut by_workspace = self.flights.by_workspace.lock();
+        let mut by_workspace = self.requests.by_workspace.lock();
         if let Some(count) = by_workspace.get_mut(&self.workspace) {
             *count -= 1;
             if *count == 0 {
@@ -100,8 +100,10 @@
             }
         }
         drop(by_workspace);
-        self.flights.all.fetch_sub(1, Ordering::AcqRel);
-        self.flights.metrics.left();
-        self.flights.metrics.ended(self.class, *self.outcome.lock());
+        self.requests.total.fetch_sub(1, Ordering::AcqRel);
+        self.requests.metrics.decrement_in_flight();
+        self.requests
+            .metrics
+            .record_end(self.class, *self.outcome.lock());
     }
 }
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -1,4 +1,5 @@
-//! The callers' HTTP API.
+//! The HTTP API for callers: authenticates requests, obtains permits from admission, sends the requests
+//! to targets and returns streamed or buffered answers.
 
 pub mod admission;
 mod attempt;
--- a/components/gateway/src/merge.rs
+++ b/components/gateway/src/merge.rs
@@ -1,12 +1,12 @@
-//! Putting the changes of a streamed chat message together.
+//! Merges the deltas of a streamed chat message.
 
 use serde_json::{Map, Value};
 
-/// Fields that name something: a repeat of one replaces it.
-const NAMES: [&str; 3] = ["id", "role", "type"];
+/// Text fields that a later delta replaces instead of extending.
+const REPLACED_FIELDS: [&str; 3] = ["id", "role", "type"];
 
-/// Adds what one event says about a message to what the ones before said. Texts go on, lists
-/// grow by the `index` of their parts, names and numbers are replaced.
+/// Merges a delta into a message. Texts are appended, list items are matched by their `index`, and
+/// the replaced fields and all other values are overwritten.
 pub fn merge(into: &mut Map<String, Value>, from: Map<String, Value>) {
     for (name, new) in from {
         if new.is_null() {
@@ -14,7 +14,9 @@
         }
         let old = into.entry(name.as_str()).or_insert(Value::Null);
         match (old, new) {
-            (Value::String(old), Value::String(new)) if !NAMES.contains(&name.as_str()) => {
+            (Value::String(old), Value::String(new))
+                if !REPLACED_FIELDS.contains(&name.as_str()) =>
+            {
                 old.push_str(&new);
             }
             (Value::Object(old), Value::Object(new)) => merge(old, new),
--- a/components/gateway/src/metrics.rs
+++ b/components/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the gateway counts.
+//! Metrics of the gateway.
 
 use std::time::Duration;
 
@@ -17,15 +17,15 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, EncodeLabelValue, Eq, Hash, PartialEq)]
 pub enum Outcome {
-    /// Answered in full.
+    /// Answered completely.
     Whole,
     /// Refused before it ran.
     NotRun,
     /// Refused, and it may have run.
     Unknown,
-    /// A part of the answer went out.
+    /// Only a part of the answer was sent.
     Partial,
-    /// The caller went away.
+    /// The caller disconnected.
     Left,
 }
 
@@ -52,7 +52,7 @@
     code: String,
 }
 
-/// Counters of the gateway. Clones share them.
+/// Metrics of the gateway. Clones share them.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     /// Finished requests by urgency and outcome.
@@ -67,9 +67,9 @@
     tokens: Counter,
     /// Streams resumed over a new connection.
     resumes: Counter,
-    /// Streams taken up again by their callers.
+    /// Streams resumed by their callers at this instance.
     adoptions: Counter,
-    /// Tries after the first.
+    /// Attempts after the first.
     retries: Counter,
     /// Requests in flight.
     in_flight: Gauge,
@@ -82,7 +82,7 @@
 }
 
 impl Metrics {
-    /// Makes counters at zero.
+    /// Creates metrics at zero.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Registers all of them.
+    /// Registers all metrics.
     pub fn register(&self, registry: &mut Registry) {
         registry.register(
             "gateway_requests",
@@ -143,8 +143,8 @@
         );
     }
 
-    /// A request ended.
-    pub fn ended(&self, class: Class, outcome: Outcome) {
+    /// Records that a request ended.
+    pub fn record_end(&self, class: Class, outcome: Outcome) {
         let class = match class {
             Class::Urgent => "urgent",
             Class::Normal => "normal",
@@ -155,52 +155,52 @@
             .inc();
     }
 
-    /// A request was refused.
-    pub fn refused(&self, code: &str) {
+    /// Records a refusal.
+    pub fn record_refusal(&self, code: &str) {
         self.refusals
             .get_or_create(&CodeLabels { code: code.into() })
             .inc();
     }
 
-    /// The first token of a generation came after this time.
-    pub fn first_token(&self, time: Duration) {
+    /// Records the time from a request's arrival to its first token.
+    pub fn record_first_token(&self, time: Duration) {
         self.first_token.observe(time.as_secs_f64());
     }
 
-    /// Tokens came after this time.
-    pub fn tokens(&self, count: u64, gap: Duration) {
+    /// Records `count` relayed tokens and the gap before them.
+    pub fn record_tokens(&self, count: u64, gap: Duration) {
         self.tokens.inc_by(count);
         self.gap.observe(gap.as_secs_f64());
     }
 
-    /// A stream needed this many new connections.
-    pub fn resumed(&self, times: u32) {
+    /// Records how often a stream was resumed over a new connection.
+    pub fn record_resumptions(&self, times: u32) {
         self.resumes.inc_by(times.into());
     }
 
-    /// A caller went on with a stream here.
-    pub fn adopted(&self) {
+    /// Records that a caller resumed a stream at this instance.
+    pub fn record_adoption(&self) {
         self.adoptions.inc();
     }
 
-    /// A request is tried again.
-    pub fn retried(&self) {
+    /// Records an attempt after the first.
+    pub fn record_retry(&self) {
         self.retries.inc();
     }
 
-    /// A request began.
-    pub fn entered(&self) {
+    /// Counts a request as in flight.
+    pub fn increment_in_flight(&self) {
         self.in_flight.inc();
     }
 
-    /// A request is over.
-    pub fn left(&self) {
+    /// Ends the count of a request as in flight.
+    pub fn decrement_in_flight(&self) {
         self.in_flight.dec();
     }
 
-    /// Tokens relayed so far.
+    /// Returns the number of tokens relayed so far.
     #[must_use]
-    pub fn relayed(&self) -> u64 {
+    pub fn tokens_relayed(&self) -> u64 {
         self.tokens.get()
     }
 }
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services.
+//! Calls to plain HTTP services.
 
 use std::{pin::pin, sync::Arc};
 
@@ -12,7 +12,7 @@
 
 use crate::{
     admission::{AdmissionRequest, PermitHandle, WorkOutcome},
-    attempt::truthful,
+    attempt::with_earlier_runs,
     forward,
     gateway::Core,
     generate::DEFAULT_IN_FLIGHT,
@@ -20,26 +20,26 @@
     in_flight::InFlightGuard,
     metrics::Outcome,
     refusals,
-    request::{self, Caller, Wishes},
+    request::{self, Caller, RequestOptions},
 };
 
-/// Header with a caller's idempotency key.
-const KEY: &str = "idempotency-key";
+/// Header with the caller's idempotency key.
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// A plain call on its way through the gateway.
+/// A plain call while the gateway processes it.
 pub struct PlainRequest {
-    /// The gateway.
+    /// The gateway's shared state.
     pub core: Arc<Core>,
-    /// What admission needs to know.
+    /// What admission needs to know of the call.
     pub admission_request: AdmissionRequest,
-    /// The call for the service.
+    /// The call to send to the service.
     pub call: PlainCall,
-    /// What stays the same of it when it is sent again.
+    /// Identifies the request across retries.
     pub fingerprint: Fingerprint,
-    /// Memory that the body takes up.
+    /// Memory reserved for the body.
     pub _share: Share,
-    /// Counts it as in flight.
-    pub flight: InFlightGuard,
+    /// Counts the request as in flight.
+    pub in_flight: InFlightGuard,
 }
 
 /// Answers a plain call.
@@ -48,7 +48,7 @@
     caller: Caller,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
-    let wishes = Wishes::read(req.headers())?;
+    let options = RequestOptions::read(req.headers())?;
     let method = req.method().clone();
     let path = forward::path(req.uri())?;
     let rule = caller
@@ -57,18 +57,18 @@
         .plain(&caller.workspace, method.as_str(), req.uri().path())
         .ok_or_else(|| refusals::no_route("no route of this workspace leads to this path"))?;
     let limit = rule.knobs.in_flight.unwrap_or(DEFAULT_IN_FLIGHT);
-    let class = wishes.class(rule.knobs.class);
-    let flight = core.flights.enter(&caller.workspace, limit, class)?;
-    let key = request::header(req.headers(), KEY)?.map(str::to_owned);
+    let class = options.class(rule.knobs.class);
+    let in_flight = core.in_flight.enter(&caller.workspace, limit, class)?;
+    let key = request::header(req.headers(), IDEMPOTENCY_KEY)?.map(str::to_owned);
     let headers = forward::request_headers(req.headers());
-    let held = request::body(core, req).await?;
+    let body = request::body(core, req).await?;
     let idempotent = rule.knobs.idempotent.unwrap_or_else(|| method.is_safe());
-    let deadline = wishes.deadline(caller.arrived, rule.knobs.deadline_ms);
+    let deadline = options.deadline(caller.arrived, rule.knobs.deadline_ms);
     let fingerprint = Fingerprint::new(&[
         method.as_str().as_bytes(),
         path.as_bytes(),
         caller.workspace.as_bytes(),
-        &held.bytes,
+        &body.bytes,
     ]);
     let request = PlainRequest {
         core: Arc::clone(core),
@@ -78,15 +78,15 @@
             method: method.as_str().into(),
             path,
             headers,
-            body: held.bytes,
-            request: core.request_name(),
+            body: body.bytes,
+            request: core.new_request_id(),
         },
-        _share: held.share,
-        flight,
+        _share: body.share,
+        in_flight,
     };
     match key {
         Some(key) if !idempotent => idempotency::answer(request, &caller, &key).await,
-        // Without a key a caller that goes away drops all of this.
+        // Without a key, the call is dropped together with the connection of its caller.
         _ => {
             let answer = request.run(future::pending()).await?;
             Ok(forward::response(&answer, &request.call.request))
@@ -117,45 +117,51 @@
 }
 
 impl PlainRequest {
-    /// Runs the call: an idempotent one again as long as admission allows, any other one once.
-    /// Nothing is sent any more once `gone` completes.
-    pub async fn run(&self, gone: impl Future<Output = ()>) -> Result<PlainAnswer, Refusal> {
-        let result = self.try_on(gone).await;
-        self.note(&result);
+    /// Runs the call. An idempotent call is retried as long as admission allows; any other call is
+    /// retried only if it did not run. Nothing is sent any more once `caller_left` completes.
+    pub async fn run(&self, caller_left: impl Future<Output = ()>) -> Result<PlainAnswer, Refusal> {
+        let result = self.run_attempts(caller_left).await;
+        self.record_result(&result);
         result
     }
 
-    /// Notes how the request ended.
-    pub fn note(&self, result: &Result<PlainAnswer, Refusal>) {
+    /// Records how the request ended.
+    pub fn record_result(&self, result: &Result<PlainAnswer, Refusal>) {
         let run = result.as_ref().map_err(|refusal| refusal.run);
-        self.flight
-            .note(run.map_or_else(Into::into, |_| Outcome::Whole));
+        self.in_flight
+            .set_outcome(run.map_or_else(Into::into, |_| Outcome::Whole));
     }
 
-    async fn try_on(&self, gone: impl Future<Output = ()>) -> Result<PlainAnswer, Refusal> {
-        let mut gone = pin!(gone);
-        self.core.check(&self.fingerprint)?;
+    async fn run_attempts(
+        &self,
+        caller_left: impl Future<Output = ()>,
+    ) -> Result<PlainAnswer, Refusal> {
+        let mut caller_left = pin!(caller_left);
+        self.core.check_quarantine(&self.fingerprint)?;
         let admit = self.core.admission.admit(self.admission_request.clone());
-        let admit = self.core.permit(self.admission_request.deadline, admit);
-        let mut permit = unless(gone.as_mut(), admit).await?;
+        let admit = self
+            .core
+            .wait_for_permit(self.admission_request.deadline, admit);
+        let mut permit = unless_caller_left(caller_left.as_mut(), admit).await?;
         let mut ever_ran = false;
         loop {
-            let sent = self.core.admission.now();
-            let tried = self.attempt(permit.as_ref()).await;
-            if matches!(tried, Err((WorkOutcome::Failed, true))) {
+            let sent_at = self.core.admission.now();
+            let result = self.attempt(permit.as_ref()).await;
+            if matches!(result, Err((WorkOutcome::Failed, true))) {
                 let (kind, target) = (self.admission_request.kind, permit.target());
-                self.core.look_into(self.fingerprint, kind, target, sent);
+                self.core
+                    .detect_crash(self.fingerprint, kind, target, sent_at);
             }
-            let outcome = match tried {
+            let outcome = match result {
                 Ok((outcome, answer)) => {
                     self.core.quarantine.record_success(&self.fingerprint);
                     permit.finish(outcome);
                     return Ok(answer);
                 }
                 Err((outcome, ran)) if ran && !self.admission_request.idempotent => {
-                    self.tell_lost(permit.as_ref());
+                    self.log_lost_call(permit.as_ref());
                     permit.finish(outcome);
-                    return Err(refusals::lost(
+                    return Err(refusals::answer_lost(
                         "the call was sent once and may have run; it was not sent again",
                     ));
                 }
@@ -164,20 +170,20 @@
                     outcome
                 }
             };
-            if let Err(refusal) = self.core.check(&self.fingerprint) {
+            if let Err(refusal) = self.core.check_quarantine(&self.fingerprint) {
                 permit.finish(outcome);
-                return Err(truthful(refusal, ever_ran));
+                return Err(with_earlier_runs(refusal, ever_ran));
             }
-            self.core.metrics.retried();
-            let again = self
+            self.core.metrics.record_retry();
+            let retry = self
                 .core
-                .permit(self.admission_request.deadline, permit.retry(outcome));
-            let again = unless(gone.as_mut(), again).await;
-            permit = again.map_err(|refusal| truthful(refusal, ever_ran))?;
+                .wait_for_permit(self.admission_request.deadline, permit.retry(outcome));
+            let retry = unless_caller_left(caller_left.as_mut(), retry).await;
+            permit = retry.map_err(|refusal| with_earlier_runs(refusal, ever_ran))?;
         }
     }
 
-    fn tell_lost(&self, permit: &dyn PermitHandle) {
+    fn log_lost_call(&self, permit: &dyn PermitHandle) {
         events::emit(&Event::CallLost {
             workspace: self.admission_request.workspace.clone(),
             target: permit.target().id.clone(),
@@ -185,20 +191,20 @@
         });
     }
 
-    /// One try. Without an answer: how it ended, and whether it may have run.
+    /// Makes one attempt. Without an answer, returns how the work ended and whether it may have run.
     async fn attempt(
         &self,
         permit: &dyn PermitHandle,
     ) -> Result<(WorkOutcome, PlainAnswer), (WorkOutcome, bool)> {
-        let patience = self.core.left(self.admission_request.deadline);
-        if patience.is_zero() || !permit.may_send() {
+        let timeout = self.core.time_left(self.admission_request.deadline);
+        if timeout.is_zero() || !permit.may_send() {
             return Err((WorkOutcome::Unsent, false));
         }
-        let begun = self.core.timer.now();
-        let call = self.core.plain.call(permit.target(), &self.call, patience);
+        let started_at = self.core.timer.now();
+        let call = self.core.plain.call(permit.target(), &self.call, timeout);
         match call.await {
             Ok(answer) => {
-                let took = self.core.timer.now().saturating_sub(begun);
+                let took = self.core.timer.now().saturating_sub(started_at);
                 let outcome = WorkOutcome::Finished {
                     produced: 0,
                     first: took,
@@ -221,19 +227,19 @@
     }
 }
 
-/// Waits for a permit as long as the caller is there.
-async fn unless(
-    gone: impl Future<Output = ()>,
+/// Waits for a permit, or for the caller to disconnect.
+async fn unless_caller_left(
+    caller_left: impl Future<Output = ()>,
     permit: impl Future<Output = Result<Box<dyn PermitHandle>, Refusal>>,
 ) -> Result<Box<dyn PermitHandle>, Refusal> {
-    let left = async {
-        gone.await;
+    let abandoned = async {
+        caller_left.await;
         Err(refusals::caller_left())
     };
-    future::or(left, permit).await
+    future::or(abandoned, permit).await
 }
 
-/// Whether a refusal proves that the call did not run.
+/// Whether the refusal guarantees that the call did not run.
 pub fn proves_not_run(refusal: &Refusal) -> bool {
     refusal.run == Run::NotRun
 }
--- a/components/gateway/src/prefix.rs
+++ b/components/gateway/src/prefix.rs
@@ -1,19 +1,18 @@
-//! Hashes of a prompt's leading blocks, by which owners recognise shared prefixes.
+//! Hashes the leading blocks of a prompt, by which owners detect shared prefixes.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bytes of one block.
-const BLOCK: usize = 256;
-/// Blocks hashed at most: 8 KiB tell shared instructions apart well enough.
-const BLOCKS: usize = 32;
+/// Length of a block, in bytes.
+const BLOCK_LEN: usize = 256;
+/// Largest number of blocks that are hashed. 8 KiB are enough to tell shared instructions apart.
+const MAX_BLOCKS: usize = 32;
 
-/// Hashes each leading block together with all before it, longest last. An incomplete last
-/// block does not count.
+/// Returns a hash of each prefix that consists of whole blocks, longest prefix last.
 pub fn hashes(prompt: &[u8]) -> Vec<u64> {
     let mut seed = 0;
     prompt
-        .chunks_exact(BLOCK)
-        .take(BLOCKS)
+        .chunks_exact(BLOCK_LEN)
+        .take(MAX_BLOCKS)
         .map(|block| {
             seed = xxh3_64_with_seed(block, seed);
             seed
--- a/components/gateway/src/problem.rs
+++ b/components/gateway/src/problem.rs
@@ -1,4 +1,4 @@
-//! Refusals as `application/problem+json`.
+//! Encodes refusals as `application/problem+json`.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use serde::Serialize;
 use types::{Refusal, Run};
 
-/// A refusal as RFC 9457 writes it, with members of ours.
+/// A problem document (RFC 9457) with extension members.
 #[derive(Serialize)]
 struct Problem<'a> {
     r#type: &'static str,
@@ -38,30 +38,31 @@
     }
 
     fn json(&self) -> Bytes {
-        // Strings and numbers only: this can't fail.
+        // Strings and numbers can always be encoded.
         serde_json::to_vec(self).unwrap_or_default().into()
     }
 }
 
-/// The whole seconds of a `Retry-After`, at least one: zero would invite a storm.
+/// Returns the value of `Retry-After` in seconds, rounded up and at least 1: with 0, all callers
+/// would retry at once.
 fn whole_seconds(after: Duration) -> u64 {
-    let up = u64::from(after.subsec_nanos() > 0);
-    (after.as_secs() + up).max(1)
+    let partial = u64::from(after.subsec_nanos() > 0);
+    (after.as_secs() + partial).max(1)
 }
 
-/// The answer that tells a caller of a refusal.
+/// Returns the response for a refusal.
 pub fn response(refusal: &Refusal) -> Response<Body> {
     respond(refusal, &Problem::new(refusal))
 }
 
-/// The same with the text that had been produced.
+/// Returns the response for a refusal, with the partial text of the answer.
 pub fn response_with_text(refusal: &Refusal, text: &str) -> Response<Body> {
     let mut problem = Problem::new(refusal);
     problem.partial_text = Some(text);
     respond(refusal, &problem)
 }
 
-/// The refusal as JSON on one line, for an event of a stream.
+/// Encodes a refusal as one line of JSON, for an event of a stream.
 pub fn json(refusal: &Refusal) -> Bytes {
     Problem::new(refusal).json()
 }
--- a/components/gateway/src/quarantine.rs
+++ b/components/gateway/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the targets that run them.
+//! Detects requests that crash the targets that run them, and refuses them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,51 +9,53 @@
 
 use crate::{gateway::Core, refusals};
 
-/// Times that a target is asked whether it has ended, and the pause between two.
-const ASKED: u32 = 8;
-const PAUSE: Duration = Duration::from_millis(250);
-/// Refused connections in a row after which it has. One that is crowded refuses a single one.
-const REFUSALS: u32 = 2;
+/// Load reports requested from a target to find out whether it has crashed.
+const CRASH_CHECKS: u32 = 8;
+/// Pause between two of these checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Consecutive refused connections after which a target counts as crashed. An overloaded target
+/// may refuse a single connection.
+const MAX_CONSECUTIVE_REFUSALS: u32 = 2;
 
-/// What all instances know of requests that crash targets.
+/// Quarantine of requests that crash targets, shared by all instances.
 pub trait Quarantine: Send + Sync {
-    /// Whether a request must not be sent.
+    /// Whether the request is quarantined and must not be sent.
     fn rejects(&self, fingerprint: &Fingerprint) -> bool;
 
-    /// Takes evidence that a target ended while it ran a request.
+    /// Records evidence that a target crashed while it ran a request.
     fn record_crash(&self, evidence: Evidence);
 
-    /// Notes that a target has served a request whole.
+    /// Records that a target has answered a request completely.
     fn record_success(&self, fingerprint: &Fingerprint);
 }
 
 impl Core {
-    /// Refuses a request that crashes targets.
-    pub fn check(&self, fingerprint: &Fingerprint) -> Result<(), Refusal> {
+    /// Refuses a quarantined request.
+    pub fn check_quarantine(&self, fingerprint: &Fingerprint) -> Result<(), Refusal> {
         if self.quarantine.rejects(fingerprint) {
             return Err(refusals::quarantined());
         }
         Ok(())
     }
 
-    /// Looks into whether a target has ended that lost a request which it ran since `sent`. Keeps
-    /// nobody waiting.
-    pub fn look_into(
+    /// Checks in the background whether a target has crashed that lost a request sent at `sent_at`,
+    /// and records the evidence if so.
+    pub fn detect_crash(
         self: &Arc<Self>,
         fingerprint: Fingerprint,
         kind: ServiceKind,
         target: &Target,
-        sent: Moment,
+        sent_at: Moment,
     ) {
         let listed = self.admission.find_target(&target.id);
-        // One that was about to leave has left.
+        // A target that is leaving, or no longer listed, ended on purpose.
         if listed.is_none_or(|listed| listed.standing == Standing::Leaving) {
             return;
         }
         let (core, target) = (Arc::clone(self), target.clone());
-        let lost = core.admission.now();
-        let look = async move {
-            if !core.has_ended(kind, &target).await {
+        let lost_at = core.admission.now();
+        let check = async move {
+            if !core.has_crashed(kind, &target).await {
                 return;
             }
             events::emit(&Event::TargetEnded {
@@ -69,30 +71,31 @@
             core.quarantine.record_crash(Evidence {
                 fingerprint,
                 incarnation,
-                age: core.admission.now().saturating_sub(lost),
-                ran_for: lost.saturating_sub(sent),
+                age: core.admission.now().saturating_sub(lost_at),
+                ran_for: lost_at.saturating_sub(sent_at),
             });
         };
-        workers::spawn(look).detach();
+        workers::spawn(check).detach();
     }
 
-    async fn has_ended(&self, kind: ServiceKind, target: &Target) -> bool {
+    /// Whether the target has a new incarnation or refuses connections.
+    async fn has_crashed(&self, kind: ServiceKind, target: &Target) -> bool {
         let mut refusals = 0;
-        for _ in 0..ASKED {
-            match self.report(kind, target).await {
+        for _ in 0..CRASH_CHECKS {
+            match self.load_report(kind, target).await {
                 Ok(report) => return report.incarnation != target.incarnation,
                 Err(TargetError::Unsent { .. }) => refusals += 1,
                 Err(_) => refusals = 0,
             }
-            if refusals == REFUSALS {
+            if refusals == MAX_CONSECUTIVE_REFUSALS {
                 return true;
             }
-            self.timer.sleep(PAUSE).await;
+            self.timer.sleep(CHECK_INTERVAL).await;
         }
         false
     }
 
-    async fn report(&self, kind: ServiceKind, target: &Target) -> Result<Report, TargetError> {
+    async fn load_report(&self, kind: ServiceKind, target: &Target) -> Result<Report, TargetError> {
         match kind {
             ServiceKind::Model => self.engine.report(target).await,
             ServiceKind::Plain => self.plain.report(target).await,
--- a/components/gateway/src/refusals.rs
+++ b/components/gateway/src/refusals.rs
@@ -1,15 +1,15 @@
-//! The refusals that the gateway itself gives.
+//! Refusals that originate in the gateway.
 
 use std::time::Duration;
 
 use types::{Refusal, Run};
 
-/// When to come back after a short shortage.
-const SOON: Duration = Duration::from_secs(1);
-/// When to come back after an outage of the table service.
-const AFTER_OUTAGE: Duration = Duration::from_secs(5);
+/// Retry delay after a temporary shortage.
+const RETRY_AFTER_SHORTAGE: Duration = Duration::from_secs(1);
+/// Retry delay during an outage of the table service.
+const RETRY_AFTER_OUTAGE: Duration = Duration::from_secs(5);
 
-/// The caller sent something that can't be served.
+/// The request is malformed.
 pub fn bad_request(code: &str, detail: &str) -> Refusal {
     Refusal::new(400, code, "The request is not valid", detail)
 }
@@ -24,30 +24,30 @@
     )
 }
 
-/// No route leads anywhere.
+/// No route of the workspace matches the request.
 pub fn no_route(detail: &str) -> Refusal {
     Refusal::new(404, "unknown-route", "No route for this request", detail)
 }
 
-/// The model is unknown to this workspace.
+/// The workspace has no such model.
 pub fn no_model(model: &str, route: &str) -> Refusal {
     let detail = format!("there is no model `{model}` with route `{route}` for this workspace");
-    Refusal::new(404, "unknown-model", "No such model", &detail)
+    Refusal::new(404, "unknown-model", "Unknown model", &detail)
 }
 
-/// The path exists, but not with this method.
+/// The path exists, but does not support the method.
 pub fn bad_method(allowed: &str) -> Refusal {
-    let detail = format!("this path takes {allowed} only");
-    Refusal::new(405, "method-not-allowed", "Wrong method", &detail)
+    let detail = format!("this path allows only {allowed}");
+    Refusal::new(405, "method-not-allowed", "Method not allowed", &detail)
 }
 
-/// The body is too long.
+/// The body is larger than the limit, which is in bytes.
 pub fn too_large(limit: usize) -> Refusal {
-    let detail = format!("the body may have {limit} bytes");
-    Refusal::new(413, "body-too-large", "The body is too long", &detail)
+    let detail = format!("the body may have at most {limit} bytes");
+    Refusal::new(413, "body-too-large", "The body is too large", &detail)
 }
 
-/// The caller sent its body too slowly.
+/// The body did not arrive in time.
 pub fn too_slow() -> Refusal {
     Refusal::new(
         408,
@@ -57,98 +57,100 @@
     )
 }
 
-/// The bodies of other requests take all the memory that there is for them.
-pub fn crowded() -> Refusal {
+/// Bodies of other requests use all the memory reserved for bodies.
+pub fn bodies_crowded() -> Refusal {
     Refusal::new(
         503,
         "crowded",
-        "This instance holds too many bodies",
-        "ask again a little later; nothing was sent",
+        "Too many request bodies at this instance",
+        "retry a little later; nothing was sent",
     )
-    .with_retry_after(SOON)
+    .with_retry_after(RETRY_AFTER_SHORTAGE)
 }
 
-/// The connection broke before the end of the body.
-pub fn broken_body() -> Refusal {
+/// The connection closed before the end of the body.
+pub fn incomplete_body() -> Refusal {
     bad_request(
         "body-incomplete",
-        "the connection broke before the end of the body",
+        "the connection closed before the end of the body",
     )
 }
 
-/// No configuration yet, or the last part of a shutdown.
+/// There is no configuration yet, or the instance is shutting down.
 pub fn not_ready() -> Refusal {
     Refusal::new(
         503,
         "not-ready",
-        "This instance takes no requests now",
-        "ask again; another instance may answer",
+        "This instance is not accepting requests",
+        "retry; another instance may answer",
     )
-    .with_retry_after(SOON)
+    .with_retry_after(RETRY_AFTER_SHORTAGE)
 }
 
-/// The workspace has too many requests in flight here.
+/// The workspace has too many requests in flight at this instance.
 pub fn in_flight(limit: u32) -> Refusal {
-    let detail = format!("the workspace may have {limit} requests in flight at one instance");
-    Refusal::new(429, "in-flight", "Too many requests in flight", &detail).with_retry_after(SOON)
+    let detail =
+        format!("the workspace may have at most {limit} requests in flight at one instance");
+    Refusal::new(429, "in-flight", "Too many requests in flight", &detail)
+        .with_retry_after(RETRY_AFTER_SHORTAGE)
 }
 
-/// The caller went away before anything was sent; nobody reads this.
+/// The caller disconnected before anything was sent. Only metrics show this refusal.
 pub fn caller_left() -> Refusal {
     Refusal::new(
         499,
         "caller-left",
-        "The caller went away",
+        "The caller disconnected",
         "nothing was sent",
     )
 }
 
-/// The caller's time ran out.
+/// The deadline passed before the answer.
 pub fn deadline(run: Run) -> Refusal {
     Refusal::new(
         504,
         "deadline",
         "The deadline has passed",
-        "no answer came before the deadline; the work was cancelled",
+        "no answer arrived before the deadline; the work was cancelled",
     )
     .with_run(run)
-    .with_retry_after(SOON)
+    .with_retry_after(RETRY_AFTER_SHORTAGE)
 }
 
-/// The answer of a call was lost, and it may have run.
-pub fn lost(detail: &str) -> Refusal {
+/// The answer to a call was lost; the call may have run.
+pub fn answer_lost(detail: &str) -> Refusal {
     Refusal::new(504, "answer-lost", "The answer was lost", detail).with_run(Run::Unknown)
 }
 
-/// The engine died after a part of the answer.
+/// The engine failed after a part of the answer.
 pub fn partial(detail: &str) -> Refusal {
     Refusal::new(502, "engine-lost", "The answer is incomplete", detail).with_run(Run::Partial)
 }
 
-/// The answer grew beyond what an instance keeps in memory.
+/// The answer is larger than an instance may buffer.
 pub fn answer_too_large() -> Refusal {
     Refusal::new(
         502,
         "answer-too-large",
-        "The answer is too long to be sent whole",
-        "ask for it with `stream: true`, or for fewer tokens",
+        "The answer is too large to be buffered",
+        "use `stream: true`, or request fewer tokens",
     )
     .with_run(Run::Partial)
 }
 
-/// The whole answers of other requests take all the memory that there is for them.
+/// Buffered answers of other requests use all the memory reserved for answers.
 pub fn answers_crowded() -> Refusal {
     Refusal::new(
         502,
         "answers-crowded",
-        "This instance holds too many answers",
-        "ask again a little later, or with `stream: true`; the generation was cancelled",
+        "Too many buffered answers at this instance",
+        "retry a little later, or use `stream: true`; the generation was cancelled",
     )
     .with_run(Run::Partial)
-    .with_retry_after(SOON)
+    .with_retry_after(RETRY_AFTER_SHORTAGE)
 }
 
-/// The `Last-Event-ID` is none of ours, or of another workspace.
+/// The `Last-Event-ID` is invalid or belongs to another workspace.
 pub fn bad_event_id() -> Refusal {
     bad_request(
         "bad-event-id",
@@ -156,18 +158,18 @@
     )
 }
 
-/// The stream can't be gone on with.
+/// The stream can't be resumed.
 pub fn stream_gone() -> Refusal {
     Refusal::new(
         410,
         "stream-gone",
-        "The stream is no longer there",
-        "its engine is gone, or it was cancelled; what has arrived is all there is",
+        "The stream no longer exists",
+        "its engine is gone, or it was cancelled; no more of the answer is available",
     )
     .with_run(Run::Partial)
 }
 
-/// The table service is down.
+/// The table service is unavailable.
 pub fn store_down() -> Refusal {
     Refusal::new(
         503,
@@ -175,11 +177,11 @@
         "Idempotency keys can't be checked now",
         "the table service can't be reached; nothing was sent",
     )
-    .with_retry_after(AFTER_OUTAGE)
+    .with_retry_after(RETRY_AFTER_OUTAGE)
 }
 
-/// The same key came with another call.
-pub fn other_call() -> Refusal {
+/// The idempotency key was used for another call.
+pub fn key_reused() -> Refusal {
     Refusal::new(
         422,
         "key-reused",
@@ -188,34 +190,34 @@
     )
 }
 
-/// Somebody else runs the call under this key.
+/// The call is already running under this key, at this or another instance.
 pub fn still_running() -> Refusal {
     Refusal::new(
         409,
         "still-running",
         "The call is still running under this key",
-        "ask again with the same key for its answer",
+        "retry with the same key to get its answer",
     )
     .with_run(Run::Unknown)
-    .with_retry_after(SOON)
+    .with_retry_after(RETRY_AFTER_SHORTAGE)
 }
 
-/// Targets ended while they ran this very request.
+/// Several targets crashed while they ran this request.
 pub fn quarantined() -> Refusal {
     Refusal::new(
         422,
         "quarantined",
-        "The request crashes what runs it",
-        "several targets ended while they ran this request; it is not sent again",
+        "The request crashes the targets that run it",
+        "several targets crashed while they ran this request; it is not sent again",
     )
 }
 
-/// The call was sent once, and its outcome is not known.
+/// The call was sent once, and it is unknown whether it ran.
 pub fn outcome_unknown() -> Refusal {
     Refusal::new(
         504,
         "outcome-unknown",
-        "The outcome is not known",
+        "The outcome is unknown",
         "the call was sent once under this key; it will not be sent again",
     )
     .with_run(Run::Unknown)
--- a/components/gateway/src/request.rs
+++ b/components/gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! What every request brings: headers of ours, a workspace, a body.
+//! The parts that all requests have in common: the caller, option headers and the body.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,38 +10,38 @@
 
 use crate::{auth, gateway::Core, refusals};
 
-/// Names a route of the service.
+/// Header that selects a route of the service.
 pub const ROUTE: &str = "x-route";
-/// Lowers the urgency.
+/// Header that lowers the urgency.
 pub const CLASS: &str = "x-class";
-/// Shortens the deadline.
+/// Header that shortens the deadline.
 pub const DEADLINE: &str = "x-deadline-ms";
-/// The route of callers that name none.
+/// Route of requests that select none.
 const DEFAULT_ROUTE: &str = "default";
-/// Deadline where the configuration has none.
+/// Deadline if the configuration sets none.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
 
-/// Who asks, and under which configuration.
+/// The caller, and the configuration that applies to its request.
 pub struct Caller {
     /// The workspace.
     pub workspace: WorkspaceId,
-    /// What is in force for the whole of this request.
+    /// The configuration in force when the request arrived; it applies to the whole request.
     pub current: Arc<Current>,
-    /// When the request came in, on the process's clock.
+    /// When the request arrived, on this process's clock.
     pub arrived: Moment,
 }
 
-/// What a caller wishes by headers.
+/// Options that a caller sets by headers.
 #[derive(Clone, Debug)]
-pub struct Wishes {
-    /// The route it names.
+pub struct RequestOptions {
+    /// The selected route.
     pub route: Arc<str>,
     class: Option<Class>,
     deadline_ms: Option<u64>,
 }
 
 impl Caller {
-    /// Finds out who asks.
+    /// Identifies the caller by its key.
     pub fn identify(core: &Core, headers: &HeaderMap) -> Result<Self, Refusal> {
         let arrived = core.admission.now();
         let current = core.current()?;
@@ -54,26 +54,31 @@
     }
 }
 
-impl Wishes {
+impl RequestOptions {
     /// Reads the headers.
     pub fn read(headers: &HeaderMap) -> Result<Self, Refusal> {
         Ok(Self {
             route: header(headers, ROUTE)?.unwrap_or(DEFAULT_ROUTE).into(),
-            class: header(headers, CLASS)?.map(class).transpose()?,
-            deadline_ms: header(headers, DEADLINE)?.map(deadline).transpose()?,
+            class: header(headers, CLASS)?.map(parse_class).transpose()?,
+            deadline_ms: header(headers, DEADLINE)?
+                .map(parse_deadline_ms)
+                .transpose()?,
         })
     }
 
-    /// The urgency in force; the caller may lower but not raise it.
+    /// Returns the urgency: the one in force, which the caller may lower but not raise.
     pub fn class(&self, in_force: Option<Class>) -> Class {
         let in_force = in_force.unwrap_or_default();
-        self.class.map_or(in_force, |wish| wish.max(in_force))
+        self.class.map_or(in_force, |wanted| wanted.max(in_force))
     }
 
-    /// The deadline in force; the caller may shorten but not extend it.
+    /// Returns the deadline: the one in force, in milliseconds after arrival, which the caller may
+    /// shorten but not extend.
     pub fn deadline(&self, arrived: Moment, in_force: Option<u64>) -> Moment {
         let in_force = in_force.unwrap_or(DEFAULT_DEADLINE_MS);
-        let ms = self.deadline_ms.map_or(in_force, |wish| wish.min(in_force));
+        let ms = self
+            .deadline_ms
+            .map_or(in_force, |wanted| wanted.min(in_force));
         arrived.saturating_add(Duration::from_millis(ms))
     }
 }
@@ -83,49 +88,54 @@
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
-    let text = value.to_str().map_err(|_| wrong(name, "plain text"))?;
+    let text = value
+        .to_str()
+        .map_err(|_| invalid_header(name, "plain text"))?;
     Ok(Some(text.trim()))
 }
 
-fn class(text: &str) -> Result<Class, Refusal> {
+fn parse_class(text: &str) -> Result<Class, Refusal> {
     match text {
         "urgent" => Ok(Class::Urgent),
         "normal" => Ok(Class::Normal),
         "background" => Ok(Class::Background),
-        _ => Err(wrong(CLASS, "`urgent`, `normal` or `background`")),
+        _ => Err(invalid_header(CLASS, "`urgent`, `normal` or `background`")),
     }
 }
 
-fn deadline(text: &str) -> Result<u64, Refusal> {
+fn parse_deadline_ms(text: &str) -> Result<u64, Refusal> {
     match text.parse() {
         Ok(ms) if ms > 0 => Ok(ms),
-        _ => Err(wrong(DEADLINE, "a whole number of milliseconds above zero")),
+        _ => Err(invalid_header(
+            DEADLINE,
+            "a whole number of milliseconds above zero",
+        )),
     }
 }
 
-fn wrong(name: &str, right: &str) -> Refusal {
-    refusals::bad_request("bad-header", &format!("`{name}` must be {right}"))
+fn invalid_header(name: &str, expected: &str) -> Refusal {
+    refusals::bad_request("bad-header", &format!("`{name}` must be {expected}"))
 }
 
-/// A request's body, and its share of what all bodies may hold.
-pub struct Held {
+/// A request's body and the memory reserved for it.
+pub struct RequestBody {
     /// The body.
     pub bytes: Bytes,
-    /// Given back when the request is over.
+    /// The reserved memory, given back when dropped.
     pub share: Share,
 }
 
-/// Reads the body within the limits.
-pub async fn body(core: &Core, req: Request<Incoming>) -> Result<Held, Refusal> {
+/// Reads the body within the limits of size, time and memory.
+pub async fn body(core: &Core, req: Request<Incoming>) -> Result<RequestBody, Refusal> {
     let limit = core.limits.body_bytes;
-    let patience = Duration::from_secs(core.limits.sender_seconds);
+    let timeout = Duration::from_secs(core.limits.sender_seconds);
     let mut share = core.bodies.share();
-    let read = read_shared(req.into_body(), limit, patience, &mut share).await;
+    let read = read_shared(req.into_body(), limit, timeout, &mut share).await;
     let bytes = read.map_err(|e| match e {
         SharedError::Body(BodyError::TooLarge) => refusals::too_large(limit),
         SharedError::Body(BodyError::TooSlow) => refusals::too_slow(),
-        SharedError::Crowded => refusals::crowded(),
-        SharedError::Body(BodyError::Broken) => refusals::broken_body(),
+        SharedError::Crowded => refusals::bodies_crowded(),
+        SharedError::Body(BodyError::Broken) => refusals::incomplete_body(),
     })?;
-    Ok(Held { bytes, share })
+    Ok(RequestBody { bytes, share })
 }
--- a/components/gateway/src/resume_handle.rs
+++ b/components/gateway/src/resume_handle.rs
@@ -1,8 +1,8 @@
-//! The ids of a stream's events: what a caller needs to go on with it at any instance.
+//! The ids of a stream's events, by which a caller can resume the stream at any instance.
 //!
-//! An id is `TICKET.OFFSET`. The ticket names target, stream and account in base64url and ends
-//! in a code made with the deployment's key over its content and the workspace: nobody can make
-//! a ticket for a stream that they were not given, nor use another workspace's.
+//! An id is `HANDLE.OFFSET`. The handle contains the target, the stream and its terms in base64url,
+//! followed by an authentication code over its content and the workspace, made with the key of the
+//! deployment. A caller can therefore neither forge a handle nor use one of another workspace.
 
 use base64::{Engine as _, engine::general_purpose::URL_SAFE_NO_PAD};
 use hmac::{Hmac, Mac};
@@ -11,39 +11,39 @@
 use targets::StreamId;
 use types::{Class, InstanceId, RouteId, TargetId, Tokens};
 
-/// Bytes of the authentication code.
-const CODE: usize = 16;
-/// Bytes of an id at most: a longer one is none of ours.
-const ID_LIMIT: usize = 2048;
+/// Length of the authentication code, in bytes.
+const CODE_LEN: usize = 16;
+/// Longest id that is decoded, in bytes. Ids made here are shorter.
+const MAX_ID_LEN: usize = 2048;
 
-/// What a ticket says.
+/// Identifies a running generation and the terms of its request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ResumeHandle {
-    /// Where the generation runs.
+    /// The target that runs the generation.
     pub target: TargetId,
-    /// Its name there.
+    /// Id of the stream at the target.
     pub stream: StreamId,
-    /// The instance that relayed it.
+    /// The instance that delivers the stream.
     pub holder: InstanceId,
-    /// The route it came by.
+    /// The route by which the service was chosen.
     pub route: RouteId,
-    /// Its urgency.
+    /// Urgency.
     pub class: Class,
     /// Tokens in the prompt.
     #[serde(rename = "prompt")]
     pub prompt_tokens: Tokens,
-    /// The most tokens to produce.
+    /// Largest number of tokens to produce.
     pub max_output: Tokens,
 }
 
-/// Makes and checks tickets with the deployment's key.
+/// Encodes and authenticates resume handles with the key of the deployment.
 #[derive(Clone)]
 pub struct ResumeHandleCodec {
     mac: Hmac<Sha256>,
 }
 
 impl ResumeHandleCodec {
-    /// Uses this key, the same at all instances.
+    /// Creates a codec with this key, which is the same at all instances.
     #[must_use]
     pub fn new(key: &str) -> Self {
         let mac = Hmac::new_from_slice(key.as_bytes());
@@ -52,43 +52,43 @@
         }
     }
 
-    /// Writes a ticket for a workspace's caller.
+    /// Encodes a handle for callers of a workspace.
     #[must_use]
-    pub fn write(&self, workspace: &str, ticket: &ResumeHandle) -> String {
-        // A ticket has strings and numbers only, which always have an encoding.
-        let mut content = rmp_serde::to_vec(ticket).expect("a ticket can be encoded");
-        let code = self.code(workspace, &content);
+    pub fn encode(&self, workspace: &str, handle: &ResumeHandle) -> String {
+        // A handle consists of strings and numbers, which can always be encoded.
+        let mut content = rmp_serde::to_vec(handle).expect("a handle can be encoded");
+        let code = self.authentication_code(workspace, &content);
         content.extend_from_slice(&code);
         URL_SAFE_NO_PAD.encode(content)
     }
 
-    /// Reads an event id: the ticket and the event's offset. `None` if it is none of ours or
-    /// belongs to another workspace.
+    /// Decodes an event id into the handle and the offset of the event. Returns `None` if the id is
+    /// invalid or belongs to another workspace.
     #[must_use]
-    pub fn read(&self, workspace: &str, id: &str) -> Option<(ResumeHandle, Tokens)> {
-        if id.len() > ID_LIMIT {
+    pub fn decode(&self, workspace: &str, id: &str) -> Option<(ResumeHandle, Tokens)> {
+        if id.len() > MAX_ID_LEN {
             return None;
         }
-        let (ticket, offset) = id.rsplit_once('.')?;
-        let bytes = URL_SAFE_NO_PAD.decode(ticket).ok()?;
-        let (content, code) = bytes.split_at_checked(bytes.len().checked_sub(CODE)?)?;
-        self.signed(workspace, content)
+        let (handle, offset) = id.rsplit_once('.')?;
+        let bytes = URL_SAFE_NO_PAD.decode(handle).ok()?;
+        let (content, code) = bytes.split_at_checked(bytes.len().checked_sub(CODE_LEN)?)?;
+        self.mac_over(workspace, content)
             .verify_truncated_left(code)
             .ok()?;
-        let ticket = rmp_serde::from_slice(content).ok()?;
-        Some((ticket, offset.parse().ok()?))
+        let handle = rmp_serde::from_slice(content).ok()?;
+        Some((handle, offset.parse().ok()?))
     }
 
-    fn code(&self, workspace: &str, content: &[u8]) -> [u8; CODE] {
-        let full = self.signed(workspace, content).finalize().into_bytes();
-        let mut code = [0; CODE];
-        code.copy_from_slice(&full[..CODE]);
+    fn authentication_code(&self, workspace: &str, content: &[u8]) -> [u8; CODE_LEN] {
+        let full = self.mac_over(workspace, content).finalize().into_bytes();
+        let mut code = [0; CODE_LEN];
+        code.copy_from_slice(&full[..CODE_LEN]);
         code
     }
 
-    fn signed(&self, workspace: &str, content: &[u8]) -> Hmac<Sha256> {
+    fn mac_over(&self, workspace: &str, content: &[u8]) -> Hmac<Sha256> {
         let mut mac = self.mac.clone();
-        // The length keeps the border between the two parts unambiguous.
+        // The length makes the boundary between workspace and content unambiguous.
         mac.update(b"celerystand stream ticket");
         mac.update(&(workspace.len() as u64).to_le_bytes());
         mac.update(workspace.as_bytes());
--- a/components/gateway/src/streams.rs
+++ b/components/gateway/src/streams.rs
@@ -1,4 +1,5 @@
-//! Going on with a stream that began over another connection, here or at another instance.
+//! The streams that this instance delivers, and their resumption by callers over another
+//! connection, at this or another instance.
 
 use std::{
     collections::HashMap,
@@ -21,53 +22,57 @@
     generate::DEFAULT_IN_FLIGHT,
     metrics::Outcome,
     refusals,
-    request::{self, Caller, Wishes},
+    request::{self, Caller, RequestOptions},
     resume_handle::ResumeHandle,
-    writer::{self, Account},
+    writer::{self, StreamContext},
 };
 
-/// Header in which a caller names the last event that it has.
+/// Header with the id of the last event that a caller has received.
 const LAST_EVENT_ID: &str = "last-event-id";
 
-/// A target and the name of a stream there.
+/// A target and the id of a stream at it.
 pub type Key = (TargetId, StreamId);
 
-/// One stream held here.
+/// A registered stream.
 struct Entry {
+    /// Distinguishes registrations of the same stream.
     number: u64,
-    /// Closed to tell its carrier that the caller goes on elsewhere.
+    /// Closed to notify the delivery that it is superseded.
     tx: Sender<()>,
 }
 
-/// The streams that this instance carries. Clones share them.
+/// The streams that this instance delivers. Clones share them.
 #[derive(Clone, Default)]
 pub struct Streams {
-    held: Arc<Mutex<HashMap<Key, Entry>>>,
-    numbers: Arc<AtomicU64>,
+    entries: Arc<Mutex<HashMap<Key, Entry>>>,
+    next_number: Arc<AtomicU64>,
 }
 
-/// A stream held here; forgotten when dropped.
-pub struct Hold {
+/// The registration of a stream, removed when dropped.
+pub struct StreamRegistration {
     streams: Streams,
     key: Key,
     number: u64,
     rx: Receiver<()>,
 }
 
-/// Completes once a caller goes on with its stream over another connection.
+/// Notification that the caller has resumed the stream over another connection.
 pub struct Superseded {
     rx: Receiver<()>,
 }
 
 impl Streams {
-    /// Notes that a stream is carried here. Whoever carried it before is told to let go.
-    pub fn hold(&self, target: &TargetId, stream: &StreamId) -> Hold {
+    /// Registers a stream that is delivered here. An earlier delivery of the same stream is
+    /// superseded.
+    pub fn register(&self, target: &TargetId, stream: &StreamId) -> StreamRegistration {
         let key = (TargetId::clone(target), StreamId::clone(stream));
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let (tx, rx) = bounded(1);
-        // Dropping the sender of the carrier before closes its channel.
-        self.held.lock().insert(key.clone(), Entry { number, tx });
-        Hold {
+        // Replacing an earlier entry drops its sender and so closes its channel.
+        self.entries
+            .lock()
+            .insert(key.clone(), Entry { number, tx });
+        StreamRegistration {
             streams: self.clone(),
             key,
             number,
@@ -75,24 +80,24 @@
         }
     }
 
-    /// Streams held here, as target and name.
+    /// Returns the registered streams, sorted.
     pub fn list(&self) -> Vec<Key> {
-        let mut keys: Vec<_> = self.held.lock().keys().cloned().collect();
+        let mut keys: Vec<_> = self.entries.lock().keys().cloned().collect();
         keys.sort();
         keys
     }
 
-    /// Tells whoever carries a stream here to let go of it.
+    /// Notifies the delivery of a stream at this instance, if any, that it is superseded.
     pub fn supersede(&self, target: &TargetId, stream: &StreamId) {
         let key = (TargetId::clone(target), StreamId::clone(stream));
-        if let Some(entry) = self.held.lock().remove(&key) {
+        if let Some(entry) = self.entries.lock().remove(&key) {
             entry.tx.close();
         }
     }
 }
 
-impl Hold {
-    /// A future to wait on.
+impl StreamRegistration {
+    /// Returns the notification to wait for.
     pub fn superseded(&self) -> Superseded {
         Superseded {
             rx: self.rx.clone(),
@@ -100,99 +105,104 @@
     }
 }
 
-impl Drop for Hold {
+impl Drop for StreamRegistration {
     fn drop(&mut self) {
-        let mut held = self.streams.held.lock();
-        if held.get(&self.key).is_some_and(|e| e.number == self.number) {
-            held.remove(&self.key);
+        let mut entries = self.streams.entries.lock();
+        if entries
+            .get(&self.key)
+            .is_some_and(|e| e.number == self.number)
+        {
+            entries.remove(&self.key);
         }
     }
 }
 
 impl Superseded {
-    /// Waits for it. Nothing is ever sent: the channel just closes.
+    /// Waits for the notification, which is the closing of the channel; no message is ever sent.
     pub async fn wait(self) {
         let _ = self.rx.recv().await;
     }
 }
 
-/// Answers a caller that goes on with a stream.
+/// Answers a request to resume a stream.
 pub async fn answer(
     core: &Arc<Core>,
     caller: Caller,
     req: &Request<Incoming>,
 ) -> Result<Response<Body>, Refusal> {
     let id = request::header(req.headers(), LAST_EVENT_ID)?;
-    let (ticket, offset) = id
-        .and_then(|id| core.tickets.read(&caller.workspace, id))
+    let (handle, offset) = id
+        .and_then(|id| core.resume_handles.decode(&caller.workspace, id))
         .ok_or_else(refusals::bad_event_id)?;
-    let wishes = Wishes::read(req.headers())?;
+    let options = RequestOptions::read(req.headers())?;
     let target = core
         .admission
-        .find_target(&ticket.target)
+        .find_target(&handle.target)
         .ok_or_else(refusals::stream_gone)?;
     let rule = caller.current.in_force.service(&target.service);
     let rule = rule.ok_or_else(refusals::stream_gone)?;
     let limit = rule.knobs.in_flight.unwrap_or(DEFAULT_IN_FLIGHT);
-    let flight = core.flights.enter(&caller.workspace, limit, ticket.class)?;
+    let in_flight = core
+        .in_flight
+        .enter(&caller.workspace, limit, handle.class)?;
 
     let at = offset.saturating_add(1);
-    let mut running = core.relay.adopt(&target, &ticket.stream, at);
-    if running.connect().await.is_err() {
-        flight.note(Outcome::Partial);
+    let mut stream = core.relay.adopt(&target, &handle.stream, at);
+    if stream.connect().await.is_err() {
+        in_flight.set_outcome(Outcome::Partial);
         return Err(refusals::stream_gone());
     }
-    let deadline = wishes.deadline(caller.arrived, rule.knobs.deadline_ms);
-    let wanted = wanted(&caller, &target, &ticket, deadline);
-    let permit = core.admission.adopt(&target, wanted, at);
-    tell_holder(core, &ticket);
-    core.metrics.adopted();
-    let account = Account {
+    let deadline = options.deadline(caller.arrived, rule.knobs.deadline_ms);
+    let request = admission_request(&caller, &target, &handle, deadline);
+    let permit = core.admission.adopt(&target, request, at);
+    notify_holder(core, &handle);
+    core.metrics.record_adoption();
+    let context = StreamContext {
         workspace: caller.workspace,
-        route: ticket.route,
-        class: ticket.class,
-        prompt_tokens: ticket.prompt_tokens,
-        max_output: ticket.max_output,
+        route: handle.route,
+        class: handle.class,
+        prompt_tokens: handle.prompt_tokens,
+        max_output: handle.max_output,
         fingerprint: None,
     };
-    let reply = writer::carry(core, &account, permit, running, None, flight);
+    let reply = writer::start_delivery(core, &context, permit, stream, None, in_flight);
     Ok(reply.done())
 }
 
-/// Whoever held the stream must not cancel it now.
-fn tell_holder(core: &Arc<Core>, ticket: &ResumeHandle) {
-    if ticket.holder == core.instance {
-        core.streams.supersede(&ticket.target, &ticket.stream);
+/// Notifies the instance that delivered the stream so far, so that it does not cancel it.
+fn notify_holder(core: &Arc<Core>, handle: &ResumeHandle) {
+    if handle.holder == core.instance {
+        core.streams.supersede(&handle.target, &handle.stream);
         return;
     }
     let Some(takeover) = core.takeover.clone() else {
         return;
     };
-    let ticket = ticket.clone();
-    let tell = async move {
+    let handle = handle.clone();
+    let notify = async move {
         takeover
-            .notify(&ticket.holder, &ticket.target, &ticket.stream)
+            .notify(&handle.holder, &handle.target, &handle.stream)
             .await;
     };
-    workers::spawn(tell).detach();
+    workers::spawn(notify).detach();
 }
 
-fn wanted(
+fn admission_request(
     caller: &Caller,
     target: &Target,
-    ticket: &ResumeHandle,
+    handle: &ResumeHandle,
     deadline: types::Moment,
 ) -> AdmissionRequest {
     AdmissionRequest {
         service: target.service.clone(),
         kind: ServiceKind::Model,
         workspace: caller.workspace.clone(),
-        route: ticket.route.clone(),
-        class: ticket.class,
+        route: handle.route.clone(),
+        class: handle.class,
         deadline,
         idempotent: false,
-        prompt_tokens: ticket.prompt_tokens,
-        max_output: ticket.max_output,
+        prompt_tokens: handle.prompt_tokens,
+        max_output: handle.max_output,
         prefix: Vec::new(),
         true_output: None::<Tokens>,
     }
--- a/components/gateway/src/writer.rs
+++ b/components/gateway/src/writer.rs
@@ -1,4 +1,5 @@
-//! Streamed answers: tokens as server-sent events, each with an id to go on from.
+//! Streamed answers: writes tokens as server-sent events, each with an id from which the caller can
+//! resume.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,156 +16,156 @@
 
 use crate::{
     admission::{PermitHandle, WorkOutcome},
-    attempt::Tried,
-    delivery::{self, Carried},
+    attempt::AttemptResult,
+    delivery::{self, StreamDelivery},
     gateway::Core,
-    generate::{Begun, Generation},
+    generate::{Generation, StartedGeneration},
     in_flight::InFlightGuard,
     metrics::Metrics,
     problem,
-    progress::Pace,
+    progress::ProgressThrottle,
     resume_handle::ResumeHandle,
 };
 
-/// A caller that takes nothing for this long counts as gone. Its stream would otherwise hold
-/// engine memory for as long as it likes.
-const WRITE_STALL: Duration = Duration::from_secs(20);
-/// Bytes around an event's data: field names, line ends and the offset.
-const EVENT_EXTRA: usize = 40;
-/// What ends a stream.
+/// A caller that reads nothing for this long counts as disconnected. Its stream would otherwise
+/// hold engine memory without a limit.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Bytes of an event besides its data and the resume handle: field names, line ends and offset.
+const EVENT_OVERHEAD: usize = 40;
+/// The last event of a complete stream.
 const DONE: &[u8] = b"data: [DONE]\n\n";
 
-/// Answers with a stream. The head goes out with the first token, so that everything before it
-/// can still be refused in full.
+/// Answers with a stream. The response head is sent only with the first token, so that any earlier
+/// failure can still be answered with a refusal.
 pub async fn answer(generation: Generation) -> Result<Response<Body>, Refusal> {
     let core = Arc::clone(&generation.core);
-    let ask = &generation;
-    let (work, begun) = ask
-        .tries(|mut work| async move {
-            let tried = ask.begin(&mut work).await;
-            if let Tried::Good(begun) = &tried {
-                // Before any token goes out: from now on the permit can't be pulled back.
-                work.permit().report_progress(begun.produced());
+    let request = &generation;
+    let (attempt, started) = request
+        .with_retries(|mut attempt| async move {
+            let result = request.start(&mut attempt).await;
+            if let AttemptResult::Success(started) = &result {
+                // Reported before any token is sent: afterwards the permit can't be revoked.
+                attempt.permit().report_progress(started.produced());
             }
-            (work, tried)
+            (attempt, result)
         })
         .await?;
-    let (permit, running) = work.take();
-    let running = running.expect("a generation that has begun is running");
+    let (permit, stream) = attempt.take();
+    let stream = stream.expect("a started generation has a stream");
     let arrived = generation.caller.arrived;
-    let since = core.admission.now().saturating_sub(arrived);
-    core.metrics.first_token(since);
-    let account = Account::of(&generation);
-    let Begun { piece, request } = begun;
-    let flight = generation.flight;
-    let reply = carry(&core, &account, permit, running, Some(piece), flight);
+    let time = core.admission.now().saturating_sub(arrived);
+    core.metrics.record_first_token(time);
+    let context = StreamContext::of(&generation);
+    let StartedGeneration { piece, request } = started;
+    let in_flight = generation.in_flight;
+    let reply = start_delivery(&core, &context, permit, stream, Some(piece), in_flight);
     Ok(reply.with_header(REQUEST_ID, &request).done())
 }
 
-/// For whom a stream runs, and under which terms.
-pub struct Account {
+/// Whose stream it is, and the terms under which it runs.
+pub struct StreamContext {
     /// The caller's workspace.
     pub workspace: WorkspaceId,
-    /// The route it came by.
+    /// The route by which the service was chosen.
     pub route: types::RouteId,
-    /// Its urgency.
+    /// Urgency.
     pub class: Class,
     /// Tokens in the prompt.
     pub prompt_tokens: Tokens,
-    /// The most tokens to produce.
+    /// Largest number of tokens to produce.
     pub max_output: Tokens,
-    /// What stays the same of the request when it is sent again, where it is known.
+    /// Identifies the request across retries; `None` if it is not known here.
     pub fingerprint: Option<Fingerprint>,
 }
 
-impl Account {
+impl StreamContext {
     fn of(generation: &Generation) -> Self {
         Self {
             workspace: generation.caller.workspace.clone(),
             route: generation.rule.route.clone(),
             class: generation.class,
-            prompt_tokens: generation.call.prompt_tokens,
+            prompt_tokens: generation.completion.prompt_tokens,
             max_output: generation.max_output,
             fingerprint: Some(generation.fingerprint),
         }
     }
 
-    fn ticket(&self, core: &Core, running: &ActiveStream) -> String {
-        let ticket = ResumeHandle {
-            target: running.target().id.clone(),
-            stream: running.id().clone(),
+    fn resume_handle(&self, core: &Core, stream: &ActiveStream) -> String {
+        let handle = ResumeHandle {
+            target: stream.target().id.clone(),
+            stream: stream.id().clone(),
             holder: core.instance.clone(),
             route: self.route.clone(),
             class: self.class,
             prompt_tokens: self.prompt_tokens,
             max_output: self.max_output,
         };
-        core.tickets.write(&self.workspace, &ticket)
+        core.resume_handles.encode(&self.workspace, &handle)
     }
 }
 
-/// Starts to carry a stream to its caller, with the first piece if it has come, and gives the
-/// answer's head.
-pub fn carry(
+/// Starts delivering a stream to its caller in the background, beginning with `piece` if it has
+/// already been read. Returns the response head with the body to stream.
+pub fn start_delivery(
     core: &Arc<Core>,
-    account: &Account,
+    context: &StreamContext,
     permit: Box<dyn PermitHandle>,
-    running: ActiveStream,
+    stream: ActiveStream,
     piece: Option<Piece>,
-    flight: InFlightGuard,
+    in_flight: InFlightGuard,
 ) -> Reply {
     let (tx, body) = channel();
-    let ticket = account.ticket(core, &running);
-    let writer = Writer::new(core, tx, &ticket, permit);
-    let carried = Carried {
+    let handle = context.resume_handle(core, &stream);
+    let writer = Writer::new(core, tx, &handle, permit);
+    let delivery = StreamDelivery {
         core: Arc::clone(core),
-        running,
-        workspace: account.workspace.clone(),
-        fingerprint: account.fingerprint,
+        stream,
+        workspace: context.workspace.clone(),
+        fingerprint: context.fingerprint,
         writer,
-        flight: Some(flight),
+        in_flight: Some(in_flight),
     };
-    workers::spawn(delivery::carry(carried, piece)).detach();
+    workers::spawn(delivery::deliver(delivery, piece)).detach();
     Reply::new(200)
         .with_header("content-type", "text/event-stream")
         .with_header("cache-control", "no-cache")
         .with_body(body)
 }
 
-/// Writes a stream's events to its caller and reports progress.
+/// Writes a stream's events to its caller and reports progress under the permit.
 pub struct Writer {
     timer: Timer,
     tx: BodySender,
-    /// `id: TICKET.`
-    head: Bytes,
-    /// Until the work under it has ended.
+    /// Start of each event: `id: HANDLE.`
+    event_prefix: Bytes,
+    /// `None` once the permit has been given back.
     permit: Option<Box<dyn PermitHandle>>,
     metrics: Metrics,
-    pace: Pace,
-    last: Moment,
+    progress: ProgressThrottle,
+    last_write_at: Moment,
 }
 
 impl Writer {
-    fn new(core: &Core, tx: BodySender, ticket: &str, permit: Box<dyn PermitHandle>) -> Self {
+    fn new(core: &Core, tx: BodySender, handle: &str, permit: Box<dyn PermitHandle>) -> Self {
         let now = core.timer.now();
         Self {
             timer: core.timer,
             tx,
-            head: format!("id: {ticket}.").into(),
+            event_prefix: format!("id: {handle}.").into(),
             permit: Some(permit),
             metrics: core.metrics.clone(),
-            pace: Pace::new(0, now),
-            last: now,
+            progress: ProgressThrottle::new(0, now),
+            last_write_at: now,
         }
     }
 
-    /// Writes the stream's end.
-    pub async fn done(&self) -> Result<(), ReceiverClosed> {
+    /// Writes the end of a complete stream.
+    pub async fn write_done(&self) -> Result<(), ReceiverClosed> {
         self.send_last(Bytes::from_static(DONE)).await
     }
 
-    /// Writes that the answer stops short.
-    pub async fn partial(&self, refusal: &Refusal) -> Result<(), ReceiverClosed> {
+    /// Writes an event that marks the answer as partial, and ends the stream.
+    pub async fn write_partial(&self, refusal: &Refusal) -> Result<(), ReceiverClosed> {
         let mut buf = BytesMut::new();
         buf.put_slice(b"event: partial\ndata: ");
         buf.put_slice(&problem::json(refusal));
@@ -172,28 +173,29 @@
         self.send_last(buf.freeze()).await
     }
 
-    /// Reports progress, but not for each token.
-    pub fn note(&mut self, produced: Tokens) {
+    /// Reports the progress, at a limited rate.
+    pub fn report_progress(&mut self, produced: Tokens) {
         if let Some(permit) = &self.permit
-            && self.pace.due(produced, self.timer.now())
+            && self.progress.is_due(produced, self.timer.now())
         {
             permit.report_progress(produced);
         }
     }
 
-    /// Closes the way to the caller, before the stream's end.
+    /// Aborts the response, so that it does not look complete to the caller.
     pub fn close(&self) {
         self.tx.cut();
     }
 
-    /// Reports how the work under the permit ended.
-    pub fn finish(&mut self, outcome: WorkOutcome) {
+    /// Reports how the work ended and gives the permit back. Does nothing if called again.
+    pub fn finish_permit(&mut self, outcome: WorkOutcome) {
         if let Some(permit) = self.permit.take() {
             permit.finish(outcome);
         }
     }
 
-    /// Sends what tells of the stream's end. Without it the connection ends as one that broke.
+    /// Sends the last event and ends the response. A response that is not ended this way looks broken
+    /// to the caller.
     async fn send_last(&self, buf: Bytes) -> Result<(), ReceiverClosed> {
         self.send(buf).await?;
         self.tx.finish();
@@ -206,7 +208,7 @@
             Err(TrySendError::Closed(_)) => return Err(ReceiverClosed),
             Err(TrySendError::Full(buf)) => buf,
         };
-        match self.timer.within(WRITE_STALL, self.tx.send(buf)).await {
+        match self.timer.within(WRITE_TIMEOUT, self.tx.send(buf)).await {
             Some(Ok(())) => Ok(()),
             Some(Err(_)) | None => Err(ReceiverClosed),
         }
@@ -222,22 +224,23 @@
     ) -> Result<(), ReceiverClosed> {
         let now = self.timer.now();
         self.metrics
-            .tokens(data.len() as u64, now.saturating_sub(self.last));
-        self.last = now;
-        self.note(first + data.len() as Tokens);
-        self.send(events(&self.head, first, &data)).await
+            .record_tokens(data.len() as u64, now.saturating_sub(self.last_write_at));
+        self.last_write_at = now;
+        self.report_progress(first + data.len() as Tokens);
+        self.send(encode_events(&self.event_prefix, first, &data))
+            .await
     }
 }
 
-/// Writes events into one buffer: one write for all that came together.
-fn events(head: &[u8], first: Tokens, data: &[Bytes]) -> Bytes {
+/// Encodes events into one buffer, so that tokens that arrived together are written together.
+fn encode_events(prefix: &[u8], first: Tokens, data: &[Bytes]) -> Bytes {
     let size = data
         .iter()
-        .map(|part| head.len() + part.len() + EVENT_EXTRA)
+        .map(|part| prefix.len() + part.len() + EVENT_OVERHEAD)
         .sum();
     let mut buf = BytesMut::with_capacity(size);
     for (offset, part) in (first..).zip(data) {
-        buf.put_slice(head);
+        buf.put_slice(prefix);
         put_number(&mut buf, offset);
         buf.put_slice(b"\ndata: ");
         buf.put_slice(part);
@@ -246,7 +249,7 @@
     buf.freeze()
 }
 
-/// Writes a number in decimal without going through a string.
+/// Appends a number in decimal without allocating a string.
 fn put_number(buf: &mut BytesMut, mut number: u64) {
     let mut digits = [0_u8; 20];
     let mut at = digits.len();
--- a/components/gateway/tests/counting.rs
+++ b/components/gateway/tests/counting.rs
@@ -1,10 +1,10 @@
-//! What the gateway counts.
+//! Metrics of the gateway.
 
 mod fakes;
 
 use fakes::{
-    Bed,
-    admission::{Note, Say},
+    TestBed,
+    admission::{AdmissionEvent, AdmissionStep},
     engine::Step,
     until,
 };
@@ -12,31 +12,43 @@
 use types::Refusal;
 
 #[test]
-fn each_request_is_counted_once_by_how_it_ended() {
+fn each_request_is_counted_once_by_its_outcome() {
     smol::block_on(async {
-        let bed = Bed::new().await;
+        let bed = TestBed::new().await;
         let mut registry = Registry::default();
         bed.metrics.register(&mut registry);
-        bed.engine.starts([
+        bed.engine.script_starts([
             Ok(vec![Step::Tokens(0, 3), Step::End]),
             Ok(vec![Step::Tokens(0, 3), Step::End]),
-            Ok(vec![Step::Tokens(0, 2), Step::Die]),
+            Ok(vec![Step::Tokens(0, 2), Step::Crash]),
         ]);
         let full = Refusal::new(503, "full", "Full", "come back");
-        let go = || Say::Go("t1");
-        bed.admission
-            .script([go(), go(), go(), Say::No(full), Say::Wait]);
+        let grant = || AdmissionStep::Grant("t1");
+        bed.admission.script([
+            grant(),
+            grant(),
+            grant(),
+            AdmissionStep::Refuse(full),
+            AdmissionStep::Wait,
+        ]);
         bed.complete(true, &[]).await;
         bed.complete(false, &[("x-class", "background")]).await;
         bed.complete(true, &[]).await;
         bed.complete(true, &[]).await;
-        // The last one leaves the queue.
+        // The caller of the last request disconnects while it is queued.
         let waiting = async { drop(bed.complete(true, &[]).await) };
-        let asked = |note: &Note| matches!(note, Note::Admit(_));
-        let fifth = || bed.admission.notes().iter().filter(|n| asked(n)).count() == 5;
-        let leaving = until(fifth);
-        futures_lite::future::or(waiting, leaving).await;
-        bed.idle().await;
+        let is_admit = |event: &AdmissionEvent| matches!(event, AdmissionEvent::Admit(_));
+        let is_fifth_queued = || {
+            bed.admission
+                .events()
+                .iter()
+                .filter(|event| is_admit(event))
+                .count()
+                == 5
+        };
+        let disconnect = until(is_fifth_queued);
+        futures_lite::future::or(waiting, disconnect).await;
+        bed.wait_until_idle().await;
         let mut text = String::new();
         encode(&mut text, &registry).expect("it can be written");
         for line in [
--- a/components/gateway/tests/fakes/admission.rs
+++ b/components/gateway/tests/fakes/admission.rs
@@ -1,4 +1,4 @@
-//! Admission that follows a script.
+//! Admission that follows a script and records what the gateway reports.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -10,39 +10,39 @@
 
 use super::target;
 
-/// What admission says to a request, or to one that wants another try.
+/// The answer to a request for a permit, or for a further permit.
 #[derive(Clone, Debug)]
-pub enum Say {
-    /// Go to this target.
-    Go(&'static str),
-    /// Go, but the permit lapses before it can be used.
-    Lapsed,
-    /// Go, and the permit is pulled back as soon as the engine has this many streams.
-    PulledBack,
-    /// Wait for ever.
+pub enum AdmissionStep {
+    /// Grants a permit for this target.
+    Grant(&'static str),
+    /// Grants a permit that expires before it can be used.
+    GrantExpired,
+    /// Grants a permit that `FakeAdmission::revoke` revokes.
+    GrantRevocable,
+    /// Never answers.
     Wait,
-    /// No.
-    No(Refusal),
+    /// Refuses the request.
+    Refuse(Refusal),
 }
 
-/// What happened.
+/// A call that the gateway made.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
+pub enum AdmissionEvent {
     Admit(AdmissionRequest),
     Adopt(Tokens),
     Progress(Tokens),
-    Again(WorkOutcome),
-    End(WorkOutcome),
-    /// Waiting for a permit, or the permit itself, was dropped.
+    Retry(WorkOutcome),
+    Finish(WorkOutcome),
+    /// The gateway dropped a permit, or stopped waiting for one.
     Dropped,
 }
 
 #[derive(Default)]
 struct Shared {
-    script: Mutex<VecDeque<Say>>,
-    notes: Mutex<Vec<Note>>,
-    pull: Mutex<bool>,
-    gone: Mutex<Vec<Box<str>>>,
+    script: Mutex<VecDeque<AdmissionStep>>,
+    events: Mutex<Vec<AdmissionEvent>>,
+    revoked: Mutex<bool>,
+    unlisted: Mutex<Vec<Box<str>>>,
 }
 
 pub struct FakeAdmission {
@@ -58,95 +58,104 @@
         }
     }
 
-    /// Sets the script; when it is over every request may go.
-    pub fn script(&self, script: impl IntoIterator<Item = Say>) {
+    /// Sets the script. After its end, every request gets a permit.
+    pub fn script(&self, script: impl IntoIterator<Item = AdmissionStep>) {
         *self.shared.script.lock() = script.into_iter().collect();
     }
 
-    /// Pulls back the permits that were given out for that.
-    pub fn pull_back(&self) {
-        *self.shared.pull.lock() = true;
+    /// Revokes the permits granted by `GrantRevocable`.
+    pub fn revoke(&self) {
+        *self.shared.revoked.lock() = true;
     }
 
-    /// A target is no longer listed.
-    pub fn forget(&self, target: &str) {
-        self.shared.gone.lock().push(target.into());
+    /// Removes a target from the list.
+    pub fn unlist(&self, target: &str) {
+        self.shared.unlisted.lock().push(target.into());
     }
 
-    pub fn notes(&self) -> Vec<Note> {
-        self.shared.notes.lock().clone()
+    pub fn events(&self) -> Vec<AdmissionEvent> {
+        self.shared.events.lock().clone()
     }
 
-    /// How all work ended so far.
-    pub fn endings(&self) -> Vec<Note> {
-        let mut notes = self.notes();
-        notes.retain(|n| matches!(n, Note::Again(_) | Note::End(_) | Note::Dropped));
-        notes
+    /// Returns the events that disarmed a permit or the wait for one.
+    pub fn outcomes(&self) -> Vec<AdmissionEvent> {
+        let mut events = self.events();
+        events.retain(|event| {
+            matches!(
+                event,
+                AdmissionEvent::Retry(_) | AdmissionEvent::Finish(_) | AdmissionEvent::Dropped
+            )
+        });
+        events
     }
 
-    /// The first request that was asked for.
-    pub fn wanted(&self) -> AdmissionRequest {
-        let wanted = self.notes().into_iter().find_map(|note| match note {
-            Note::Admit(wanted) => Some(wanted),
+    /// Returns the first request for a permit.
+    pub fn first_request(&self) -> AdmissionRequest {
+        let request = self.events().into_iter().find_map(|event| match event {
+            AdmissionEvent::Admit(request) => Some(request),
             _ => None,
         });
-        wanted.expect("something was asked for")
+        request.expect("a permit was requested")
     }
 }
 
-/// Notes when whatever holds it is dropped.
-struct Guard {
+/// Records an event if it is dropped before it is disarmed.
+struct DropGuard {
     shared: Arc<Shared>,
-    ended: bool,
+    disarmed: bool,
 }
 
-impl Drop for Guard {
+impl Drop for DropGuard {
     fn drop(&mut self) {
-        if !self.ended {
-            self.shared.notes.lock().push(Note::Dropped);
+        if !self.disarmed {
+            self.shared.events.lock().push(AdmissionEvent::Dropped);
         }
     }
 }
 
-async fn say(shared: Arc<Shared>) -> Result<Box<dyn PermitHandle>, Refusal> {
-    let say = shared.script.lock().pop_front().unwrap_or(Say::Go("t1"));
-    let mut guard = Guard {
+async fn next_answer(shared: Arc<Shared>) -> Result<Box<dyn PermitHandle>, Refusal> {
+    let step = shared
+        .script
+        .lock()
+        .pop_front()
+        .unwrap_or(AdmissionStep::Grant("t1"));
+    let mut guard = DropGuard {
         shared,
-        ended: false,
+        disarmed: false,
     };
-    let (name, may_send, pulled) = match say {
-        Say::Go(name) => (name, true, false),
-        Say::Lapsed => ("t1", false, false),
-        Say::PulledBack => ("t1", true, true),
-        Say::Wait => std::future::pending().await,
-        Say::No(refusal) => {
-            guard.ended = true;
+    let (name, may_send, revocable) = match step {
+        AdmissionStep::Grant(name) => (name, true, false),
+        AdmissionStep::GrantExpired => ("t1", false, false),
+        AdmissionStep::GrantRevocable => ("t1", true, true),
+        AdmissionStep::Wait => std::future::pending().await,
+        AdmissionStep::Refuse(refusal) => {
+            guard.disarmed = true;
             return Err(refusal);
         }
     };
-    Ok(Box::new(FakeAdmitted {
+    Ok(Box::new(FakePermit {
         target: target(name),
         may_send,
-        pulled,
+        revocable,
         guard,
     }))
 }
 
-struct FakeAdmitted {
+struct FakePermit {
     target: Target,
     may_send: bool,
-    pulled: bool,
-    guard: Guard,
+    revocable: bool,
+    guard: DropGuard,
 }
 
-impl FakeAdmitted {
-    fn note(&self, note: Note) {
-        self.guard.shared.notes.lock().push(note);
+impl FakePermit {
+    fn record(&self, event: AdmissionEvent) {
+        self.guard.shared.events.lock().push(event);
     }
 }
 
 #[async_trait]
-impl PermitHandle for FakeAdmitted {
+impl PermitHandle for FakePermit {
     fn target(&self) -> &Target {
         &self.target
     }
@@ -156,27 +165,27 @@
     }
 
     fn report_progress(&self, produced: Tokens) {
-        self.note(Note::Progress(produced));
+        self.record(AdmissionEvent::Progress(produced));
     }
 
     async fn revoked(&self) {
-        while !(self.pulled && *self.guard.shared.pull.lock()) {
+        while !(self.revocable && *self.guard.shared.revoked.lock()) {
             smol::Timer::after(std::time::Duration::from_millis(2)).await;
         }
     }
 
     fn finish(mut self: Box<Self>, outcome: WorkOutcome) {
-        self.guard.ended = true;
-        self.note(Note::End(outcome));
+        self.guard.disarmed = true;
+        self.record(AdmissionEvent::Finish(outcome));
     }
 
     async fn retry(
         mut self: Box<Self>,
         outcome: WorkOutcome,
     ) -> Result<Box<dyn PermitHandle>, Refusal> {
-        self.guard.ended = true;
-        self.note(Note::Again(outcome));
-        say(Arc::clone(&self.guard.shared)).await
+        self.guard.disarmed = true;
+        self.record(AdmissionEvent::Retry(outcome));
+        next_answer(Arc::clone(&self.guard.shared)).await
     }
 }
 
@@ -187,13 +196,21 @@
     }
 
     async fn admit(&self, request: AdmissionRequest) -> Result<Box<dyn PermitHandle>, Refusal> {
-        self.shared.notes.lock().push(Note::Admit(request));
-        say(Arc::clone(&self.shared)).await
+        self.shared
+            .events
+            .lock()
+            .push(AdmissionEvent::Admit(request));
+        next_answer(Arc::clone(&self.shared)).await
     }
 
     fn find_target(&self, id: &str) -> Option<Target> {
-        let gone = self.shared.gone.lock().iter().any(|gone| **gone == *id);
-        (!gone).then(|| target(id))
+        let unlisted = self
+            .shared
+            .unlisted
+            .lock()
+            .iter()
+            .any(|target| **target == *id);
+        (!unlisted).then(|| target(id))
     }
 
     fn adopt(
@@ -202,14 +219,17 @@
         _: AdmissionRequest,
         produced: Tokens,
     ) -> Box<dyn PermitHandle> {
-        self.shared.notes.lock().push(Note::Adopt(produced));
-        Box::new(FakeAdmitted {
+        self.shared
+            .events
+            .lock()
+            .push(AdmissionEvent::Adopt(produced));
+        Box::new(FakePermit {
             target: target.clone(),
             may_send: true,
-            pulled: false,
-            guard: Guard {
+            revocable: false,
+            guard: DropGuard {
                 shared: Arc::clone(&self.shared),
-                ended: false,
+                disarmed: false,
             },
         })
     }
--- a/components/gateway/tests/fakes/engine.rs
+++ b/components/gateway/tests/fakes/engine.rs
@@ -15,27 +15,27 @@
 use targets::{Engine, EngineCall, Order, Piece, Report, Stream, StreamId, TargetError};
 use types::{Target, TargetId, Tokens};
 
-/// What a stream does next.
+/// One step of a stream.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// Sends this many tokens from an offset on.
+    /// Sends tokens: the offset of the first, and their number.
     Tokens(Tokens, Tokens),
-    /// Sends one event, of an offset, with this data.
+    /// Sends one event: its offset and its data.
     Data(Tokens, &'static str),
-    /// Waits.
+    /// Waits for this time.
     Pause(Duration),
-    /// Breaks off; the engine knows nothing of it afterwards.
-    Die,
-    /// Sends nothing more.
+    /// Breaks the connection, and the engine no longer knows the stream.
+    Crash,
+    /// Keeps the connection open and sends nothing.
     Silent,
     /// Ends the stream.
     End,
 }
 
-/// A stream, or why there is none.
+/// The steps of a stream, or the error that it fails with.
 pub type Script = Result<Vec<Step>, TargetError>;
 
-/// The data of a token's event.
+/// Returns the data of the event for the token at an offset.
 pub fn token(offset: Tokens) -> Bytes {
     format!(r#"{{"id":"c","created":5,"model":"m","choices":[{{"index":0,"text":"t{offset} "}}]}}"#)
         .into()
@@ -49,54 +49,58 @@
     pub resumed: Mutex<Vec<Tokens>>,
     pub cancelled: Mutex<Vec<StreamId>>,
     /// While set, cancellations are not answered.
-    pub deaf: AtomicBool,
-    /// Streams that were asked for a token and have none.
-    silent: Arc<AtomicUsize>,
+    pub ignores_cancellation: AtomicBool,
+    /// Number of streams that have reached a `Silent` step.
+    silent_streams: Arc<AtomicUsize>,
 }
 
 impl FakeEngine {
-    /// Sets what comes of the next starts, in order.
-    pub fn starts(&self, scripts: impl IntoIterator<Item = Script>) {
+    /// Sets the scripts of the next started streams, in order.
+    pub fn script_starts(&self, scripts: impl IntoIterator<Item = Script>) {
         *self.starts.lock() = scripts.into_iter().collect();
     }
 
-    /// Sets what comes of the next resumptions; after them streams are gone.
-    pub fn resumes(&self, scripts: impl IntoIterator<Item = Script>) {
+    /// Sets the scripts of the next resumed streams, in order. After them, streams are gone.
+    pub fn script_resumptions(&self, scripts: impl IntoIterator<Item = Script>) {
         *self.resumes.lock() = scripts.into_iter().collect();
     }
 
-    pub fn started(&self) -> usize {
+    pub fn start_count(&self) -> usize {
         self.calls.lock().len()
     }
 
-    pub fn silent(&self) -> usize {
-        self.silent.load(Ordering::Acquire)
+    pub fn silent_streams(&self) -> usize {
+        self.silent_streams.load(Ordering::Acquire)
     }
 
-    pub fn cancels(&self) -> usize {
+    pub fn cancel_count(&self) -> usize {
         self.cancelled.lock().len()
     }
 }
 
-struct Scene {
+struct ScriptedStream {
     id: StreamId,
     steps: VecDeque<Step>,
-    silent: Arc<AtomicUsize>,
+    silent_streams: Arc<AtomicUsize>,
 }
 
 impl FakeEngine {
-    fn scene(&self, id: &str, script: Option<Script>) -> Result<Box<dyn Stream>, TargetError> {
+    fn scripted_stream(
+        &self,
+        id: &str,
+        script: Option<Script>,
+    ) -> Result<Box<dyn Stream>, TargetError> {
         let steps = script.unwrap_or(Err(TargetError::Gone))?;
-        Ok(Box::new(Scene {
+        Ok(Box::new(ScriptedStream {
             id: id.into(),
             steps: steps.into(),
-            silent: Arc::clone(&self.silent),
+            silent_streams: Arc::clone(&self.silent_streams),
         }))
     }
 }
 
 #[async_trait]
-impl Stream for Scene {
+impl Stream for ScriptedStream {
     fn id(&self) -> StreamId {
         Arc::clone(&self.id)
     }
@@ -123,10 +127,10 @@
                 }
                 Some(Step::End) => return Ok(Piece::End),
                 Some(Step::Silent) => {
-                    self.silent.fetch_add(1, Ordering::AcqRel);
+                    self.silent_streams.fetch_add(1, Ordering::AcqRel);
                     std::future::pending().await
                 }
-                Some(Step::Die) | None => {
+                Some(Step::Crash) | None => {
                     return Err(TargetError::Lost {
                         reason: "cut".into(),
                     });
@@ -146,7 +150,7 @@
         let mut calls = self.calls.lock();
         calls.push((target.id.clone(), call.clone()));
         let name = format!("s{}", calls.len());
-        self.scene(&name, self.starts.lock().pop_front())
+        self.scripted_stream(&name, self.starts.lock().pop_front())
     }
 
     async fn resume(
@@ -156,11 +160,11 @@
         at: Tokens,
     ) -> Result<Box<dyn Stream>, TargetError> {
         self.resumed.lock().push(at);
-        self.scene(stream, self.resumes.lock().pop_front())
+        self.scripted_stream(stream, self.resumes.lock().pop_front())
     }
 
     async fn cancel(&self, _: &Target, stream: &StreamId) -> Result<(), TargetError> {
-        while self.deaf.load(Ordering::Acquire) {
+        while self.ignores_cancellation.load(Ordering::Acquire) {
             smol::Timer::after(Duration::from_millis(2)).await;
         }
         self.cancelled.lock().push(Arc::clone(stream));
--- a/components/gateway/tests/fakes/mod.rs
+++ b/components/gateway/tests/fakes/mod.rs
@@ -1,5 +1,5 @@
-//! A gateway among parts that follow scripts and note what happens to them.
-#![allow(dead_code, reason = "each test file uses its own share of it")]
+//! A gateway whose dependencies follow scripts and record the calls that they receive.
+#![allow(dead_code, reason = "each test file uses a different part")]
 
 pub mod admission;
 pub mod engine;
@@ -27,7 +27,7 @@
 
 use self::{admission::FakeAdmission, engine::FakeEngine, plain::FakeClaims, plain::FakePlain};
 
-/// What one instance alone knows.
+/// The quarantine of a single instance.
 #[derive(Default)]
 struct FakeQuarantine {
     state: Mutex<QuarantineState>,
@@ -49,11 +49,12 @@
     }
 }
 
-/// Keys of the workspaces `a` and `b`.
+/// Key of workspace `a`.
 pub const KEY_A: &str = "key-a";
+/// Key of workspace `b`.
 pub const KEY_B: &str = "key-b";
 
-/// Any target.
+/// Returns a target with this id; its address is never used.
 pub fn target(id: &str) -> Target {
     Target {
         id: id.into(),
@@ -65,8 +66,8 @@
     }
 }
 
-/// A gateway that serves, and its parts.
-pub struct Bed {
+/// A serving gateway and its scripted dependencies.
+pub struct TestBed {
     pub admission: Arc<FakeAdmission>,
     pub engine: Arc<FakeEngine>,
     pub plain: Arc<FakePlain>,
@@ -77,7 +78,7 @@
     pub client: Client,
 }
 
-/// An answer, read to its end.
+/// A response whose body has been read.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -90,7 +91,7 @@
         serde_json::from_str(&self.body).expect("the body is JSON")
     }
 
-    /// Status, code and run of a refusal.
+    /// Returns status, code and `run` of a refusal.
     pub fn problem(&self) -> (u16, String, String) {
         assert_eq!(self.headers["content-type"], "application/problem+json");
         let json = self.json();
@@ -99,12 +100,12 @@
     }
 }
 
-/// What a problem says.
+/// Returns the expected value of `Answer::problem`.
 pub fn problem(status: u16, code: &str, run: &str) -> (u16, String, String) {
     (status, code.into(), run.into())
 }
 
-impl Bed {
+impl TestBed {
     pub async fn new() -> Self {
         Self::with(Arc::new(FakeEngine::default()), "entry-1", None).await
     }
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Sends a request and gives the answer with its body unread.
+    /// Sends a request and returns the response with its body unread.
     pub async fn open(
         &self,
         key: &str,
@@ -179,7 +180,7 @@
         self.client.send(self.addr, req).await.expect("an answer")
     }
 
-    /// Sends a request of workspace `a` and reads the answer.
+    /// Sends a request of workspace `a` and reads the response.
     pub async fn send(
         &self,
         method: &str,
@@ -190,24 +191,24 @@
         read(self.open(KEY_A, method, path, headers, body).await).await
     }
 
-    /// Asks for a completion.
+    /// Requests a completion for workspace `a`.
     pub async fn complete(&self, stream: bool, headers: &[(&str, &str)]) -> Answer {
         self.send("POST", "/v1/completions", headers, &body(stream))
             .await
     }
 
-    /// Waits until nothing is in flight.
-    pub async fn idle(&self) {
+    /// Waits until no request is in flight.
+    pub async fn wait_until_idle(&self) {
         until(|| self.gateway.open_requests() == 0).await;
     }
 }
 
-/// The body of a request for a completion.
+/// Returns the body of a request for a completion.
 pub fn body(stream: bool) -> String {
     format!(r#"{{"model":"m","prompt":"hello","max_tokens":50,"stream":{stream}}}"#)
 }
 
-/// Reads an answer to its end.
+/// Reads the body of a response.
 pub async fn read(resp: hyper::Response<Incoming>) -> Answer {
     let (head, body) = resp.into_parts();
     let bytes = body.collect().await.expect("a whole body").to_bytes();
@@ -218,13 +219,13 @@
     }
 }
 
-/// Waits for an answer, with a generous bound.
+/// Waits for an answer, for at most 10 s.
 pub async fn in_time(answer: impl Future<Output = Answer>) -> Answer {
     let answer = Timer::new().within(Duration::from_secs(10), answer).await;
     answer.expect("an answer in time")
 }
 
-/// Waits for a condition, with a generous bound.
+/// Waits until a condition holds, for at most about 20 s.
 pub async fn until(condition: impl Fn() -> bool) {
     for _ in 0..4000 {
         if condition() {
@@ -232,10 +233,10 @@
         }
         smol::Timer::after(Duration::from_millis(5)).await;
     }
-    panic!("the condition never came true");
+    panic!("the condition did not become true in time");
 }
 
-/// Ids and data of a stream's events.
+/// Returns the ids and data of a stream's events.
 pub fn events(body: &str) -> Vec<(String, String)> {
     body.split("\n\n")
         .filter(|event| !event.is_empty())
@@ -256,7 +257,7 @@
     fn current(&self) -> Option<Arc<Current>> {
         Some(Arc::new(Current {
             snapshot: Snapshot::default(),
-            in_force: Box::new(FakeForce),
+            in_force: Box::new(FakeInForce),
         }))
     }
 
@@ -283,9 +284,9 @@
     }
 }
 
-/// Model `m` with route `default`; plain calls below `/shop`, of which `/shop/order` is
-/// non-idempotent.
-struct FakeForce;
+/// A configuration with the models `m` and `many`, route `default`, and plain calls below `/shop`,
+/// of which those below `/shop/order` are not idempotent.
+struct FakeInForce;
 
 fn rule(kind: ServiceKind, idempotent: Option<bool>) -> RouteRule {
     RouteRule {
@@ -303,13 +304,13 @@
     }
 }
 
-impl InForce for FakeForce {
+impl InForce for FakeInForce {
     fn version(&self) -> ConfigVersion {
         1
     }
 
     fn workspace(&self, hash: &str) -> Option<WorkspaceId> {
-        let is = |key: &str| {
+        let matches = |key: &str| {
             let digest = Sha256::digest(key);
             digest
                 .iter()
@@ -319,7 +320,7 @@
         };
         [(KEY_A, "a"), (KEY_B, "b")]
             .into_iter()
-            .find(|(key, _)| is(key))
+            .find(|(key, _)| matches(key))
             .map(|(_, name)| name.into())
     }
 
@@ -350,10 +351,10 @@
     }
 }
 
-/// Notes who was told.
+/// Records the notifications, and passes them on to `holder` if it is set.
 #[derive(Default)]
 pub struct FakeTakeover {
-    pub told: Mutex<Vec<(InstanceId, TargetId, StreamId)>>,
+    pub notified: Mutex<Vec<(InstanceId, TargetId, StreamId)>>,
     pub holder: Mutex<Option<Gateway>>,
 }
 
@@ -363,7 +364,7 @@
         if let Some(gateway) = &*self.holder.lock() {
             gateway.handle_takeover(target, stream);
         }
-        let told = (holder.clone(), target.clone(), stream.clone());
-        self.told.lock().push(told);
+        let notification = (holder.clone(), target.clone(), stream.clone());
+        self.notified.lock().push(notification);
     }
 }
--- a/components/gateway/tests/fakes/plain.rs
+++ b/components/gateway/tests/fakes/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service and a keeper of claims that follow scripts.
+//! A plain service and a store of claims that follow scripts.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -8,7 +8,7 @@
 use targets::{Plain, PlainAnswer, PlainCall, Report, TargetError};
 use types::Target;
 
-/// An answer with this body.
+/// Returns an answer with this body.
 pub fn answer(body: &'static str) -> PlainAnswer {
     PlainAnswer {
         status: 200,
@@ -33,7 +33,7 @@
         *self.script.lock() = script.into_iter().collect();
     }
 
-    pub fn called(&self) -> usize {
+    pub fn call_count(&self) -> usize {
         self.calls.lock().len()
     }
 }
@@ -56,19 +56,19 @@
     }
 }
 
-/// What became of a claim.
+/// How a claim was settled.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Settled {
+pub enum Settlement {
     Recorded(Recorded),
     Released,
-    GivenUp,
+    Abandoned,
 }
 
 #[derive(Default)]
 pub struct FakeClaims {
     pub script: Mutex<VecDeque<Result<Claimed, ClaimError>>>,
-    pub asked: Mutex<Vec<KeyedCall>>,
-    pub settled: Mutex<Vec<Settled>>,
+    pub calls: Mutex<Vec<KeyedCall>>,
+    pub settlements: Mutex<Vec<Settlement>>,
 }
 
 impl FakeClaims {
@@ -76,29 +76,29 @@
         self.script.lock().push_back(result);
     }
 
-    pub fn settled(&self) -> Vec<Settled> {
-        self.settled.lock().clone()
+    pub fn settlements(&self) -> Vec<Settlement> {
+        self.settlements.lock().clone()
     }
 }
 
 #[async_trait]
 impl Claims for FakeClaims {
     async fn claim(&self, call: &KeyedCall, _: Duration) -> Result<Claimed, ClaimError> {
-        self.asked.lock().push(call.clone());
+        self.calls.lock().push(call.clone());
         let next = self.script.lock().pop_front();
         next.unwrap_or(Ok(Claimed::Mine))
     }
 
     async fn record(&self, _: &KeyedCall, answer: Recorded) {
-        self.settled.lock().push(Settled::Recorded(answer));
+        self.settlements.lock().push(Settlement::Recorded(answer));
     }
 
     async fn release(&self, _: &KeyedCall) {
-        self.settled.lock().push(Settled::Released);
+        self.settlements.lock().push(Settlement::Released);
     }
 
     async fn give_up(&self, _: &KeyedCall) {
-        self.settled.lock().push(Settled::GivenUp);
+        self.settlements.lock().push(Settlement::Abandoned);
     }
 
     fn dump(&self) -> Vec<String> {
