--- a/components/gateway/tests/generations.rs
+++ b/components/gateway/tests/generations.rs
@@ -1,4 +1,4 @@
-//! Generations, streamed and whole, while engines and permits fail.
+//! Streamed and buffered generations while engines fail and permits expire or are revoked.
 
 mod fakes;
 
@@ -9,8 +9,8 @@
 
 use bytes::Bytes;
 use fakes::{
-    Bed, KEY_A,
-    admission::{Note, Say},
+    KEY_A, TestBed,
+    admission::{AdmissionEvent, AdmissionStep},
     body,
     engine::{FakeEngine, Step, token},
     events, in_time, problem, read, until,
@@ -21,7 +21,7 @@
 use targets::TargetError;
 use types::{Class, Refusal, Tokens};
 
-fn whole(count: Tokens) -> Result<Vec<Step>, TargetError> {
+fn complete_stream(count: Tokens) -> Result<Vec<Step>, TargetError> {
     Ok(vec![Step::Tokens(0, count), Step::End])
 }
 
@@ -48,8 +48,8 @@
     Refusal::new(503, "full", "Full", "come back").with_retry_after(Duration::from_millis(1300))
 }
 
-/// Checks that a streamed body has these tokens, each with its offset, and the end.
-fn check_stream(body: &str, count: Tokens) {
+/// Asserts that a streamed body contains `count` tokens, each with its offset, and the end.
+fn assert_stream(body: &str, count: Tokens) {
     let events = events(body);
     assert_eq!(events.len() as Tokens, count + 1, "{body}");
     for (offset, (id, data)) in (0..count).zip(&events) {
@@ -59,15 +59,16 @@
     assert_eq!(events[count as usize].1, "[DONE]");
 }
 
-fn produced(count: Tokens) -> impl Fn(&Note) -> bool {
-    move |note| matches!(note, Note::End(WorkOutcome::Finished { produced, .. }) if *produced == count)
+/// Returns a predicate for work that finished with `count` tokens.
+fn finished_with(count: Tokens) -> impl Fn(&AdmissionEvent) -> bool {
+    move |event| matches!(event, AdmissionEvent::Finish(WorkOutcome::Finished { produced, .. }) if *produced == count)
 }
 
 #[test]
 fn a_streamed_answer_has_each_token_with_an_id() {
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.engine.starts([Ok(vec![
+        let bed = TestBed::new().await;
+        bed.engine.script_starts([Ok(vec![
             Step::Tokens(0, 1),
             Step::Tokens(1, 40),
             Step::Tokens(41, 2),
@@ -78,31 +79,35 @@
         assert_eq!(answer.headers["content-type"], "text/event-stream");
         let name = bed.engine.calls.lock()[0].1.request.clone();
         assert_eq!(answer.headers["x-request-id"], *name);
-        check_stream(&answer.body, 43);
-        bed.idle().await;
-        assert!(bed.admission.endings().iter().all(produced(43)));
-        assert!(bed.admission.notes().contains(&Note::Progress(41)));
-        assert_eq!(bed.engine.cancels(), 0);
+        assert_stream(&answer.body, 43);
+        bed.wait_until_idle().await;
+        assert!(bed.admission.outcomes().iter().all(finished_with(43)));
+        assert!(
+            bed.admission
+                .events()
+                .contains(&AdmissionEvent::Progress(41))
+        );
+        assert_eq!(bed.engine.cancel_count(), 0);
     });
 }
 
 #[test]
-fn a_whole_answer_joins_all_tokens() {
+fn a_buffered_answer_joins_all_tokens() {
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.engine.starts([whole(3)]);
+        let bed = TestBed::new().await;
+        bed.engine.script_starts([complete_stream(3)]);
         let json = bed.complete(false, &[]).await.json();
         assert_eq!(json["choices"][0]["text"], "t0 t1 t2 ");
         assert_eq!(json["object"], "text_completion");
         assert_eq!(json["usage"]["completion_tokens"], 3);
-        assert!(bed.admission.endings().iter().all(produced(3)));
+        assert!(bed.admission.outcomes().iter().all(finished_with(3)));
     });
 }
 
 #[test]
-fn a_whole_chat_answer_joins_text_and_tool_calls() {
+fn a_buffered_chat_answer_joins_text_and_tool_calls() {
     smol::block_on(async {
-        let bed = Bed::new().await;
+        let bed = TestBed::new().await;
         let events = [
             r#"{"choices":[{"delta":{"role":"assistant","content":"He"}}]}"#,
             r#"{"choices":[{"delta":{"role":"assistant","content":"llo"}}]}"#,
@@ -112,7 +117,7 @@
         let data = |(at, data): (usize, &&'static str)| Step::Data(at as Tokens, data);
         let mut steps: Vec<_> = events.iter().enumerate().map(data).collect();
         steps.push(Step::End);
-        bed.engine.starts([Ok(steps)]);
+        bed.engine.script_starts([Ok(steps)]);
         let body = r#"{"model":"m","messages":[{"role":"user","content":"hello"}]}"#;
         let answer = bed.send("POST", "/v1/chat/completions", &[], body).await;
         let choice = answer.json()["choices"][0].clone();
@@ -128,10 +133,10 @@
 }
 
 #[test]
-fn the_engine_gets_the_terms_in_force_and_admission_the_wishes() {
+fn engine_and_admission_get_the_limits_in_force_and_the_options_of_the_caller() {
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.engine.starts([whole(1)]);
+        let bed = TestBed::new().await;
+        bed.engine.script_starts([complete_stream(1)]);
         let text = "x".repeat(600);
         let body = format!(
             r#"{{"model":"m","prompt":"{text}","max_tokens":5000,"metadata":{{"output_tokens":"7"}},"seed":3}}"#
@@ -139,7 +144,7 @@
         let headers = [("x-class", "background"), ("x-deadline-ms", "9000")];
         let answer = bed.send("POST", "/v1/completions", &headers, &body).await;
         assert_eq!(answer.status, 200);
-        let wanted = bed.admission.wanted();
+        let wanted = bed.admission.first_request();
         assert_eq!((wanted.prompt_tokens, wanted.max_output), (150, 100));
         assert_eq!(
             (wanted.class, wanted.true_output),
@@ -160,18 +165,18 @@
 #[test]
 fn a_caller_cannot_raise_its_urgency() {
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.engine.starts([whole(1)]);
+        let bed = TestBed::new().await;
+        bed.engine.script_starts([complete_stream(1)]);
         bed.complete(false, &[("x-class", "urgent")]).await;
-        assert_eq!(bed.admission.wanted().class, Class::Normal);
+        assert_eq!(bed.admission.first_request().class, Class::Normal);
     });
 }
 
 #[test]
-fn a_refusal_is_a_problem_with_whole_seconds_to_wait() {
+fn a_refusal_is_a_problem_document_with_a_delay_in_whole_seconds() {
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.admission.script([Say::No(full())]);
+        let bed = TestBed::new().await;
+        bed.admission.script([AdmissionStep::Refuse(full())]);
         let answer = bed.complete(true, &[]).await;
         assert_eq!(answer.problem(), problem(503, "full", "not-run"));
         assert_eq!(answer.headers["retry-after"], "2");
@@ -180,24 +185,25 @@
 }
 
 #[test]
-fn a_generation_without_a_token_out_runs_again_elsewhere() {
-    // Engines die or turn requests away before they write anything. The caller sees nothing of
-    // that but a little more time.
+fn a_generation_that_fails_before_its_first_token_is_retried_at_another_engine() {
+    // Engines crash or refuse requests before their first token. The caller must only notice a
+    // longer wait.
     for error in [unsent(), turned(), lost()] {
         smol::block_on(async {
-            let bed = Bed::new().await;
-            bed.admission.script([Say::Go("t1"), Say::Go("t2")]);
-            bed.engine.starts([Err(error), whole(2)]);
-            check_stream(&bed.complete(true, &[]).await.body, 2);
+            let bed = TestBed::new().await;
+            bed.admission
+                .script([AdmissionStep::Grant("t1"), AdmissionStep::Grant("t2")]);
+            bed.engine.script_starts([Err(error), complete_stream(2)]);
+            assert_stream(&bed.complete(true, &[]).await.body, 2);
             assert_eq!(*bed.engine.calls.lock()[1].0, *"t2");
         });
     }
 }
 
 #[test]
-fn only_what_surely_did_not_run_is_refused_as_not_run() {
-    // The first engine fails and no other has room. Whether the caller hears `not-run` depends
-    // on what may have happened at the first one; a wrong word makes it run twice.
+fn a_refusal_says_not_run_only_if_no_attempt_can_have_run() {
+    // The first engine fails and no other has capacity. If the first engine may have run the request
+    // and the refusal said `not-run`, the caller would send it again and it would run twice.
     for (error, run) in [
         (unsent(), "not-run"),
         (turned(), "not-run"),
@@ -205,9 +211,10 @@
     ] {
         for stream in [true, false] {
             smol::block_on(async {
-                let bed = Bed::new().await;
-                bed.admission.script([Say::Go("t1"), Say::No(full())]);
-                bed.engine.starts([Err(error.clone())]);
+                let bed = TestBed::new().await;
+                bed.admission
+                    .script([AdmissionStep::Grant("t1"), AdmissionStep::Refuse(full())]);
+                bed.engine.script_starts([Err(error.clone())]);
                 let answer = bed.complete(stream, &[]).await;
                 assert_eq!(answer.problem(), problem(503, "full", run), "{error}");
             });
@@ -216,54 +223,62 @@
 }
 
 #[test]
-fn nothing_is_sent_under_a_lapsed_permit() {
-    // The instance was paused between the permit and the sending. The owner may have given the
-    // place to somebody else, and a cold engine would get more than it can bear.
+fn nothing_is_sent_under_an_expired_permit() {
+    // The process is paused between the grant of a permit and the sending. The owner may have
+    // granted the capacity to another request meanwhile, so sending would overload a cold engine.
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.admission.script([Say::Lapsed, Say::No(full())]);
+        let bed = TestBed::new().await;
+        bed.admission
+            .script([AdmissionStep::GrantExpired, AdmissionStep::Refuse(full())]);
         let answer = bed.complete(true, &[]).await;
         assert_eq!(answer.problem(), problem(503, "full", "not-run"));
-        assert_eq!(bed.engine.started(), 0);
-        assert_eq!(bed.admission.endings(), [Note::Again(WorkOutcome::Unsent)]);
+        assert_eq!(bed.engine.start_count(), 0);
+        assert_eq!(
+            bed.admission.outcomes(),
+            [AdmissionEvent::Retry(WorkOutcome::Unsent)]
+        );
     });
 }
 
 #[test]
-fn work_pulled_back_is_cancelled_and_runs_again_from_its_start() {
-    // An engine's memory runs short, so the owner takes back the work that no caller has seen.
-    // Were any of it passed on, the answer would come from two generations.
+fn revoked_work_is_cancelled_and_runs_again_from_its_start() {
+    // An engine runs out of memory, so the owner revokes work of which no caller has received a
+    // token. If tokens of it were still sent, the answer would mix two generations.
     for stream in [true, false] {
         smol::block_on(async {
-            let bed = Bed::new().await;
-            bed.admission.script([Say::PulledBack, Say::Go("t2")]);
+            let bed = TestBed::new().await;
+            bed.admission
+                .script([AdmissionStep::GrantRevocable, AdmissionStep::Grant("t2")]);
             let tokens = if stream { 0 } else { 3 };
-            bed.engine
-                .starts([Ok(vec![Step::Tokens(0, tokens), Step::Silent]), whole(2)]);
-            let pull = async {
-                until(|| bed.engine.silent() == 1).await;
-                bed.admission.pull_back();
+            bed.engine.script_starts([
+                Ok(vec![Step::Tokens(0, tokens), Step::Silent]),
+                complete_stream(2),
+            ]);
+            let revoke = async {
+                until(|| bed.engine.silent_streams() == 1).await;
+                bed.admission.revoke();
             };
-            let (answer, ()) = futures_lite::future::zip(bed.complete(stream, &[]), pull).await;
+            let (answer, ()) = futures_lite::future::zip(bed.complete(stream, &[]), revoke).await;
             if stream {
-                check_stream(&answer.body, 2);
+                assert_stream(&answer.body, 2);
             } else {
                 assert_eq!(answer.json()["choices"][0]["text"], "t0 t1 ");
             }
-            assert_eq!(bed.engine.cancels(), 1);
-            let again = Note::Again(WorkOutcome::Cancelled { produced: tokens });
-            assert_eq!(bed.admission.endings()[0], again);
+            assert_eq!(bed.engine.cancel_count(), 1);
+            let retried = AdmissionEvent::Retry(WorkOutcome::Cancelled { produced: tokens });
+            assert_eq!(bed.admission.outcomes()[0], retried);
         });
     }
 }
 
 #[test]
-fn an_engine_dying_in_a_stream_ends_it_with_a_partial_event() {
-    // The engine's machine is reclaimed in the middle of a draft. Without the last event the
-    // caller would take the half for the whole.
+fn a_stream_whose_engine_crashes_ends_with_a_partial_event() {
+    // The engine's machine is reclaimed in mid-stream. Without the last event the caller would take
+    // the truncated answer for a complete one.
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.engine.starts([Ok(vec![Step::Tokens(0, 3), Step::Die])]);
+        let bed = TestBed::new().await;
+        bed.engine
+            .script_starts([Ok(vec![Step::Tokens(0, 3), Step::Crash])]);
         let answer = bed.complete(true, &[]).await;
         let events = events(&answer.body);
         assert_eq!(events.len(), 4);
@@ -274,30 +289,38 @@
             (&problem["run"], &problem["status"]),
             (&"partial".into(), &502.into())
         );
-        bed.idle().await;
-        assert_eq!(bed.admission.endings(), [Note::End(WorkOutcome::Failed)]);
+        bed.wait_until_idle().await;
+        assert_eq!(
+            bed.admission.outcomes(),
+            [AdmissionEvent::Finish(WorkOutcome::Failed)]
+        );
     });
 }
 
 #[test]
-fn an_engine_dying_in_a_whole_answer_gives_way_to_another() {
-    // No token has reached the caller, so it need not know.
+fn a_buffered_answer_whose_engine_crashes_is_retried_at_another() {
+    // No token has reached the caller, so the generation can be repeated unnoticed.
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.engine
-            .starts([Ok(vec![Step::Tokens(0, 3), Step::Die]), whole(2)]);
+        let bed = TestBed::new().await;
+        bed.engine.script_starts([
+            Ok(vec![Step::Tokens(0, 3), Step::Crash]),
+            complete_stream(2),
+        ]);
         let json = bed.complete(false, &[]).await.json();
         assert_eq!(json["choices"][0]["text"], "t0 t1 ");
     });
 }
 
 #[test]
-fn a_whole_answer_that_cannot_be_completed_is_partial_with_its_text() {
-    // The engine dies and no other has room. The caller gets what there is, marked as a part.
+fn a_buffered_answer_that_cannot_be_completed_is_partial_with_its_text() {
+    // The engine crashes and no other has capacity. The caller gets the text produced so far, marked
+    // as partial.
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.admission.script([Say::Go("t1"), Say::No(full())]);
-        bed.engine.starts([Ok(vec![Step::Tokens(0, 3), Step::Die])]);
+        let bed = TestBed::new().await;
+        bed.admission
+            .script([AdmissionStep::Grant("t1"), AdmissionStep::Refuse(full())]);
+        bed.engine
+            .script_starts([Ok(vec![Step::Tokens(0, 3), Step::Crash])]);
         let answer = bed.complete(false, &[]).await;
         assert_eq!(answer.problem(), problem(502, "engine-lost", "partial"));
         assert_eq!(answer.json()["partial_text"], "t0 t1 t2 ");
@@ -305,71 +328,77 @@
 }
 
 #[test]
-fn a_deadline_without_a_token_is_told_at_once_and_frees_the_engine() {
-    // The engine accepts the request, writes nothing and answers nothing. The caller must not wait
-    // beyond the time it gave, not even for the engine to let go; the place must.
+fn a_deadline_without_a_token_is_reported_at_once_and_the_engine_cancelled() {
+    // The engine accepts the request, sends no token and does not answer the cancellation. The caller
+    // must get its refusal at the deadline, but the permit must be held until the cancellation.
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.engine.starts([Ok(vec![Step::Silent])]);
-        bed.engine.deaf.store(true, Ordering::Release);
+        let bed = TestBed::new().await;
+        bed.engine.script_starts([Ok(vec![Step::Silent])]);
+        bed.engine
+            .ignores_cancellation
+            .store(true, Ordering::Release);
         let answer = bed.complete(true, &[("x-deadline-ms", "50")]).await;
         assert_eq!(answer.problem(), problem(504, "deadline", "unknown"));
-        assert!(bed.admission.endings().is_empty());
-        bed.engine.deaf.store(false, Ordering::Release);
-        until(|| !bed.admission.endings().is_empty()).await;
-        assert_eq!(bed.engine.cancels(), 1);
+        assert!(bed.admission.outcomes().is_empty());
+        bed.engine
+            .ignores_cancellation
+            .store(false, Ordering::Release);
+        until(|| !bed.admission.outcomes().is_empty()).await;
+        assert_eq!(bed.engine.cancel_count(), 1);
         let ending = WorkOutcome::Cancelled { produced: 0 };
-        assert_eq!(bed.admission.endings(), [Note::End(ending)]);
+        assert_eq!(bed.admission.outcomes(), [AdmissionEvent::Finish(ending)]);
     });
 }
 
-/// Guards against a short answer that is called too long because others take up the memory.
+/// Guards against a short answer that is refused as too large because other answers use up the memory.
 #[test]
-fn a_whole_answer_for_which_there_is_no_memory_is_told_to_come_back() {
+fn a_buffered_answer_without_memory_is_refused_with_a_retry_delay() {
     smol::block_on(async {
-        let bed = Arc::new(Bed::new().await);
+        let bed = Arc::new(TestBed::new().await);
         let long: &str = Box::leak("x".repeat(8 << 20).into_boxed_str());
         let others = 8;
-        let held = || Ok(vec![Step::Data(0, long), Step::Silent]);
+        let filling = || Ok(vec![Step::Data(0, long), Step::Silent]);
         bed.engine
-            .starts((0..others).map(|_| held()).chain([whole(1)]));
-        let ask = |bed: Arc<Bed>| async move {
+            .script_starts((0..others).map(|_| filling()).chain([complete_stream(1)]));
+        let send = |bed: Arc<TestBed>| async move {
             let body = r#"{"model":"many","prompt":"hello"}"#;
             bed.send("POST", "/v1/completions", &[], body).await
         };
-        let asked = |_| smol::spawn(ask(Arc::clone(&bed)));
-        let tasks: Vec<_> = (0..others).map(asked).collect();
-        until(|| bed.engine.silent() == others).await;
-        let answer = in_time(ask(Arc::clone(&bed))).await;
+        let start = |_| smol::spawn(send(Arc::clone(&bed)));
+        let tasks: Vec<_> = (0..others).map(start).collect();
+        until(|| bed.engine.silent_streams() == others).await;
+        let answer = in_time(send(Arc::clone(&bed))).await;
         assert_eq!(answer.problem(), problem(502, "answers-crowded", "partial"));
         assert_eq!(answer.headers["retry-after"], "1");
         drop(tasks);
     });
 }
 
-/// Guards against a generation that is never placed nor refused, and whose caller hears nothing.
+/// Guards against a generation that admission never answers and whose caller waits forever.
 #[test]
-fn a_generation_that_is_never_decided_is_refused_after_its_deadline() {
+fn a_generation_that_admission_never_answers_is_refused_after_its_deadline() {
     smol::block_on(async {
         for stream in [true, false] {
-            let bed = Bed::new().await;
-            bed.admission.script([Say::Wait]);
+            let bed = TestBed::new().await;
+            bed.admission.script([AdmissionStep::Wait]);
             let headers = [("x-deadline-ms", "50")];
             let answer = in_time(bed.complete(stream, &headers)).await;
             assert_eq!(answer.problem(), problem(504, "deadline", "not-run"));
-            bed.idle().await;
-            assert_eq!(bed.admission.endings(), [Note::Dropped]);
+            bed.wait_until_idle().await;
+            assert_eq!(bed.admission.outcomes(), [AdmissionEvent::Dropped]);
         }
     });
 }
 
-/// Guards against a generation that may have run and whose next try is never decided.
+/// Guards against a wrong `not-run` for a generation that may have run and whose retry admission never
+/// answers.
 #[test]
-fn a_generation_whose_second_try_is_never_decided_is_said_to_be_unknown() {
+fn a_generation_whose_retry_admission_never_answers_is_refused_as_unknown() {
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.admission.script([Say::Go("t1"), Say::Wait]);
-        bed.engine.starts([Err(lost())]);
+        let bed = TestBed::new().await;
+        bed.admission
+            .script([AdmissionStep::Grant("t1"), AdmissionStep::Wait]);
+        bed.engine.script_starts([Err(lost())]);
         let headers = [("x-deadline-ms", "50")];
         let answer = in_time(bed.complete(true, &headers)).await;
         assert_eq!(answer.problem(), problem(504, "deadline", "unknown"));
@@ -377,47 +406,47 @@
 }
 
 #[test]
-fn a_caller_that_leaves_the_queue_gives_up_its_place() {
-    // A viewer closes the page while the request waits. Left in the queue it would take a place
-    // that somebody else waits for.
+fn a_caller_that_disconnects_while_queued_gives_up_its_place() {
+    // The caller disconnects while its request waits for a permit. A request that stayed in the queue
+    // would take capacity that others wait for.
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.admission.script([Say::Wait]);
-        let asking = bed.complete(true, &[]);
-        let leaving = until(|| !bed.admission.notes().is_empty());
-        futures_lite::future::or(async { drop(asking.await) }, leaving).await;
-        until(|| bed.admission.endings() == [Note::Dropped]).await;
-        bed.idle().await;
-        assert_eq!(bed.engine.started(), 0);
+        let bed = TestBed::new().await;
+        bed.admission.script([AdmissionStep::Wait]);
+        let request = bed.complete(true, &[]);
+        let disconnect = until(|| !bed.admission.events().is_empty());
+        futures_lite::future::or(async { drop(request.await) }, disconnect).await;
+        until(|| bed.admission.outcomes() == [AdmissionEvent::Dropped]).await;
+        bed.wait_until_idle().await;
+        assert_eq!(bed.engine.start_count(), 0);
     });
 }
 
 #[test]
-fn a_caller_that_leaves_before_the_first_token_frees_the_engine_and_then_its_place() {
-    // A viewer closes the page while an engine works on the first token. If the place were free
-    // before the engine has let go, a cold engine would get more than it can bear.
+fn a_caller_that_disconnects_before_the_first_token_frees_the_engine_before_the_permit() {
+    // The caller disconnects while an engine computes the first token. If the permit ended before the
+    // engine has cancelled the work, a cold engine would be overloaded.
     smol::block_on(async {
         for stream in [true, false] {
-            let bed = Bed::new().await;
-            bed.engine.starts([Ok(vec![Step::Silent])]);
-            let asking = async { drop(bed.complete(stream, &[]).await) };
-            let leaving = until(|| bed.engine.silent() == 1);
-            futures_lite::future::or(asking, leaving).await;
-            until(|| !bed.admission.endings().is_empty()).await;
-            assert_eq!(bed.engine.cancels(), 1);
+            let bed = TestBed::new().await;
+            bed.engine.script_starts([Ok(vec![Step::Silent])]);
+            let request = async { drop(bed.complete(stream, &[]).await) };
+            let disconnect = until(|| bed.engine.silent_streams() == 1);
+            futures_lite::future::or(request, disconnect).await;
+            until(|| !bed.admission.outcomes().is_empty()).await;
+            assert_eq!(bed.engine.cancel_count(), 1);
             let ending = WorkOutcome::Cancelled { produced: 0 };
-            assert_eq!(bed.admission.endings(), [Note::End(ending)]);
+            assert_eq!(bed.admission.outcomes(), [AdmissionEvent::Finish(ending)]);
         }
     });
 }
 
 #[test]
-fn a_caller_that_leaves_a_stream_has_it_cancelled_after_the_grace() {
-    // An editor closes the page in the middle of a draft and does not come back. The engine
-    // would go on writing for nobody.
+fn the_stream_of_a_caller_that_disconnects_is_cancelled_after_the_grace_period() {
+    // The caller disconnects in mid-stream and does not resume. Without a cancellation the engine
+    // would run the generation to its end for nobody.
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.engine.starts([Ok(endless(0))]);
+        let bed = TestBed::new().await;
+        bed.engine.script_starts([Ok(endless(0))]);
         let mut resp = bed
             .open(KEY_A, "POST", "/v1/completions", &[], &body(true))
             .await;
@@ -427,30 +456,35 @@
             .expect("a frame")
             .expect("one");
         drop(resp);
-        until(|| bed.engine.cancels() == 1).await;
-        bed.idle().await;
-        let endings = bed.admission.endings();
+        until(|| bed.engine.cancel_count() == 1).await;
+        bed.wait_until_idle().await;
+        let endings = bed.admission.outcomes();
         assert!(
-            matches!(endings[..], [Note::End(WorkOutcome::Cancelled { .. })]),
+            matches!(
+                endings[..],
+                [AdmissionEvent::Finish(WorkOutcome::Cancelled { .. })]
+            ),
             "{endings:?}"
         );
     });
 }
 
-/// Tokens every few milliseconds, more than any test waits for.
+/// Returns a stream with a token every 5 ms, longer than any test waits.
 fn endless(from: Tokens) -> Vec<Step> {
     let token = |at| [Step::Tokens(at, 1), Step::Pause(Duration::from_millis(5))];
     (from..from + 4000).flat_map(token).collect()
 }
 
-/// Begins a stream, reads its first chunk and leaves; gives the id of the last event read.
-async fn leave_early(bed: &Bed) -> (String, Tokens) {
-    let (_, id, have) = begin(bed).await;
+/// Starts a stream, reads its first chunk and disconnects. Returns the id of the last event read and
+/// the number of events.
+async fn start_and_disconnect(bed: &TestBed) -> (String, Tokens) {
+    let (_, id, have) = start_stream(bed).await;
     (id, have)
 }
 
-/// Begins a stream and reads its first chunk; gives the id of the last event read.
-async fn begin(bed: &Bed) -> (Response<Incoming>, String, Tokens) {
+/// Starts a stream and reads its first chunk. Returns the response, the id of the last event read and
+/// the number of events.
+async fn start_stream(bed: &TestBed) -> (Response<Incoming>, String, Tokens) {
     let mut resp = bed
         .open(KEY_A, "POST", "/v1/completions", &[], &body(true))
         .await;
@@ -467,20 +501,20 @@
 }
 
 #[test]
-fn a_caller_goes_on_at_another_instance_with_the_next_token() {
-    // The instance in between dies or the balancer moves the caller. It comes back elsewhere
-    // with the id of the last event and must get the rest, no word twice; and the first
-    // instance, if it still lives, must not cancel what the caller reads there.
+fn a_caller_resumes_at_another_instance_with_the_next_token() {
+    // The caller loses its instance and resumes at another one with the id of its last event. It must
+    // get the remaining tokens once each, and the first instance, if it still runs, must not cancel
+    // the stream.
     smol::block_on(async {
         let engine = Arc::new(FakeEngine::default());
         let takeover = Arc::new(fakes::FakeTakeover::default());
-        let one = Bed::with(Arc::clone(&engine), "entry-1", None).await;
-        let two = Bed::with(Arc::clone(&engine), "entry-2", Some(takeover.clone())).await;
+        let one = TestBed::with(Arc::clone(&engine), "entry-1", None).await;
+        let two = TestBed::with(Arc::clone(&engine), "entry-2", Some(takeover.clone())).await;
         *takeover.holder.lock() = Some(one.gateway.clone());
-        engine.starts([Ok(endless(0))]);
-        let (id, have) = leave_early(&one).await;
+        engine.script_starts([Ok(endless(0))]);
+        let (id, have) = start_and_disconnect(&one).await;
         let last = have + 3;
-        engine.resumes([Ok(vec![
+        engine.script_resumptions([Ok(vec![
             Step::Tokens(have, 3),
             Step::Pause(Duration::from_secs(2)),
             Step::Tokens(last, 1),
@@ -498,22 +532,26 @@
         expected.push("[DONE]".into());
         assert_eq!(data, expected);
         assert_eq!(*engine.resumed.lock(), [have]);
-        assert_eq!(engine.cancels(), 0);
-        assert_eq!(*takeover.told.lock()[0].0, *"entry-1");
-        assert!(two.admission.notes().contains(&Note::Adopt(have)));
-        one.idle().await;
+        assert_eq!(engine.cancel_count(), 0);
+        assert_eq!(*takeover.notified.lock()[0].0, *"entry-1");
+        assert!(
+            two.admission
+                .events()
+                .contains(&AdmissionEvent::Adopt(have))
+        );
+        one.wait_until_idle().await;
     });
 }
 
-/// The connection that a caller gave up for another seems to hold the whole answer.
+/// Guards against a connection that looks complete after its stream was resumed over another one.
 #[test]
-fn a_stream_that_goes_on_elsewhere_does_not_look_complete() {
+fn a_stream_that_was_resumed_elsewhere_does_not_look_complete() {
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.engine.starts([Ok(endless(0))]);
-        let (first, id, have) = begin(&bed).await;
+        let bed = TestBed::new().await;
+        bed.engine.script_starts([Ok(endless(0))]);
+        let (first, id, have) = start_stream(&bed).await;
         bed.engine
-            .resumes([Ok(vec![Step::Tokens(have, 3), Step::End])]);
+            .script_resumptions([Ok(vec![Step::Tokens(have, 3), Step::End])]);
         let second = bed
             .send("GET", "/v1/streams", &[("last-event-id", &id)], "")
             .await;
@@ -524,13 +562,13 @@
 }
 
 #[test]
-fn nobody_goes_on_with_a_stream_of_another_workspace_or_a_made_up_one() {
-    // Somebody finds an event id in a log. With the key of another workspace it must be of no
-    // use, and neither must one that was changed.
+fn event_ids_that_are_forged_or_of_another_workspace_are_refused() {
+    // An event id leaks, for instance through a log. It must not work with the key of another
+    // workspace, nor after a modification.
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.engine.starts([Ok(endless(0))]);
-        let (id, _) = leave_early(&bed).await;
+        let bed = TestBed::new().await;
+        bed.engine.script_starts([Ok(endless(0))]);
+        let (id, _) = start_and_disconnect(&bed).await;
         let mut changed = id.clone().into_bytes();
         changed[3] ^= 1;
         let changed = String::from_utf8_lossy(&changed).into_owned();
@@ -553,16 +591,16 @@
 }
 
 #[test]
-fn a_stream_whose_engine_is_gone_is_told_so() {
-    // The caller comes back after the engine died. What it has is all there is.
+fn resuming_a_stream_whose_engine_is_gone_is_refused() {
+    // The caller resumes after the engine crashed: no more of the answer is available.
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.engine.starts([Ok(endless(0))]);
-        let (id, _) = leave_early(&bed).await;
+        let bed = TestBed::new().await;
+        bed.engine.script_starts([Ok(endless(0))]);
+        let (id, _) = start_and_disconnect(&bed).await;
         let header = [("last-event-id", id.as_str())];
         let answer = bed.send("GET", "/v1/streams", &header, "").await;
         assert_eq!(answer.problem(), problem(410, "stream-gone", "partial"));
-        bed.admission.forget("t1");
+        bed.admission.unlist("t1");
         let answer = bed.send("GET", "/v1/streams", &header, "").await;
         assert_eq!(answer.problem(), problem(410, "stream-gone", "partial"));
     });
--- a/components/gateway/tests/inputs.rs
+++ b/components/gateway/tests/inputs.rs
@@ -1,8 +1,8 @@
-//! Requests that can't be served: each gets a precise answer, and nothing runs.
+//! Invalid requests: each is refused with a precise problem, and nothing runs.
 
 mod fakes;
 
-use fakes::{Bed, KEY_A, admission::Say, body, problem, read, until};
+use fakes::{KEY_A, TestBed, admission::AdmissionStep, body, problem, read, until};
 use gateway::resume_handle::{ResumeHandle, ResumeHandleCodec};
 use proptest::prelude::{ProptestConfig, any, prop, prop_assert, prop_assert_eq, proptest};
 use smol::{
@@ -12,7 +12,7 @@
 use types::Class;
 
 #[test]
-fn wrong_bodies_are_told_what_is_wrong() {
+fn the_refusal_of_an_invalid_body_names_the_field() {
     let cases = [
         ("{", "bad-json", "EOF"),
         ("\u{0}", "bad-json", "expected value"),
@@ -39,7 +39,7 @@
         (r#"{"prompt":"x","model":"m","n":2}"#, "bad-value", "`n`"),
     ];
     smol::block_on(async {
-        let bed = Bed::new().await;
+        let bed = TestBed::new().await;
         for (body, code, detail) in cases {
             let answer = bed.send("POST", "/v1/completions", &[], body).await;
             assert_eq!(answer.problem(), problem(400, code, "not-run"), "{body}");
@@ -58,14 +58,14 @@
                 "{body}"
             );
         }
-        assert!(bed.admission.notes().is_empty());
+        assert!(bed.admission.events().is_empty());
     });
 }
 
 #[test]
-fn unknown_names_and_wrong_headers_are_told() {
+fn unknown_names_and_invalid_headers_are_refused() {
     smol::block_on(async {
-        let bed = Bed::new().await;
+        let bed = TestBed::new().await;
         let path = "/v1/completions";
         let other = body(true).replace("\"m\"", "\"other\"");
         let unknown = problem(404, "unknown-model", "not-run");
@@ -93,9 +93,9 @@
 }
 
 #[test]
-fn without_a_known_key_nothing_is_served() {
+fn requests_without_a_known_key_are_refused() {
     smol::block_on(async {
-        let bed = Bed::new().await;
+        let bed = TestBed::new().await;
         for key in ["", "key-c"] {
             let resp = bed
                 .open(key, "POST", "/v1/completions", &[], &body(true))
@@ -110,7 +110,7 @@
 #[test]
 fn a_body_over_the_limit_is_refused() {
     smol::block_on(async {
-        let bed = Bed::new().await;
+        let bed = TestBed::new().await;
         let long = "x".repeat(5000);
         let answer = bed.send("POST", "/v1/completions", &[], &long).await;
         assert_eq!(answer.problem(), problem(413, "body-too-large", "not-run"));
@@ -118,11 +118,11 @@
 }
 
 #[test]
-fn a_sender_that_stops_halfway_is_told_and_cut_off() {
-    // A caller sends half of its body and then nothing. Many of them would use up all
+fn a_caller_that_stops_in_the_middle_of_its_body_is_refused_and_disconnected() {
+    // A caller sends a part of its body and then nothing. Many such callers would use up all
     // connections.
     smol::block_on(async {
-        let bed = Bed::new().await;
+        let bed = TestBed::new().await;
         let mut stream = TcpStream::connect(bed.addr).await.expect("a connection");
         let head = format!(
             "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {KEY_A}\r\ncontent-length: 100\r\n\r\n{{"
@@ -139,12 +139,13 @@
 }
 
 #[test]
-fn a_workspace_has_its_limit_of_requests_in_flight() {
-    // One workspace's runaway script sends without end. Its requests beyond the limit are
-    // refused, and other workspaces notice nothing.
+fn a_workspace_is_limited_in_its_requests_in_flight() {
+    // One workspace sends requests without a limit. Those beyond its limit must be refused, and other
+    // workspaces must not be affected.
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.admission.script([Say::Wait, Say::Wait]);
+        let bed = TestBed::new().await;
+        bed.admission
+            .script([AdmissionStep::Wait, AdmissionStep::Wait]);
         let first = bed.complete(true, &[]);
         let second = bed.complete(true, &[]);
         let third = async {
@@ -152,7 +153,8 @@
             let answer = bed.complete(true, &[]).await;
             assert_eq!(answer.problem(), problem(429, "in-flight", "not-run"));
             assert_eq!(answer.headers["retry-after"], "1");
-            bed.engine.starts([Ok(vec![fakes::engine::Step::End])]);
+            bed.engine
+                .script_starts([Ok(vec![fakes::engine::Step::End])]);
             let body = body(true);
             let resp = bed.open(fakes::KEY_B, "POST", "/v1/completions", &[], &body);
             assert_eq!(read(resp.await).await.status, 200);
@@ -160,11 +162,11 @@
         let waiting = futures_lite::future::zip(first, second);
         let waiting = async { drop(waiting.await) };
         futures_lite::future::or(waiting, third).await;
-        bed.idle().await;
+        bed.wait_until_idle().await;
     });
 }
 
-fn ticket() -> ResumeHandle {
+fn resume_handle() -> ResumeHandle {
     ResumeHandle {
         target: "t1".into(),
         stream: "s1".into(),
@@ -177,14 +179,14 @@
 }
 
 #[test]
-fn an_event_id_is_safe_in_urls_and_says_the_same_again() {
-    let tickets = ResumeHandleCodec::new("key");
-    let id = format!("{}.41", tickets.write("a", &ticket()));
+fn an_event_id_is_safe_in_urls_and_decodes_to_its_handle() {
+    let codec = ResumeHandleCodec::new("key");
+    let id = format!("{}.41", codec.encode("a", &resume_handle()));
     let safe = |b: u8| b.is_ascii_alphanumeric() || b"-_.".contains(&b);
     assert!(id.bytes().all(safe));
-    assert_eq!(tickets.read("a", &id), Some((ticket(), 41)));
-    assert_eq!(tickets.read("b", &id), None);
-    assert_eq!(ResumeHandleCodec::new("other").read("a", &id), None);
+    assert_eq!(codec.decode("a", &id), Some((resume_handle(), 41)));
+    assert_eq!(codec.decode("b", &id), None);
+    assert_eq!(ResumeHandleCodec::new("other").decode("a", &id), None);
 }
 
 proptest! {
@@ -192,21 +194,21 @@
 
     #[test]
     fn no_text_makes_the_event_id_decoder_panic(id in ".{0,200}", tail in any::<u64>()) {
-        let tickets = ResumeHandleCodec::new("key");
-        prop_assert!(tickets.read("a", &id).is_none());
+        let codec = ResumeHandleCodec::new("key");
+        prop_assert!(codec.decode("a", &id).is_none());
         let id = format!("{id}.{tail}");
-        prop_assert!(tickets.read("a", &id).is_none());
+        prop_assert!(codec.decode("a", &id).is_none());
     }
 
     #[test]
-    fn a_changed_event_id_is_refused(at in any::<prop::sample::Index>(), with in "[A-Za-z0-9_-]") {
-        let tickets = ResumeHandleCodec::new("key");
-        let text = tickets.write("a", &ticket());
+    fn a_modified_event_id_is_refused(at in any::<prop::sample::Index>(), with in "[A-Za-z0-9_-]") {
+        let codec = ResumeHandleCodec::new("key");
+        let text = codec.encode("a", &resume_handle());
         let at = at.index(text.len());
-        let mut changed = text.clone();
-        changed.replace_range(at..=at, &with);
-        let read = tickets.read("a", &format!("{changed}.1"));
-        prop_assert_eq!(read.is_some(), changed == text);
+        let mut modified = text.clone();
+        modified.replace_range(at..=at, &with);
+        let read = codec.decode("a", &format!("{modified}.1"));
+        prop_assert_eq!(read.is_some(), modified == text);
     }
 }
 
@@ -225,13 +227,13 @@
             serde_json::json!({"model": "m", "messages": [{"role": text, "content": number}]}).to_string(),
         ];
         smol::block_on(async {
-            let bed = Bed::new().await;
-            bed.engine.starts([Ok(vec![fakes::engine::Step::End])]);
+            let bed = TestBed::new().await;
+            bed.engine.script_starts([Ok(vec![fakes::engine::Step::End])]);
             for body in bodies {
                 for path in ["/v1/completions", "/v1/chat/completions"] {
                     let answer = bed.send("POST", path, &[], &body).await;
                     assert!(answer.status == 200 || (400..500).contains(&answer.status), "{body}");
-                    bed.engine.starts([Ok(vec![fakes::engine::Step::End])]);
+                    bed.engine.script_starts([Ok(vec![fakes::engine::Step::End])]);
                 }
             }
         });
--- a/components/gateway/tests/plain_calls.rs
+++ b/components/gateway/tests/plain_calls.rs
@@ -1,13 +1,13 @@
-//! Calls to plain services, with and without idempotency keys.
+//! Calls to plain HTTP services, with and without idempotency keys.
 
 mod fakes;
 
 use claims::{ClaimError, Claimed, Recorded};
 use fakes::{
-    Bed,
-    admission::{Note, Say},
+    TestBed,
+    admission::{AdmissionEvent, AdmissionStep},
     in_time,
-    plain::{Settled, answer},
+    plain::{Settlement, answer},
     problem, until,
 };
 use gateway::WorkOutcome;
@@ -42,9 +42,9 @@
 const KEY: [(&str, &str); 1] = [("idempotency-key", "order-1")];
 
 #[test]
-fn a_call_is_passed_on_without_the_headers_of_the_connection_or_the_key() {
+fn a_call_is_forwarded_without_hop_by_hop_headers_and_key() {
     smol::block_on(async {
-        let bed = Bed::new().await;
+        let bed = TestBed::new().await;
         let headers = [
             ("x-mine", "1"),
             ("connection", "x-hop"),
@@ -67,9 +67,9 @@
 }
 
 #[test]
-fn an_answer_without_a_body_keeps_the_length_that_it_tells() {
+fn an_answer_without_a_body_keeps_its_content_length() {
     smol::block_on(async {
-        let bed = Bed::new().await;
+        let bed = TestBed::new().await;
         let mut head = answer("");
         head.headers.push(("content-length".into(), "41".into()));
         bed.plain.script([Ok(head)]);
@@ -79,29 +79,29 @@
 }
 
 #[test]
-fn a_lost_lookup_is_asked_again() {
-    // The service dies with a viewer's lookup. Asked again it is answered, and the page is not
-    // empty.
+fn an_idempotent_call_that_was_lost_is_retried() {
+    // The service crashes while it runs an idempotent call. The retry must answer the caller.
     smol::block_on(async {
-        let bed = Bed::new().await;
+        let bed = TestBed::new().await;
         bed.plain
             .script([Err(lost()), Err(unsent()), Ok(answer("found"))]);
         let answer = bed.send("GET", "/shop/title", &[], "").await;
         assert_eq!((answer.status, answer.body.as_str()), (200, "found"));
-        assert_eq!(bed.plain.called(), 3);
+        assert_eq!(bed.plain.call_count(), 3);
     });
 }
 
 #[test]
-fn a_lookup_refused_in_the_end_says_whether_it_may_have_run() {
+fn the_refusal_of_an_idempotent_call_says_whether_it_may_have_run() {
     smol::block_on(async {
         for (error, run) in [
             (lost(), "unknown"),
             (unsent(), "not-run"),
             (turned(), "not-run"),
         ] {
-            let bed = Bed::new().await;
-            bed.admission.script([Say::Go("t1"), Say::No(full())]);
+            let bed = TestBed::new().await;
+            bed.admission
+                .script([AdmissionStep::Grant("t1"), AdmissionStep::Refuse(full())]);
             bed.plain.script([Err(error)]);
             let answer = bed.send("GET", "/shop/title", &[], "").await;
             assert_eq!(answer.problem(), problem(503, "full", run));
@@ -111,60 +111,62 @@
 
 #[test]
 fn a_call_that_may_have_run_is_never_sent_again() {
-    // The link dies after a material order was sent. Sent again, the franchisee might pay for
-    // the sheet twice.
+    // The connection breaks after a non-idempotent call was sent. A retry might run it twice.
     smol::block_on(async {
-        let bed = Bed::new().await;
+        let bed = TestBed::new().await;
         bed.plain.script([Err(lost())]);
         let answer = bed.send("POST", ORDER, &[], "sheet").await;
         assert_eq!(answer.problem(), problem(504, "answer-lost", "unknown"));
-        assert_eq!(bed.plain.called(), 1);
-        assert_eq!(bed.admission.endings(), [Note::End(WorkOutcome::Failed)]);
+        assert_eq!(bed.plain.call_count(), 1);
+        assert_eq!(
+            bed.admission.outcomes(),
+            [AdmissionEvent::Finish(WorkOutcome::Failed)]
+        );
     });
 }
 
 #[test]
-fn a_call_that_surely_did_not_run_is_sent_elsewhere() {
-    // A service refuses the connection or turns the order away. Neither ran it, so another one
-    // may.
+fn a_call_that_certainly_did_not_run_is_sent_elsewhere() {
+    // A target refuses the connection or the call. The call did not run there, so it may be sent to
+    // another target.
     smol::block_on(async {
-        let bed = Bed::new().await;
+        let bed = TestBed::new().await;
         bed.plain
             .script([Err(unsent()), Err(turned()), Ok(answer("ordered"))]);
         let answer = bed.send("POST", ORDER, &[], "sheet").await;
         assert_eq!((answer.status, answer.body.as_str()), (200, "ordered"));
-        let endings = bed.admission.endings();
-        assert_eq!(endings[0], Note::Again(WorkOutcome::Unreachable));
-        assert_eq!(endings[1], Note::Again(WorkOutcome::Overloaded));
+        let endings = bed.admission.outcomes();
+        assert_eq!(endings[0], AdmissionEvent::Retry(WorkOutcome::Unreachable));
+        assert_eq!(endings[1], AdmissionEvent::Retry(WorkOutcome::Overloaded));
     });
 }
 
 #[test]
 fn a_keyed_call_runs_once_and_its_answer_is_recorded() {
     smol::block_on(async {
-        let bed = Bed::new().await;
+        let bed = TestBed::new().await;
         let headers = [KEY[0], ("accept-encoding", "gzip")];
         let answer = bed.send("POST", ORDER, &headers, "sheet").await;
         assert_eq!((answer.status, answer.body.as_str()), (200, "fine"));
         let sent = bed.plain.calls.lock()[0].headers.clone();
         assert!(sent.iter().all(|(name, _)| **name != *"accept-encoding"));
-        bed.idle().await;
+        bed.wait_until_idle().await;
         let recorded = Recorded {
             status: 200,
             content_type: "text/plain".into(),
             body: "fine".into(),
             base64: false,
         };
-        assert_eq!(bed.claims.settled(), [Settled::Recorded(recorded)]);
-        let asked = bed.claims.asked.lock()[0].clone();
-        assert_eq!((&*asked.workspace, &*asked.key), ("a", "order-1"));
+        assert_eq!(bed.claims.settlements(), [Settlement::Recorded(recorded)]);
+        let call = bed.claims.calls.lock()[0].clone();
+        assert_eq!((&*call.workspace, &*call.key), ("a", "order-1"));
     });
 }
 
 #[test]
-fn the_digest_tells_other_calls_apart() {
+fn the_digest_differs_for_different_calls() {
     smol::block_on(async {
-        let bed = Bed::new().await;
+        let bed = TestBed::new().await;
         for (path, body) in [
             (ORDER, "a"),
             (ORDER, "a"),
@@ -173,19 +175,19 @@
         ] {
             bed.send("POST", path, &KEY, body).await;
         }
-        let asked = bed.claims.asked.lock();
-        assert_eq!(asked[0].digest, asked[1].digest);
-        assert_ne!(asked[0].digest, asked[2].digest);
-        assert_ne!(asked[0].digest, asked[3].digest);
+        let calls = bed.claims.calls.lock();
+        assert_eq!(calls[0].digest, calls[1].digest);
+        assert_ne!(calls[0].digest, calls[2].digest);
+        assert_ne!(calls[0].digest, calls[3].digest);
     });
 }
 
 #[test]
-fn a_repeat_gets_the_answer_on_record_and_is_not_sent() {
-    // A viewer presses rent twice because the page was slow. The second press must find the
-    // first one's grant.
+fn a_repeated_call_gets_the_recorded_answer_and_is_not_sent() {
+    // A caller repeats a call because the first answer was slow. The repeated call must get the answer
+    // of the first.
     smol::block_on(async {
-        let bed = Bed::new().await;
+        let bed = TestBed::new().await;
         bed.claims.script(Ok(Claimed::Before(Recorded {
             status: 201,
             content_type: "image/png".into(),
@@ -198,14 +200,14 @@
         assert_eq!(resp.headers()["idempotency-replayed"], "true");
         let body = http_body_util::BodyExt::collect(resp.into_body()).await;
         assert_eq!(&body.expect("a body").to_bytes()[..], [255, 0]);
-        assert_eq!(bed.plain.called(), 0);
+        assert_eq!(bed.plain.call_count(), 0);
     });
 }
 
 #[test]
 fn a_keyed_call_that_cannot_be_claimed_is_not_sent() {
-    // The table service is down, or the key is in use. Without a claim a second run could not be
-    // ruled out, so nothing is sent.
+    // The table service is unavailable, or the key is in use. Without a claim the call could run
+    // twice, so it must not be sent.
     let cases = [
         (Err(ClaimError::StoreDown), (503, "store-down", "not-run")),
         (Err(ClaimError::OtherCall), (422, "key-reused", "not-run")),
@@ -217,7 +219,7 @@
     ];
     smol::block_on(async {
         for (claim, (status, code, run)) in cases {
-            let bed = Bed::new().await;
+            let bed = TestBed::new().await;
             bed.claims.script(claim);
             let answer = bed.send("POST", ORDER, &KEY, "sheet").await;
             assert_eq!(answer.problem(), problem(status, code, run));
@@ -225,64 +227,75 @@
                 answer.headers.contains_key("retry-after"),
                 status == 503 || status == 409
             );
-            assert_eq!((bed.plain.called(), bed.claims.settled().len()), (0, 0));
+            assert_eq!(
+                (bed.plain.call_count(), bed.claims.settlements().len()),
+                (0, 0)
+            );
         }
     });
 }
 
 #[test]
-fn a_claim_always_comes_to_an_end() {
-    // Refused by admission the call did not run, so the key must be free again; lost on the way
-    // it may have run, so the key must never run again.
+fn a_claim_is_always_settled() {
+    // A call refused by admission did not run, so its key must become free. A call that was lost after
+    // it was sent may have run, so its key must never be used again.
     let cases = [
-        (vec![Say::No(full())], None, Settled::Released),
         (
-            vec![Say::Go("t1"), Say::No(full())],
+            vec![AdmissionStep::Refuse(full())],
+            None,
+            Settlement::Released,
+        ),
+        (
+            vec![AdmissionStep::Grant("t1"), AdmissionStep::Refuse(full())],
             Some(unsent()),
-            Settled::Released,
+            Settlement::Released,
+        ),
+        (
+            vec![AdmissionStep::Grant("t1")],
+            Some(lost()),
+            Settlement::Abandoned,
         ),
-        (vec![Say::Go("t1")], Some(lost()), Settled::GivenUp),
     ];
     smol::block_on(async {
         for (script, error, settled) in cases {
-            let bed = Bed::new().await;
+            let bed = TestBed::new().await;
             bed.admission.script(script);
             bed.plain.script(error.map(Err));
             bed.send("POST", ORDER, &KEY, "sheet").await;
-            bed.idle().await;
-            assert_eq!(bed.claims.settled(), [settled]);
+            bed.wait_until_idle().await;
+            assert_eq!(bed.claims.settlements(), [settled]);
         }
     });
 }
 
 #[test]
-fn a_caller_that_leaves_before_its_keyed_call_is_sent_frees_the_key() {
-    // A viewer closes the page while the grant waits for a place. A claim left behind would
-    // answer the next press with `unknown` for ever.
+fn a_caller_that_disconnects_before_its_keyed_call_is_sent_frees_the_key() {
+    // The caller disconnects while its call waits for a permit. A claim left behind would answer every
+    // repeated call with `unknown`.
     smol::block_on(async {
-        let bed = Bed::new().await;
-        bed.admission.script([Say::Wait]);
-        let asking = async { drop(bed.send("POST", ORDER, &KEY, "sheet").await) };
-        let leaving = until(|| !bed.admission.notes().is_empty());
-        futures_lite::future::or(asking, leaving).await;
-        bed.idle().await;
-        assert_eq!(bed.claims.settled(), [Settled::Released]);
-        assert_eq!(bed.plain.called(), 0);
+        let bed = TestBed::new().await;
+        bed.admission.script([AdmissionStep::Wait]);
+        let request = async { drop(bed.send("POST", ORDER, &KEY, "sheet").await) };
+        let disconnect = until(|| !bed.admission.events().is_empty());
+        futures_lite::future::or(request, disconnect).await;
+        bed.wait_until_idle().await;
+        assert_eq!(bed.claims.settlements(), [Settlement::Released]);
+        assert_eq!(bed.plain.call_count(), 0);
     });
 }
 
-/// Guards against a call that is never placed nor refused, and whose caller hears nothing.
+/// Guards against a call that admission never answers and whose caller waits forever.
 #[test]
-fn a_call_that_is_never_decided_is_refused_after_its_deadline() {
+fn a_call_that_admission_never_answers_is_refused_after_its_deadline() {
     smol::block_on(async {
         let deadline = ("x-deadline-ms", "50");
         for headers in [&[deadline][..], &[deadline, KEY[0]][..]] {
-            let bed = Bed::new().await;
-            bed.admission.script([Say::Wait]);
+            let bed = TestBed::new().await;
+            bed.admission.script([AdmissionStep::Wait]);
             let answer = in_time(bed.send("POST", ORDER, headers, "")).await;
             assert_eq!(answer.problem(), problem(504, "deadline", "not-run"));
-            bed.idle().await;
-            assert_eq!(bed.plain.called(), 0);
+            bed.wait_until_idle().await;
+            assert_eq!(bed.plain.call_count(), 0);
         }
     });
 }
--- a/components/relay/examples/silence.rs
+++ b/components/relay/examples/silence.rs
@@ -96,11 +96,11 @@
         ("fixed 5 s", IdleTimeout::Fixed(Duration::from_secs(5))),
         ("fixed 30 s", IdleTimeout::Fixed(Duration::from_secs(30))),
         (
-            "estimated, no minimum",
+            "rhythm without a floor",
             IdleTimeout::Estimated(GapEstimator::new(no_min)),
         ),
         (
-            "estimated",
+            "rhythm",
             IdleTimeout::Estimated(GapEstimator::new(TOKEN_GAP_BOUNDS)),
         ),
     ]
