--- a/components/front/src/generations/active.rs
+++ b/components/front/src/generations/active.rs
@@ -1,4 +1,4 @@
-//! Generations that run for this instance's callers.
+//! Generations that run for callers of this instance.
 
 use std::{
     collections::HashMap,
@@ -16,230 +16,232 @@
 
 use crate::adapters::{GenerationSizes, Resume};
 
-/// An order to the task that relays a generation.
+/// A command to the task that relays a generation.
 #[derive(Debug)]
 pub enum RelayCommand {
-    /// Its engine is about to stop it for a move; the stream's end is no failure.
+    /// The engine is about to stop the generation for a migration; the end of its stream is then not
+    /// an error.
     MigrationStarted,
-    /// The move came to nothing; the generation stays where it is.
+    /// The migration was given up; the generation stays on its engine.
     MigrationCancelled,
-    /// How the move ended is unknown; its engine may have stopped the generation.
+    /// The outcome of the migration is unknown; the engine may have stopped the generation.
     MigrationUncertain,
-    /// Go on there.
+    /// Resume the generation from a copy of its KV cache.
     Resume {
-        /// The engine.
+        /// The engine that resumes it.
         target: Arc<Target>,
         /// The copy.
         resume: Resume,
-        /// Told whether it goes on.
+        /// Receives whether the generation was resumed.
         done: Sender<bool>,
     },
 }
 
-/// One generation.
+/// State of one generation, shared by the task that relays it and by migrations.
 #[derive(Debug)]
 pub struct GenerationHandle {
-    /// Its id.
-    pub run: GenerationId,
+    /// Request id of the generation.
+    pub id: GenerationId,
     /// Its service.
     pub service: ServiceId,
-    /// Tokens of its prompt.
-    pub prompt: Tokens,
+    /// Tokens in the prompt.
+    pub prompt_tokens: Tokens,
     /// Its route.
     pub route: RouteId,
-    /// Tokens of the longest answer allowed.
-    pub longest: Tokens,
-    /// The caller's estimate of the answer's tokens.
-    pub hint: Option<Tokens>,
-    /// Tokens in one event.
-    pub per_event: Tokens,
-    /// Its rank.
-    pub rank: u32,
+    /// Maximum number of tokens in the answer.
+    pub max_tokens: Tokens,
+    /// The caller's estimate of the number of tokens in the answer.
+    pub length_hint: Option<Tokens>,
+    /// Tokens in one event of the stream.
+    pub tokens_per_event: Tokens,
+    /// Its priority; lower values are served first.
+    pub priority: u32,
     target: Mutex<Arc<Target>>,
+    /// Whether the first event has been received.
     started: AtomicBool,
-    events: AtomicU64,
-    /// Set while it is being carried over.
+    events_received: AtomicU64,
+    /// Whether a migration or recovery is in progress.
     migrating: AtomicBool,
-    /// A copy that it could go on from if its engine failed.
+    /// A copy from which the generation can be resumed if its engine fails.
     copy: Mutex<Option<(Arc<Target>, Resume)>>,
     commands: (Sender<RelayCommand>, Receiver<RelayCommand>),
 }
 
 impl GenerationHandle {
-    /// A generation on an engine.
+    /// Creates the state of a generation that is assigned to an engine.
     #[must_use]
-    pub fn new(run: GenerationId, service: ServiceId, target: Arc<Target>) -> Self {
+    pub fn new(id: GenerationId, service: ServiceId, target: Arc<Target>) -> Self {
         Self {
-            run,
+            id,
             service,
-            prompt: 0,
+            prompt_tokens: 0,
             route: "".into(),
-            longest: 0,
-            hint: None,
-            per_event: 1,
-            rank: 0,
+            max_tokens: 0,
+            length_hint: None,
+            tokens_per_event: 1,
+            priority: 0,
             target: Mutex::new(target),
             started: AtomicBool::new(false),
-            events: AtomicU64::new(0),
+            events_received: AtomicU64::new(0),
             migrating: AtomicBool::new(false),
             copy: Mutex::new(None),
             commands: unbounded(),
         }
     }
 
-    /// Sets its sizes, and the tokens in one event.
+    /// Sets the sizes, and the number of tokens in one event.
     #[must_use]
-    pub const fn with_sizes(mut self, sizes: GenerationSizes, per_event: Tokens) -> Self {
-        self.prompt = sizes.prompt_tokens;
-        self.longest = sizes.max_tokens;
-        self.hint = sizes.length_hint;
-        self.per_event = per_event;
+    pub const fn with_sizes(mut self, sizes: GenerationSizes, tokens_per_event: Tokens) -> Self {
+        self.prompt_tokens = sizes.prompt_tokens;
+        self.max_tokens = sizes.max_tokens;
+        self.length_hint = sizes.length_hint;
+        self.tokens_per_event = tokens_per_event;
         self
     }
 
-    /// Sets its route and its rank.
+    /// Sets the route and the priority.
     #[must_use]
-    pub fn with_route(mut self, route: RouteId, rank: u32) -> Self {
+    pub fn with_route(mut self, route: RouteId, priority: u32) -> Self {
         self.route = route;
-        self.rank = rank;
+        self.priority = priority;
         self
     }
 
-    /// Tokens made so far.
+    /// Tokens generated so far, as counted from the events received.
     #[must_use]
     pub fn tokens_generated(&self) -> Tokens {
-        self.events_received() * self.per_event
+        self.events_received() * self.tokens_per_event
     }
 
-    /// Events that have come so far, from all engines that it ran on.
+    /// Events received so far, from all engines that have run the generation.
     #[must_use]
     pub fn events_received(&self) -> u64 {
-        self.events.load(Ordering::Relaxed)
+        self.events_received.load(Ordering::Relaxed)
     }
 
-    /// Where it runs.
+    /// The engine that runs the generation.
     #[must_use]
     pub fn target(&self) -> Arc<Target> {
         Arc::clone(&self.target.lock())
     }
 
-    /// Notes that it runs elsewhere now.
+    /// Sets the engine that runs the generation from now on, and drops the copy.
     pub fn set_target(&self, target: Arc<Target>) {
         *self.target.lock() = target;
         *self.copy.lock() = None;
     }
 
-    /// Notes an event; tells whether it was the first.
+    /// Counts an event; returns whether it was the first.
     pub fn record_event(&self) -> bool {
-        self.events.fetch_add(1, Ordering::Relaxed);
+        self.events_received.fetch_add(1, Ordering::Relaxed);
         !self.started.swap(true, Ordering::AcqRel)
     }
 
-    /// Whether its first event has come.
+    /// Whether the first event has been received.
     #[must_use]
     pub fn has_started(&self) -> bool {
         self.started.load(Ordering::Acquire)
     }
 
-    /// Takes the right to carry it over; false if somebody is at it.
+    /// Claims the right to migrate the generation; returns false if another task holds it.
     #[must_use]
     pub fn begin_migration(&self) -> bool {
         !self.migrating.swap(true, Ordering::AcqRel)
     }
 
-    /// Whether somebody carries it over.
+    /// Whether a migration or recovery is in progress.
     #[must_use]
     pub fn is_migrating(&self) -> bool {
         self.migrating.load(Ordering::Acquire)
     }
 
-    /// Gives the right back.
+    /// Releases the right to migrate the generation.
     pub fn end_migration(&self) {
         self.migrating.store(false, Ordering::Release);
     }
 
-    /// Remembers a copy that it could go on from.
+    /// Stores a copy from which the generation can be resumed.
     pub fn store_copy(&self, target: Arc<Target>, resume: Resume) {
         *self.copy.lock() = Some((target, resume));
     }
 
-    /// Takes the copy that it could go on from, if there is one.
+    /// Takes the stored copy, if there is one.
     #[must_use]
     pub fn take_copy(&self) -> Option<(Arc<Target>, Resume)> {
         self.copy.lock().take()
     }
 
-    /// Sends an order to the task that relays it. Fails where that task has ended.
+    /// Sends a command to the relaying task. Returns false if that task has ended.
     #[must_use]
     pub fn send_command(&self, command: RelayCommand) -> bool {
         self.commands.0.try_send(command).is_ok()
     }
 
-    /// The next order.
+    /// Waits for the next command; `None` once the handle is closed.
     pub async fn next_command(&self) -> Option<RelayCommand> {
         self.commands.1.recv().await.ok()
     }
 
-    /// Takes no further commands.
+    /// Closes the command channel.
     pub fn close(&self) {
         self.commands.0.close();
     }
 
-    /// What an owner is told of it.
+    /// The state that is reported to the owner of the engine.
     #[must_use]
     pub fn snapshot(&self) -> ActiveGeneration {
         ActiveGeneration {
-            generation: Arc::clone(&self.run),
+            generation: Arc::clone(&self.id),
             service: Arc::clone(&self.service),
             target: Arc::clone(&self.target.lock().id),
-            prompt_tokens: self.prompt,
+            prompt_tokens: self.prompt_tokens,
             tokens_generated: self.tokens_generated(),
             route: Arc::clone(&self.route),
-            max_tokens: self.longest,
-            length_hint: self.hint,
-            priority: self.rank,
+            max_tokens: self.max_tokens,
+            length_hint: self.length_hint,
+            priority: self.priority,
             started: self.has_started(),
         }
     }
 }
 
-/// All generations of this instance.
+/// The active generations of this instance, by request id.
 #[derive(Debug, Default)]
 pub struct ActiveGenerations {
-    all: Mutex<HashMap<GenerationId, Arc<GenerationHandle>>>,
+    by_id: Mutex<HashMap<GenerationId, Arc<GenerationHandle>>>,
 }
 
 impl ActiveGenerations {
-    /// Adds one.
+    /// Adds a generation.
     pub fn add(&self, generation: &Arc<GenerationHandle>) {
-        let run = Arc::clone(&generation.run);
-        self.all.lock().insert(run, Arc::clone(generation));
+        let id = Arc::clone(&generation.id);
+        self.by_id.lock().insert(id, Arc::clone(generation));
     }
 
-    /// Removes one.
-    pub fn remove(&self, run: &str) {
-        self.all.lock().remove(run);
+    /// Removes a generation.
+    pub fn remove(&self, id: &str) {
+        self.by_id.lock().remove(id);
     }
 
-    /// Finds one.
+    /// Finds a generation.
     #[must_use]
-    pub fn get(&self, run: &str) -> Option<Arc<GenerationHandle>> {
-        self.all.lock().get(run).cloned()
+    pub fn get(&self, id: &str) -> Option<Arc<GenerationHandle>> {
+        self.by_id.lock().get(id).cloned()
     }
 
-    /// What owners are told of them.
+    /// The states that are reported to the owners of the engines.
     #[must_use]
     pub fn snapshots(&self) -> Vec<ActiveGeneration> {
-        self.all
+        self.by_id
             .lock()
             .values()
             .map(|generation| generation.snapshot())
             .collect()
     }
 
-    /// How many there are.
+    /// Number of active generations.
     #[must_use]
     pub fn count(&self) -> usize {
-        self.all.lock().len()
+        self.by_id.lock().len()
     }
 }
--- a/components/front/src/generations/dispatch.rs
+++ b/components/front/src/generations/dispatch.rs
@@ -1,4 +1,4 @@
-//! Generations: a place first, then the stream.
+//! Serves generations: obtains an engine from the owner of its shard, then relays the stream.
 
 use std::{sync::Arc, time::Duration};
 
@@ -30,102 +30,108 @@
     target_rates,
 };
 
-/// When a caller may come back whose generation found no engine that would take it.
+/// `Retry-After` of a generation for which no engine was found.
 const NO_TARGET_RETRY: Duration = Duration::from_millis(1_000);
-/// Parts of a service's engines that are asked before a generation is refused. With two at random
-/// of many, a full one among free ones hardly ever decides.
-const SHARDS_ASKED: u32 = 3;
-/// Engines that may say in a row that they did not run a generation before its caller is told.
-const NOT_RUN_MOST: usize = 4;
-/// Part of its aim that a generation waits for an engine in need.
-const SLOT_PART: f64 = 0.25;
-/// Sizes of a generation that declares none: that of a short question.
-const UNKNOWN_SIZES: GenerationSizes = GenerationSizes {
+/// Shards of a service's engines that are asked before a generation is refused. With two or more at
+/// random of many, one full shard hardly ever decides while others have room.
+const MAX_SHARDS_ASKED: u32 = 3;
+/// Engines in a row that may report that they did not run a generation before it is refused.
+const MAX_NOT_RUN: usize = 4;
+/// Fraction of its time to the first token that a generation waits for the rate limit of an engine.
+const RATE_WAIT_FRACTION: f64 = 0.25;
+/// Sizes assumed for a generation that declares none: those of a short question.
+const DEFAULT_SIZES: GenerationSizes = GenerationSizes {
     prompt_tokens: 1_000,
     max_tokens: 1_000,
     length_hint: None,
 };
 
-/// A generation's place on an engine, as its owner counts it. The owner is told when it is given
-/// up, however that comes about: a place that nobody holds would stay taken.
+/// The assignment of a generation to an engine, as the owner of the shard accounts for it. When it
+/// is released or dropped the owner is notified; otherwise the engine's capacity would stay
+/// reserved.
 pub struct Assignment {
     front: Arc<Front>,
     /// The generation.
-    pub live: Arc<GenerationHandle>,
-    /// Its engine refused or failed it.
-    pub doubt: bool,
-    /// It came to its end, so that its length says something.
-    pub whole: bool,
-    /// Its owner was told that it was given up.
-    told: bool,
+    pub generation: Arc<GenerationHandle>,
+    /// Whether the engine refused or failed the generation.
+    pub target_failed: bool,
+    /// Whether the generation ran to its end, so that its length can be recorded.
+    pub completed: bool,
+    /// Whether the owner has been notified of the release.
+    released: bool,
 }
 
 impl Assignment {
-    fn new(front: &Arc<Front>, live: GenerationHandle) -> Self {
-        let live = Arc::new(live);
-        front.generations.add(&live);
+    fn new(front: &Arc<Front>, generation: GenerationHandle) -> Self {
+        let generation = Arc::new(generation);
+        front.generations.add(&generation);
         Self {
             front: Arc::clone(front),
-            live,
-            doubt: false,
-            whole: false,
-            told: false,
+            generation,
+            target_failed: false,
+            completed: false,
+            released: false,
         }
     }
 
-    /// Gives it up, and waits until its owner was told. The owner would take word that comes after
-    /// the next ask for the end of what it has granted then.
-    async fn give_up(mut self) {
-        // Nothing is ever sent; it fails once the owner was told.
-        let _ = self.tell().recv().await;
+    /// Releases the assignment, and waits until the owner has processed that. The owner would
+    /// otherwise take an update that arrives after the next placement request for the end of the
+    /// new assignment.
+    async fn release(mut self) {
+        // Nothing is ever sent: `recv` fails once the owner has been notified.
+        let _ = self.notify_owner().recv().await;
     }
 
-    /// Tells its owner that it is given up.
-    fn tell(&mut self) -> Receiver<()> {
-        self.told = true;
-        self.live.close();
-        self.front.generations.remove(&self.live.run);
+    /// Notifies the owner that the assignment is released.
+    fn notify_owner(&mut self) -> Receiver<()> {
+        self.released = true;
+        self.generation.close();
+        self.front.generations.remove(&self.generation.id);
         let note = GenerationUpdate::Ended {
-            generation: Arc::clone(&self.live.run),
-            target_failed: self.doubt,
-            tokens_generated: self.whole.then(|| self.live.tokens_generated()),
+            generation: Arc::clone(&self.generation.id),
+            target_failed: self.target_failed,
+            tokens_generated: self.completed.then(|| self.generation.tokens_generated()),
         };
         let shard = self
             .front
-            .shard_of(&self.live.service, &self.live.target().id);
+            .shard_of(&self.generation.service, &self.generation.target().id);
         Front::notify_owner(&self.front, &shard, note)
     }
 }
 
 impl Drop for Assignment {
     fn drop(&mut self) {
-        if !self.told {
-            self.tell();
+        if !self.released {
+            self.notify_owner();
         }
     }
 }
 
-/// Serves a generation.
+/// Serves a generation; retries on other engines while it certainly has not run.
 pub async fn serve(front: Arc<Front>, call: Call) -> Response<Body> {
     let mut avoid = Vec::new();
     loop {
-        let target = match find(&front, &call, &avoid).await {
+        let target = match assign_engine(&front, &call, &avoid).await {
             Ok(target) => target,
             Err(refusal) => return front.refuse_call(&call, &refusal),
         };
         match attempt(&front, &call, target, &mut avoid).await {
             Attempt::Answer(resp) => return resp,
-            Attempt::Again => {}
-            Attempt::GiveUp(refusal) => return front.refuse_call(&call, &refusal),
+            Attempt::Retry => {}
+            Attempt::Refuse(refusal) => return front.refuse_call(&call, &refusal),
         }
     }
 }
 
-/// Asks for an engine until there is one, or until it is no use any more.
-async fn find(front: &Arc<Front>, call: &Call, avoid: &[TargetId]) -> Result<Arc<Target>, Refusal> {
+/// Requests engines until one is assigned, or refuses once none can serve the call in time.
+async fn assign_engine(
+    front: &Arc<Front>,
+    call: &Call,
+    avoid: &[TargetId],
+) -> Result<Arc<Target>, Refusal> {
     let mut shard = first_shard(front, call);
-    let mut full = 0;
-    // Engines that its owner granted and that this instance can't use.
+    let mut full_shards = 0;
+    // Engines that the owner assigned although this instance can't use them.
     let mut unusable: Vec<TargetId> = Vec::new();
     let usable = |id: &TargetId| {
         let listed = front.view.target(id);
@@ -141,7 +147,7 @@
         unusable.retain(|id| usable(id).is_none());
         let avoid = [avoid, &unusable].concat();
         let ask = ask(front, call, shard.clone(), &avoid);
-        if !front.can_finish(&ask) {
+        if !front.can_complete(&ask) {
             return Err(Refusal::not_run(
                 "this instance stops before it would end",
                 ELSEWHERE_RETRY,
@@ -151,7 +157,8 @@
             PlacementAnswer::Assigned { target: id } => match usable(&id) {
                 Some(target) => return Ok(target),
                 None => {
-                    // One of the two has not heard yet that the engine is there, or leaves.
+                    // The owner and this instance know different listings of the engine: it has
+                    // just joined or is about to leave.
                     unusable.push(id);
                     let run = Arc::clone(&call.request.id);
                     let note = GenerationUpdate::Ended {
@@ -159,14 +166,17 @@
                         target_failed: false,
                         tokens_generated: None,
                     };
-                    // Told before it is asked again, or it would take this for the end of its next grant.
+                    // Awaited, because the owner would take a late update for the end of its next
+                    // assignment.
                     let _ = Front::notify_owner(front, &shard, note).recv().await;
-                    UNHEARD_PAUSE
+                    LISTING_DELAY
                 }
             },
             PlacementAnswer::Wait { after } => after,
-            PlacementAnswer::Rejected { .. } if full + 1 < shard.count.min(SHARDS_ASKED) => {
-                full += 1;
+            PlacementAnswer::Rejected { .. }
+                if full_shards + 1 < shard.count.min(MAX_SHARDS_ASKED) =>
+            {
+                full_shards += 1;
                 shard = shard.next();
                 continue;
             }
@@ -178,11 +188,11 @@
     }
 }
 
-/// Time for the listing of a new target to arrive here too.
-const UNHEARD_PAUSE: Duration = Duration::from_millis(20);
+/// Time within which the listing of a new engine arrives at the other instances.
+const LISTING_DELAY: Duration = Duration::from_millis(20);
 
-/// The part of a service's engines that is asked first for a generation: another one for each request, and the same
-/// one when its caller comes back.
+/// The shard that is asked first for a generation. It is chosen by the fingerprint, so that
+/// requests are spread over the shards while retries of one request go to the same shard.
 pub(crate) fn first_shard(front: &Front, call: &Call) -> Shard {
     let service = &call.service.name;
     Shard::of_target(
@@ -192,14 +202,14 @@
     )
 }
 
-/// What a generation asks an owner for.
+/// Builds the placement request for a call.
 pub(crate) fn ask(
     front: &Front,
     call: &Call,
     shard: Shard,
     avoid: &[TargetId],
 ) -> PlacementRequest {
-    let sizes = call.request.sizes.unwrap_or(UNKNOWN_SIZES);
+    let sizes = call.request.sizes.unwrap_or(DEFAULT_SIZES);
     PlacementRequest {
         generation: Arc::clone(&call.request.id),
         digest: call.fingerprint.short(),
@@ -220,8 +230,8 @@
 
 enum Attempt {
     Answer(Response<Body>),
-    Again,
-    GiveUp(Refusal),
+    Retry,
+    Refuse(Refusal),
 }
 
 async fn attempt(
@@ -230,20 +240,20 @@
     target: Arc<Target>,
     avoid: &mut Vec<TargetId>,
 ) -> Attempt {
-    let mut place = Assignment::new(front, live(call, &target));
+    let mut assignment = Assignment::new(front, new_handle(call, &target));
     if let Reservation::Rejected { after } = wait_for_rate(front, call, &target.id).await {
-        // Nothing was sent, so that no budget of repeats is drawn on.
+        // Nothing was sent, so this does not count against the retry budget.
         avoid.push(Arc::clone(&target.id));
-        place.give_up().await;
-        if avoid.len() < NOT_RUN_MOST {
-            return Attempt::Again;
+        assignment.release().await;
+        if avoid.len() < MAX_NOT_RUN {
+            return Attempt::Retry;
         }
-        return Attempt::GiveUp(Refusal::not_run("engines in need take no more", after));
+        return Attempt::Refuse(Refusal::not_run("engines in need take no more", after));
     }
     let sending = u32::try_from(avoid.len() + 1).unwrap_or(u32::MAX);
     if !front.take_cold_permit(&call.service, &target) {
         avoid.push(Arc::clone(&target.id));
-        return again_or("every engine is cold", place, call, avoid).await;
+        return retry_or_refuse("every engine is cold", assignment, call, avoid).await;
     }
     emit(&Event::RequestSent {
         id: Arc::clone(&call.request.id),
@@ -255,9 +265,14 @@
     });
     front.metrics.observe_held(call.elapsed());
     let sending = send(front, call, &target, None, call.time_left());
-    match future::or(sending, until_gone(front, call, &place.live)).await {
+    match future::or(
+        sending,
+        wait_until_gone(front, call, &assignment.generation),
+    )
+    .await
+    {
         SendOutcome::Response { head, body, .. } if head.status.is_success() => {
-            Attempt::Answer(stream(front, call, place, &head, body))
+            Attempt::Answer(stream(front, call, assignment, &head, body))
         }
         SendOutcome::Response { head, body, .. } => {
             match buffer_response(front, &head, body, call.time_left()).await {
@@ -266,52 +281,59 @@
                     aggregation::served(front, &call.fingerprint);
                     Attempt::Answer(resp)
                 }
-                Err(reason) => Attempt::GiveUp(Refusal::unknown(reason)),
+                Err(reason) => Attempt::Refuse(Refusal::unknown(reason)),
             }
         }
         SendOutcome::NotRun { reason } => {
-            place.doubt = true;
+            assignment.target_failed = true;
             avoid.push(Arc::clone(&target.id));
-            again_or(&reason, place, call, avoid).await
+            retry_or_refuse(&reason, assignment, call, avoid).await
         }
-        SendOutcome::Rejected { .. } => Attempt::GiveUp(Refusal::quarantined()),
-        SendOutcome::Unknown {
-            reason,
-            timed_out: late,
-        } => {
-            place.doubt = !late;
-            let refusal = if late {
+        SendOutcome::Rejected { .. } => Attempt::Refuse(Refusal::quarantined()),
+        SendOutcome::Unknown { reason, timed_out } => {
+            assignment.target_failed = !timed_out;
+            let refusal = if timed_out {
                 Refusal::late
             } else {
                 Refusal::unknown
             };
-            Attempt::GiveUp(refusal(reason))
+            Attempt::Refuse(refusal(reason))
         }
     }
 }
 
-/// Waits for a slot of the rate that an engine in need has named.
+/// Waits for a reservation under the rate limit of an engine, if it has announced one.
 async fn wait_for_rate(front: &Arc<Front>, call: &Call, target: &TargetId) -> Reservation {
-    let patience = call.objective_left().mul_f64(SLOT_PART);
-    let reservation = target_rates::reserve(front, target, patience).await;
+    let timeout = call.objective_left().mul_f64(RATE_WAIT_FRACTION);
+    let reservation = target_rates::reserve(front, target, timeout).await;
     if let Reservation::Granted { after } = reservation {
         smol::Timer::after(after).await;
     }
     reservation
 }
 
-/// Waits until an engine that owes the first event is known to be gone. Its caller would wait for
-/// seconds otherwise, and learn no more.
-async fn until_gone(front: &Arc<Front>, call: &Call, live: &GenerationHandle) -> SendOutcome {
+/// Waits until an engine that still owes the first event is found to be gone. Without this check
+/// the caller would wait for its whole timeout.
+async fn wait_until_gone(
+    front: &Arc<Front>,
+    call: &Call,
+    generation: &GenerationHandle,
+) -> SendOutcome {
     if !front.cfg.decisions.features.idle_detection {
         return future::pending().await;
     }
-    let mut silence = IdleMonitor::new(boot_time() + call.objective_left());
+    let mut monitor = IdleMonitor::new(boot_time() + call.objective_left());
     loop {
-        smol::Timer::after(silence.ask_at().saturating_sub(boot_time())).await;
-        if diagnose(front, live, &mut silence).await == Diagnosis::EngineGone {
+        smol::Timer::after(monitor.next_report_at().saturating_sub(boot_time())).await;
+        if diagnose(front, generation, &mut monitor).await == Diagnosis::EngineGone {
             let sent = call.arrived;
-            crash_detection::ended_under(front, call, &live.target(), sent, live.events_received());
+            crash_detection::ended_under(
+                front,
+                call,
+                &generation.target(),
+                sent,
+                generation.events_received(),
+            );
             return SendOutcome::Unknown {
                 reason: "its engine is silent and not listed any more".into(),
                 timed_out: false,
@@ -320,28 +342,33 @@
     }
 }
 
-/// Tries again where that is allowed; it has not run yet.
-async fn again_or(reason: &str, place: Assignment, call: &Call, avoid: &[TargetId]) -> Attempt {
-    let front = Arc::clone(&place.front);
+/// Retries a call that has not run, or refuses it if the retry budget is used up.
+async fn retry_or_refuse(
+    reason: &str,
+    assignment: Assignment,
+    call: &Call,
+    avoid: &[TargetId],
+) -> Attempt {
+    let front = Arc::clone(&assignment.front);
     let service = &call.service.name;
     let instances = front.instance_count();
     let granted = front.cfg.decisions.features.retries
-        && avoid.len() < NOT_RUN_MOST
+        && avoid.len() < MAX_NOT_RUN
         && front
             .retry_budget
             .lock()
             .try_take(boot_time(), service, instances);
     if !granted {
-        return Attempt::GiveUp(Refusal::not_run(reason, NO_TARGET_RETRY));
+        return Attempt::Refuse(Refusal::not_run(reason, NO_TARGET_RETRY));
     }
     front.metrics.retries.inc();
-    place.give_up().await;
-    Attempt::Again
+    assignment.release().await;
+    Attempt::Retry
 }
 
-fn live(call: &Call, target: &Arc<Target>) -> GenerationHandle {
-    let sizes = call.request.sizes.unwrap_or(UNKNOWN_SIZES);
-    let per_event = call
+fn new_handle(call: &Call, target: &Arc<Target>) -> GenerationHandle {
+    let sizes = call.request.sizes.unwrap_or(DEFAULT_SIZES);
+    let tokens_per_event = call
         .service
         .engine
         .as_ref()
@@ -349,18 +376,18 @@
     let run = Arc::clone(&call.request.id);
     let service = Arc::clone(&call.service.name);
     GenerationHandle::new(run, service, Arc::clone(target))
-        .with_sizes(sizes, per_event)
+        .with_sizes(sizes, tokens_per_event)
         .with_route(Arc::clone(&call.route.name), call.priority)
 }
 
 fn stream(
     front: &Arc<Front>,
     call: &Call,
-    place: Assignment,
+    assignment: Assignment,
     head: &http::response::Parts,
     body: hyper::body::Incoming,
 ) -> Response<Body> {
-    let relay = Relay::new(Arc::clone(front), call.clone(), place, head, body);
+    let relay = Relay::new(Arc::clone(front), call.clone(), assignment, head, body);
     let mut resp = Response::new(fed(move |tx| relay.run(tx)));
     *resp.status_mut() = head.status;
     *resp.headers_mut() = front.adapter.forwarded_headers(head);
--- a/components/front/src/generations/evacuation.rs
+++ b/components/front/src/generations/evacuation.rs
@@ -1,4 +1,4 @@
-//! Moves generations off an engine that leaves, one after the other.
+//! Migrates generations off an engine that is leaving, one after the other.
 
 use std::{collections::HashSet, sync::Arc, time::Duration};
 
@@ -13,50 +13,50 @@
     state::Front,
 };
 
-/// How long an engine that leaves is watched. It is gone some two seconds after its notice.
-const WATCH: Duration = Duration::from_millis(3_000);
-/// Pause before the account is looked at again where nothing can be moved just now.
-const LOOK_AGAIN: Duration = Duration::from_millis(15);
-/// Pause before the account is looked at again where it has nothing on the engine: an entry may
-/// tell of a generation there only now.
-const NOTHING_THERE: Duration = Duration::from_millis(60);
-/// Time for an entry to carry one generation over.
-const CARRY_PATIENCE: Duration = Duration::from_millis(3_500);
+/// How long a leaving engine is evacuated. It is gone about two seconds after its notice.
+const EVACUATION_TIME: Duration = Duration::from_millis(3_000);
+/// Pause before the next attempt if no generation can be migrated at the moment.
+const RETRY_PAUSE: Duration = Duration::from_millis(15);
+/// Pause before the next attempt if the account shows no generation on the engine: an entry may
+/// report one later.
+const EMPTY_PAUSE: Duration = Duration::from_millis(60);
+/// Time for an entry to migrate one generation.
+const MIGRATION_TIMEOUT: Duration = Duration::from_millis(3_500);
+/// Time for the owner to accept the notification of a leaving engine.
+const NOTIFY_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time for the owner to take word of a leaving engine.
-const TELL_PATIENCE: Duration = Duration::from_millis(300);
-
-/// Moves off an engine what this instance has in its account there.
+/// Migrates the generations in this instance's account off an engine.
 pub async fn evacuate(front: Arc<Front>, source: Arc<Target>) {
     if !front.cfg.decisions.features.migration {
         return;
     }
-    let until = boot_time() + WATCH;
-    let mut unfit: HashSet<(GenerationId, Option<TargetId>)> = HashSet::new();
+    let until = boot_time() + EVACUATION_TIME;
+    let mut excluded: HashSet<(GenerationId, Option<TargetId>)> = HashSet::new();
     let shard = front.shard_of(&source.service, &source.id);
     while boot_time() < until {
-        // On most instances nothing of the account runs there, and hundreds of engines may leave.
+        // On most instances the account shows nothing on this engine, and hundreds of engines may
+        // leave at once, so this check comes before the expensive ones.
         if !front.placement.owner.lock().has_generations_on(&source.id) {
-            smol::Timer::after(NOTHING_THERE).await;
+            smol::Timer::after(EMPTY_PAUSE).await;
             continue;
         }
         let engines = front.engines_of(&shard);
-        let is_unfit = |run: &GenerationId, to: &TargetId| {
-            unfit.contains(&(Arc::clone(run), None))
-                || unfit.contains(&(Arc::clone(run), Some(Arc::clone(to))))
+        let is_excluded = |run: &GenerationId, to: &TargetId| {
+            excluded.contains(&(Arc::clone(run), None))
+                || excluded.contains(&(Arc::clone(run), Some(Arc::clone(to))))
         };
         let next = front.placement.owner.lock().next_migration(
             boot_time(),
             &source.id,
             &source.data_centre,
             &engines,
-            &is_unfit,
+            &is_excluded,
         );
         let Some(order) = next else {
-            smol::Timer::after(LOOK_AGAIN).await;
+            smol::Timer::after(RETRY_PAUSE).await;
             continue;
         };
-        let outcome = send(&front, &order).await;
+        let outcome = send_order(&front, &order).await;
         front
             .placement
             .owner
@@ -65,22 +65,22 @@
         match outcome {
             MigrationOutcome::Done => {}
             MigrationOutcome::NoRoom => {
-                unfit.insert((order.generation, Some(order.to)));
+                excluded.insert((order.generation, Some(order.to)));
             }
             MigrationOutcome::Nothing | MigrationOutcome::Lost => {
-                unfit.insert((order.generation, None));
+                excluded.insert((order.generation, None));
             }
         }
     }
     front.placement.owner.lock().remove_engine(&source.id);
 }
 
-/// Tells the owner that an engine leaves on which generations of this instance run. The owner may
-/// follow the store through a reader that has just died, and hear of it a second later: too late
-/// to move much.
+/// Notifies the owner that an engine is leaving on which this instance has generations. The owner
+/// may follow the store through a reader that has just crashed, and would then learn of it a second
+/// later: too late to migrate much.
 pub async fn notify_owner(front: Arc<Front>, target: Arc<Target>) {
-    let running = front.generations.snapshots();
-    if !running.iter().any(|run| run.target == target.id) {
+    let active = front.generations.snapshots();
+    if !active.iter().any(|run| run.target == target.id) {
         return;
     }
     let shard = front.shard_of(&target.service, &target.id);
@@ -89,12 +89,12 @@
         return;
     };
     let message = Message::Leaving(Arc::clone(&target.id));
-    // An answer says nothing beyond that it was taken; other entries tell the owner as well.
-    let _ = front.peers.call(&owner, &message, TELL_PATIENCE).await;
+    // The reply carries no information, and other entries notify the owner as well.
+    let _ = front.peers.call(&owner, &message, NOTIFY_TIMEOUT).await;
 }
 
-/// Gives the order to the entry that holds the generation.
-async fn send(front: &Arc<Front>, order: &Migration) -> MigrationOutcome {
+/// Sends the migration order to the entry that relays the generation.
+async fn send_order(front: &Arc<Front>, order: &Migration) -> MigrationOutcome {
     let Some(entry) = front.placement.entry_of(&order.generation) else {
         return MigrationOutcome::Nothing;
     };
@@ -102,7 +102,7 @@
         return migrate(front, order).await;
     }
     let message = Message::Carry(order.clone());
-    match front.peers.call(&entry, &message, CARRY_PATIENCE).await {
+    match front.peers.call(&entry, &message, MIGRATION_TIMEOUT).await {
         Some(Reply::Carried(outcome)) => outcome,
         _ => MigrationOutcome::Lost,
     }
--- a/components/front/src/generations/idle.rs
+++ b/components/front/src/generations/idle.rs
@@ -1,10 +1,11 @@
-//! Judges a generation whose stream has fallen silent.
+//! Finds out why no events of a generation arrive.
 //!
-//! Three things look the same to the caller: an engine that is slow or reads a prompt anew, one
-//! that is dead, and a connection that has gone silent while its engine goes on. The first must be
-//! waited for, the second never answers, and the third can be saved from the engine's memory. An
-//! engine that does not answer proves nothing, for it may be our own link; so a generation is only
-//! given up once the engine's listing is gone as well.
+//! Three cases look the same from the stream alone: the engine is slow or prefills a prompt again,
+//! the engine has crashed, or the connection is dead while the engine continues. In the first case
+//! the relay must wait; in the second no event will ever come; in the third the generation can be
+//! recovered from the engine's memory. An engine that does not answer proves nothing, because the
+//! link of this instance may be down. So a generation is given up only if its engine is no longer
+//! listed either.
 
 use std::time::Duration;
 
@@ -13,107 +14,109 @@
 
 use crate::{adapters::EngineReport, generations::active::GenerationHandle, state::Front};
 
-/// IdleMonitor after which the engine is asked: five times the longest pause that callers' sheets
-/// allow, 180 ms. Events come every 36 ms as a rule.
+/// Time without events after which the engine is asked for a report: five times the longest gap
+/// between events that callers accept, 180 ms. Events usually arrive every 36 ms.
 pub const IDLE_TIMEOUT: Duration = Duration::from_millis(900);
-/// Time between two questions about one stream.
-const ASK_EVERY: Duration = Duration::from_millis(900);
-/// Time for an engine to say what it holds; it answers at once, within milliseconds.
-pub const REPORT_PATIENCE: Duration = Duration::from_millis(250);
-/// Findings in a row that must be the same before anything is done: a report may be half a second
-/// old, and a question may be lost.
-const AGREE: u32 = 2;
+/// Time between two requests for a report while a stream stays idle.
+const REPORT_PERIOD: Duration = Duration::from_millis(900);
+/// Time for an engine to answer with its report; it normally takes a few milliseconds.
+pub const REPORT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Consecutive observations that must agree before anything is done. A report may be half a second
+/// old, and a request for one may be lost.
+const CONFIRMATIONS: u32 = 2;
 
-/// What to do about a silent stream.
+/// Why a stream is idle, as far as is known.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Diagnosis {
-    /// Wait on.
+    /// Not known yet, or the engine is slow: keep waiting.
     Wait,
-    /// The engine goes on, and its events don't arrive: take the generation elsewhere.
+    /// The engine continues, but its events don't arrive: resume the generation elsewhere.
     ConnectionLost,
-    /// The engine is gone.
+    /// The engine has crashed.
     EngineGone,
 }
 
-/// What is known of the engine of a silent stream.
+/// One observation of the engine of an idle stream.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation<'a> {
-    /// Whether it is still listed.
+    /// Whether the engine is still listed.
     pub listed: bool,
-    /// What it said, if it answered.
+    /// The engine's report, if it answered.
     pub report: Option<&'a EngineReport>,
-    /// Events that have arrived from all engines of this generation.
-    pub heard: u64,
+    /// Events of the generation that have been received, from all engines.
+    pub events_received: u64,
 }
 
-/// One stream's silence.
+/// Idle state of one stream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct IdleMonitor {
-    since: Moment,
-    asked: Option<Moment>,
-    /// Reports in a row that told of events which have not arrived.
-    ahead: u32,
-    /// Questions in a row that an engine which is not listed left without an answer.
+    /// When the last bytes arrived.
+    idle_since: Moment,
+    requested_at: Option<Moment>,
+    /// Consecutive reports with more events than have been received.
+    reports_ahead: u32,
+    /// Consecutive requests that an engine which is not listed did not answer.
     unanswered: u32,
 }
 
 impl IdleMonitor {
-    /// Begins to listen.
+    /// Creates the state of a stream whose idle time begins at `now`.
     #[must_use]
     pub const fn new(now: Moment) -> Self {
         Self {
-            since: now,
-            asked: None,
-            ahead: 0,
+            idle_since: now,
+            requested_at: None,
+            reports_ahead: 0,
             unanswered: 0,
         }
     }
 
-    /// Notes that something arrived.
-    pub const fn heard(&mut self, now: Moment) {
+    /// Resets the state because bytes have arrived.
+    pub const fn reset(&mut self, now: Moment) {
         *self = Self::new(now);
     }
 
-    /// When the engine is to be asked next.
+    /// When the engine is to be asked for its next report.
     #[must_use]
-    pub fn ask_at(&self) -> Moment {
-        self.asked
-            .map_or(self.since + IDLE_TIMEOUT, |at| at + ASK_EVERY)
+    pub fn next_report_at(&self) -> Moment {
+        self.requested_at
+            .map_or(self.idle_since + IDLE_TIMEOUT, |at| at + REPORT_PERIOD)
     }
 
-    /// Judges what was found out about the engine of `run`.
-    pub fn judge(&mut self, now: Moment, run: &str, evidence: &Observation<'_>) -> Diagnosis {
-        self.asked = Some(now);
-        let made = evidence
+    /// Adds an observation of the engine of a generation, and returns the diagnosis.
+    pub fn observe(&mut self, now: Moment, id: &str, observation: &Observation<'_>) -> Diagnosis {
+        self.requested_at = Some(now);
+        let reported = observation
             .report
-            .and_then(|report| report.generations.iter().find(|it| *it.generation == *run));
-        // A report is older than what arrived after it; more events in it can't be on their way.
-        let ahead = made.is_some_and(|it| it.events > evidence.heard);
-        let dead = evidence.report.is_none() && !evidence.listed;
-        self.ahead = if ahead { self.ahead + 1 } else { 0 };
-        self.unanswered = if dead { self.unanswered + 1 } else { 0 };
-        if self.ahead >= AGREE {
+            .and_then(|report| report.generations.iter().find(|it| *it.generation == *id));
+        // A report is older than what has been received since it was requested, so events that it
+        // counts beyond that are lost and not merely delayed.
+        let ahead = reported.is_some_and(|it| it.events > observation.events_received);
+        let gone = observation.report.is_none() && !observation.listed;
+        self.reports_ahead = if ahead { self.reports_ahead + 1 } else { 0 };
+        self.unanswered = if gone { self.unanswered + 1 } else { 0 };
+        if self.reports_ahead >= CONFIRMATIONS {
             return Diagnosis::ConnectionLost;
         }
-        if self.unanswered >= AGREE {
+        if self.unanswered >= CONFIRMATIONS {
             return Diagnosis::EngineGone;
         }
         Diagnosis::Wait
     }
 }
 
-/// Finds out about the engine of a silent generation, and judges.
+/// Requests a report from the engine of an idle stream, and returns the diagnosis.
 pub async fn diagnose(
     front: &Front,
-    live: &GenerationHandle,
-    silence: &mut IdleMonitor,
+    generation: &GenerationHandle,
+    monitor: &mut IdleMonitor,
 ) -> Diagnosis {
-    let target = live.target();
-    let report = front.engines.report(target.addr, REPORT_PATIENCE).await;
-    let evidence = Observation {
+    let target = generation.target();
+    let report = front.engines.report(target.addr, REPORT_TIMEOUT).await;
+    let observation = Observation {
         listed: front.view.target(&target.id).is_some(),
         report: report.as_ref().ok(),
-        heard: live.events_received(),
+        events_received: generation.events_received(),
     };
-    silence.judge(boot_time(), &live.run, &evidence)
+    monitor.observe(boot_time(), &generation.id, &observation)
 }
--- a/components/front/src/generations/migration.rs
+++ b/components/front/src/generations/migration.rs
@@ -1,4 +1,4 @@
-//! Carries one generation over to another engine, on its owner's order.
+//! Migrates one generation to another engine, as ordered by the owner of its engine.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,21 +17,22 @@
     state::Front,
 };
 
-/// Time for the first copy. One of 6,000 tokens takes 0.33 s on a free link, twice that between
-/// data centres; an engine that leaves is gone in two seconds.
-const COPY_PATIENCE: Duration = Duration::from_millis(1_800);
-/// Time for the final copy, which holds what came since the first one began: a few dozen tokens.
-const LAST_PATIENCE: Duration = Duration::from_millis(700);
-/// Time for the generation to go on at the other engine.
-const SPLICE_PATIENCE: Duration = Duration::from_millis(1_600);
+/// Time for the first copy. A copy of 6,000 tokens takes 0.33 s on a free link and twice that
+/// between data centres; an engine that leaves is gone after two seconds.
+const COPY_TIMEOUT: Duration = Duration::from_millis(1_800);
+/// Time for the final copy. It holds only the tokens generated since the first copy began, a few
+/// dozen.
+const FINAL_COPY_TIMEOUT: Duration = Duration::from_millis(700);
+/// Time for the generation to be resumed at the other engine.
+const RESUME_TIMEOUT: Duration = Duration::from_millis(1_600);
 
-/// Why a generation was not carried over.
-struct Failure {
+/// Why a generation was not migrated.
+struct MigrationError {
     outcome: MigrationOutcome,
     reason: Arc<str>,
 }
 
-impl Failure {
+impl MigrationError {
     fn new(outcome: MigrationOutcome, reason: impl Into<Arc<str>>) -> Self {
         Self {
             outcome,
@@ -40,51 +41,59 @@
     }
 }
 
-/// Carries a generation over. It is done once the final copy is there: the engine's link is free
-/// for the next generation then, while this one goes on at its new engine.
+/// Migrates a generation. Returns as soon as the final copy is complete: the source's link is then
+/// free for the next generation, while this one is resumed in the background.
 pub async fn migrate(front: &Arc<Front>, order: &Migration) -> MigrationOutcome {
-    let Some(live) = front.generations.get(&order.generation) else {
+    let Some(generation) = front.generations.get(&order.generation) else {
         return MigrationOutcome::Nothing;
     };
-    let source = live.target();
-    if source.id != order.from || !live.begin_migration() {
+    let source = generation.target();
+    if source.id != order.from || !generation.begin_migration() {
         return MigrationOutcome::Nothing;
     }
-    match copy(front, &live, &source, order).await {
-        Ok(splice) => {
+    match copy(front, &generation, &source, order).await {
+        Ok(stopped_generation) => {
             let (front, order) = (Arc::clone(front), order.clone());
-            workers::spawn(async move { finish(&front, &live, &order, splice).await }).detach();
+            workers::spawn(async move {
+                resume_and_log(&front, &generation, &order, stopped_generation).await
+            })
+            .detach();
             MigrationOutcome::Done
         }
         Err(failure) => {
-            live.end_migration();
-            // Fails only where the relay has ended.
-            let _ = live.send_command(RelayCommand::MigrationCancelled);
-            failed(front, order, failure)
+            generation.end_migration();
+            // Fails only if the relay has ended.
+            let _ = generation.send_command(RelayCommand::MigrationCancelled);
+            record_failure(front, order, failure)
         }
     }
 }
 
-/// Lets the generation go on, and logs how that went.
-async fn finish(front: &Front, live: &GenerationHandle, order: &Migration, splice: Splice) {
-    let (from, stopped) = (splice.from, splice.stopped);
-    let result = go_on(live, splice).await;
-    live.end_migration();
+/// Resumes the generation, and logs and counts the outcome.
+async fn resume_and_log(
+    front: &Front,
+    generation: &GenerationHandle,
+    order: &Migration,
+    stopped_generation: StoppedGeneration,
+) {
+    let (copy_started, stopped) = (stopped_generation.copy_started, stopped_generation.stopped);
+    let result = resume_at_target(generation, stopped_generation).await;
+    generation.end_migration();
     if let Err(failure) = result {
-        failed(front, order, failure);
+        record_failure(front, order, failure);
         return;
     }
     emit(&Event::GenerationCarried {
         id: Arc::clone(&order.generation),
         from: Arc::clone(&order.from),
         to: Arc::clone(&order.to),
-        copy_ms: millis(stopped.saturating_sub(from)),
+        copy_ms: millis(stopped.saturating_sub(copy_started)),
         pause_ms: millis(boot_time().saturating_sub(stopped)),
     });
     count(front, MigrationOutcome::Done);
 }
 
-fn failed(front: &Front, order: &Migration, failure: Failure) -> MigrationOutcome {
+fn record_failure(front: &Front, order: &Migration, failure: MigrationError) -> MigrationOutcome {
     emit(&Event::CarryFailed {
         id: Arc::clone(&order.generation),
         from: Arc::clone(&order.from),
@@ -102,77 +111,79 @@
         MigrationOutcome::Nothing => "nothing",
         MigrationOutcome::Lost => "lost",
     };
-    let ending = MigrationLabels { outcome };
-    front.metrics.migrations.get_or_create(&ending).inc();
+    let labels = MigrationLabels { outcome };
+    front.metrics.migrations.get_or_create(&labels).inc();
 }
 
-/// A generation that has stopped, and where it goes on.
-struct Splice {
+/// A generation that was stopped for a migration, and where it is to be resumed.
+struct StoppedGeneration {
     target: Arc<Target>,
     resume: Resume,
     /// When the first copy began.
-    from: Moment,
-    /// When the engine was told to stop.
+    copy_started: Moment,
+    /// When the engine was told to stop the generation.
     stopped: Moment,
 }
 
-/// Copies a generation's memory and stops it.
+/// Copies the KV cache of a generation, stops the generation, and copies what was added since.
 async fn copy(
     front: &Front,
-    live: &GenerationHandle,
+    generation: &GenerationHandle,
     source: &Arc<Target>,
     order: &Migration,
-) -> Result<Splice, Failure> {
-    let from = boot_time();
-    let to = front
-        .view
-        .target(&order.to)
-        .ok_or_else(|| Failure::new(MigrationOutcome::NoRoom, "the destination is not listed"))?;
+) -> Result<StoppedGeneration, MigrationError> {
+    let copy_started = boot_time();
+    let to = front.view.target(&order.to).ok_or_else(|| {
+        MigrationError::new(MigrationOutcome::NoRoom, "the destination is not listed")
+    })?;
     let first = KvCopyRequest {
         generation: &order.generation,
         from: source.addr,
         to: to.addr,
         is_final: false,
-        timeout: COPY_PATIENCE,
+        timeout: COPY_TIMEOUT,
     };
-    let copy = whole(front.engines.copy_kv(&first).await)?;
-    live.store_copy(Arc::clone(&to), resume(source, copy));
+    let copy = complete_copy(front.engines.copy_kv(&first).await)?;
+    generation.store_copy(Arc::clone(&to), resume_from(source, copy));
     let stopped = boot_time();
-    if !live.send_command(RelayCommand::MigrationStarted) {
-        return Err(Failure::new(MigrationOutcome::Nothing, "it has ended"));
+    if !generation.send_command(RelayCommand::MigrationStarted) {
+        return Err(MigrationError::new(
+            MigrationOutcome::Nothing,
+            "the generation has ended",
+        ));
     }
-    let last = KvCopyRequest {
+    let final_copy = KvCopyRequest {
         is_final: true,
-        timeout: LAST_PATIENCE,
+        timeout: FINAL_COPY_TIMEOUT,
         ..first
     };
-    let splice = |target: &Arc<Target>, copy| Splice {
+    let stopped_generation = |target: &Arc<Target>, copy| StoppedGeneration {
         target: Arc::clone(target),
-        resume: resume(source, copy),
-        from,
+        resume: resume_from(source, copy),
+        copy_started,
         stopped,
     };
-    match front.engines.copy_kv(&last).await {
-        KvCopyOutcome::Complete { copy } => Ok(splice(&to, copy)),
+    match front.engines.copy_kv(&final_copy).await {
+        KvCopyOutcome::Complete { copy } => Ok(stopped_generation(&to, copy)),
         KvCopyOutcome::NoRoom { copy: Some(copy) } => {
-            // It has stopped, and can only go on where it was.
-            go_on(live, splice(source, copy)).await?;
-            Err(Failure::new(
+            // The generation has stopped, and can only be resumed at the source.
+            resume_at_target(generation, stopped_generation(source, copy)).await?;
+            Err(MigrationError::new(
                 MigrationOutcome::NoRoom,
                 "no room for the final copy",
             ))
         }
         other => {
             if matches!(other, KvCopyOutcome::Unknown { .. }) {
-                // Fails only where the relay has ended.
-                let _ = live.send_command(RelayCommand::MigrationUncertain);
+                // Fails only if the relay has ended.
+                let _ = generation.send_command(RelayCommand::MigrationUncertain);
             }
-            whole(other).map(|copy| splice(&to, copy))
+            complete_copy(other).map(|copy| stopped_generation(&to, copy))
         }
     }
 }
 
-fn resume(source: &Target, copy: Arc<str>) -> Resume {
+fn resume_from(source: &Target, copy: Arc<str>) -> Resume {
     Resume {
         source: source.addr,
         copy,
@@ -180,42 +191,51 @@
     }
 }
 
-/// The name of a whole copy.
-fn whole(copied: KvCopyOutcome) -> Result<Arc<str>, Failure> {
-    match copied {
+/// The name of a complete copy.
+fn complete_copy(outcome: KvCopyOutcome) -> Result<Arc<str>, MigrationError> {
+    match outcome {
         KvCopyOutcome::Complete { copy } => Ok(copy),
-        KvCopyOutcome::NoRoom { .. } => Err(Failure::new(
+        KvCopyOutcome::NoRoom { .. } => Err(MigrationError::new(
             MigrationOutcome::NoRoom,
             "no room for the copy",
         )),
-        KvCopyOutcome::NotRunning => Err(Failure::new(
+        KvCopyOutcome::NotRunning => Err(MigrationError::new(
             MigrationOutcome::Nothing,
-            "it does not run there",
+            "the generation does not run on the source",
         )),
-        KvCopyOutcome::Busy => Err(Failure::new(
+        KvCopyOutcome::Busy => Err(MigrationError::new(
             MigrationOutcome::Nothing,
-            "it is being copied already",
+            "another copy is in progress",
         )),
-        KvCopyOutcome::Unknown { reason } => Err(Failure::new(MigrationOutcome::Lost, reason)),
+        KvCopyOutcome::Unknown { reason } => {
+            Err(MigrationError::new(MigrationOutcome::Lost, reason))
+        }
     }
 }
 
-async fn go_on(live: &GenerationHandle, splice: Splice) -> Result<(), Failure> {
+/// Asks the relay to resume the generation, and waits until it has done so.
+async fn resume_at_target(
+    generation: &GenerationHandle,
+    stopped_generation: StoppedGeneration,
+) -> Result<(), MigrationError> {
     let (tx, rx) = bounded(1);
-    let order = RelayCommand::Resume {
-        target: splice.target,
-        resume: splice.resume,
+    let command = RelayCommand::Resume {
+        target: stopped_generation.target,
+        resume: stopped_generation.resume,
         done: tx,
     };
-    if !live.send_command(order) {
-        return Err(Failure::new(MigrationOutcome::Nothing, "it has ended"));
+    if !generation.send_command(command) {
+        return Err(MigrationError::new(
+            MigrationOutcome::Nothing,
+            "the generation has ended",
+        ));
     }
-    let done = Timer::new().within(SPLICE_PATIENCE, rx.recv()).await;
+    let done = Timer::new().within(RESUME_TIMEOUT, rx.recv()).await;
     match done {
         Some(Ok(true)) => Ok(()),
-        _ => Err(Failure::new(
+        _ => Err(MigrationError::new(
             MigrationOutcome::Lost,
-            "it does not go on from its copy",
+            "the generation was not resumed from its copy",
         )),
     }
 }
--- a/components/front/src/generations/mod.rs
+++ b/components/front/src/generations/mod.rs
@@ -1,4 +1,4 @@
-//! Generations: a place on an engine, the stream, and moves from engine to engine.
+//! Generations: assignment to an engine, relaying of the stream, and migration between engines.
 
 pub mod active;
 pub mod dispatch;
--- a/components/front/src/generations/placement.rs
+++ b/components/front/src/generations/placement.rs
@@ -1,4 +1,4 @@
-//! Engines for generations: asks the owner, or decides itself.
+//! Placement of generations: asks the owner of the shard, or decides locally.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,37 +15,39 @@
     state::Front,
 };
 
-/// Time for an owner to answer. It answers at once, within a millisecond or two between data
-/// centres; one that does not is stopped, cut off or drowned.
-const ASK_PATIENCE: Duration = Duration::from_millis(150);
-/// Time for a note to be taken.
-const NOTE_PATIENCE: Duration = Duration::from_millis(300);
-/// The least chance to end in time with which a generation is begun by an instance that stops.
-/// Half of the drafts are longer than a stop, and nearly all short ones end well within it.
-const FINISH_CHANCE: f64 = 0.9;
-/// Owners that are asked before an instance decides for itself.
-const OWNERS_ASKED: usize = 2;
-
-/// The account that this instance keeps: as owner for all, else for itself while no owner answers.
+/// Time for an owner to answer. It normally answers within a millisecond or two, also between data
+/// centres; one that does not is stopped, cut off or overloaded.
+const PLACE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Time for an owner to accept an update.
+const UPDATE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Minimum probability that a generation completes in time for it to be started by an instance that
+/// is stopping. Half of the drafts run longer than a shutdown takes, while nearly all short ones
+/// complete well within it.
+const MIN_COMPLETION_PROBABILITY: f64 = 0.9;
+/// Owners that are asked before an instance decides locally.
+const MAX_OWNERS_ASKED: usize = 2;
+
+/// This instance's account of engines. As an owner it keeps the account for all instances;
+/// otherwise it uses it for its own generations while no owner answers.
 #[derive(Debug)]
 pub struct Placement {
     /// The account.
     pub owner: Mutex<Owner>,
-    /// Parts of each service's engines.
-    counts: Mutex<ShardCounts>,
+    /// Number of shards of each service.
+    shard_counts: Mutex<ShardCounts>,
 }
 
 impl Placement {
-    /// Starts with an empty account.
+    /// Creates an empty account.
     #[must_use]
     pub fn new(tuning: Tuning) -> Self {
         Self {
             owner: Mutex::new(Owner::new(tuning)),
-            counts: Mutex::default(),
+            shard_counts: Mutex::default(),
         }
     }
 
-    /// The entry that holds a generation's caller.
+    /// The entry that relays a generation to its caller.
     #[must_use]
     pub fn entry_of(&self, run: &str) -> Option<InstanceId> {
         let owner = self.owner.lock();
@@ -54,20 +56,20 @@
 }
 
 impl Front {
-    /// Asks for an engine.
+    /// Requests an engine for a generation.
     pub async fn place(&self, ask: &PlacementRequest) -> PlacementAnswer {
-        let asked = if self.cfg.decisions.features.owner_placement {
-            OWNERS_ASKED
+        let max_asked = if self.cfg.decisions.features.owner_placement {
+            MAX_OWNERS_ASKED
         } else {
             0
         };
-        for owner in self.owners(&ask.shard).into_iter().take(asked) {
+        for owner in self.owners(&ask.shard).into_iter().take(max_asked) {
             if owner == self.cfg.instance {
                 break;
             }
             let message = Message::Ask(ask.clone());
             if let Some(Reply::Answer(answer)) =
-                self.peers.call(&owner, &message, ASK_PATIENCE).await
+                self.peers.call(&owner, &message, PLACE_TIMEOUT).await
             {
                 return answer;
             }
@@ -75,11 +77,11 @@
         self.place_locally(ask)
     }
 
-    /// Whether a generation would probably end before this instance does. One that is begun just
-    /// before a planned stop is cut in the middle, and its caller can't ask for it again; told at
-    /// once, the caller gets all of it elsewhere.
+    /// Whether a generation will probably complete before this instance stops. Otherwise it would
+    /// be cut in the middle, and the caller can't ask for the rest; refused at once, it gets a
+    /// complete answer from another instance.
     #[must_use]
-    pub fn can_finish(&self, ask: &PlacementRequest) -> bool {
+    pub fn can_complete(&self, ask: &PlacementRequest) -> bool {
         let Some(left) = self
             .shutdown
             .time_left()
@@ -91,10 +93,10 @@
             .owner
             .lock()
             .completion_probability(ask, left)
-            >= FINISH_CHANCE
+            >= MIN_COMPLETION_PROBABILITY
     }
 
-    /// Answers an ask from this instance's own account.
+    /// Answers a placement request from this instance's own account.
     #[must_use]
     pub fn place_locally(&self, ask: &PlacementRequest) -> PlacementAnswer {
         let engines = self.engines_of(&ask.shard);
@@ -104,21 +106,21 @@
             .place(boot_time(), ask, &engines)
     }
 
-    /// Parts into which a service's engines are divided.
+    /// Number of shards into which a service's engines are divided.
     #[must_use]
     pub fn shard_count(&self, service: &ServiceId) -> u32 {
         let engines = self.view.count_of(service);
-        let mut counts = self.placement.counts.lock();
+        let mut counts = self.placement.shard_counts.lock();
         counts.count_for(boot_time(), service, engines)
     }
 
-    /// The part that an engine belongs to.
+    /// The shard that an engine belongs to.
     #[must_use]
     pub fn shard_of(&self, service: &ServiceId, target: &str) -> Shard {
         Shard::of_target(Arc::clone(service), target, self.shard_count(service))
     }
 
-    /// Parts of the engines of all services that have some.
+    /// The shards of all services that have engines.
     pub fn shards_of_all(&self) -> impl Iterator<Item = Shard> + use<> {
         let rules = self.view.rules();
         let services = rules.iter().flat_map(|rules| rules.services());
@@ -130,13 +132,13 @@
         shards.collect::<Vec<Shard>>().into_iter()
     }
 
-    /// Instances in the order in which they own a part of a service's engines.
+    /// Instances in the order in which they own a shard.
     #[must_use]
     pub fn owners(&self, shard: &Shard) -> Vec<InstanceId> {
         self.peers.owners(&shard.to_string())
     }
 
-    /// Engines of a part that may get work.
+    /// Engines of a shard that accept work.
     #[must_use]
     pub fn engines_of(&self, shard: &Shard) -> Vec<Engine> {
         let rules = self.view.rules();
@@ -153,20 +155,21 @@
             memory: kind.memory,
             token_copy: kind.token_copy(),
         };
-        let mut inside = self.usable_targets(&service);
-        inside.retain(|target| shard.contains(&target.id));
-        // Those in need are passed over while there are others.
-        if inside.iter().any(|target| !self.is_limited(&target.id)) {
-            inside.retain(|target| !self.is_limited(&target.id));
+        let mut usable = self.usable_targets(&service);
+        usable.retain(|target| shard.contains(&target.id));
+        // Engines that have announced a rate limit are used only if there are no others.
+        if usable.iter().any(|target| !self.is_limited(&target.id)) {
+            usable.retain(|target| !self.is_limited(&target.id));
         }
-        inside.iter().map(engine).collect()
+        usable.iter().map(engine).collect()
     }
 
-    /// Tells the owner of an engine what happened to a generation there. The word may get lost; the
-    /// next sync makes up for it. What is returned is closed once the owner was told, or can't be.
+    /// Notifies the owner of an engine of what happened to a generation there. If the message is
+    /// lost, the next sync makes up for it. The returned channel is closed once the owner has been
+    /// notified or can't be.
     pub fn notify_owner(front: &Arc<Self>, shard: &Shard, note: GenerationUpdate) -> Receiver<()> {
-        let (told, done) = bounded(1);
-        // This instance may have decided for itself; its own account must forget it too.
+        let (pending, done) = bounded(1);
+        // This instance may have placed the generation itself, so its own account is updated too.
         front
             .placement
             .owner
@@ -177,17 +180,17 @@
             return done;
         };
         let front = Arc::clone(front);
-        let tell = async move {
-            front.tell(&owner, note).await;
-            drop(told);
+        let sending = async move {
+            front.send_update(&owner, note).await;
+            drop(pending);
         };
-        workers::spawn(tell).detach();
+        workers::spawn(sending).detach();
         done
     }
 
-    async fn tell(&self, owner: &InstanceId, note: GenerationUpdate) {
+    async fn send_update(&self, owner: &InstanceId, note: GenerationUpdate) {
         let message = Message::Notes(vec![note]);
-        // An answer says nothing beyond that it was taken.
-        let _ = self.peers.call(owner, &message, NOTE_PATIENCE).await;
+        // The reply carries no information.
+        let _ = self.peers.call(owner, &message, UPDATE_TIMEOUT).await;
     }
 }
--- a/components/front/src/generations/probing.rs
+++ b/components/front/src/generations/probing.rs
@@ -1,10 +1,10 @@
-//! Asks engines themselves whether they leave and what they hold, while nobody else tells.
+//! Asks engines directly for their state and load while all other sources are lost.
 //!
-//! An instance that reaches neither the store nor a peer still reaches its engines and callers.
-//! It would see an engine's leaving only when its streams break off, and take engines for empty
-//! that others have filled. Each question has a price, so engines are asked only while what is
-//! known of them is old, and only by the owner of their service: by one instance where the store
-//! is lost to all, by each where they can't hear one another.
+//! An instance that reaches neither the store nor a peer may still reach its engines and callers.
+//! It would otherwise notice a leaving engine only when its streams break, and would assume that
+//! engines are empty which other instances have filled. Every request to an engine has a cost, so
+//! engines are asked only while the known state is stale, and only by the owner of their shard: by
+//! one instance if all have lost the store, by each if they can't reach one another.
 
 use std::{
     collections::BTreeSet,
@@ -24,55 +24,55 @@
     store::follow,
 };
 
-/// Knowledge of the targets is old after this: two calls of a reader and the answer to a follower
-/// fit into it.
-const OLD: Duration = Duration::from_millis(2_300);
-/// Time between two rounds of questions. Engines leave 1.5 s after their notice at the earliest,
-/// and their reports may be half a second old.
+/// Age at which the known targets are stale: long enough for two reads by a reader and the reply to
+/// a follower.
+const STALE_AGE: Duration = Duration::from_millis(2_300);
+/// Time between two rounds. Engines leave 1.5 s after their notice at the earliest, and their
+/// reports may be half a second old.
 const PERIOD: Duration = Duration::from_millis(300);
-/// Rounds between two in which all engines are asked, and not those alone that run something for
-/// this instance. Where many instances are cut off at once, the questions to all are what costs.
-const ALL_EVERY: u32 = 4;
+/// Every n-th round asks all engines; the others ask only those that run something for this
+/// instance. If many instances are cut off at once, requests to all engines are the main cost.
+const FULL_ROUND_PERIOD: u32 = 4;
 /// Time for an engine to answer.
-const PATIENCE: Duration = Duration::from_millis(200);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Asks for as long as the instance runs.
+/// Runs for the lifetime of the instance.
 pub async fn watch(front: Arc<Front>) {
     let mut ticks = Timer::new().every(PERIOD);
     let mut round = 0_u32;
     loop {
         ticks.next().await;
-        if !is_blind(&front) {
+        if !has_lost_sources(&front) {
             continue;
         }
-        let mine: BTreeSet<TargetId> = front
+        let in_use: BTreeSet<TargetId> = front
             .generations
             .snapshots()
             .into_iter()
-            .map(|r| r.target)
+            .map(|generation| generation.target)
             .collect();
-        let all = round.is_multiple_of(ALL_EVERY);
+        let full_round = round.is_multiple_of(FULL_ROUND_PERIOD);
         round = round.wrapping_add(1);
-        for target in engines(&front) {
-            if !all && !mine.contains(&target.id) {
+        for target in owned_engines(&front) {
+            if !full_round && !in_use.contains(&target.id) {
                 continue;
             }
             let front = Arc::clone(&front);
-            workers::spawn(async move { ask(&front, target).await }).detach();
+            workers::spawn(async move { probe(&front, target).await }).detach();
         }
     }
 }
 
-/// Whether an engine's leaving would go unheard: nobody tells any more, or what was told is old. A
-/// store that refuses is known to be lost at once, and engines that leave in that moment are gone
-/// before knowledge of them counts as old.
-fn is_blind(front: &Front) -> bool {
+/// Whether this instance would not learn that an engine is leaving: its sources are lost, or what
+/// it knows is stale. A source that refuses is known to be lost at once, and engines that leave at
+/// that moment are gone before the known state counts as stale.
+fn has_lost_sources(front: &Front) -> bool {
     let read = front.view.targets_read().unwrap_or_default();
-    front.targets_lost.load(Ordering::Acquire) || elapsed_since(read) >= OLD
+    front.targets_lost.load(Ordering::Acquire) || elapsed_since(read) >= STALE_AGE
 }
 
-/// Engines whose account this instance owns, listed as taking work.
-fn engines(front: &Front) -> Vec<Arc<Target>> {
+/// Listed engines that accept work, in the shards that this instance owns.
+fn owned_engines(front: &Front) -> Vec<Arc<Target>> {
     let me = &front.cfg.instance;
     let owned = front
         .shards_of_all()
@@ -84,8 +84,9 @@
     owned.flat_map(of_shard).collect()
 }
 
-async fn ask(front: &Arc<Front>, target: Arc<Target>) {
-    let report = match front.engines.report(target.addr, PATIENCE).await {
+/// Requests an engine's report and applies it.
+async fn probe(front: &Arc<Front>, target: Arc<Target>) {
+    let report = match front.engines.report(target.addr, REPORT_TIMEOUT).await {
         Ok(report) => report,
         Err(reason) => {
             emit(&Event::EngineUnheard {
--- a/components/front/src/generations/recovery.rs
+++ b/components/front/src/generations/recovery.rs
@@ -1,7 +1,7 @@
-//! Takes a generation elsewhere whose stream was lost while its engine may still have its memory.
+//! Recovers a generation whose stream was lost while its engine may still hold its KV cache.
 //!
-//! A connection that is reset or falls silent says nothing about the engine. Without this the
-//! caller gets half an answer although the engine could hand the other half over.
+//! A connection that is reset or idle says nothing about the engine. Without recovery the caller
+//! would get an incomplete answer although the engine could still hand the generation over.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,83 +17,88 @@
     state::Front,
 };
 
-/// Time for the copy: 5,000 tokens of one generation take 0.3 s on a free link, and twice that
-/// between data centres.
-const COPY_PATIENCE: Duration = Duration::from_millis(1_200);
+/// Time for the copy: 5,000 tokens take 0.3 s on a free link, and twice that between data centres.
+const COPY_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Stops a generation at its engine and copies it to another one. Tells where it goes on.
+/// Stops a generation at its engine and copies its KV cache to another one. Returns the engine and
+/// the copy from which it can be resumed.
 ///
-/// # Errors
-/// Tells why it can't; it has ended, or stopped for good, or its engine does not answer.
+/// # Errors The reason why the generation can't be recovered: it has ended, its engine does not
+/// answer, or no copy could be made.
 pub async fn recover(
     front: &Arc<Front>,
     call: &Call,
-    live: &GenerationHandle,
+    generation: &GenerationHandle,
 ) -> Result<(Arc<Target>, Resume), Arc<str>> {
-    let source = live.target();
-    let from = boot_time();
-    let to = match destination(front, call, live, &source).await {
+    let source = generation.target();
+    let started = boot_time();
+    let to = match destination(front, call, generation, &source).await {
         Ok(to) => to,
-        // The engine itself can go on too, and tells under which name when a copy finds no room.
-        Err(why) => another(front, live, &source).ok_or(why)?,
+        // A copy is requested even without an engine that has room: the source then stops the
+        // generation and can resume it from its own memory.
+        Err(why) => any_other_engine(front, generation, &source).ok_or(why)?,
     };
-    let order = KvCopyRequest {
-        generation: &live.run,
+    let request = KvCopyRequest {
+        generation: &generation.id,
         from: source.addr,
         to: to.addr,
         is_final: true,
-        timeout: COPY_PATIENCE.min(call.time_left()),
+        timeout: COPY_TIMEOUT.min(call.time_left()),
     };
     let resume = |copy| Resume {
         source: source.addr,
         copy,
         after: None,
     };
-    match front.engines.copy_kv(&order).await {
+    match front.engines.copy_kv(&request).await {
         KvCopyOutcome::Complete { copy } => {
             emit(&Event::GenerationRescued {
-                id: Arc::clone(&live.run),
+                id: Arc::clone(&generation.id),
                 from: Arc::clone(&source.id),
                 to: Arc::clone(&to.id),
-                copy_ms: millis(boot_time().saturating_sub(from)),
+                copy_ms: millis(boot_time().saturating_sub(started)),
             });
             Ok((to, resume(copy)))
         }
-        // It has stopped, and can only go on where it was.
+        // The generation has stopped, and can only be resumed at the source.
         KvCopyOutcome::NoRoom { copy: Some(copy) } => Ok((Arc::clone(&source), resume(copy))),
-        KvCopyOutcome::NoRoom { copy: None } => Err("no room for its copy".into()),
-        KvCopyOutcome::NotRunning => Err("its engine has dropped it".into()),
-        KvCopyOutcome::Busy => Err("it is being copied already".into()),
+        KvCopyOutcome::NoRoom { copy: None } => Err("no room for the copy".into()),
+        KvCopyOutcome::NotRunning => Err("the engine no longer has the generation".into()),
+        KvCopyOutcome::Busy => Err("another copy is in progress".into()),
         KvCopyOutcome::Unknown { reason } => Err(reason),
     }
 }
 
-/// An engine that has room for what the generation holds.
+/// Requests an engine with room for the prompt and the tokens generated so far.
 async fn destination(
     front: &Arc<Front>,
     call: &Call,
-    live: &GenerationHandle,
+    generation: &GenerationHandle,
     source: &Target,
 ) -> Result<Arc<Target>, Arc<str>> {
     let shard = dispatch::first_shard(front, call);
     let mut ask = dispatch::ask(front, call, shard, &[Arc::clone(&source.id)]);
-    ask.prompt_tokens += live.tokens_generated();
-    // It is late already; any engine will do.
+    ask.prompt_tokens += generation.tokens_generated();
+    // The first event is already late, so any engine will do.
     ask.objective_left = call.time_left();
     match front.place(&ask).await {
         PlacementAnswer::Assigned { target } => front
             .view
             .target(&target)
-            .ok_or_else(|| "the engine that it should go to is not listed".into()),
+            .ok_or_else(|| "the assigned engine is not listed".into()),
         PlacementAnswer::Wait { .. } | PlacementAnswer::Rejected { .. } => {
-            Err("no engine has room for it".into())
+            Err("no engine has room for the generation".into())
         }
     }
 }
 
-/// Any other engine of the generation's service that takes work.
-fn another(front: &Front, live: &GenerationHandle, source: &Target) -> Option<Arc<Target>> {
-    let mut others = front.view.usable(&live.service);
+/// Any other engine of the generation's service that accepts work.
+fn any_other_engine(
+    front: &Front,
+    generation: &GenerationHandle,
+    source: &Target,
+) -> Option<Arc<Target>> {
+    let mut others = front.view.usable(&generation.service);
     others.retain(|target| target.id != source.id);
     fastrand::choice(others)
 }
--- a/components/front/src/generations/relay.rs
+++ b/components/front/src/generations/relay.rs
@@ -1,4 +1,7 @@
-//! Passes a generation's events on, across moves from engine to engine.
+//! Relays the event stream of one generation to its caller, across migrations between engines.
+//!
+//! The caller gets each event complete, once and in order. A stream that can't be continued ends
+//! with an error, so that it never looks complete to the caller.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,7 +26,7 @@
     generations::{
         active::RelayCommand,
         dispatch::Assignment,
-        idle::{Diagnosis, IdleMonitor, REPORT_PATIENCE, diagnose},
+        idle::{Diagnosis, IdleMonitor, REPORT_TIMEOUT, diagnose},
         recovery,
         splitter::EventSplitter,
     },
@@ -32,101 +35,103 @@
     state::Front,
 };
 
-/// Time for a stopped engine's last events to arrive and its stream to close.
-const LAST_EVENTS: Duration = Duration::from_millis(30);
-/// Time for the next word of a move after its stream has closed: a copy, and a little.
-const OUTCOME_PATIENCE: Duration = Duration::from_millis(1_500);
-/// Time for the next engine to answer. It admits what goes on first, at its next step; a caller
-/// has left long before this.
-const RESUME_PATIENCE: Duration = Duration::from_millis(1_500);
+/// Time for the last events of a stopped engine to arrive and for its stream to close.
+const LAST_EVENTS_TIMEOUT: Duration = Duration::from_millis(30);
+/// Time for the next command of a migration after the stream has closed: that of a copy and a
+/// margin.
+const MIGRATION_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Time for an engine to answer a resumed generation. Engines admit resumed generations first, in
+/// their next step; a caller would have given up long before this.
+const RESUME_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Where the events go.
+/// Channel to the body of the response to the caller.
 pub type EventSender = Sender<Result<Bytes, Cut>>;
 
-/// Passes one generation's events on.
+/// Relays one generation's event stream.
 pub struct Relay {
     front: Arc<Front>,
     call: Call,
-    place: Assignment,
+    assignment: Assignment,
     body: Incoming,
-    /// The stream's end is marked; else it ends with its connection.
+    /// Whether the stream marks its own end; otherwise it ends when its connection is closed.
     framed: bool,
-    split: EventSplitter,
-    /// The last event that was passed on.
-    last: Option<u64>,
-    /// The engine is stopping it for a move.
-    expecting: bool,
-    /// The engine may have stopped it for a move that came to nothing.
-    doubtful: bool,
-    /// How long nothing has come.
-    silence: IdleMonitor,
+    splitter: EventSplitter,
+    /// Id of the last event that was forwarded.
+    last_event: Option<u64>,
+    /// The engine is stopping the generation for a migration.
+    stopping: bool,
+    /// The engine may have stopped the generation for a migration that failed.
+    maybe_stopped: bool,
+    monitor: IdleMonitor,
 }
 
-/// What the engine's stream does next.
+/// What the relay reacts to next.
 enum Input {
     Bytes(Bytes),
     End,
-    Broken(Arc<str>),
-    RelayCommand(Option<RelayCommand>),
-    /// Nothing has come for a while.
-    Quiet,
-    Due,
+    Interrupted(Arc<str>),
+    Command(Option<RelayCommand>),
+    /// No bytes have arrived for the idle timeout.
+    Idle,
+    /// The deadline of the call has passed.
+    DeadlinePassed,
 }
 
-/// Why a generation does not go on at an engine.
-struct Failure {
+/// Why a generation was not resumed at an engine.
+struct ResumeError {
     reason: Arc<str>,
-    /// The engine certainly did not take it, so that its copy can still be used.
+    /// The engine certainly did not resume it, so that its copy can still be used.
     not_run: bool,
 }
 
-/// Why a stream can't be passed on any further.
+/// Why the relay ends.
 enum RelayEnd {
-    /// It is complete.
-    Whole,
-    /// The caller has gone.
-    Unread,
-    /// Something is missing.
+    /// The stream is complete.
+    Complete,
+    /// The caller has closed its connection.
+    CallerGone,
+    /// The stream can't be continued, for this reason.
     Cut(Arc<str>),
 }
 
 impl Relay {
-    /// A relay of a stream that has just begun.
+    /// Creates the relay of a stream that has just begun.
     #[must_use]
     pub fn new(
         front: Arc<Front>,
         call: Call,
-        place: Assignment,
+        assignment: Assignment,
         head: &Parts,
         body: Incoming,
     ) -> Self {
         Self {
             front,
             call,
-            place,
+            assignment,
             body,
             framed: is_framed(head),
-            split: EventSplitter::new(),
-            last: None,
-            expecting: false,
-            doubtful: false,
-            silence: IdleMonitor::new(boot_time()),
+            splitter: EventSplitter::new(),
+            last_event: None,
+            stopping: false,
+            maybe_stopped: false,
+            monitor: IdleMonitor::new(boot_time()),
         }
     }
 
-    /// Passes events on to the stream's end.
+    /// Forwards events until the stream ends; then records the outcome and logs it.
     pub async fn run(mut self, out: EventSender) {
         let front = Arc::clone(&self.front);
-        // Around all of it: whatever it waits for, a caller is told that its answer is not whole.
-        let outlived = async {
+        // Wraps the whole relay: whatever it waits for at a shutdown, the caller gets an error
+        // instead of a stream that seems complete.
+        let shutdown = async {
             front.shutdown.aborted().await;
-            RelayEnd::Cut("the instance stops before its end".into())
+            RelayEnd::Cut("the instance stops before the stream ends".into())
         };
-        let stop = future::or(self.pass_all(&out), outlived).await;
-        let target = self.place.live.target();
-        match stop {
-            RelayEnd::Whole => {
-                self.place.whole = true;
+        let end = future::or(self.forward_all(&out), shutdown).await;
+        let target = self.assignment.generation.target();
+        match end {
+            RelayEnd::Complete => {
+                self.assignment.completed = true;
                 aggregation::served(&self.front, &self.call.fingerprint);
                 self.front
                     .metrics
@@ -138,134 +143,142 @@
                     took_ms: millis(self.call.elapsed()),
                 });
             }
-            RelayEnd::Unread => {}
+            RelayEnd::CallerGone => {}
             RelayEnd::Cut(reason) => {
                 self.front.metrics.count_request(self.call.kind(), "cut");
                 emit(&Event::StreamCut {
                     id: Arc::clone(&self.call.request.id),
                     target: Arc::clone(&target.id),
                     reason,
-                    last_event: self.last.unwrap_or_default(),
+                    last_event: self.last_event.unwrap_or_default(),
                 });
-                // Fails only where the caller has gone.
+                // Fails only if the caller has closed its connection.
                 let _ = out.send(Err(Cut)).await;
             }
         }
     }
 
-    async fn pass_all(&mut self, out: &EventSender) -> RelayEnd {
+    async fn forward_all(&mut self, out: &EventSender) -> RelayEnd {
         loop {
-            let stop = match self.step().await {
-                Input::Bytes(bytes) => self.pass(&bytes, out).await.err(),
-                Input::End => self.ended(out).await,
-                Input::Broken(reason) => self.broken(reason, out).await,
-                Input::RelayCommand(order) => self.obey(order, out).await,
-                Input::Quiet => self.quiet().await,
-                Input::Due => Some(RelayEnd::Cut(
-                    "the time that the route allows is over".into(),
-                )),
+            let end = match self.next_input().await {
+                Input::Bytes(bytes) => self.forward(&bytes, out).await.err(),
+                Input::End => self.handle_end(out).await,
+                Input::Interrupted(reason) => self.handle_interruption(reason, out).await,
+                Input::Command(command) => self.handle_command(command, out).await,
+                Input::Idle => self.handle_idle().await,
+                Input::DeadlinePassed => Some(RelayEnd::Cut("the deadline has passed".into())),
             };
-            if let Some(stop) = stop {
-                return stop;
+            if let Some(end) = end {
+                return end;
             }
         }
     }
 
-    /// Waits for the next thing to happen.
-    async fn step(&mut self) -> Input {
+    /// Waits for the next input.
+    async fn next_input(&mut self) -> Input {
         let left = self.call.time_left();
-        let quiet = if self.front.cfg.decisions.features.idle_detection {
-            self.silence.ask_at().saturating_sub(boot_time())
+        let idle = if self.front.cfg.decisions.features.idle_detection {
+            self.monitor.next_report_at().saturating_sub(boot_time())
         } else {
             left
         };
-        let late = if quiet < left {
-            Input::Quiet
+        let timed_out = if idle < left {
+            Input::Idle
         } else {
-            Input::Due
+            Input::DeadlinePassed
         };
-        let live = Arc::clone(&self.place.live);
+        let generation = Arc::clone(&self.assignment.generation);
         let frame = next_bytes(&mut self.body);
-        let order = async { Input::RelayCommand(live.next_command().await) };
-        // The order first: a stream's end that a move causes is no failure once that is known.
+        let command = async { Input::Command(generation.next_command().await) };
+        // Commands take precedence: the end of a stream that a migration causes is then already
+        // known to be no error.
         Timer::new()
-            .within(left.min(quiet), future::or(order, frame))
+            .within(left.min(idle), future::or(command, frame))
             .await
-            .unwrap_or(late)
+            .unwrap_or(timed_out)
     }
 
-    /// Nothing has come for a while: finds out why, and what can be done.
-    async fn quiet(&mut self) -> Option<RelayEnd> {
-        let live = Arc::clone(&self.place.live);
-        match diagnose(&self.front, &live, &mut self.silence).await {
+    /// Handles an idle stream: finds out why no events arrive, and recovers the stream if possible.
+    async fn handle_idle(&mut self) -> Option<RelayEnd> {
+        let generation = Arc::clone(&self.assignment.generation);
+        match diagnose(&self.front, &generation, &mut self.monitor).await {
             Diagnosis::Wait => None,
             Diagnosis::EngineGone => {
-                self.place.doubt = true;
+                self.assignment.target_failed = true;
                 let sent = self.call.arrived;
                 crash_detection::ended_under(
                     &self.front,
                     &self.call,
-                    &live.target(),
+                    &generation.target(),
                     sent,
-                    live.events_received(),
+                    generation.events_received(),
                 );
                 Some(RelayEnd::Cut(
-                    "its engine is silent and not listed any more".into(),
+                    "engine does not answer and is no longer listed".into(),
                 ))
             }
-            // Where a move is under way, that will say how it ends.
-            Diagnosis::ConnectionLost if !live.begin_migration() => None,
-            Diagnosis::ConnectionLost => self.recover("its engine goes on unheard".into()).await,
+            // The outcome of a migration in progress decides about the stream.
+            Diagnosis::ConnectionLost if !generation.begin_migration() => None,
+            Diagnosis::ConnectionLost => {
+                self.recover("events of a running engine do not arrive".into())
+                    .await
+            }
         }
     }
 
-    /// Goes on elsewhere from the engine's memory, if that is still to be had. The right to carry
-    /// the generation over is held.
+    /// Resumes the generation from the memory of its engine, if that can still be copied. The
+    /// caller of this function holds the right to migrate the generation.
     async fn recover(&mut self, reason: Arc<str>) -> Option<RelayEnd> {
-        let live = Arc::clone(&self.place.live);
-        let went = match recovery::recover(&self.front, &self.call, &live).await {
-            Ok((target, resume)) => self.go_on(&target, resume).await.map_err(|f| f.reason),
+        let generation = Arc::clone(&self.assignment.generation);
+        let resumed = match recovery::recover(&self.front, &self.call, &generation).await {
+            Ok((target, resume)) => self.resume_at(&target, resume).await.map_err(|f| f.reason),
             Err(why) => Err(why),
         };
-        live.end_migration();
-        went.err()
-            .map(|why| RelayEnd::Cut(format!("{reason}; from its memory: {why}").into()))
+        generation.end_migration();
+        resumed
+            .err()
+            .map(|why| RelayEnd::Cut(format!("{reason}; recovery failed: {why}").into()))
     }
 
-    /// Passes the whole events of some bytes on.
-    async fn pass(&mut self, bytes: &[u8], out: &EventSender) -> Result<(), RelayEnd> {
-        if self.split.push(bytes).is_err() {
-            return Err(RelayEnd::Cut("an event of the stream does not end".into()));
+    /// Forwards the events that are complete after these bytes.
+    async fn forward(&mut self, bytes: &[u8], out: &EventSender) -> Result<(), RelayEnd> {
+        if self.splitter.push(bytes).is_err() {
+            return Err(RelayEnd::Cut("an event exceeds the size limit".into()));
         }
         let mut ready = Vec::new();
-        self.silence.heard(boot_time());
-        while let Some(event) = self.split.next_event() {
-            // What the caller has already may come again after a move.
-            if event.id.is_some() && event.id <= self.last {
+        self.monitor.reset(boot_time());
+        while let Some(event) = self.splitter.next_event() {
+            // A resumed stream may repeat events that the caller already has.
+            if event.id.is_some() && event.id <= self.last_event {
                 continue;
             }
-            self.last = event.id.or(self.last);
+            self.last_event = event.id.or(self.last_event);
             self.count_event();
             ready.push(event.bytes);
         }
         for event in ready {
-            out.send(Ok(event)).await.map_err(|_| RelayEnd::Unread)?;
+            out.send(Ok(event))
+                .await
+                .map_err(|_| RelayEnd::CallerGone)?;
         }
         Ok(())
     }
 
+    /// Counts an event. The first one is logged, and the owner of the engine is notified.
     fn count_event(&self) {
-        let live = &self.place.live;
-        if !live.record_event() {
+        let generation = &self.assignment.generation;
+        if !generation.record_event() {
             return;
         }
         emit(&Event::FirstEvent {
             id: Arc::clone(&self.call.request.id),
-            target: Arc::clone(&live.target().id),
+            target: Arc::clone(&generation.target().id),
             took_ms: millis(self.call.elapsed()),
         });
-        let run = Arc::clone(&live.run);
-        let shard = self.front.shard_of(&live.service, &live.target().id);
+        let run = Arc::clone(&generation.id);
+        let shard = self
+            .front
+            .shard_of(&generation.service, &generation.target().id);
         Front::notify_owner(
             &self.front,
             &shard,
@@ -273,185 +286,214 @@
         );
     }
 
-    /// The stream has ended as complete.
-    async fn ended(&mut self, out: &EventSender) -> Option<RelayEnd> {
-        // A stream without a length ends like this also where its engine was told to stop.
-        if self.expecting
-            && let Some(order) = self.outcome().await
+    /// Handles the end of the stream.
+    async fn handle_end(&mut self, out: &EventSender) -> Option<RelayEnd> {
+        // Without a content length, the stream of a generation that was stopped for a migration
+        // ends in the same way.
+        if self.stopping
+            && let Some(command) = self.migration_outcome().await
         {
-            return self.obey(Some(order), out).await;
+            return self.handle_command(Some(command), out).await;
         }
-        if let Some(reason) = self.missing().await {
-            return self.broken(reason.into(), out).await;
+        if let Some(reason) = self.incompleteness().await {
+            return self.handle_interruption(reason.into(), out).await;
         }
-        Some(self.whole(out).await)
+        Some(self.finish(out).await)
     }
 
-    /// Why a stream that has ended may lack something, where nothing marks its end.
-    async fn missing(&self) -> Option<&'static str> {
+    /// Why a stream whose end is not marked may be incomplete.
+    async fn incompleteness(&self) -> Option<&'static str> {
         if self.framed {
             return None;
         }
-        if self.doubtful {
-            return Some("its engine may have stopped it for a move");
+        if self.maybe_stopped {
+            return Some("the engine may have stopped it for a migration");
         }
-        if self.place.live.has_started() && !self.split.is_empty() {
-            return Some("the stream ended within an event");
+        if self.assignment.generation.has_started() && !self.splitter.is_empty() {
+            return Some("the stream ended in the middle of an event");
         }
-        // A process that ends closes its connections just as a stream that is complete does.
-        let addr = self.place.live.target().addr;
-        let report = self.front.engines.report(addr, REPORT_PATIENCE).await;
-        let gone = "the stream ended with its engine";
+        // The connections of a process that exits are closed in the same way as those of a complete
+        // stream.
+        let addr = self.assignment.generation.target().addr;
+        let report = self.front.engines.report(addr, REPORT_TIMEOUT).await;
+        let gone = "the stream ended and the engine does not answer";
         report.err().map(|_| gone)
     }
 
-    async fn whole(&mut self, out: &EventSender) -> RelayEnd {
-        let rest = self.split.rest();
+    /// Forwards the rest of a complete stream.
+    async fn finish(&mut self, out: &EventSender) -> RelayEnd {
+        let rest = self.splitter.take_rest();
         if !rest.is_empty() && out.send(Ok(rest)).await.is_err() {
-            return RelayEnd::Unread;
+            return RelayEnd::CallerGone;
         }
-        RelayEnd::Whole
+        RelayEnd::Complete
     }
 
-    /// The stream has broken off.
-    async fn broken(&mut self, reason: Arc<str>, out: &EventSender) -> Option<RelayEnd> {
-        // Also where the engine has not been told to stop yet: going on from a copy made before
-        // that would leave two engines at work.
-        if let Some(order) = self.outcome().await {
-            return self.obey(Some(order), out).await;
+    /// Handles a stream that was interrupted: resumes the generation from a migration, a stored
+    /// copy or the engine's memory.
+    async fn handle_interruption(
+        &mut self,
+        reason: Arc<str>,
+        out: &EventSender,
+    ) -> Option<RelayEnd> {
+        // Waits also if the engine has not been told to stop yet: resuming from a copy made before
+        // that would leave two engines generating.
+        if let Some(command) = self.migration_outcome().await {
+            return self.handle_command(Some(command), out).await;
         }
-        let live = &self.place.live;
-        let (target, sent) = (live.target(), self.call.arrived);
+        let generation = &self.assignment.generation;
+        let (target, sent) = (generation.target(), self.call.arrived);
         crash_detection::look_into(
             &self.front,
             &self.call,
             &target,
             sent,
-            live.events_received(),
+            generation.events_received(),
         );
-        let Some((target, resume)) = live.take_copy() else {
-            let fetches = self.front.cfg.decisions.features.stream_recovery;
-            if !fetches || !self.place.live.begin_migration() {
+        let Some((target, resume)) = generation.take_copy() else {
+            let recovers = self.front.cfg.decisions.features.stream_recovery;
+            if !recovers || !self.assignment.generation.begin_migration() {
                 return Some(RelayEnd::Cut(reason));
             }
             return self.recover(reason).await;
         };
-        match self.go_on(&target, resume).await {
+        match self.resume_at(&target, resume).await {
             Ok(()) => None,
             Err(failure) => {
                 let why = failure.reason;
                 Some(RelayEnd::Cut(
-                    format!("{reason}; from its copy: {why}").into(),
+                    format!("{reason}; resuming from the copy failed: {why}").into(),
                 ))
             }
         }
     }
 
-    /// Waits for how a move ends, if one is under way, whose engine has closed the stream already.
-    async fn outcome(&mut self) -> Option<RelayCommand> {
-        let live = Arc::clone(&self.place.live);
-        while self.expecting || live.is_migrating() {
-            let patience = OUTCOME_PATIENCE.min(self.call.time_left());
-            let order = Timer::new().within(patience, live.next_command()).await;
-            match order.flatten() {
-                Some(RelayCommand::MigrationStarted) => self.expecting = true,
-                Some(RelayCommand::MigrationCancelled) => self.expecting = false,
-                Some(RelayCommand::MigrationUncertain) => self.doubtful = true,
-                order => {
-                    self.doubtful |= order.is_none();
-                    self.expecting = false;
-                    return order;
+    /// Waits for the outcome of a migration in progress, whose engine has already closed the
+    /// stream.
+    async fn migration_outcome(&mut self) -> Option<RelayCommand> {
+        let generation = Arc::clone(&self.assignment.generation);
+        while self.stopping || generation.is_migrating() {
+            let timeout = MIGRATION_TIMEOUT.min(self.call.time_left());
+            let command = Timer::new()
+                .within(timeout, generation.next_command())
+                .await;
+            match command.flatten() {
+                Some(RelayCommand::MigrationStarted) => self.stopping = true,
+                Some(RelayCommand::MigrationCancelled) => self.stopping = false,
+                Some(RelayCommand::MigrationUncertain) => self.maybe_stopped = true,
+                command => {
+                    self.maybe_stopped |= command.is_none();
+                    self.stopping = false;
+                    return command;
                 }
             }
         }
         None
     }
 
-    async fn obey(&mut self, order: Option<RelayCommand>, out: &EventSender) -> Option<RelayEnd> {
-        match order {
-            Some(RelayCommand::MigrationStarted) => self.expecting = true,
-            Some(RelayCommand::MigrationCancelled) => self.expecting = false,
-            Some(RelayCommand::MigrationUncertain) => self.doubtful = true,
+    /// Handles a command.
+    async fn handle_command(
+        &mut self,
+        command: Option<RelayCommand>,
+        out: &EventSender,
+    ) -> Option<RelayEnd> {
+        match command {
+            Some(RelayCommand::MigrationStarted) => self.stopping = true,
+            Some(RelayCommand::MigrationCancelled) => self.stopping = false,
+            Some(RelayCommand::MigrationUncertain) => self.maybe_stopped = true,
             Some(RelayCommand::Resume {
                 target,
                 resume,
                 done,
             }) => {
-                self.expecting = false;
-                if let Err(stop) = self.pass_last(out).await {
-                    return Some(stop);
+                self.stopping = false;
+                if let Err(end) = self.forward_last(out).await {
+                    return Some(end);
                 }
-                let source = self.place.live.target();
-                let went = self.go_on(&target, resume.clone()).await;
-                // Fails only where nobody waits for it any more.
-                let _ = done.try_send(went.is_ok());
-                return match went {
-                    // The copy is unused, and the engine that made it keeps its memory.
-                    Err(failure) if failure.not_run => self.go_back(&source, resume, failure).await,
-                    went => went.err().map(|failure| RelayEnd::Cut(failure.reason)),
+                let source = self.assignment.generation.target();
+                let resumed = self.resume_at(&target, resume.clone()).await;
+                // Fails only if the migration no longer waits for it.
+                let _ = done.try_send(resumed.is_ok());
+                return match resumed {
+                    // The copy is still unused, and the engine that made it keeps its memory.
+                    Err(failure) if failure.not_run => {
+                        self.resume_at_source(&source, resume, failure).await
+                    }
+                    resumed => resumed.err().map(|failure| RelayEnd::Cut(failure.reason)),
                 };
             }
-            // The sender lives in `live`, which this relay holds.
+            // The handle holds a sender, so the channel is not closed while the relay runs.
             None => {}
         }
         None
     }
 
-    /// Passes on what a stopped engine still sends.
-    async fn pass_last(&mut self, out: &EventSender) -> Result<(), RelayEnd> {
+    /// Forwards the events that a stopped engine still sends.
+    async fn forward_last(&mut self, out: &EventSender) -> Result<(), RelayEnd> {
         let timer = Timer::new();
         let from = timer.now();
         loop {
-            let left = LAST_EVENTS.saturating_sub(timer.now().saturating_sub(from));
+            let left = LAST_EVENTS_TIMEOUT.saturating_sub(timer.now().saturating_sub(from));
             if left.is_zero() {
                 return Ok(());
             }
-            let step = timer.within(left, next_bytes(&mut self.body)).await;
-            match step {
-                Some(Input::Bytes(bytes)) => self.pass(&bytes, out).await?,
+            let input = timer.within(left, next_bytes(&mut self.body)).await;
+            match input {
+                Some(Input::Bytes(bytes)) => self.forward(&bytes, out).await?,
                 _ => return Ok(()),
             }
         }
     }
 
-    /// Goes on at the engine that was to be left, as the other one did not take it. That one will be
-    /// left for a third, if it stays long enough.
-    async fn go_back(
+    /// Resumes the generation at the engine that it was to leave, because the destination did not
+    /// take it. The owner can choose another destination if the engine stays up long enough.
+    async fn resume_at_source(
         &mut self,
         source: &Arc<Target>,
         resume: Resume,
-        failure: Failure,
+        failure: ResumeError,
     ) -> Option<RelayEnd> {
-        let went = self.go_on(source, resume).await;
-        let why = |back: Failure| format!("{}; where it was: {}", failure.reason, back.reason);
-        went.err().map(|back| RelayEnd::Cut(why(back).into()))
+        let resumed = self.resume_at(source, resume).await;
+        let why = |at_source: ResumeError| {
+            format!(
+                "{}; resuming at the source failed: {}",
+                failure.reason, at_source.reason
+            )
+        };
+        resumed
+            .err()
+            .map(|at_source| RelayEnd::Cut(why(at_source).into()))
     }
 
-    /// Goes on at another engine, from a copy.
-    async fn go_on(&mut self, target: &Arc<Target>, mut resume: Resume) -> Result<(), Failure> {
-        resume.after = self.last;
-        // A part of an event that the engine before did not finish; it comes again whole.
-        let _ = self.split.rest();
-        let limit = RESUME_PATIENCE.min(self.call.time_left());
-        match send(&self.front, &self.call, target, Some(&resume), limit).await {
+    /// Resumes the generation at an engine from a copy.
+    async fn resume_at(
+        &mut self,
+        target: &Arc<Target>,
+        mut resume: Resume,
+    ) -> Result<(), ResumeError> {
+        resume.after = self.last_event;
+        // Drops the incomplete event of the previous engine; the new stream repeats it.
+        let _ = self.splitter.take_rest();
+        let timeout = RESUME_TIMEOUT.min(self.call.time_left());
+        match send(&self.front, &self.call, target, Some(&resume), timeout).await {
             SendOutcome::Response { head, body, .. } if head.status.is_success() => {
                 self.framed = is_framed(&head);
-                self.doubtful = false;
+                self.maybe_stopped = false;
                 self.body = body;
-                self.silence.heard(boot_time());
-                self.place.live.set_target(Arc::clone(target));
+                self.monitor.reset(boot_time());
+                self.assignment.generation.set_target(Arc::clone(target));
                 Ok(())
             }
-            SendOutcome::Response { head, .. } => Err(Failure {
+            SendOutcome::Response { head, .. } => Err(ResumeError {
                 reason: format!("status {}", head.status).into(),
                 not_run: false,
             }),
-            SendOutcome::NotRun { reason } => Err(Failure {
+            SendOutcome::NotRun { reason } => Err(ResumeError {
                 reason,
                 not_run: true,
             }),
             SendOutcome::Unknown { reason, .. } | SendOutcome::Rejected { reason } => {
-                Err(Failure {
+                Err(ResumeError {
                     reason,
                     not_run: false,
                 })
@@ -460,14 +502,14 @@
     }
 }
 
-/// Whether a stream says where it ends.
+/// Whether the head of a response tells how its body ends.
 fn is_framed(head: &Parts) -> bool {
     [CONTENT_LENGTH, TRANSFER_ENCODING]
         .iter()
         .any(|name| head.headers.contains_key(name))
 }
 
-/// The next bytes of a stream, or its end.
+/// Waits for the next bytes of a stream or its end.
 async fn next_bytes(body: &mut Incoming) -> Input {
     loop {
         match body.frame().await {
@@ -476,7 +518,7 @@
                     return Input::Bytes(bytes);
                 }
             }
-            Some(Err(e)) => return Input::Broken(format!("the stream broke off: {e}").into()),
+            Some(Err(e)) => return Input::Interrupted(format!("stream interrupted: {e}").into()),
             None => return Input::End,
         }
     }
--- a/components/front/src/generations/splitter.rs
+++ b/components/front/src/generations/splitter.rs
@@ -1,96 +1,96 @@
-//! Splits a stream into whole events.
+//! Splits a byte stream into complete server-sent events.
 //!
-//! A target may break off in the middle of an event. If its bytes were passed on as they come,
-//! the caller would see a part of one event glued to the next run's. So only whole events pass.
+//! A target may stop in the middle of an event, and the generation may then be resumed elsewhere.
+//! If bytes were forwarded as they arrive, the caller would get part of an event followed by the
+//! first event of the next engine. Only complete events are therefore forwarded.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of one event at most; longer ones are no stream that we know.
-const EVENT_LIMIT: usize = 1_024 * 1_024;
+/// Maximum size of an event in bytes.
+const MAX_EVENT_BYTES: usize = 1_024 * 1_024;
 
-/// A whole event.
+/// A complete event.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StreamEvent {
-    /// Its id, if it has a numeric one.
+    /// The event id, if it is numeric.
     pub id: Option<u64>,
-    /// Its bytes, with the blank line at its end.
+    /// The bytes of the event, with the blank line at its end.
     pub bytes: Bytes,
 }
 
-/// The event that comes is longer than any that we know.
+/// Error: an event exceeds the maximum size.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EventTooLong;
 
-/// Collects bytes and gives out whole events.
+/// Buffers bytes and yields complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: BytesMut,
-    /// Bytes of `buf` that hold no end of an event.
-    seen: usize,
+    /// Length of the prefix of `buf` that is known to contain no end of an event.
+    scanned: usize,
 }
 
 impl EventSplitter {
-    /// Starts empty.
+    /// Creates an empty splitter.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes bytes as they come.
+    /// Appends bytes of the stream.
     ///
-    /// # Errors
-    /// An event does not end.
+    /// # Errors The buffered event exceeds the maximum size.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLong> {
         self.buf.extend_from_slice(bytes);
-        if self.buf.len() > EVENT_LIMIT {
+        if self.buf.len() > MAX_EVENT_BYTES {
             return Err(EventTooLong);
         }
         Ok(())
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_end()?;
-        self.seen = 0;
+        self.scanned = 0;
         let bytes = self.buf.split_to(end).freeze();
         Some(StreamEvent {
-            id: id(&bytes),
+            id: event_id(&bytes),
             bytes,
         })
     }
 
-    /// Whether a part of an event is left.
+    /// Whether no incomplete event is buffered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.buf.is_empty()
     }
 
-    /// What is left, which is no whole event.
-    pub fn rest(&mut self) -> Bytes {
-        self.seen = 0;
+    /// Removes and returns the buffered bytes of an incomplete event.
+    pub fn take_rest(&mut self) -> Bytes {
+        self.scanned = 0;
         self.buf.split().freeze()
     }
 
-    /// The end of the first event: behind an empty line. Lines end with a line feed, perhaps
-    /// after a carriage return.
+    /// The end of the first event, which is after the first blank line. Lines end with a line feed,
+    /// optionally after a carriage return.
     fn find_end(&mut self) -> Option<usize> {
-        let mut line = self.seen;
+        let mut line_start = self.scanned;
         loop {
-            let feed = self.buf[line..].iter().position(|b| *b == b'\n')?;
-            let text = &self.buf[line..line + feed];
-            let end = line + feed + 1;
+            let line_feed = self.buf[line_start..].iter().position(|b| *b == b'\n')?;
+            let text = &self.buf[line_start..line_start + line_feed];
+            let end = line_start + line_feed + 1;
             if text.is_empty() || text == b"\r" {
                 return Some(end);
             }
-            line = end;
-            // Whole lines that end no event need not be looked at again.
-            self.seen = end;
+            line_start = end;
+            // Complete lines that do not end an event are not scanned again.
+            self.scanned = end;
         }
     }
 }
 
-/// The id that an event declares.
-fn id(bytes: &[u8]) -> Option<u64> {
+/// The numeric id in the `id` field of an event.
+fn event_id(bytes: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(bytes).ok()?;
     let value = text.lines().find_map(|line| line.strip_prefix("id:"))?;
     value.trim().parse().ok()
--- a/components/front/tests/decisions.rs
+++ b/components/front/tests/decisions.rs
@@ -164,7 +164,7 @@
             all.push(event);
         }
     }
-    (all, split.rest().to_vec())
+    (all, split.take_rest().to_vec())
 }
 
 /// A target breaks off in the middle of an event. The part that came must not reach the caller:
--- a/components/front/tests/idle.rs
+++ b/components/front/tests/idle.rs
@@ -22,49 +22,52 @@
     }
 }
 
-fn judge(
-    silence: &mut IdleMonitor,
+fn observe(
+    monitor: &mut IdleMonitor,
     listed: bool,
     said: Option<&EngineReport>,
-    heard: u64,
+    events_received: u64,
 ) -> Diagnosis {
-    let evidence = Observation {
+    let observation = Observation {
         listed,
         report: said,
-        heard,
+        events_received,
     };
-    silence.judge(NOW, "g-1", &evidence)
+    monitor.observe(NOW, "g-1", &observation)
 }
 
 /// Our own link is cut, and no engine answers. Given up on that ground alone, generations would be
 /// lost that go on as soon as the link is back.
 #[test]
 fn an_engine_that_is_listed_and_does_not_answer_is_waited_for() {
-    let mut silence = IdleMonitor::new(NOW);
+    let mut monitor = IdleMonitor::new(NOW);
     for _ in 0..20 {
-        assert_eq!(judge(&mut silence, true, None, 7), Diagnosis::Wait);
+        assert_eq!(observe(&mut monitor, true, None, 7), Diagnosis::Wait);
     }
 }
 
 /// An engine died without a word. Once its listing is gone too, its callers wait in vain.
 #[test]
 fn an_engine_that_is_neither_listed_nor_answers_is_gone() {
-    let mut silence = IdleMonitor::new(NOW);
-    assert_eq!(judge(&mut silence, false, None, 7), Diagnosis::Wait);
-    assert_eq!(judge(&mut silence, false, None, 7), Diagnosis::EngineGone);
+    let mut monitor = IdleMonitor::new(NOW);
+    assert_eq!(observe(&mut monitor, false, None, 7), Diagnosis::Wait);
+    assert_eq!(observe(&mut monitor, false, None, 7), Diagnosis::EngineGone);
     // One that has left the list and serves on is not.
     let said = report(7);
-    assert_eq!(judge(&mut silence, false, Some(&said), 7), Diagnosis::Wait);
+    assert_eq!(
+        observe(&mut monitor, false, Some(&said), 7),
+        Diagnosis::Wait
+    );
 }
 
 /// A connection fell silent while its engine goes on. One report alone may be a moment's delay.
 #[test]
 fn events_that_were_made_and_do_not_arrive_are_fetched() {
-    let mut silence = IdleMonitor::new(NOW);
+    let mut monitor = IdleMonitor::new(NOW);
     let said = report(30);
-    assert_eq!(judge(&mut silence, true, Some(&said), 7), Diagnosis::Wait);
+    assert_eq!(observe(&mut monitor, true, Some(&said), 7), Diagnosis::Wait);
     assert_eq!(
-        judge(&mut silence, true, Some(&said), 7),
+        observe(&mut monitor, true, Some(&said), 7),
         Diagnosis::ConnectionLost
     );
 }
@@ -72,23 +75,23 @@
 /// An engine reads a prompt anew, or is slow: it has made what has arrived.
 #[test]
 fn an_engine_that_makes_nothing_is_waited_for() {
-    let mut silence = IdleMonitor::new(NOW);
+    let mut monitor = IdleMonitor::new(NOW);
     let said = report(7);
     for _ in 0..20 {
-        assert_eq!(judge(&mut silence, true, Some(&said), 7), Diagnosis::Wait);
+        assert_eq!(observe(&mut monitor, true, Some(&said), 7), Diagnosis::Wait);
     }
 }
 
 proptest! {
     /// Whatever came before, a stream that is heard again is not judged by its former silence.
     #[test]
-    fn what_is_heard_begins_anew(made in prop::collection::vec(0..50_u64, 0..6), heard in 0..50_u64) {
-        let mut silence = IdleMonitor::new(NOW);
+    fn what_is_heard_begins_anew(made in prop::collection::vec(0..50_u64, 0..6), received in 0..50_u64) {
+        let mut monitor = IdleMonitor::new(NOW);
         for events in made {
-            let _ = judge(&mut silence, true, Some(&report(events)), heard);
+            let _ = observe(&mut monitor, true, Some(&report(events)), received);
         }
-        silence.heard(NOW);
-        prop_assert_eq!(silence.ask_at(), NOW + IDLE_TIMEOUT);
-        prop_assert_eq!(judge(&mut silence, true, Some(&report(heard + 1)), heard), Diagnosis::Wait);
+        monitor.reset(NOW);
+        prop_assert_eq!(monitor.next_report_at(), NOW + IDLE_TIMEOUT);
+        prop_assert_eq!(observe(&mut monitor, true, Some(&report(received + 1)), received), Diagnosis::Wait);
     }
 }
