--- a/components/gateway/src/gateway.rs
+++ b/components/gateway/src/gateway.rs
@@ -154,8 +154,8 @@
         lines
     }
 
-    /// Handles the notice that another instance has taken over this stream: stops delivering it here
-    /// without cancelling it.
+    /// Handles the notice that another instance has taken over this stream: stops delivering it
+    /// here without cancelling it.
     pub fn handle_takeover(&self, target: &TargetId, stream: &StreamId) {
         self.core.streams.supersede(target, stream);
     }
@@ -200,8 +200,8 @@
         Ok(current)
     }
 
-    /// Waits for the result of admission, `permit`. If there is none shortly after the deadline, the
-    /// request is refused here, so that a hung admission task never leaves a caller without an
+    /// Waits for the result of admission, `permit`. If there is none shortly after the deadline,
+    /// the request is refused here, so that a hung admission task never leaves a caller without an
     /// answer.
     pub async fn wait_for_permit(
         &self,
--- a/components/gateway/src/in_flight.rs
+++ b/components/gateway/src/in_flight.rs
@@ -39,7 +39,8 @@
         self.total.load(Ordering::Acquire)
     }
 
-    /// Counts a request of a workspace as in flight, unless the workspace already has `limit` requests.
+    /// Counts a request of a workspace as in flight, unless the workspace already has `limit`
+    /// requests.
     pub fn enter(
         &self,
         workspace: &WorkspaceId,
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -1,5 +1,5 @@
-//! The HTTP API for callers: authenticates requests, obtains permits from admission, sends the requests
-//! to targets and returns streamed or buffered answers.
+//! The HTTP API for callers: authenticates requests, obtains permits from admission, sends the
+//! requests to targets and returns streamed or buffered answers.
 
 pub mod admission;
 mod attempt;
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -191,7 +191,8 @@
         });
     }
 
-    /// Makes one attempt. Without an answer, returns how the work ended and whether it may have run.
+    /// Makes one attempt. Without an answer, returns how the work ended and whether it may have
+    /// run.
     async fn attempt(
         &self,
         permit: &dyn PermitHandle,
--- a/components/gateway/src/progress.rs
+++ b/components/gateway/src/progress.rs
@@ -9,8 +9,8 @@
 /// Time after which a report is due.
 const TIME_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Limits the rate of progress reports. A report for each token would take the lock of the placement
-/// policy a hundred thousand times per second.
+/// Limits the rate of progress reports. A report for each token would take the lock of the
+/// placement policy a hundred thousand times per second.
 #[derive(Clone, Copy, Debug)]
 pub struct ProgressThrottle {
     reported: Tokens,
--- a/components/gateway/src/refusals.rs
+++ b/components/gateway/src/refusals.rs
@@ -42,13 +42,13 @@
 }
 
 /// The body is larger than the limit, which is in bytes.
-pub fn too_large(limit: usize) -> Refusal {
+pub fn body_too_large(limit: usize) -> Refusal {
     let detail = format!("the body may have at most {limit} bytes");
     Refusal::new(413, "body-too-large", "The body is too large", &detail)
 }
 
 /// The body did not arrive in time.
-pub fn too_slow() -> Refusal {
+pub fn body_too_slow() -> Refusal {
     Refusal::new(
         408,
         "body-too-slow",
--- a/components/gateway/src/request.rs
+++ b/components/gateway/src/request.rs
@@ -132,8 +132,8 @@
     let mut share = core.bodies.share();
     let read = read_shared(req.into_body(), limit, timeout, &mut share).await;
     let bytes = read.map_err(|e| match e {
-        SharedError::Body(BodyError::TooLarge) => refusals::too_large(limit),
-        SharedError::Body(BodyError::TooSlow) => refusals::too_slow(),
+        SharedError::Body(BodyError::TooLarge) => refusals::body_too_large(limit),
+        SharedError::Body(BodyError::TooSlow) => refusals::body_too_slow(),
         SharedError::Crowded => refusals::bodies_crowded(),
         SharedError::Body(BodyError::Broken) => refusals::incomplete_body(),
     })?;
--- a/components/gateway/src/writer.rs
+++ b/components/gateway/src/writer.rs
@@ -194,8 +194,8 @@
         }
     }
 
-    /// Sends the last event and ends the response. A response that is not ended this way looks broken
-    /// to the caller.
+    /// Sends the last event and ends the response. A response that is not ended this way looks
+    /// broken to the caller.
     async fn send_last(&self, buf: Bytes) -> Result<(), ReceiverClosed> {
         self.send(buf).await?;
         self.tx.finish();
--- a/components/gateway/tests/counting.rs
+++ b/components/gateway/tests/counting.rs
@@ -22,7 +22,7 @@
             Ok(vec![Step::Tokens(0, 3), Step::End]),
             Ok(vec![Step::Tokens(0, 2), Step::Crash]),
         ]);
-        let full = Refusal::new(503, "full", "Full", "come back");
+        let full = Refusal::new(503, "full", "Full", "retry later");
         let grant = || AdmissionStep::Grant("t1");
         bed.admission.script([
             grant(),
--- a/components/gateway/tests/fakes/admission.rs
+++ b/components/gateway/tests/fakes/admission.rs
@@ -77,7 +77,7 @@
         self.shared.events.lock().clone()
     }
 
-    /// Returns the events that disarmed a permit or the wait for one.
+    /// Returns the events that ended a permit or the wait for one.
     pub fn outcomes(&self) -> Vec<AdmissionEvent> {
         let mut events = self.events();
         events.retain(|event| {
--- a/components/gateway/tests/fakes/mod.rs
+++ b/components/gateway/tests/fakes/mod.rs
@@ -211,7 +211,7 @@
 /// Reads the body of a response.
 pub async fn read(resp: hyper::Response<Incoming>) -> Answer {
     let (head, body) = resp.into_parts();
-    let bytes = body.collect().await.expect("a whole body").to_bytes();
+    let bytes = body.collect().await.expect("a complete body").to_bytes();
     Answer {
         status: head.status.as_u16(),
         headers: head.headers,
--- a/components/gateway/tests/generations.rs
+++ b/components/gateway/tests/generations.rs
@@ -45,7 +45,7 @@
 }
 
 fn full() -> Refusal {
-    Refusal::new(503, "full", "Full", "come back").with_retry_after(Duration::from_millis(1300))
+    Refusal::new(503, "full", "Full", "retry later").with_retry_after(Duration::from_millis(1300))
 }
 
 /// Asserts that a streamed body contains `count` tokens, each with its offset, and the end.
@@ -202,8 +202,9 @@
 
 #[test]
 fn a_refusal_says_not_run_only_if_no_attempt_can_have_run() {
-    // The first engine fails and no other has capacity. If the first engine may have run the request
-    // and the refusal said `not-run`, the caller would send it again and it would run twice.
+    // The first engine fails and no other has capacity. If the first engine may have run the
+    // request and the refusal said `not-run`, the caller would send it again and it would run
+    // twice.
     for (error, run) in [
         (unsent(), "not-run"),
         (turned(), "not-run"),
@@ -313,8 +314,8 @@
 
 #[test]
 fn a_buffered_answer_that_cannot_be_completed_is_partial_with_its_text() {
-    // The engine crashes and no other has capacity. The caller gets the text produced so far, marked
-    // as partial.
+    // The engine crashes and no other has capacity. The caller gets the text produced so far,
+    // marked as partial.
     smol::block_on(async {
         let bed = TestBed::new().await;
         bed.admission
@@ -329,8 +330,9 @@
 
 #[test]
 fn a_deadline_without_a_token_is_reported_at_once_and_the_engine_cancelled() {
-    // The engine accepts the request, sends no token and does not answer the cancellation. The caller
-    // must get its refusal at the deadline, but the permit must be held until the cancellation.
+    // The engine accepts the request, sends no token and does not answer the cancellation. The
+    // caller must get its refusal at the deadline, but the permit must be held until the
+    // cancellation.
     smol::block_on(async {
         let bed = TestBed::new().await;
         bed.engine.script_starts([Ok(vec![Step::Silent])]);
@@ -345,12 +347,13 @@
             .store(false, Ordering::Release);
         until(|| !bed.admission.outcomes().is_empty()).await;
         assert_eq!(bed.engine.cancel_count(), 1);
-        let ending = WorkOutcome::Cancelled { produced: 0 };
-        assert_eq!(bed.admission.outcomes(), [AdmissionEvent::Finish(ending)]);
+        let outcome = WorkOutcome::Cancelled { produced: 0 };
+        assert_eq!(bed.admission.outcomes(), [AdmissionEvent::Finish(outcome)]);
     });
 }
 
-/// Guards against a short answer that is refused as too large because other answers use up the memory.
+/// Guards against a short answer that is refused as too large because other answers use up the
+/// memory.
 #[test]
 fn a_buffered_answer_without_memory_is_refused_with_a_retry_delay() {
     smol::block_on(async {
@@ -390,8 +393,8 @@
     });
 }
 
-/// Guards against a wrong `not-run` for a generation that may have run and whose retry admission never
-/// answers.
+/// Guards against a wrong `not-run` for a generation that may have run and whose retry admission
+/// never answers.
 #[test]
 fn a_generation_whose_retry_admission_never_answers_is_refused_as_unknown() {
     smol::block_on(async {
@@ -407,8 +410,8 @@
 
 #[test]
 fn a_caller_that_disconnects_while_queued_gives_up_its_place() {
-    // The caller disconnects while its request waits for a permit. A request that stayed in the queue
-    // would take capacity that others wait for.
+    // The caller disconnects while its request waits for a permit. A request that stayed in the
+    // queue would take capacity that others wait for.
     smol::block_on(async {
         let bed = TestBed::new().await;
         bed.admission.script([AdmissionStep::Wait]);
@@ -423,8 +426,8 @@
 
 #[test]
 fn a_caller_that_disconnects_before_the_first_token_frees_the_engine_before_the_permit() {
-    // The caller disconnects while an engine computes the first token. If the permit ended before the
-    // engine has cancelled the work, a cold engine would be overloaded.
+    // The caller disconnects while an engine computes the first token. If the permit ended before
+    // the engine has cancelled the work, a cold engine would be overloaded.
     smol::block_on(async {
         for stream in [true, false] {
             let bed = TestBed::new().await;
@@ -434,8 +437,8 @@
             futures_lite::future::or(request, disconnect).await;
             until(|| !bed.admission.outcomes().is_empty()).await;
             assert_eq!(bed.engine.cancel_count(), 1);
-            let ending = WorkOutcome::Cancelled { produced: 0 };
-            assert_eq!(bed.admission.outcomes(), [AdmissionEvent::Finish(ending)]);
+            let outcome = WorkOutcome::Cancelled { produced: 0 };
+            assert_eq!(bed.admission.outcomes(), [AdmissionEvent::Finish(outcome)]);
         }
     });
 }
@@ -458,13 +461,13 @@
         drop(resp);
         until(|| bed.engine.cancel_count() == 1).await;
         bed.wait_until_idle().await;
-        let endings = bed.admission.outcomes();
+        let outcomes = bed.admission.outcomes();
         assert!(
             matches!(
-                endings[..],
+                outcomes[..],
                 [AdmissionEvent::Finish(WorkOutcome::Cancelled { .. })]
             ),
-            "{endings:?}"
+            "{outcomes:?}"
         );
     });
 }
@@ -475,15 +478,15 @@
     (from..from + 4000).flat_map(token).collect()
 }
 
-/// Starts a stream, reads its first chunk and disconnects. Returns the id of the last event read and
-/// the number of events.
+/// Starts a stream, reads its first chunk and disconnects. Returns the id of the last event read
+/// and the number of events.
 async fn start_and_disconnect(bed: &TestBed) -> (String, Tokens) {
     let (_, id, have) = start_stream(bed).await;
     (id, have)
 }
 
-/// Starts a stream and reads its first chunk. Returns the response, the id of the last event read and
-/// the number of events.
+/// Starts a stream and reads its first chunk. Returns the response, the id of the last event read
+/// and the number of events.
 async fn start_stream(bed: &TestBed) -> (Response<Incoming>, String, Tokens) {
     let mut resp = bed
         .open(KEY_A, "POST", "/v1/completions", &[], &body(true))
@@ -502,9 +505,9 @@
 
 #[test]
 fn a_caller_resumes_at_another_instance_with_the_next_token() {
-    // The caller loses its instance and resumes at another one with the id of its last event. It must
-    // get the remaining tokens once each, and the first instance, if it still runs, must not cancel
-    // the stream.
+    // The caller loses its instance and resumes at another one with the id of its last event. It
+    // must get the remaining tokens once each, and the first instance, if it still runs, must not
+    // cancel the stream.
     smol::block_on(async {
         let engine = Arc::new(FakeEngine::default());
         let takeover = Arc::new(fakes::FakeTakeover::default());
--- a/components/gateway/tests/inputs.rs
+++ b/components/gateway/tests/inputs.rs
@@ -140,8 +140,8 @@
 
 #[test]
 fn a_workspace_is_limited_in_its_requests_in_flight() {
-    // One workspace sends requests without a limit. Those beyond its limit must be refused, and other
-    // workspaces must not be affected.
+    // One workspace sends requests without a limit. Those beyond its limit must be refused, and
+    // other workspaces must not be affected.
     smol::block_on(async {
         let bed = TestBed::new().await;
         bed.admission
--- a/components/gateway/tests/plain_calls.rs
+++ b/components/gateway/tests/plain_calls.rs
@@ -36,7 +36,7 @@
 }
 
 fn full() -> Refusal {
-    Refusal::new(503, "full", "Full", "come back")
+    Refusal::new(503, "full", "Full", "retry later")
 }
 
 const KEY: [(&str, &str); 1] = [("idempotency-key", "order-1")];
@@ -135,9 +135,9 @@
             .script([Err(unsent()), Err(turned()), Ok(answer("ordered"))]);
         let answer = bed.send("POST", ORDER, &[], "sheet").await;
         assert_eq!((answer.status, answer.body.as_str()), (200, "ordered"));
-        let endings = bed.admission.outcomes();
-        assert_eq!(endings[0], AdmissionEvent::Retry(WorkOutcome::Unreachable));
-        assert_eq!(endings[1], AdmissionEvent::Retry(WorkOutcome::Overloaded));
+        let outcomes = bed.admission.outcomes();
+        assert_eq!(outcomes[0], AdmissionEvent::Retry(WorkOutcome::Unreachable));
+        assert_eq!(outcomes[1], AdmissionEvent::Retry(WorkOutcome::Overloaded));
     });
 }
 
@@ -184,8 +184,8 @@
 
 #[test]
 fn a_repeated_call_gets_the_recorded_answer_and_is_not_sent() {
-    // A caller repeats a call because the first answer was slow. The repeated call must get the answer
-    // of the first.
+    // A caller repeats a call because the first answer was slow. The repeated call must get the
+    // answer of the first.
     smol::block_on(async {
         let bed = TestBed::new().await;
         bed.claims.script(Ok(Claimed::Before(Recorded {
@@ -237,8 +237,8 @@
 
 #[test]
 fn a_claim_is_always_settled() {
-    // A call refused by admission did not run, so its key must become free. A call that was lost after
-    // it was sent may have run, so its key must never be used again.
+    // A call refused by admission did not run, so its key must become free. A call that was lost
+    // after it was sent may have run, so its key must never be used again.
     let cases = [
         (
             vec![AdmissionStep::Refuse(full())],
@@ -270,8 +270,8 @@
 
 #[test]
 fn a_caller_that_disconnects_before_its_keyed_call_is_sent_frees_the_key() {
-    // The caller disconnects while its call waits for a permit. A claim left behind would answer every
-    // repeated call with `unknown`.
+    // The caller disconnects while its call waits for a permit. A claim left behind would answer
+    // every repeated call with `unknown`.
     smol::block_on(async {
         let bed = TestBed::new().await;
         bed.admission.script([AdmissionStep::Wait]);
