--- a/components/front/src/generations/evacuation.rs
+++ b/components/front/src/generations/evacuation.rs
@@ -88,7 +88,7 @@
     let Some(owner) = owner.filter(|id| *id != front.cfg.instance) else {
         return;
     };
-    let message = Message::Leaving(Arc::clone(&target.id));
+    let message = Message::TargetLeaving(Arc::clone(&target.id));
     // The reply carries no information, and other entries notify the owner as well.
     let _ = front.peers.call(&owner, &message, NOTIFY_TIMEOUT).await;
 }
@@ -101,9 +101,9 @@
     if entry == front.cfg.instance {
         return migrate(front, order).await;
     }
-    let message = Message::Carry(order.clone());
+    let message = Message::Migrate(order.clone());
     match front.peers.call(&entry, &message, MIGRATION_TIMEOUT).await {
-        Some(Reply::Carried(outcome)) => outcome,
+        Some(Reply::Migrated(outcome)) => outcome,
         _ => MigrationOutcome::Lost,
     }
 }
--- a/components/front/src/generations/placement.rs
+++ b/components/front/src/generations/placement.rs
@@ -67,8 +67,8 @@
             if owner == self.cfg.instance {
                 break;
             }
-            let message = Message::Ask(ask.clone());
-            if let Some(Reply::Answer(answer)) =
+            let message = Message::Place(ask.clone());
+            if let Some(Reply::Placement(answer)) =
                 self.peers.call(&owner, &message, PLACE_TIMEOUT).await
             {
                 return answer;
@@ -189,7 +189,7 @@
     }
 
     async fn send_update(&self, owner: &InstanceId, note: GenerationUpdate) {
-        let message = Message::Notes(vec![note]);
+        let message = Message::GenerationUpdates(vec![note]);
         // The reply carries no information.
         let _ = self.peers.call(owner, &message, UPDATE_TIMEOUT).await;
     }
--- a/components/front/src/instances/membership.rs
+++ b/components/front/src/instances/membership.rs
@@ -138,7 +138,7 @@
             _ => continue,
         };
         if member.id == me.id {
-            look.lists_me = member.is_reached_like(me);
+            look.lists_me = member.is_same_except_start(me);
         } else {
             look.others = true;
             front.peers.upsert(member);
@@ -167,7 +167,10 @@
     for _ in 0..SEED_TRIES {
         let reply = front.peers.exchange(seed, &message, SYNC_TIMEOUT).await;
         if let Ok(reply) = reply {
-            if let Reply::Members { words, .. } = &reply {
+            if let Reply::Members {
+                verdicts: words, ..
+            } = &reply
+            {
                 aggregation::learn(&front, words);
             }
             learn_members(&front, None, Some(reply));
@@ -192,7 +195,7 @@
 fn hello(front: &Front, asks: bool) -> Message {
     Message::Hello {
         member: front.peers.me().clone(),
-        asks,
+        wants_leaders: asks,
     }
 }
 
@@ -294,8 +297,8 @@
     let message = Message::Sync {
         member: front.peers.me().clone(),
         held,
-        known: front.peers.revision_of(&owner),
-        quarantine: front.quarantine.lock().digest(boot_time()),
+        known_revision: front.peers.revision_of(&owner),
+        quarantine_digest: front.quarantine.lock().digest(boot_time()),
     };
     let reply = front.peers.call(&owner, &message, SYNC_TIMEOUT).await;
     aggregation::reconcile(front, &owner, reply.as_ref()).await;
--- a/components/front/src/instances/message_handler.rs
+++ b/components/front/src/instances/message_handler.rs
@@ -46,53 +46,56 @@
         let front = &self.front;
         let now = boot_time();
         match message {
-            Message::Ask(ask) => Reply::Answer(front.place_locally(&ask)),
-            Message::Notes(notes) => {
+            Message::Place(ask) => Reply::Placement(front.place_locally(&ask)),
+            Message::GenerationUpdates(notes) => {
                 let mut owner = front.placement.owner.lock();
                 for note in &notes {
                     owner.apply_update(now, note);
                 }
-                Reply::Noted
+                Reply::Acknowledged
             }
             Message::Sync {
                 member,
                 held,
-                known,
-                quarantine,
+                known_revision: known,
+                quarantine_digest: quarantine,
             } => {
                 front.placement.owner.lock().apply_sync(now, &held);
                 front.peers.mark_seen(member);
                 self.members(front.peers.members_since(known), quarantine)
             }
-            Message::Hello { member, asks } => {
+            Message::Hello {
+                member,
+                wants_leaders: asks,
+            } => {
                 front.peers.mark_seen(member);
                 if asks {
                     self.members(front.peers.leaders(), 0)
                 } else {
-                    Reply::Noted
+                    Reply::Acknowledged
                 }
             }
             Message::Follow { topic, after, wait } => self.news(topic, after, wait).await,
-            Message::Leaving(target) => {
+            Message::TargetLeaving(target) => {
                 follow::mark_leaving(front, &target);
-                Reply::Noted
+                Reply::Acknowledged
             }
-            Message::Ended(evidence) => {
+            Message::TargetCrashed(evidence) => {
                 aggregation::take(front, evidence);
-                Reply::Noted
+                Reply::Acknowledged
             }
-            Message::Words(words) => {
+            Message::Verdicts(words) => {
                 aggregation::learn(front, &words);
-                Reply::Noted
+                Reply::Acknowledged
             }
             Message::RateReport(report) => {
                 target_rates::apply(front, &report);
-                Reply::Noted
+                Reply::Acknowledged
             }
             Message::ReserveRate { report, max_wait } => {
                 Reply::Reservation(target_rates::allocate(front, &report, max_wait))
             }
-            Message::Carry(order) => Reply::Carried(self.carry(order).await),
+            Message::Migrate(order) => Reply::Migrated(self.carry(order).await),
         }
     }
 
@@ -102,8 +105,8 @@
         Reply::Members {
             members,
             revision,
-            words: aggregation::words_beside(&self.front, quarantine),
-            quarantine: self.front.quarantine.lock().digest(boot_time()),
+            verdicts: aggregation::words_beside(&self.front, quarantine),
+            quarantine_digest: self.front.quarantine.lock().digest(boot_time()),
         }
     }
 
@@ -134,7 +137,7 @@
             .is_some_and(|read| elapsed_since(read) < MAX_PEER_STATE_AGE);
         let from = cache.history_start();
         if fresh && after.is_some_and(|after| after < from) {
-            return Reply::Behind { from };
+            return Reply::HistoryGone { from };
         }
         // Nobody is kept waiting by one that has lost the store itself.
         let nothing_new = after.is_some_and(|after| cache.version() <= Some(after));
@@ -142,13 +145,13 @@
             cache.wait_for_change(wait.min(MAX_FOLLOW_WAIT)).await;
         }
         match cache.update_since(after) {
-            Some((news, read)) => Reply::News {
-                news,
+            Some((news, read)) => Reply::Update {
+                update: news,
                 before: arrived.saturating_sub(read),
                 after: read.saturating_sub(arrived),
                 age: boot_time().saturating_sub(read),
             },
-            None => Reply::Nothing,
+            None => Reply::NoData,
         }
     }
 }
--- a/components/front/src/instances/wire.rs
+++ b/components/front/src/instances/wire.rs
@@ -1,4 +1,7 @@
-//! What instances send one another.
+//! The messages between instances, encoded with MessagePack.
+//!
+//! Structs are encoded as arrays and variants by name, so the order of fields and the outer names
+//! of variants are part of the protocol.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -11,29 +14,29 @@
 use serde::{Deserialize, Serialize};
 use types::{DataCentreId, InstanceId, TargetId};
 
-/// An instance, as others reach it.
+/// An instance as the others know it. Also stored as JSON in the table of instances.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Member {
-    /// Its name.
+    /// The instance's id.
     pub id: InstanceId,
-    /// Where it listens for other instances.
+    /// The address for messages of other instances.
     pub addr: SocketAddr,
-    /// When this life of it began, in Unix milliseconds.
+    /// When this incarnation started, in Unix milliseconds.
     #[serde(rename = "born")]
     pub started_at: u64,
-    /// Its strength in thousandths of a core: its share of processors, or less where its link is
-    /// narrow.
+    /// Its capacity in thousandths of a core: its share of the processors, or less if its network
+    /// link is narrow.
     pub capacity: u32,
-    /// Its data centre; empty where a version that does not tell it has written this.
+    /// Its data centre; empty if written by a version without this field.
     #[serde(default)]
     pub data_centre: DataCentreId,
 }
 
 impl Member {
-    /// Whether others reach and rank it like `other`, in whichever life.
+    /// Whether `other` differs in nothing but the time of its start.
     #[must_use]
-    pub fn is_reached_like(&self, other: &Self) -> bool {
-        let of = |m: &Self| {
+    pub fn is_same_except_start(&self, other: &Self) -> bool {
+        let identity = |m: &Self| {
             (
                 Arc::clone(&m.id),
                 m.addr,
@@ -41,24 +44,24 @@
                 Arc::clone(&m.data_centre),
             )
         };
-        of(self) == of(other)
+        identity(self) == identity(other)
     }
 }
 
-/// What is followed in the store.
+/// A part of the store that instances follow as a whole.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, Hash, PartialEq, Serialize)]
 #[display("{}", self.name())]
 pub enum Topic {
-    /// Configuration and data centres that are taken out.
+    /// The configuration, and the data centres taken out of service.
     Operator,
-    /// Listings of targets.
+    /// The listed targets.
     Targets,
-    /// Instances of this system.
+    /// The instances, and the records of quarantined requests.
     Members,
 }
 
 impl Topic {
-    /// Its name, for metrics.
+    /// The topic's name in metrics.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -69,149 +72,168 @@
     }
 }
 
-/// One row of the store.
+/// A row of the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Row {
-    /// Its key.
+    /// The key.
     pub key: Arc<str>,
-    /// Its content; none if it was dropped.
+    /// The content; none if the row was deleted.
     pub value: Option<Arc<[u8]>>,
-    /// The version that wrote or dropped it.
+    /// The store version that wrote or deleted it.
     pub version: u64,
 }
 
-/// What one read of a topic brought.
+/// All rows of a topic, or those that have changed since a version.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TopicUpdate {
-    /// Rows that changed, or all.
+    /// All existing rows if the update is full; else those that were changed or deleted.
     pub rows: Vec<Row>,
-    /// Changes up to here are in.
+    /// The version up to which changes are included.
     pub version: u64,
-    /// Changes from here on are in, where not all rows are.
+    /// The version after which changes are included, if the update is not full.
     pub after: u64,
-    /// All rows there are.
+    /// Whether these are all rows.
     #[serde(rename = "whole")]
     pub is_full: bool,
 }
 
-/// What one instance sends to another.
+/// A message from one instance to another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Message {
-    /// An ask for an engine.
-    Ask(PlacementRequest),
-    /// What happened to generations.
-    Notes(Vec<GenerationUpdate>),
-    /// All that an entry holds on engines of one account.
+    /// A request to place a generation on an engine.
+    #[serde(rename = "Ask")]
+    Place(PlacementRequest),
+    /// Updates on generations that the receiver has placed.
+    #[serde(rename = "Notes")]
+    GenerationUpdates(Vec<GenerationUpdate>),
+    /// The generations that the sender has running on the engines of one shard.
     Sync {
-        /// The entry as a member.
+        /// The sender.
         member: Member,
-        /// What it holds.
+        /// Its generations.
         held: StateSync,
-        /// Members that the receiver told of up to this mark are known.
-        known: u64,
-        /// What is known of requests that crash targets.
-        quarantine: u64,
+        /// The revision of the receiver's list of members that the sender knows.
+        #[serde(rename = "known")]
+        known_revision: u64,
+        /// The digest of the sender's quarantine state.
+        #[serde(rename = "quarantine")]
+        quarantine_digest: u64,
     },
-    /// A target ended while it ran a request for the sender; the receiver sums such evidence up.
-    Ended(Evidence),
-    /// How requests are taken under which targets ended.
-    Words(Vec<Verdict>),
-    /// What a target has said of the rate that it takes from all instances together.
+    /// A target crashed while it ran a request of the sender; the receiver aggregates the evidence.
+    #[serde(rename = "Ended")]
+    TargetCrashed(Evidence),
+    /// Verdicts on requests during which targets crashed.
+    #[serde(rename = "Words")]
+    Verdicts(Vec<Verdict>),
+    /// A target's rate limit for all instances together.
     #[serde(rename = "Limit")]
     RateReport(RateReport),
-    /// An ask for a slot of that rate, to the one that hands it out.
+    /// A request for a reservation of a target's rate limit, to its coordinator.
     #[serde(rename = "Slot")]
     ReserveRate {
-        /// What the sender knows of the rate.
+        /// The limit as the sender knows it.
         #[serde(rename = "limit")]
         report: RateReport,
-        /// How long the request can wait.
+        /// The longest time that the request can wait.
         #[serde(rename = "patience")]
         max_wait: Duration,
     },
-    /// An order to carry a generation over.
-    Carry(Migration),
-    /// The sender has heard that an engine leaves, on which it has generations running.
-    Leaving(TargetId),
-    /// A member makes itself known.
+    /// An order to migrate a generation to another engine.
+    #[serde(rename = "Carry")]
+    Migrate(Migration),
+    /// An engine on which the sender has generations running is about to stop.
+    #[serde(rename = "Leaving")]
+    TargetLeaving(TargetId),
+    /// The sender introduces itself.
     Hello {
-        /// The member.
+        /// The sender.
         member: Member,
-        /// Whether it wants to be told who leads.
-        asks: bool,
+        /// Whether it asks for the leading members in return.
+        #[serde(rename = "asks")]
+        wants_leaders: bool,
     },
-    /// A question for what is new on a topic.
+    /// A request for the changes of a topic.
     Follow {
         /// The topic.
         topic: Topic,
-        /// What the asker knows already.
+        /// The version that the sender knows, if any.
         after: Option<u64>,
-        /// How long it may be kept waiting.
+        /// The longest time that the receiver may wait for changes.
         wait: Duration,
     },
 }
 
 impl Message {
-    /// What it is about, for metrics.
+    /// The message's topic in metrics.
     #[must_use]
     pub const fn topic(&self) -> &'static str {
         match self {
-            Self::Ask(_) => "ask",
-            Self::Notes(_) => "notes",
+            Self::Place(_) => "ask",
+            Self::GenerationUpdates(_) => "notes",
             Self::Sync { .. } => "sync",
-            Self::Carry(_) => "carry",
-            Self::Leaving(_) => "leaving",
+            Self::Migrate(_) => "carry",
+            Self::TargetLeaving(_) => "leaving",
             Self::Hello { .. } => "hello",
-            Self::Ended(_) | Self::Words(_) => "quarantine",
+            Self::TargetCrashed(_) | Self::Verdicts(_) => "quarantine",
             Self::RateReport(_) | Self::ReserveRate { .. } => "rates",
             Self::Follow { topic, .. } => topic.name(),
         }
     }
 }
 
-/// What comes back.
+/// The reply to a message.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Reply {
-    /// To an ask.
-    Answer(PlacementAnswer),
-    /// To an ask for a slot.
+    /// To a placement request.
+    #[serde(rename = "Answer")]
+    Placement(PlacementAnswer),
+    /// To a request for a reservation.
     #[serde(rename = "Slot")]
     Reservation(Reservation),
-    /// To notes, to word of requests that crash targets or of rates, and to a hello that asks nothing.
-    Noted,
-    /// To a sync: members that were heard lately; to a hello that asks: those that lead.
+    /// To updates, reports and verdicts, and to a hello that asks for nothing.
+    #[serde(rename = "Noted")]
+    Acknowledged,
+    /// To a sync: members seen recently; to a hello that asks for them: the leading members.
     Members {
-        /// Those that the asker may not know.
+        /// Members that the sender of the message may not know.
         members: Vec<Member>,
-        /// The mark up to which it knows all now.
+        /// The revision of the replier's list of members that the sender now knows.
         #[serde(rename = "mark")]
         revision: u64,
-        /// How requests are taken under which targets ended, where the asker knows otherwise.
-        words: Vec<Verdict>,
-        /// What is known here of such requests.
-        quarantine: u64,
+        /// Verdicts in which the sender's quarantine state differs.
+        #[serde(rename = "words")]
+        verdicts: Vec<Verdict>,
+        /// The digest of the replier's quarantine state.
+        #[serde(rename = "quarantine")]
+        quarantine_digest: u64,
     },
-    /// To an order to carry over.
-    Carried(MigrationOutcome),
-    /// What is new on a topic, and when the read was sent that confirmed it, as told from when
-    /// the question arrived: the asker knows when it sent the question, and nothing else that
-    /// both clocks have in common.
-    News {
-        /// It.
-        news: TopicUpdate,
-        /// The read was sent so long before the question arrived, if it was.
+    /// To an order to migrate.
+    #[serde(rename = "Carried")]
+    Migrated(MigrationOutcome),
+    /// The changes of a topic, and when the read that confirmed them was sent, relative to the
+    /// arrival of the request: the clocks of two instances have nothing in common but the exchange
+    /// itself.
+    #[serde(rename = "News")]
+    Update {
+        /// The changes.
+        #[serde(rename = "news")]
+        update: TopicUpdate,
+        /// How long before the arrival of the request the read was sent; zero if after it.
         before: Duration,
-        /// The read was sent so long after the question arrived, if it was.
+        /// How long after the arrival of the request the read was sent; zero if before it.
         after: Duration,
         /// Time from that read to this reply.
         age: Duration,
     },
-    /// The receiver knows the topic, but not what has changed since the asker's version: the store
-    /// may tell that in a few rows, and all rows of a large service would fill a narrow link.
-    Behind {
-        /// It can tell what has changed since this version.
+    /// The replier's history of the topic does not reach back to the requested version. The store
+    /// may have the changes in a few rows, whereas all rows of a large service would saturate a
+    /// narrow link.
+    #[serde(rename = "Behind")]
+    HistoryGone {
+        /// The version from which on the replier has all changes.
         from: u64,
     },
-    /// The receiver knows nothing of a topic.
-    Nothing,
+    /// The replier has no data on the topic yet.
+    #[serde(rename = "Nothing")]
+    NoData,
 }
--- a/components/front/src/quarantine/aggregation.rs
+++ b/components/front/src/quarantine/aggregation.rs
@@ -36,7 +36,7 @@
 pub fn found(front: &Arc<Front>, evidence: Evidence) {
     front.metrics.target_crashes.inc();
     for keeper in keepers(front, &evidence.fingerprint) {
-        notify(front, keeper, Message::Ended(evidence.clone()));
+        notify(front, keeper, Message::TargetCrashed(evidence.clone()));
     }
     take(front, evidence);
 }
@@ -48,7 +48,7 @@
         return;
     };
     log(&verdict);
-    notify_all(front, &Message::Words(vec![verdict]));
+    notify_all(front, &Message::Verdicts(vec![verdict]));
     if verdict.kind == VerdictKind::Rejected && is_first_keeper(front, &verdict.fingerprint) {
         record::keep(front, &verdict);
     }
@@ -64,12 +64,12 @@
         None => {}
         Some((verdict, Recipients::Aggregators)) => {
             for keeper in keepers(front, fingerprint) {
-                notify(front, keeper, Message::Words(vec![verdict]));
+                notify(front, keeper, Message::Verdicts(vec![verdict]));
             }
         }
         Some((verdict, Recipients::All)) => {
             log(&verdict);
-            notify_all(front, &Message::Words(vec![verdict]));
+            notify_all(front, &Message::Verdicts(vec![verdict]));
             record::keep(front, &verdict);
         }
     }
@@ -99,7 +99,9 @@
 /// Learns what the owner that took a sync knows, and tells it what it does not know.
 pub async fn reconcile(front: &Front, owner: &InstanceId, reply: Option<&Reply>) {
     let Some(Reply::Members {
-        words, quarantine, ..
+        verdicts: words,
+        quarantine_digest: quarantine,
+        ..
     }) = reply
     else {
         return;
@@ -110,7 +112,7 @@
         // Lost, it is told with the next sync.
         let _ = front
             .peers
-            .call(owner, &Message::Words(mine), NOTIFY_TIMEOUT)
+            .call(owner, &Message::Verdicts(mine), NOTIFY_TIMEOUT)
             .await;
     }
 }
--- a/components/front/src/store/follow.rs
+++ b/components/front/src/store/follow.rs
@@ -225,8 +225,8 @@
                 self.front.peers.call(peer, &message, patience).await
             };
         match reply {
-            Some(Reply::News {
-                news,
+            Some(Reply::Update {
+                update: news,
                 before,
                 after,
                 age,
@@ -235,8 +235,8 @@
                 read: (sent + after).saturating_sub(before),
                 fresh: age < MAX_PEER_STATE_AGE,
             }),
-            Some(Reply::Behind { from }) => self.catch_up(peer, from).await,
-            Some(Reply::Nothing) => Err(silent(format!("{peer} knows nothing"))),
+            Some(Reply::HistoryGone { from }) => self.catch_up(peer, from).await,
+            Some(Reply::NoData) => Err(silent(format!("{peer} knows nothing"))),
             _ => Err(silent(format!("{peer} does not answer"))),
         }
     }
@@ -247,7 +247,7 @@
         while elapsed_since(self.front.started_at) < STARTING {
             let peers = &self.front.peers;
             match peers.try_call(peer, message, STARTING_PATIENCE).await {
-                None | Some(Reply::Nothing) => {}
+                None | Some(Reply::NoData) => {}
                 reply => return reply,
             }
             smol::Timer::after(STARTING_PAUSE).await;
--- a/tests/platform/starting.rs
+++ b/tests/platform/starting.rs
@@ -100,7 +100,7 @@
         let peers = Peers::new(me, Client::new());
         let patience = Duration::from_secs(5);
         let reply = peers.exchange(instance.peers, &message, patience).await;
-        assert_eq!(reply, Ok(Reply::Nothing));
+        assert_eq!(reply, Ok(Reply::NoData));
         assert!(timer.now() - asked >= Duration::from_millis(300));
     });
 }
