--- a/components/policy/tests/faults.rs
+++ b/components/policy/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Random faults: lost and late messages, dead entries, paused and replaced owners, restarted
-//! targets. Two owners, three entries and two targets are fakes at the interface.
+//! Random faults: lost and delayed messages, entries that die, owners that are paused and replaced,
+//! targets that restart. Two owners run against fakes of three entries and two targets.
 
 mod support;
 
@@ -10,7 +10,7 @@
 
 use policy::{Action, EngineReport, Event, Owner, ShardRole, View};
 use proptest::{prelude::*, test_runner::Config};
-use support::{ask, limits, shard, target, view};
+use support::{limits, permit_request, shard, target, view};
 use types::{Epoch, Incarnation, InstanceId, Moment, PermitId};
 use wire::{Done, Grant, Held, HeldPermit, Message, Outcome};
 
@@ -19,38 +19,38 @@
 const TARGETS: usize = 2;
 const COLD_LIMIT: u32 = 2;
 const WARM_AFTER: u32 = 25;
-const TURN: Duration = Duration::from_millis(10);
-const HELD_EVERY: u64 = 20;
-const REPORT_EVERY: u64 = 20;
+const TICK: Duration = Duration::from_millis(10);
+const HELD_REPORT_TICKS: u64 = 20;
+const LOAD_REPORT_TICKS: u64 = 20;
 const REPORT_LAG: Duration = Duration::from_millis(300);
-const SILENCE: Duration = Duration::from_millis(1600);
+const ENTRY_LOSS_TIMEOUT: Duration = Duration::from_millis(1600);
 
-/// What goes wrong, or goes on, next.
+/// A fault, or some work and time between faults.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    Ask { entry: usize, count: u8 },
-    Run { turns: u64 },
-    Pause { owner: usize, turns: u64 },
-    Replace,
-    Kill { entry: usize },
-    Restart { target: usize },
-    Lossy { percent: u8 },
+    RequestPermits { entry: usize, count: u8 },
+    Advance { ticks: u64 },
+    PauseOwner { owner: usize, ticks: u64 },
+    ReplaceOwner,
+    KillEntry { entry: usize },
+    RestartTarget { target: usize },
+    SetLoss { percent: u8 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        16 => (0..ENTRIES, 1..5_u8).prop_map(|(entry, count)| Step::Ask { entry, count }),
-        12 => (1..80_u64).prop_map(|turns| Step::Run { turns }),
-        1 => (0..OWNERS, 20..400_u64).prop_map(|(owner, turns)| Step::Pause { owner, turns }),
-        1 => Just(Step::Replace),
-        2 => (0..ENTRIES).prop_map(|entry| Step::Kill { entry }),
-        1 => (0..TARGETS).prop_map(|target| Step::Restart { target }),
-        1 => (0..40_u8).prop_map(|percent| Step::Lossy { percent }),
+        16 => (0..ENTRIES, 1..5_u8).prop_map(|(entry, count)| Step::RequestPermits { entry, count }),
+        12 => (1..80_u64).prop_map(|ticks| Step::Advance { ticks }),
+        1 => (0..OWNERS, 20..400_u64).prop_map(|(owner, ticks)| Step::PauseOwner { owner, ticks }),
+        1 => Just(Step::ReplaceOwner),
+        2 => (0..ENTRIES).prop_map(|entry| Step::KillEntry { entry }),
+        1 => (0..TARGETS).prop_map(|target| Step::RestartTarget { target }),
+        1 => (0..40_u8).prop_map(|percent| Step::SetLoss { percent }),
     ]
 }
 
 #[derive(Clone, Debug)]
-struct InHand {
+struct HeldGrant {
     grant: Grant,
     sent: bool,
     produced: u64,
@@ -60,8 +60,8 @@
 struct Entry {
     incarnation: Incarnation,
     epoch: Epoch,
-    next_ask: u64,
-    in_hand: BTreeMap<PermitId, InHand>,
+    last_permit_request: u64,
+    held_grants: BTreeMap<PermitId, HeldGrant>,
     dead_since: Option<Moment>,
 }
 
@@ -70,7 +70,7 @@
     entry: usize,
     incarnation: Incarnation,
     permit: PermitId,
-    left: u64,
+    remaining_ticks: u64,
 }
 
 #[derive(Debug)]
@@ -82,38 +82,38 @@
 
 struct Process {
     owner: Owner,
-    asleep_until: Option<Moment>,
-    slept_at: Moment,
+    suspended_until: Option<Moment>,
+    suspended_at: Moment,
     inbox: VecDeque<Event>,
 }
 
 #[derive(Clone, Debug)]
-struct Mail {
-    due: Moment,
-    to: Place,
+struct Delivery {
+    due_at: Moment,
+    to: Node,
     event: Event,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-enum Place {
+enum Node {
     Owner(usize),
     Entry(usize),
 }
 
-struct World {
+struct Simulation {
     now: Moment,
-    turn: u64,
+    tick: u64,
     rng: fastrand::Rng,
-    loss: u8,
+    loss_percent: u8,
     epoch: Epoch,
-    leader: usize,
-    exclusive_at: Option<Moment>,
+    current_owner: usize,
+    exclusive_from: Option<Moment>,
     processes: Vec<Process>,
     entries: Vec<Entry>,
     engines: Vec<Engine>,
-    links: BTreeMap<(Place, Place), VecDeque<Mail>>,
+    links: BTreeMap<(Node, Node), VecDeque<Delivery>>,
     pending_view: Option<(Moment, View)>,
-    used: std::collections::BTreeSet<PermitId>,
+    granted_permits: std::collections::BTreeSet<PermitId>,
 }
 
 fn entry_name(entry: usize) -> InstanceId {
@@ -131,29 +131,29 @@
         .expect("a numbered name")
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let process = |owner: usize| Process {
             owner: Owner::new(format!("owner-{owner}").into(), 1, seed),
-            asleep_until: None,
-            slept_at: Moment::ZERO,
+            suspended_until: None,
+            suspended_at: Moment::ZERO,
             inbox: VecDeque::new(),
         };
-        let mut world = Self {
+        let mut simulation = Self {
             now: Duration::from_secs(10),
-            turn: 0,
+            tick: 0,
             rng: fastrand::Rng::with_seed(seed),
-            loss: 0,
+            loss_percent: 0,
             epoch: 0,
-            leader: 1,
-            exclusive_at: None,
+            current_owner: 1,
+            exclusive_from: None,
             processes: (0..OWNERS).map(process).collect(),
             entries: (0..ENTRIES)
                 .map(|_| Entry {
                     incarnation: 1,
                     epoch: 0,
-                    next_ask: 0,
-                    in_hand: BTreeMap::new(),
+                    last_permit_request: 0,
+                    held_grants: BTreeMap::new(),
                     dead_since: None,
                 })
                 .collect(),
@@ -166,12 +166,12 @@
                 .collect(),
             links: BTreeMap::new(),
             pending_view: None,
-            used: std::collections::BTreeSet::new(),
+            granted_permits: std::collections::BTreeSet::new(),
         };
-        let view = world.view();
-        world.tell_all(&Event::ViewChanged(view));
-        world.replace();
-        world
+        let view = simulation.view();
+        simulation.handle_at_all_owners(&Event::ViewChanged(view));
+        simulation.replace_owner();
+        simulation
     }
 
     fn view(&self) -> View {
@@ -188,20 +188,20 @@
         )
     }
 
-    /// An entry's clock differs from the others' and from the owners'.
+    /// Clocks differ between entries, and from those of the owners.
     fn clock(&self, entry: usize) -> Moment {
         self.now + Duration::from_secs(1000 * (entry as u64 + 1))
     }
 
-    fn tell_all(&mut self, event: &Event) {
+    fn handle_at_all_owners(&mut self, event: &Event) {
         for owner in 0..OWNERS {
-            self.tell(owner, event.clone());
+            self.handle_at_owner(owner, event.clone());
         }
     }
 
-    /// A process that sleeps takes its events when it wakes, after it has noticed the gap.
-    fn tell(&mut self, owner: usize, event: Event) {
-        if self.processes[owner].asleep_until.is_some() {
+    /// A suspended process handles its events on waking, after it has noticed the pause.
+    fn handle_at_owner(&mut self, owner: usize, event: Event) {
+        if self.processes[owner].suspended_until.is_some() {
             self.processes[owner].inbox.push_back(event);
             return;
         }
@@ -217,108 +217,111 @@
                 incarnation: 1,
                 message,
             };
-            self.post(Place::Owner(owner), Place::Entry(number(&to)), event);
+            self.send_event(Node::Owner(owner), Node::Entry(number(&to)), event);
         }
     }
 
-    /// Sends in order for each pair, late, and sometimes not at all.
-    fn post(&mut self, from: Place, to: Place, event: Event) {
-        if self.rng.u8(0..100) < self.loss {
+    /// Delivers in order on each link, with a delay, and loses some events.
+    fn send_event(&mut self, from: Node, to: Node, event: Event) {
+        if self.rng.u8(0..100) < self.loss_percent {
             return;
         }
-        let due = self.now + Duration::from_millis(self.rng.u64(1..60));
+        let due_at = self.now + Duration::from_millis(self.rng.u64(1..60));
         let link = self.links.entry((from, to)).or_default();
-        let due = link.back().map_or(due, |last| due.max(last.due));
-        link.push_back(Mail { due, to, event });
+        let due_at = link.back().map_or(due_at, |last| due_at.max(last.due_at));
+        link.push_back(Delivery { due_at, to, event });
     }
 
-    fn post_as(&mut self, entry: usize, to: usize, message: impl Into<Message>) {
+    fn send_message(&mut self, entry: usize, to: usize, message: impl Into<Message>) {
         let event = Event::Received {
             from: entry_name(entry),
             incarnation: self.entries[entry].incarnation,
             message: message.into(),
         };
-        self.post(Place::Entry(entry), Place::Owner(to), event);
+        self.send_event(Node::Entry(entry), Node::Owner(to), event);
     }
 
-    /// Makes the other process the owner, as its members would: the old one is told at once
-    /// where it runs, and the new one counts as alone only then.
-    fn replace(&mut self) {
+    /// Makes the other process the owner, as membership would: the old owner learns of it at once
+    /// if it runs, and the new one becomes exclusive a little later.
+    fn replace_owner(&mut self) {
         self.epoch += 1;
-        let old = self.leader;
-        self.leader = (old + 1) % OWNERS;
+        let old = self.current_owner;
+        self.current_owner = (old + 1) % OWNERS;
         let follow = ShardRole::Follow {
             owner: None,
             epoch: self.epoch,
         };
-        self.tell(
+        self.handle_at_owner(
             old,
             Event::RoleChanged {
                 shard: shard(),
                 role: follow,
             },
         );
-        let alive = (0..ENTRIES).filter(|&entry| !self.counts_as_gone(entry));
+        let alive = (0..ENTRIES).filter(|&entry| !self.is_reported_gone(entry));
         let own = ShardRole::Own {
             epoch: self.epoch,
             entries_to_query: alive.map(entry_name).collect(),
         };
-        self.tell(
-            self.leader,
+        self.handle_at_owner(
+            self.current_owner,
             Event::RoleChanged {
                 shard: shard(),
                 role: own,
             },
         );
-        self.exclusive_at = Some(self.now + Duration::from_millis(50));
+        self.exclusive_from = Some(self.now + Duration::from_millis(50));
     }
 
-    fn counts_as_gone(&self, entry: usize) -> bool {
+    fn is_reported_gone(&self, entry: usize) -> bool {
         let since = self.entries[entry].dead_since;
-        since.is_some_and(|since| self.now >= since + SILENCE)
+        since.is_some_and(|since| self.now >= since + ENTRY_LOSS_TIMEOUT)
     }
 
-    fn act(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
-            Step::Ask { entry, count } => (0..count).for_each(|_| self.ask(entry)),
-            Step::Run { turns } => (0..turns).for_each(|_| self.run()),
-            Step::Pause { owner, turns } => self.pause(owner, turns),
-            Step::Replace => self.replace(),
-            Step::Kill { entry } => self.kill(entry),
-            Step::Restart { target } => self.restart(target),
-            Step::Lossy { percent } => self.loss = percent,
+            Step::RequestPermits { entry, count } => {
+                (0..count).for_each(|_| self.request_permit(entry))
+            }
+            Step::Advance { ticks } => (0..ticks).for_each(|_| self.advance()),
+            Step::PauseOwner { owner, ticks } => self.pause_owner(owner, ticks),
+            Step::ReplaceOwner => self.replace_owner(),
+            Step::KillEntry { entry } => self.kill_entry(entry),
+            Step::RestartTarget { target } => self.restart_target(target),
+            Step::SetLoss { percent } => self.loss_percent = percent,
         }
-        self.run();
+        self.advance();
     }
 
-    fn ask(&mut self, entry: usize) {
+    fn request_permit(&mut self, entry: usize) {
         if self.entries[entry].dead_since.is_some() {
             return;
         }
-        self.entries[entry].next_ask += 1;
-        let mut ask = ask(self.entries[entry].next_ask, self.clock(entry));
-        ask.within = Duration::from_secs(5);
-        self.post_as(entry, self.leader, ask);
+        self.entries[entry].last_permit_request += 1;
+        let mut permit_request =
+            permit_request(self.entries[entry].last_permit_request, self.clock(entry));
+        permit_request.within = Duration::from_secs(5);
+        self.send_message(entry, self.current_owner, permit_request);
     }
 
-    fn pause(&mut self, owner: usize, turns: u64) {
+    fn pause_owner(&mut self, owner: usize, ticks: u64) {
         let process = &mut self.processes[owner];
-        if process.asleep_until.is_none() {
-            process.slept_at = self.now;
-            process.asleep_until = Some(self.now + TURN * turns as u32);
+        if process.suspended_until.is_none() {
+            process.suspended_at = self.now;
+            process.suspended_until = Some(self.now + TICK * ticks as u32);
         }
     }
 
-    fn kill(&mut self, entry: usize) {
-        let gone = &mut self.entries[entry];
-        if gone.dead_since.is_none() {
-            gone.dead_since = Some(self.now);
-            gone.in_hand.clear();
-            self.links.retain(|(_, to), _| *to != Place::Entry(entry));
+    fn kill_entry(&mut self, entry: usize) {
+        let dead = &mut self.entries[entry];
+        if dead.dead_since.is_none() {
+            dead.dead_since = Some(self.now);
+            dead.held_grants.clear();
+            self.links.retain(|(_, to), _| *to != Node::Entry(entry));
         }
     }
 
-    fn restart(&mut self, target: usize) {
+    fn restart_target(&mut self, target: usize) {
         let engine = &mut self.engines[target];
         engine.incarnation += 1;
         engine.jobs.clear();
@@ -327,76 +330,78 @@
         self.pending_view = Some((self.now + lag, self.view()));
     }
 
-    fn run(&mut self) {
-        self.now += TURN;
-        self.turn += 1;
-        self.wake();
+    fn advance(&mut self) {
+        self.now += TICK;
+        self.tick += 1;
+        self.resume();
         self.deliver();
-        self.work();
-        self.revive();
+        self.advance_work();
+        self.restart_dead_entries();
         if self
             .pending_view
             .as_ref()
             .is_some_and(|(at, _)| *at <= self.now)
             && let Some((_, view)) = self.pending_view.take()
         {
-            self.tell_all(&Event::ViewChanged(view));
+            self.handle_at_all_owners(&Event::ViewChanged(view));
         }
-        let leader_awake = self.processes[self.leader].asleep_until.is_none();
-        if self.exclusive_at.is_some_and(|at| at <= self.now) && leader_awake {
-            self.exclusive_at = None;
+        let owner_runs = self.processes[self.current_owner].suspended_until.is_none();
+        if self.exclusive_from.is_some_and(|at| at <= self.now) && owner_runs {
+            self.exclusive_from = None;
             let exclusive = true;
-            self.tell(
-                self.leader,
+            self.handle_at_owner(
+                self.current_owner,
                 Event::ExclusivityChanged {
                     shard: shard(),
                     exclusive,
                 },
             );
         }
-        self.tell_all(&Event::Tick);
-        if self.turn.is_multiple_of(HELD_EVERY) {
-            (0..ENTRIES).for_each(|entry| self.tell_held(entry, self.leader));
+        self.handle_at_all_owners(&Event::Tick);
+        if self.tick.is_multiple_of(HELD_REPORT_TICKS) {
+            (0..ENTRIES).for_each(|entry| self.report_held(entry, self.current_owner));
         }
-        if self.turn.is_multiple_of(REPORT_EVERY) {
-            (0..TARGETS).for_each(|target| self.report(target));
+        if self.tick.is_multiple_of(LOAD_REPORT_TICKS) {
+            (0..TARGETS).for_each(|target| self.report_load(target));
         }
     }
 
-    fn wake(&mut self) {
+    fn resume(&mut self) {
         for owner in 0..OWNERS {
-            let due = self.processes[owner].asleep_until;
-            if due.is_none_or(|due| due > self.now) {
+            let due_at = self.processes[owner].suspended_until;
+            if due_at.is_none_or(|due_at| due_at > self.now) {
                 continue;
             }
-            self.processes[owner].asleep_until = None;
-            let gap = self.now - self.processes[owner].slept_at;
+            self.processes[owner].suspended_until = None;
+            let gap = self.now - self.processes[owner].suspended_at;
             let inbox = std::mem::take(&mut self.processes[owner].inbox);
-            self.tell(owner, Event::Paused { gap });
-            inbox.into_iter().for_each(|event| self.tell(owner, event));
-            if owner == self.leader {
-                self.replace();
+            self.handle_at_owner(owner, Event::Paused { gap });
+            inbox
+                .into_iter()
+                .for_each(|event| self.handle_at_owner(owner, event));
+            if owner == self.current_owner {
+                self.replace_owner();
             }
         }
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let mut due: Vec<Mail> = Vec::new();
+        let mut due: Vec<Delivery> = Vec::new();
         for link in self.links.values_mut() {
-            while link.front().is_some_and(|mail| mail.due <= now) {
+            while link.front().is_some_and(|delivery| delivery.due_at <= now) {
                 due.extend(link.pop_front());
             }
         }
-        for mail in due {
-            match mail.to {
-                Place::Owner(owner) => self.tell(owner, mail.event),
-                Place::Entry(entry) => self.entry_gets(entry, mail.event),
+        for delivery in due {
+            match delivery.to {
+                Node::Owner(owner) => self.handle_at_owner(owner, delivery.event),
+                Node::Entry(entry) => self.handle_at_entry(entry, delivery.event),
             }
         }
     }
 
-    fn entry_gets(&mut self, entry: usize, event: Event) {
+    fn handle_at_entry(&mut self, entry: usize, event: Event) {
         let Event::Received { from, message, .. } = event else {
             return;
         };
@@ -404,61 +409,62 @@
             return;
         }
         match message {
-            Message::Grant(grant) => self.granted(entry, number(&from), grant),
+            Message::Grant(grant) => self.handle_grant(entry, number(&from), grant),
             Message::Query(query) if query.epoch >= self.entries[entry].epoch => {
                 self.entries[entry].epoch = query.epoch;
-                self.tell_held(entry, number(&from));
+                self.report_held(entry, number(&from));
             }
             _ => {}
         }
     }
 
-    /// A third of the permits is used a little later, some of them too late.
-    fn granted(&mut self, entry: usize, from: usize, grant: Grant) {
+    /// Two thirds of the permits are used at once, the others later, some of them after they
+    /// expired.
+    fn handle_grant(&mut self, entry: usize, from: usize, grant: Grant) {
         if grant.epoch < self.entries[entry].epoch {
             return;
         }
         assert!(
-            self.used.insert(grant.permit),
-            "permit {} granted twice",
+            self.granted_permits.insert(grant.permit),
+            "permit {} was granted twice",
             grant.permit
         );
         let permit = grant.permit;
-        let in_hand = InHand {
+        let held_grant = HeldGrant {
             grant,
             sent: false,
             produced: 0,
         };
-        self.entries[entry].in_hand.insert(permit, in_hand);
+        self.entries[entry].held_grants.insert(permit, held_grant);
         if self.rng.u8(0..3) > 0 {
-            self.send(entry, from, permit);
+            self.use_permit(entry, from, permit);
         }
     }
 
-    fn send(&mut self, entry: usize, owner: usize, permit: PermitId) {
-        let Some(in_hand) = self.entries[entry].in_hand.get_mut(&permit) else {
+    fn use_permit(&mut self, entry: usize, owner: usize, permit: PermitId) {
+        let Some(held_grant) = self.entries[entry].held_grants.get_mut(&permit) else {
             return;
         };
-        let grant = in_hand.grant.clone();
-        in_hand.sent = true;
+        let grant = held_grant.grant.clone();
+        held_grant.sent = true;
         let engine = number(&grant.target);
-        let lapsed = self.clock(entry) >= grant.stamp + grant.life;
-        if lapsed || self.engines[engine].incarnation != grant.incarnation {
-            self.give_back(entry, owner, permit, Outcome::Unsent);
+        let expired = self.clock(entry) >= grant.stamp + grant.life;
+        if expired || self.engines[engine].incarnation != grant.incarnation {
+            self.return_permit(entry, owner, permit, Outcome::Unsent);
             return;
         }
-        let left = self.rng.u64(10..300);
+        let remaining_ticks = self.rng.u64(10..300);
         let incarnation = self.entries[entry].incarnation;
         self.engines[engine].jobs.push(Job {
             entry,
             incarnation,
             permit,
-            left,
+            remaining_ticks,
         });
         let engine = &self.engines[engine];
         assert!(
             engine.finished >= WARM_AFTER || engine.jobs.len() <= COLD_LIMIT as usize,
-            "a cold target got {:?}; the owners say {:#?}",
+            "a cold target got {:?}; dumps of the owners: {:#?}",
             engine.jobs,
             self.dumps()
         );
@@ -469,79 +475,85 @@
         owners.map(|p| p.owner.dump(self.now)).collect()
     }
 
-    fn give_back(&mut self, entry: usize, owner: usize, permit: PermitId, outcome: Outcome) {
-        let Some(in_hand) = self.entries[entry].in_hand.remove(&permit) else {
+    fn return_permit(&mut self, entry: usize, owner: usize, permit: PermitId, outcome: Outcome) {
+        let Some(held_grant) = self.entries[entry].held_grants.remove(&permit) else {
             return;
         };
         let done = Done {
             shard: shard(),
             permit,
-            target: in_hand.grant.target,
+            target: held_grant.grant.target,
             outcome,
         };
-        self.post_as(entry, owner, done);
+        self.send_message(entry, owner, done);
     }
 
-    /// Everything at the targets goes on, work of dead entries too, and held permits get used.
-    fn work(&mut self) {
+    /// Advances the work on all targets, that of dead entries included, and uses some held permits.
+    fn advance_work(&mut self) {
         for target in 0..TARGETS {
             let engine = &mut self.engines[target];
-            engine.jobs.iter_mut().for_each(|job| job.left -= 1);
-            let (ended, running) = engine.jobs.drain(..).partition(|job| job.left == 0);
+            engine
+                .jobs
+                .iter_mut()
+                .for_each(|job| job.remaining_ticks -= 1);
+            let (ended, running) = engine
+                .jobs
+                .drain(..)
+                .partition(|job| job.remaining_ticks == 0);
             engine.jobs = running;
             let ended: Vec<Job> = ended;
             engine.finished += ended.len() as u32;
             for job in ended {
                 if self.entries[job.entry].incarnation == job.incarnation {
-                    let outcome = support::finished(10);
-                    self.give_back(job.entry, self.leader, job.permit, outcome);
+                    let outcome = support::finished_outcome(10);
+                    self.return_permit(job.entry, self.current_owner, job.permit, outcome);
                 }
             }
         }
         for entry in 0..ENTRIES {
-            let waiting: Vec<PermitId> = self.entries[entry]
-                .in_hand
+            let unused: Vec<PermitId> = self.entries[entry]
+                .held_grants
                 .iter()
-                .filter(|(_, in_hand)| !in_hand.sent)
+                .filter(|(_, held_grant)| !held_grant.sent)
                 .map(|(permit, _)| *permit)
                 .collect();
-            for permit in waiting {
+            for permit in unused {
                 if self.rng.u8(0..20) == 0 {
-                    self.send(entry, self.leader, permit);
+                    self.use_permit(entry, self.current_owner, permit);
                 }
             }
-            self.drop_dead_work(entry);
+            self.fail_lost_work(entry);
         }
     }
 
-    /// Work that a restarted target lost fails at its entry.
-    fn drop_dead_work(&mut self, entry: usize) {
+    /// Work lost with a restarted target fails at its entry.
+    fn fail_lost_work(&mut self, entry: usize) {
         let engines = &self.engines;
         let lost: Vec<PermitId> = self.entries[entry]
-            .in_hand
+            .held_grants
             .values()
-            .filter(|in_hand| {
-                let engine = &engines[number(&in_hand.grant.target)];
-                in_hand.sent && engine.incarnation != in_hand.grant.incarnation
+            .filter(|held_grant| {
+                let engine = &engines[number(&held_grant.grant.target)];
+                held_grant.sent && engine.incarnation != held_grant.grant.incarnation
             })
-            .map(|in_hand| in_hand.grant.permit)
+            .map(|held_grant| held_grant.grant.permit)
             .collect();
         for permit in lost {
-            self.give_back(entry, self.leader, permit, Outcome::Failed);
+            self.return_permit(entry, self.current_owner, permit, Outcome::Failed);
         }
     }
 
-    /// A dead entry is given up after a while, and comes back in a new life later.
-    fn revive(&mut self) {
+    /// A dead entry is reported as gone after `ENTRY_LOSS_TIMEOUT`, and returns in a new incarnation later.
+    fn restart_dead_entries(&mut self) {
         for entry in 0..ENTRIES {
             let Some(since) = self.entries[entry].dead_since else {
                 continue;
             };
-            if self.now == since + SILENCE {
+            if self.now == since + ENTRY_LOSS_TIMEOUT {
                 let peer = entry_name(entry);
-                self.tell_all(&Event::PeerGone { peer });
+                self.handle_at_all_owners(&Event::PeerGone { peer });
             }
-            if self.now >= since + SILENCE * 2 {
+            if self.now >= since + ENTRY_LOSS_TIMEOUT * 2 {
                 self.entries[entry].dead_since = None;
                 self.entries[entry].incarnation += 1;
                 self.entries[entry].epoch = self.epoch;
@@ -549,21 +561,21 @@
         }
     }
 
-    fn tell_held(&mut self, entry: usize, to: usize) {
+    fn report_held(&mut self, entry: usize, to: usize) {
         if self.entries[entry].dead_since.is_some() {
             return;
         }
         let stamp = self.clock(entry);
         let fake = &mut self.entries[entry];
-        let permits = fake.in_hand.values_mut().map(|in_hand| {
-            in_hand.produced += u64::from(in_hand.sent);
+        let permits = fake.held_grants.values_mut().map(|held_grant| {
+            held_grant.produced += u64::from(held_grant.sent);
             HeldPermit {
-                epoch: in_hand.grant.epoch,
-                incarnation: in_hand.grant.incarnation,
-                ..support::held(
-                    in_hand.grant.permit,
-                    &in_hand.grant.target,
-                    in_hand.produced,
+                epoch: held_grant.grant.epoch,
+                incarnation: held_grant.grant.incarnation,
+                ..support::held_permit(
+                    held_grant.grant.permit,
+                    &held_grant.grant.target,
+                    held_grant.produced,
                 )
             }
         });
@@ -573,10 +585,10 @@
             stamp,
             permits: permits.collect(),
         };
-        self.post_as(entry, to, held);
+        self.send_message(entry, to, held);
     }
 
-    fn report(&mut self, target: usize) {
+    fn report_load(&mut self, target: usize) {
         let engine = &self.engines[target];
         let report = EngineReport {
             incarnation: engine.incarnation,
@@ -586,39 +598,38 @@
             warm: engine.finished >= WARM_AFTER,
             ..EngineReport::default()
         };
-        let due = self.now + REPORT_LAG;
+        let due_at = self.now + REPORT_LAG;
         let target = engine_name(target).as_str().into();
         let event = Event::TargetReported { target, report };
         for owner in 0..OWNERS {
-            let to = Place::Owner(owner);
-            let mail = Mail {
-                due,
+            let to = Node::Owner(owner);
+            let delivery = Delivery {
+                due_at,
                 to,
                 event: event.clone(),
             };
-            self.links.entry((to, to)).or_default().push_back(mail);
+            self.links.entry((to, to)).or_default().push_back(delivery);
         }
     }
 
-    /// With all faults over, everything comes to rest and nothing stays on the account.
-    fn settle(&mut self) {
-        self.loss = 0;
-        (0..1500).for_each(|_| self.run());
-        let summaries = self.processes[self.leader].owner.summaries(self.now);
+    /// Without further faults all work ends, and no permit stays in the accounts.
+    fn run_until_idle(&mut self) {
+        self.loss_percent = 0;
+        (0..1500).for_each(|_| self.advance());
+        let summaries = self.processes[self.current_owner].owner.summaries(self.now);
         assert_eq!(summaries.len(), 1, "the shard has its owner");
         assert!(
             summaries[0].granting && summaries[0].queued == 0,
             "{summaries:?}"
         );
-        let dump = self.processes[self.leader].owner.dump(self.now);
-        assert_eq!(summaries[0].load, 0.0, "nothing is left over: {dump:#?}");
+        let dump = self.processes[self.current_owner].owner.dump(self.now);
+        assert_eq!(summaries[0].load, 0.0, "no permit is left over: {dump:#?}");
     }
 }
 
-// Owners are paused and replaced, entries die with work running, targets restart, messages get
-// lost and come late, at any moment and together. If permits of two owners or of a dead entry
-// added up, a cold target would get more than it bears and all its callers would lose their
-// answers; if permits leaked, targets would stand idle for good.
+// Guards against permits of two owners, or of a dead entry and its successor, adding up, so that a
+// cold target gets more than its limit and its callers lose their answers; and against permits that
+// are never returned, so that targets stay idle. Faults occur at any time and in combination.
 #[test]
 fn no_fault_overfills_a_cold_target_or_leaks_a_permit() {
     let config = Config {
@@ -626,10 +637,10 @@
         ..Config::default()
     };
     proptest!(config, |(seed in any::<u64>(), steps in prop::collection::vec(step(), 50..400))| {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for step in steps {
-            world.act(step);
+            simulation.apply(step);
         }
-        world.settle();
+        simulation.run_until_idle();
     });
 }
--- a/components/policy/tests/lengths.rs
+++ b/components/policy/tests/lengths.rs
@@ -1,4 +1,4 @@
-//! Learned lengths and the memory that is projected from them.
+//! Length estimates, and the memory projected from them.
 
 use policy::{
     MemoryEstimate, Tuning,
@@ -31,26 +31,26 @@
     }
 }
 
-fn learn(lengths: &mut LengthEstimator, names: &Names, seen: impl IntoIterator<Item = u64>) {
-    for length in seen {
+fn observe(lengths: &mut LengthEstimator, names: &Names, observed: impl IntoIterator<Item = u64>) {
+    for length in observed {
         lengths.record_end(&names.source(), 0, length);
     }
 }
 
 #[test]
-fn the_expected_length_is_near_what_was_seen() {
+fn the_expected_length_is_near_the_observed_lengths() {
     let mut lengths = LengthEstimator::new();
     let names = Names::new("draft", "signs");
-    learn(&mut lengths, &names, (0..400).map(|n| 100 + n % 200));
+    observe(&mut lengths, &names, (0..400).map(|n| 100 + n % 200));
     let expected = lengths.curve(&names.source()).expected_remaining(0, 4096);
     assert!((170.0..230.0).contains(&expected), "{expected}");
 }
 
 #[test]
-fn what_remains_is_judged_by_those_that_got_as_far() {
+fn the_remaining_length_is_estimated_from_generations_that_got_as_far() {
     let mut lengths = LengthEstimator::new();
     let names = Names::new("draft", "signs");
-    learn(
+    observe(
         &mut lengths,
         &names,
         (0..400).map(|n| if n % 10 == 0 { 2000 } else { 50 }),
@@ -60,52 +60,52 @@
     assert!(curve.expected_remaining(200, 4096) > 1400.0);
 }
 
-// Callers hang up on long answers more often than on short ones. An estimate from whole answers
-// alone would take long ones for rare, and engines would be overfilled.
+// Callers cancel long answers more often than short ones. An estimate from complete answers alone
+// would take long ones to be rare, and engines would be overfilled.
 #[test]
 fn cancelled_generations_count_as_at_least_as_long_as_they_got() {
     let names = Names::new("draft", "signs");
-    let mut whole = LengthEstimator::new();
+    let mut finished_only = LengthEstimator::new();
     let mut all = LengthEstimator::new();
     for n in 0..400 {
         if n % 2 == 0 {
-            whole.record_end(&names.source(), 0, 100);
+            finished_only.record_end(&names.source(), 0, 100);
             all.record_end(&names.source(), 0, 100);
         } else {
             all.record_progress(&names.source(), 0, 600);
         }
     }
-    let without = whole.curve(&names.source()).survival(0, 300);
+    let without = finished_only.curve(&names.source()).survival(0, 300);
     let with = all.curve(&names.source()).survival(0, 300);
     assert!(without < 0.05, "{without}");
     assert!((0.4..0.6).contains(&with), "{with}");
 }
 
 #[test]
-fn a_new_workspace_leans_on_its_route_until_it_has_seen_enough() {
+fn a_new_workspace_uses_its_routes_estimate_until_it_has_enough_observations() {
     let mut lengths = LengthEstimator::new();
     let old = Names::new("draft", "signs");
     let new = Names::new("draft", "films");
-    learn(&mut lengths, &old, (0..400).map(|_| 300));
-    learn(&mut lengths, &new, (0..4).map(|_| 20));
+    observe(&mut lengths, &old, (0..400).map(|_| 300));
+    observe(&mut lengths, &new, (0..4).map(|_| 20));
     let few = lengths.curve(&new.source()).expected_remaining(0, 4096);
-    learn(&mut lengths, &new, (0..400).map(|_| 20));
+    observe(&mut lengths, &new, (0..400).map(|_| 20));
     let many = lengths.curve(&new.source()).expected_remaining(0, 4096);
     assert!(few > 150.0, "{few}");
     assert!(many < 40.0, "{many}");
 }
 
 #[test]
-fn an_old_habit_is_forgotten() {
+fn old_observations_are_forgotten() {
     let mut lengths = LengthEstimator::new();
     let names = Names::new("draft", "signs");
-    learn(&mut lengths, &names, (0..3000).map(|_| 50));
-    learn(&mut lengths, &names, (0..6000).map(|_| 400));
+    observe(&mut lengths, &names, (0..3000).map(|_| 50));
+    observe(&mut lengths, &names, (0..6000).map(|_| 400));
     let survival = lengths.curve(&names.source()).survival(0, 200);
     assert!(survival > 0.8, "{survival}");
 }
 
-fn running(
+fn running_generation(
     lengths: &mut LengthEstimator,
     prompt_tokens: u64,
     produced: u64,
@@ -123,7 +123,7 @@
 #[test]
 fn the_peak_lies_between_what_is_used_now_and_the_sum_of_largest_sizes() {
     let mut lengths = LengthEstimator::new();
-    learn(
+    observe(
         &mut lengths,
         &Names::new("draft", "signs"),
         (0..400).map(|n| 50 + n),
@@ -131,8 +131,8 @@
     let tuning = Tuning::default();
     let mut projection = MemoryProjection::new();
     for n in 0..10 {
-        let one = running(&mut lengths, 100, n * 20, 1000);
-        projection.add(&one, tuning.memory_estimate);
+        let generation = running_generation(&mut lengths, 100, n * 20, 1000);
+        projection.add(&generation, tuning.memory_estimate);
     }
     let peak = projection.peak(&tuning);
     assert!(projection.current() < peak && peak < 11_000.0, "{peak}");
@@ -143,17 +143,17 @@
     assert!(projection.peak(&wider) > peak);
 }
 
-// Three generations of known lengths: just before the first ends 3 x 110, before the second
-// 2 x 150 and before the last 300 tokens are in use.
+// Right before the first of the three generations ends, 3 x 110 tokens are in use, before the
+// second 2 x 150, and before the last 300.
 #[test]
-fn told_lengths_give_the_exact_peak() {
+fn known_lengths_give_the_exact_peak() {
     let mut lengths = LengthEstimator::new();
     let tuning = Tuning::with_known_lengths();
     assert_eq!(tuning.memory_estimate, MemoryEstimate::KnownLengths);
     let mut projection = MemoryProjection::new();
     for length in [10, 50, 200] {
-        let one = running(&mut lengths, 100, 0, length);
-        projection.add(&one, tuning.memory_estimate);
+        let generation = running_generation(&mut lengths, 100, 0, length);
+        projection.add(&generation, tuning.memory_estimate);
     }
     assert!((projection.peak(&tuning) - 330.0).abs() < 0.5);
 }
--- a/components/policy/tests/limits.rs
+++ b/components/policy/tests/limits.rs
@@ -1,15 +1,15 @@
-//! Cold start, the ramp after it, and the way back.
+//! Cold start, the growth of the limit after it, and the return to cold start.
 
 mod support;
 
 use std::time::Duration;
 
 use policy::{EngineReport, Event, TargetLimits};
-use support::{Bed, DATA_CENTRE, finished, limits, target, view, warm};
+use support::{DATA_CENTRE, Fixture, finished_outcome, limits, target, view, warm_report};
 use types::Standing;
 use wire::{Grant, Outcome};
 
-fn wide() -> TargetLimits {
+fn large_limits() -> TargetLimits {
     TargetLimits {
         memory_tokens: 1_000_000,
         queue_limit: 1000,
@@ -17,27 +17,28 @@
     }
 }
 
-fn roomy(running: u32) -> EngineReport {
+fn large_report(running: u32) -> EngineReport {
     EngineReport {
         running,
         capacity: 1_000_000,
-        ..warm()
+        ..warm_report()
     }
 }
 
-/// Asks until nothing more is granted, and gives the permits.
-fn saturate(bed: &mut Bed, number: &mut u64) -> Vec<Grant> {
+/// Requests permits until no more are granted, and returns the grants.
+fn saturate(fixture: &mut Fixture, number: &mut u64) -> Vec<Grant> {
     let mut grants = Vec::new();
     for _ in 0..40 {
         *number += 1;
-        bed.ask("entry", *number);
-        grants.extend(bed.grants());
+        fixture.request_permit("entry", *number);
+        grants.extend(fixture.grants());
     }
     grants
 }
 
-/// Lets each permit in turn come back with a first-token time; gives those granted meanwhile.
-fn finish(bed: &mut Bed, grants: Vec<Grant>, first: u64) -> Vec<Grant> {
+/// Finishes the work under each permit with a first-token time in ms, and returns the permits
+/// granted meanwhile.
+fn finish(fixture: &mut Fixture, grants: Vec<Grant>, first: u64) -> Vec<Grant> {
     let mut next = Vec::new();
     for grant in grants {
         let outcome = Outcome::Finished {
@@ -45,91 +46,94 @@
             first: Duration::from_millis(first),
             took: Duration::from_millis(first + 100),
         };
-        bed.done("entry", &grant, outcome);
-        next.extend(bed.grants());
+        fixture.return_permit("entry", &grant, outcome);
+        next.extend(fixture.grants());
     }
     next
 }
 
-/// A bed whose one target has become warm and uses its whole limit.
-fn warmed_up() -> (Bed, Vec<Grant>) {
-    let mut bed = Bed::owning(view(vec![target("a", 1)], wide()));
+/// A fixture whose only target has become warm and uses its whole limit.
+fn warmed_up() -> (Fixture, Vec<Grant>) {
+    let mut fixture = Fixture::owning(view(vec![target("a", 1)], large_limits()));
     let mut number = 0;
-    let mut grants = saturate(&mut bed, &mut number);
+    let mut grants = saturate(&mut fixture, &mut number);
     assert_eq!(grants.len(), 2);
     for _ in 0..12 {
-        grants = finish(&mut bed, grants, 50);
+        grants = finish(&mut fixture, grants, 50);
         number += 40;
-        grants.extend(saturate(&mut bed, &mut number));
+        grants.extend(saturate(&mut fixture, &mut number));
     }
     assert!(grants.len() > 8, "{}", grants.len());
-    (bed, grants)
+    (fixture, grants)
 }
 
 #[test]
 fn a_cold_target_gets_more_only_after_enough_requests_have_finished() {
-    let mut bed = Bed::owning(view(vec![target("a", 1)], wide()));
+    let mut fixture = Fixture::owning(view(vec![target("a", 1)], large_limits()));
     let mut number = 0;
-    let first = saturate(&mut bed, &mut number);
-    let second = finish(&mut bed, first, 50);
+    let first = saturate(&mut fixture, &mut number);
+    let second = finish(&mut fixture, first, 50);
     assert_eq!(second.len(), 2, "two of four have finished");
-    let third = finish(&mut bed, second, 50);
+    let third = finish(&mut fixture, second, 50);
     assert!((2..=4).contains(&third.len()), "{}", third.len());
     assert!(third.iter().any(|grant| !grant.cold));
 }
 
-// The target itself may know better than the count of what finished.
+// A target's own report takes precedence over the number of finished requests.
 #[test]
-fn a_target_that_says_it_is_cold_stays_cold() {
-    let mut bed = Bed::owning(view(vec![target("a", 1)], wide()));
+fn a_target_that_reports_itself_cold_stays_cold() {
+    let mut fixture = Fixture::owning(view(vec![target("a", 1)], large_limits()));
     let cold = EngineReport {
         warm: false,
-        ..roomy(0)
+        ..large_report(0)
     };
-    bed.report("a", cold);
+    fixture.report_load("a", cold);
     let mut number = 0;
-    let mut grants = saturate(&mut bed, &mut number);
+    let mut grants = saturate(&mut fixture, &mut number);
     for _ in 0..6 {
-        grants = finish(&mut bed, grants, 50);
+        grants = finish(&mut fixture, grants, 50);
         assert!(grants.iter().all(|grant| grant.cold) && grants.len() == 2);
     }
 }
 
-// After a change of owner the targets have been warm for long. A new owner that treated them as
-// cold would throw most of the service away for minutes.
+// When the owner changes, targets have long been warm. A new owner that treated them as cold would
+// lose most of the capacity for minutes.
 #[test]
-fn a_new_owner_believes_a_target_that_reports_itself_warm() {
-    let mut bed = Bed::new(view(vec![target("a", 1)], wide()));
-    bed.report("a", roomy(10));
-    bed.own(2, &[]);
+fn a_new_owner_trusts_a_target_that_reports_itself_warm() {
+    let mut fixture = Fixture::new(view(vec![target("a", 1)], large_limits()));
+    fixture.report_load("a", large_report(10));
+    fixture.become_owner(2, &[]);
     let mut number = 0;
-    let grants = saturate(&mut bed, &mut number);
+    let grants = saturate(&mut fixture, &mut number);
     assert!(grants.len() >= 9 && !grants[0].cold, "{}", grants.len());
 }
 
-// A target that was replaced is cold whatever its first report says.
+// A restarted target is cold, whatever its first report says.
 #[test]
-fn a_new_life_of_a_target_starts_cold() {
-    let (mut bed, before) = warmed_up();
-    bed.event(Event::ViewChanged(view(vec![target("a", 2)], wide())));
-    let mut granted = bed.grants();
-    // Permits of the former life may still be on their way, so they count until their entries
-    // have told that they are lost and the new life reports that it has none of them.
+fn a_new_incarnation_of_a_target_starts_cold() {
+    let (mut fixture, before) = warmed_up();
+    fixture.event(Event::ViewChanged(view(
+        vec![target("a", 2)],
+        large_limits(),
+    )));
+    let mut granted = fixture.grants();
+    // Permits of the earlier incarnation may still be on their way. They count until their entries
+    // report them as lost and the new incarnation reports that it runs none of them.
     for grant in &before {
-        bed.done("entry", grant, Outcome::Failed);
-        granted.extend(bed.grants());
+        fixture.return_permit("entry", grant, Outcome::Failed);
+        granted.extend(fixture.grants());
     }
     assert!(granted.is_empty());
-    bed.advance(100);
-    bed.report(
+    fixture.advance(100);
+    fixture.report_load(
         "a",
         EngineReport {
             incarnation: 2,
-            ..roomy(0)
+            ..large_report(0)
         },
     );
-    granted.extend(bed.grants());
-    granted.extend(saturate(&mut bed, &mut 9000));
+    granted.extend(fixture.grants());
+    granted.extend(saturate(&mut fixture, &mut 9000));
     assert_eq!(granted.len(), 2);
     assert!(
         granted
@@ -138,77 +142,80 @@
     );
 }
 
-// A restart that the list doesn't show yet is seen in the target's report first. Work for the
-// earlier life would go to a cold target past its bound.
+// A restart that the listing does not show yet is seen first in the target's report. Work meant for
+// the earlier incarnation would exceed the limit of the cold target.
 #[test]
-fn a_target_gets_nothing_while_list_and_report_disagree_about_its_life() {
-    let (mut bed, grants) = warmed_up();
-    bed.report(
+fn a_target_gets_nothing_while_listing_and_report_disagree_about_its_incarnation() {
+    let (mut fixture, grants) = warmed_up();
+    fixture.report_load(
         "a",
         EngineReport {
             incarnation: 2,
-            ..roomy(0)
+            ..large_report(0)
         },
     );
-    assert!(finish(&mut bed, grants, 50).is_empty());
+    assert!(finish(&mut fixture, grants, 50).is_empty());
 }
 
-// A warmed target can turn cold without warning: caches are lost, or the model is loaded anew.
-// It shows in the first-token time before any report, and full load would make it fall over.
+// A warm target can turn cold without notice, for example when it loses its cache or reloads the
+// model. The first-token time shows it before any report, and full load would overload the target.
 #[test]
-fn a_jump_of_the_first_token_time_puts_a_target_back_to_cold() {
-    let (mut bed, mut grants) = warmed_up();
+fn slow_first_tokens_put_a_target_back_into_cold_start() {
+    let (mut fixture, mut grants) = warmed_up();
     let rest = grants.split_off(2);
-    bed.advance(100);
-    assert!(finish(&mut bed, grants, 3000).len() <= 1);
+    fixture.advance(100);
+    assert!(finish(&mut fixture, grants, 3000).len() <= 1);
     let (last, most) = rest.split_at(rest.len() - 2);
     assert!(
-        finish(&mut bed, last.to_vec(), 50).is_empty(),
-        "over the bound still"
+        finish(&mut fixture, last.to_vec(), 50).is_empty(),
+        "still over the limit"
     );
-    let next = finish(&mut bed, most.to_vec(), 50);
+    let next = finish(&mut fixture, most.to_vec(), 50);
     assert!(next.len() <= 2 && next.iter().all(|grant| grant.cold));
 }
 
 #[test]
 fn a_target_that_refuses_work_gets_half_as_much_at_once() {
-    let (mut bed, mut grants) = warmed_up();
+    let (mut fixture, mut grants) = warmed_up();
     let before = grants.len();
     let refused = grants.remove(0);
-    bed.done("entry", &refused, Outcome::Overloaded);
-    assert!(bed.grants().is_empty());
+    fixture.return_permit("entry", &refused, Outcome::Overloaded);
+    assert!(fixture.grants().is_empty());
     grants.truncate(before / 2 - 2);
-    assert!(finish(&mut bed, grants, 50).is_empty());
+    assert!(finish(&mut fixture, grants, 50).is_empty());
 }
 
-// Operators take a data centre out and back in. Its targets lost what they had cached, and all
-// the work that comes back at once would overfill them.
+// When operators take a data centre out of service and back in, its targets have lost their caches,
+// and all the work that returns at once would overload them.
 #[test]
 fn targets_of_a_data_centre_that_returns_start_cold() {
-    let (mut bed, grants) = warmed_up();
-    let mut out = view(vec![target("a", 1)], wide());
+    let (mut fixture, grants) = warmed_up();
+    let mut out = view(vec![target("a", 1)], large_limits());
     out.data_centres_out.push(DATA_CENTRE.into());
-    bed.event(Event::ViewChanged(out));
+    fixture.event(Event::ViewChanged(out));
     for grant in grants {
-        bed.done("entry", &grant, finished(10));
-        assert!(bed.grants().is_empty());
+        fixture.return_permit("entry", &grant, finished_outcome(10));
+        assert!(fixture.grants().is_empty());
     }
-    bed.event(Event::ViewChanged(view(vec![target("a", 1)], wide())));
-    bed.report("a", roomy(0));
+    fixture.event(Event::ViewChanged(view(
+        vec![target("a", 1)],
+        large_limits(),
+    )));
+    fixture.report_load("a", large_report(0));
     let mut number = 9000;
-    let granted = saturate(&mut bed, &mut number);
+    let granted = saturate(&mut fixture, &mut number);
     assert_eq!(granted.len(), 2);
 }
 
 #[test]
 fn a_leaving_target_finishes_its_work_and_gets_no_more() {
-    let (mut bed, grants) = warmed_up();
+    let (mut fixture, grants) = warmed_up();
     let mut leaving = target("a", 1);
     leaving.standing = Standing::Leaving;
-    bed.event(Event::ViewChanged(view(
+    fixture.event(Event::ViewChanged(view(
         vec![leaving, target("b", 1)],
-        wide(),
+        large_limits(),
     )));
-    let next = finish(&mut bed, grants, 50);
+    let next = finish(&mut fixture, grants, 50);
     assert!(next.iter().all(|grant| &*grant.target == "b"));
 }
--- a/components/policy/tests/lost_asks.rs
+++ b/components/policy/tests/lost_permit_requests.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request whose ask, or the answer to it, is lost between two instances.
+//! Recovery from permit requests, or answers to them, that are lost between two instances.
 
 mod support;
 
@@ -28,8 +28,8 @@
     }
 }
 
-fn asks(out: &[Action]) -> usize {
-    let is_ask = |action: &&Action| {
+fn permit_requests(out: &[Action]) -> usize {
+    let is_permit_request = |action: &&Action| {
         matches!(
             action,
             Action::Send {
@@ -38,27 +38,26 @@
             }
         )
     };
-    out.iter().filter(is_ask).count()
+    out.iter().filter(is_permit_request).count()
 }
 
-/// Lets a second pass in ticks; counts the asks that are sent.
-fn pass(entry: &mut Entry, now: &mut Moment) -> usize {
+/// Advances the time by a second in ticks, and returns the number of permit requests sent.
+fn pass_a_second(entry: &mut Entry, now: &mut Moment) -> usize {
     let mut sent = 0;
     for _ in 0..50 {
         *now += SECOND / 50;
         let mut out = Vec::new();
         entry.handle(*now, &Event::Tick, &mut out);
-        sent += asks(&out);
+        sent += permit_requests(&out);
     }
     sent
 }
 
-// A peer is started anew and becomes owner. The ask goes out on a connection to its former life
-// and is lost; nobody will ever answer it. The caller waits in silence until its time is over,
-// although every engine is idle.
-// Found by tests/promises_data_centre.rs, one run in five.
+// A peer restarts and becomes owner. A permit request sent on a connection to its earlier
+// incarnation is lost and never answered. The caller would wait until its deadline although every
+// engine is idle. Found by tests/promises_data_centre.rs, in one run of five.
 #[test]
-fn an_ask_that_nobody_answers_is_made_again() {
+fn an_unanswered_permit_request_is_repeated() {
     let mut entry = Entry::new("me".into(), support::DATA_CENTRE.into());
     let mut now = SECOND;
     let mut out = Vec::new();
@@ -75,9 +74,9 @@
     entry.handle(now, &follow, &mut out);
     out.clear();
     entry.handle(now, &Event::Arrived(request()), &mut out);
-    assert_eq!(asks(&out), 1);
-    let again = pass(&mut entry, &mut now) + pass(&mut entry, &mut now);
-    assert!(again >= 1, "nobody was asked again");
-    // A long line is no loss: asking anew all the time would only make it longer.
-    assert!(again <= 2, "{again}");
+    assert_eq!(permit_requests(&out), 1);
+    let repeated = pass_a_second(&mut entry, &mut now) + pass_a_second(&mut entry, &mut now);
+    assert!(repeated >= 1, "the permit request was not repeated");
+    // A long queue is not a loss: repeating requests all the time would only make it longer.
+    assert!(repeated <= 2, "{repeated}");
 }
--- a/components/policy/tests/order.rs
+++ b/components/policy/tests/order.rs
@@ -1,63 +1,69 @@
-//! Who goes next, and where to.
+//! Order of service, and the choice of the target.
 
 mod support;
 
 use std::time::Duration;
 
 use policy::{EngineReport, TargetLimits};
-use support::{Bed, ask, finished, held, limits, target, view, warm};
+use support::{
+    Fixture, finished_outcome, held_permit, limits, permit_request, target, view, warm_report,
+};
 use types::{Class, ServiceKind};
 use wire::{Ask, Grant, Message};
 
 /// One warm target with four slots.
-fn narrow() -> Bed {
+fn narrow() -> Fixture {
     let limits = TargetLimits {
         warm_limit: 4,
         queue_limit: 100,
         ..limits()
     };
-    let mut bed = Bed::owning(view(vec![target("a", 1)], limits));
-    bed.report(
+    let mut fixture = Fixture::owning(view(vec![target("a", 1)], limits));
+    fixture.report_load(
         "a",
         EngineReport {
             running: 4,
-            ..warm()
+            ..warm_report()
         },
     );
-    bed
+    fixture
 }
 
-/// Fills all slots of `narrow` and gives the permits.
-fn fill(bed: &mut Bed) -> Vec<Grant> {
+/// Fills all slots of `narrow` and returns the grants.
+fn fill(fixture: &mut Fixture) -> Vec<Grant> {
     let mut grants = Vec::new();
     for number in 1..=4 {
-        bed.ask("entry", number);
-        grants.extend(bed.grants());
+        fixture.request_permit("entry", number);
+        grants.extend(fixture.grants());
     }
     assert_eq!(grants.len(), 4);
     grants
 }
 
-fn change(bed: &Bed, number: u64, change: impl FnOnce(&mut Ask)) -> Ask {
-    let mut ask = ask(number, bed.now);
-    change(&mut ask);
+fn modified_request(
+    fixture: &Fixture,
+    number: u64,
+    modified_request: impl FnOnce(&mut Ask),
+) -> Ask {
+    let mut ask = permit_request(number, fixture.now);
+    modified_request(&mut ask);
     ask
 }
 
-/// The asks that are granted as the given permits come back one by one.
-fn served(bed: &mut Bed, grants: &[Grant]) -> Vec<u64> {
+/// Ids of the permit requests that are granted as the given permits are returned one by one.
+fn granted_after_each(fixture: &mut Fixture, grants: &[Grant]) -> Vec<u64> {
     let mut order = Vec::new();
     for grant in grants {
-        bed.done("entry", grant, finished(10));
-        order.extend(bed.grants().iter().map(|grant| grant.ask));
+        fixture.return_permit("entry", grant, finished_outcome(10));
+        order.extend(fixture.grants().iter().map(|grant| grant.ask));
     }
     order
 }
 
 #[test]
-fn class_goes_before_deadline_and_deadline_before_arrival() {
-    let mut bed = narrow();
-    let grants = fill(&mut bed);
+fn requests_are_ordered_by_class_then_deadline_then_arrival() {
+    let mut fixture = narrow();
+    let grants = fill(&mut fixture);
     let asks = [
         (10, Class::Background, 5),
         (11, Class::Normal, 50),
@@ -65,38 +71,38 @@
         (13, Class::Urgent, 60),
     ];
     for (number, class, within) in asks {
-        let ask = change(&bed, number, |ask| {
+        let ask = modified_request(&fixture, number, |ask| {
             ask.class = class;
             ask.within = Duration::from_secs(within);
         });
-        bed.message("entry", ask);
+        fixture.message("entry", ask);
     }
-    // One slot is kept for urgent work now, so the first to go is the urgent one.
-    assert_eq!(served(&mut bed, &grants), [13, 12, 11]);
+    // One slot is reserved for urgent work now, so the urgent request is granted first.
+    assert_eq!(granted_after_each(&mut fixture, &grants), [13, 12, 11]);
 }
 
-// One workspace sends a hundred long drafts at once. If places went by count or by arrival, the
-// short questions of all others would wait behind them.
+// If requests were ordered by number or by arrival, a hundred long drafts sent at once by one
+// workspace would delay the short questions of all others.
 #[test]
 fn workspaces_share_by_tokens_and_not_by_count() {
-    let mut bed = narrow();
-    let mut grants = fill(&mut bed);
+    let mut fixture = narrow();
+    let mut grants = fill(&mut fixture);
     for number in 100..120 {
-        let long = change(&bed, number, |ask| {
+        let long = modified_request(&fixture, number, |ask| {
             ask.workspace = "films".into();
             ask.prompt = 4000;
         });
-        bed.message("entry", long);
+        fixture.message("entry", long);
     }
     for number in 200..210 {
-        let short = change(&bed, number, |ask| ask.prompt = 50);
-        bed.message("entry", short);
+        let short = modified_request(&fixture, number, |ask| ask.prompt = 50);
+        fixture.message("entry", short);
     }
     let mut order = Vec::new();
     while order.len() < 12 {
         let grant = grants.remove(0);
-        bed.done("entry", &grant, finished(10));
-        for grant in bed.grants() {
+        fixture.return_permit("entry", &grant, finished_outcome(10));
+        for grant in fixture.grants() {
             order.push(grant.ask);
             grants.push(grant);
         }
@@ -105,24 +111,24 @@
     assert!(short >= 8, "{order:?}");
 }
 
-// Background work that is always put last never ends while others keep coming.
+// Background work that is always served last never finishes while other work keeps arriving.
 #[test]
 fn background_work_that_has_waited_long_counts_as_normal() {
-    let mut bed = narrow();
-    let grants = fill(&mut bed);
-    let old = change(&bed, 10, |ask| {
+    let mut fixture = narrow();
+    let grants = fill(&mut fixture);
+    let old = modified_request(&fixture, 10, |ask| {
         ask.class = Class::Background;
         ask.waited = Duration::from_secs(30);
         ask.within = Duration::from_secs(10);
     });
-    bed.message("entry", old);
-    bed.advance(10);
-    bed.ask("entry", 11);
-    assert_eq!(served(&mut bed, &grants), [10, 11]);
+    fixture.message("entry", old);
+    fixture.advance(10);
+    fixture.request_permit("entry", 11);
+    assert_eq!(granted_after_each(&mut fixture, &grants), [10, 11]);
 }
 
-// Small requests fit into every gap that opens. If they always went ahead, one that needs much
-// of an engine would never find room.
+// Small requests fit into every gap. If they were always granted first, a request that needs much
+// of an engine's memory would never find room.
 #[test]
 fn a_big_request_is_not_starved_by_small_ones() {
     let limits = TargetLimits {
@@ -130,30 +136,32 @@
         queue_limit: 1000,
         ..limits()
     };
-    let mut bed = Bed::owning(view(vec![target("a", 1)], limits));
-    let mut report = warm();
+    let mut fixture = Fixture::owning(view(vec![target("a", 1)], limits));
+    let mut report = warm_report();
     report.running = 64;
-    bed.report("a", report);
-    let small = |bed: &Bed, number| change(bed, number, |ask| ask.workspace = "small".into());
+    fixture.report_load("a", report);
+    let small = |fixture: &Fixture, number| {
+        modified_request(fixture, number, |ask| ask.workspace = "small".into())
+    };
     let mut running = Vec::new();
     for number in 0..40 {
-        let ask = small(&bed, number);
-        bed.message("entry", ask);
-        running.extend(bed.grants());
+        let ask = small(&fixture, number);
+        fixture.message("entry", ask);
+        running.extend(fixture.grants());
     }
-    let big = change(&bed, 1000, |ask| ask.prompt = 8000);
-    bed.message("entry", big);
+    let big = modified_request(&fixture, 1000, |ask| ask.prompt = 8000);
+    fixture.message("entry", big);
     let mut next = 2000;
     for _ in 0..400 {
         if !running.is_empty() {
             let grant = running.remove(0);
-            bed.done("entry", &grant, finished(10));
-            running.extend(bed.grants());
+            fixture.return_permit("entry", &grant, finished_outcome(10));
+            running.extend(fixture.grants());
         }
         next += 1;
-        let ask = small(&bed, next);
-        bed.message("entry", ask);
-        running.extend(bed.grants());
+        let ask = small(&fixture, next);
+        fixture.message("entry", ask);
+        running.extend(fixture.grants());
         if running.iter().any(|grant| grant.ask == 1000) {
             return;
         }
@@ -161,17 +169,17 @@
     panic!("the big request still waits");
 }
 
-// Urgent calls must not queue behind work that may wait, so a part of each limit is theirs once
-// there is urgent work.
+// Urgent calls must not wait behind work that can, so a part of each limit is reserved for them as
+// long as there is urgent work.
 #[test]
-fn the_last_slots_are_kept_for_urgent_work() {
-    let mut bed = narrow();
-    bed.ask_of(Class::Urgent, 1);
+fn the_last_slots_are_reserved_for_urgent_work() {
+    let mut fixture = narrow();
+    fixture.request_permit_of_class(Class::Urgent, 1);
     for number in 2..=9 {
-        bed.ask_of(Class::Background, number);
+        fixture.request_permit_of_class(Class::Background, number);
     }
-    bed.ask_of(Class::Urgent, 10);
-    assert_eq!(bed.grants().len(), 1);
+    fixture.request_permit_of_class(Class::Urgent, 10);
+    assert_eq!(fixture.grants().len(), 1);
 }
 
 #[test]
@@ -181,65 +189,68 @@
         ..limits()
     };
     let targets = vec![target("a", 1), target("b", 1), target("c", 1)];
-    let mut bed = Bed::owning(view(targets, limits));
+    let mut fixture = Fixture::owning(view(targets, limits));
     for id in ["a", "b", "c"] {
-        let mut report = warm();
+        let mut report = warm_report();
         report.running = 64;
-        bed.report(id, report);
+        fixture.report_load(id, report);
     }
-    let mut homes = Vec::new();
+    let mut targets = Vec::new();
     for number in 0..24 {
-        let ask = change(&bed, number, |ask| {
+        let ask = modified_request(&fixture, number, |ask| {
             ask.prompt = 300;
             ask.prefix = vec![1, 2, 3];
         });
-        bed.message("entry", ask);
-        homes.extend(bed.grants().into_iter().map(|grant| grant.target));
+        fixture.message("entry", ask);
+        targets.extend(fixture.grants().into_iter().map(|grant| grant.target));
     }
-    assert_eq!(homes.len(), 24);
-    assert_eq!(homes[0], homes[1]);
-    let most = ["a", "b", "c"].map(|id| homes.iter().filter(|home| ***home == *id).count());
-    assert!(most.iter().all(|&count| count >= 4), "{most:?}");
+    assert_eq!(targets.len(), 24);
+    assert_eq!(targets[0], targets[1]);
+    let counts = ["a", "b", "c"].map(|id| targets.iter().filter(|target| ***target == *id).count());
+    assert!(counts.iter().all(|&count| count >= 4), "{counts:?}");
 }
 
-// An engine that runs out of memory preempts somebody, and a caller sees its answer stall. Work
-// that nobody has seen a token of goes back first, background before normal.
+// An engine that runs out of memory preempts a generation, and its caller sees the answer stall.
+// Work of which the caller has seen no token is revoked first, background before normal.
 #[test]
-fn unseen_background_work_is_recalled_from_a_target_that_runs_out_of_memory() {
-    let mut bed = narrow();
-    bed.ask("entry", 1);
-    let normal = bed.grants().remove(0);
-    bed.ask_of(Class::Background, 2);
-    let background = bed.grants().remove(0);
-    bed.ask_of(Class::Background, 3);
-    let seen = bed.grants().remove(0);
-    bed.advance(300);
+fn unseen_background_work_is_revoked_at_a_target_that_runs_out_of_memory() {
+    let mut fixture = narrow();
+    fixture.request_permit("entry", 1);
+    let normal = fixture.grants().remove(0);
+    fixture.request_permit_of_class(Class::Background, 2);
+    let background = fixture.grants().remove(0);
+    fixture.request_permit_of_class(Class::Background, 3);
+    let seen = fixture.grants().remove(0);
+    fixture.advance(300);
     let background_held = |grant: &Grant, produced| wire::HeldPermit {
         class: Class::Background,
-        ..held(grant.permit, "a", produced)
+        ..held_permit(grant.permit, "a", produced)
     };
     let permits = vec![
-        held(normal.permit, "a", 0),
+        held_permit(normal.permit, "a", 0),
         background_held(&background, 0),
         background_held(&seen, 9),
     ];
-    bed.held("entry", 1, permits);
+    fixture.report_held("entry", 1, permits);
     let full = EngineReport {
         used: 9_800,
         running: 3,
-        ..warm()
+        ..warm_report()
     };
-    bed.report("a", full);
-    let recalled: Vec<u64> = bed
+    fixture.report_load("a", full);
+    let revoked: Vec<u64> = fixture
         .messages()
         .filter_map(|message| match message {
             Message::Recall(recall) => Some(recall.permit),
             _ => None,
         })
         .collect();
-    assert_eq!(recalled, [background.permit]);
-    bed.ask("entry", 4);
-    assert!(bed.grants().is_empty(), "nothing is admitted there now");
+    assert_eq!(revoked, [background.permit]);
+    fixture.request_permit("entry", 4);
+    assert!(
+        fixture.grants().is_empty(),
+        "nothing is admitted to the target now"
+    );
 }
 
 #[test]
@@ -249,12 +260,12 @@
         warm_limit: 16,
         ..limits()
     };
-    let mut bed = Bed::owning(view(vec![target("a", 1)], limits));
-    let mut report = warm();
+    let mut fixture = Fixture::owning(view(vec![target("a", 1)], limits));
+    let mut report = warm_report();
     report.running = 16;
-    bed.report("a", report);
-    let block = |bed: &Bed, number| {
-        change(bed, number, |ask| {
+    fixture.report_load("a", report);
+    let block_request = |fixture: &Fixture, number| {
+        modified_request(fixture, number, |ask| {
             ask.kind = ServiceKind::Plain;
             ask.slots = 8;
             ask.prompt = 0;
@@ -264,9 +275,9 @@
     let mut slots = std::collections::BTreeMap::new();
     for number in 1..=2 {
         for entry in ["one", "two"] {
-            let ask = block(&bed, number);
-            bed.message(entry, ask);
-            for grant in bed.grants() {
+            let ask = block_request(&fixture, number);
+            fixture.message(entry, ask);
+            for grant in fixture.grants() {
                 *slots.entry(entry).or_insert(0) += grant.slots;
             }
         }
@@ -275,25 +286,25 @@
     assert!(slots["two"] >= 7, "{slots:?}");
 }
 
-// A caller that will not be served in time is told so when it asks, with a time to come back
-// that is true; waiting for a refusal would cost it all its patience.
+// A caller that can't be served in time is refused on arrival, with a correct retry delay, instead
+// of at the end of its deadline.
 #[test]
-fn an_ask_that_can_not_be_served_in_time_is_refused_at_once() {
-    let mut bed = narrow();
-    let mut grants = fill(&mut bed);
+fn a_permit_request_that_cannot_be_served_in_time_is_denied_at_once() {
+    let mut fixture = narrow();
+    let mut grants = fill(&mut fixture);
     for number in 10..40 {
-        bed.ask("entry", number);
+        fixture.request_permit("entry", number);
     }
     for number in 50..62 {
-        bed.advance(500);
-        bed.ask("entry", number);
+        fixture.advance(500);
+        fixture.request_permit("entry", number);
         let grant = grants.remove(0);
-        bed.done("entry", &grant, finished(10));
-        grants.extend(bed.grants());
+        fixture.return_permit("entry", &grant, finished_outcome(10));
+        grants.extend(fixture.grants());
     }
-    let hasty = change(&bed, 90, |ask| ask.within = Duration::from_secs(2));
-    bed.message("entry", hasty);
-    let denials = bed.denials();
+    let short_deadline = modified_request(&fixture, 90, |ask| ask.within = Duration::from_secs(2));
+    fixture.message("entry", short_deadline);
+    let denials = fixture.denials();
     let [(90, Some(after))] = denials[..] else {
         panic!("{denials:?}");
     };
@@ -301,31 +312,32 @@
         after > Duration::from_secs(4) && after < Duration::from_secs(20),
         "{after:?}"
     );
-    let patient = change(&bed, 91, |ask| ask.within = Duration::from_secs(60));
-    bed.message("entry", patient);
-    assert!(bed.denials().is_empty());
+    let long_deadline = modified_request(&fixture, 91, |ask| ask.within = Duration::from_secs(60));
+    fixture.message("entry", long_deadline);
+    assert!(fixture.denials().is_empty());
 }
 
-// When service slows down, some of those that wait will not be served in time. KnownLengths only at the
-// end of their patience they would have waited for nothing.
+// If the rate of grants drops, some of the queued requests can't be served in time. Refused only at
+// their deadline, they would have waited for nothing.
 #[test]
-fn a_waiting_ask_is_refused_as_soon_as_it_can_not_be_met() {
-    let mut bed = narrow();
-    let mut grants = fill(&mut bed);
+fn a_queued_request_is_denied_as_soon_as_it_cannot_be_served_in_time() {
+    let mut fixture = narrow();
+    let mut grants = fill(&mut fixture);
     for number in 10..40 {
-        bed.ask("entry", number);
+        fixture.request_permit("entry", number);
     }
     let mut refused = 0;
     for number in 50..58 {
         for _ in 0..20 {
-            bed.advance(250);
-            refused += bed.denials().len();
+            fixture.advance(250);
+            refused += fixture.denials().len();
         }
-        bed.ask("entry", number);
+        fixture.request_permit("entry", number);
         let grant = grants.remove(0);
-        bed.done("entry", &grant, finished(10));
-        grants.extend(bed.grants());
+        fixture.return_permit("entry", &grant, finished_outcome(10));
+        grants.extend(fixture.grants());
     }
-    // One every 5 s, and 60 s of patience: a third of the thirty is refused long before its end.
+    // At one grant in 5 s and with deadlines of 60 s, a third of the thirty is refused long before
+    // its deadline.
     assert!((8..30).contains(&refused), "{refused}");
 }
--- a/components/policy/tests/support/mod.rs
+++ b/components/policy/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! An owner with one shard and entries played by hand.
-#![allow(dead_code)] // each test file uses its own part
+//! Test fixture: an owner with one shard, and entries simulated by the tests.
+#![allow(dead_code)] // each test file uses its become_owner part
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -10,20 +10,20 @@
 };
 use wire::{Ask, Done, Grant, Held, HeldPermit, Message, Outcome};
 
-/// The service that all tests use.
+/// The service used by all tests.
 pub const SERVICE: &str = "drafts";
-/// The data centre that all tests use.
+/// The data centre used by all tests.
 pub const DATA_CENTRE: &str = "east";
 
-/// Milliseconds after which an owner no longer waits for a cold target's first report.
+/// Time in ms after which an owner no longer waits for a cold target's first report.
 pub const COLD_REPORT_TIMEOUT: u64 = 3001;
 
-/// The one shard.
+/// The shard used by all tests.
 pub fn shard() -> Shard {
     Shard::new(&ServiceId::from(SERVICE), &DATA_CENTRE.into())
 }
 
-/// One of its targets.
+/// A live target of the shard.
 pub fn target(id: &str, incarnation: Incarnation) -> Target {
     Target {
         id: id.into(),
@@ -35,7 +35,7 @@
     }
 }
 
-/// Limits that leave room for a few requests.
+/// Limits with room for a few requests.
 pub fn limits() -> TargetLimits {
     TargetLimits {
         kind: ServiceKind::Model,
@@ -48,7 +48,7 @@
     }
 }
 
-/// A view of some targets.
+/// A view of the given targets.
 pub fn view(targets: Vec<Target>, limits: TargetLimits) -> View {
     View {
         targets,
@@ -58,8 +58,8 @@
     }
 }
 
-/// An ordinary ask.
-pub fn ask(number: AskId, stamp: Moment) -> Ask {
+/// A permit request of normal class.
+pub fn permit_request(number: AskId, stamp: Moment) -> Ask {
     Ask {
         shard: shard(),
         ask: number,
@@ -78,52 +78,52 @@
     }
 }
 
-/// An owner under test and what it answered last.
-pub struct Bed {
+/// An owner under test, with the actions of the last event.
+pub struct Fixture {
     /// The owner.
     pub owner: Owner,
-    /// The time.
+    /// The current time.
     pub now: Moment,
     /// Actions of the last event.
     pub out: Vec<Action>,
 }
 
-impl Bed {
-    /// Starts an owner that knows its view and owns nothing.
+impl Fixture {
+    /// Starts an owner that knows its view and owns no shard.
     pub fn new(view: View) -> Self {
-        let mut bed = Self {
+        let mut fixture = Self {
             owner: Owner::new("me".into(), 1, 7),
             now: Duration::from_secs(1),
             out: Vec::new(),
         };
-        bed.event(Event::ViewChanged(view));
-        bed
+        fixture.event(Event::ViewChanged(view));
+        fixture
     }
 
-    /// Starts an owner of the shard, in term 1, that has to ask nobody and has waited for its
-    /// targets' reports as long as it does.
+    /// Starts an owner of the shard in term 1 that has no entries to query and no longer waits for
+    /// its targets' first reports.
     pub fn owning(view: View) -> Self {
-        let mut bed = Self::new(view);
-        bed.own(1, &[]);
-        bed.exclusive(true);
-        bed.advance(COLD_REPORT_TIMEOUT);
-        bed
+        let mut fixture = Self::new(view);
+        fixture.become_owner(1, &[]);
+        fixture.exclusive(true);
+        fixture.advance(COLD_REPORT_TIMEOUT);
+        fixture
     }
 
-    /// Hands an event to the owner.
+    /// Passes an event to the owner.
     pub fn event(&mut self, event: Event) {
         self.out.clear();
         self.owner.handle(self.now, &event, &mut self.out);
     }
 
-    /// Lets time pass.
+    /// Advances the time and sends a tick.
     pub fn advance(&mut self, millis: u64) {
         self.now += Duration::from_millis(millis);
         self.event(Event::Tick);
     }
 
-    /// Makes it own the shard.
-    pub fn own(&mut self, epoch: Epoch, entries_to_query: &[&str]) {
+    /// Makes it the owner of the shard.
+    pub fn become_owner(&mut self, epoch: Epoch, entries_to_query: &[&str]) {
         let entries_to_query = entries_to_query
             .iter()
             .map(|&name| InstanceId::from(name))
@@ -137,7 +137,7 @@
         });
     }
 
-    /// Says whether cold targets may get work.
+    /// Sets whether it is the only owner, so that cold targets may get work.
     pub fn exclusive(&mut self, exclusive: bool) {
         self.event(Event::ExclusivityChanged {
             shard: shard(),
@@ -145,7 +145,7 @@
         });
     }
 
-    /// A message of an entry in its first life.
+    /// Sends a message from an entry in its first incarnation.
     pub fn message(&mut self, from: &str, message: impl Into<Message>) {
         self.event(Event::Received {
             from: from.into(),
@@ -154,29 +154,29 @@
         });
     }
 
-    /// An ordinary ask, stamped now.
-    pub fn ask(&mut self, from: &str, number: AskId) {
-        let ask = ask(number, self.now);
-        self.message(from, ask);
+    /// Sends a permit request of normal class, stamped now.
+    pub fn request_permit(&mut self, from: &str, number: AskId) {
+        let permit_request = permit_request(number, self.now);
+        self.message(from, permit_request);
     }
 
-    /// An ask of a class, of the entry named `entry`.
-    pub fn ask_of(&mut self, class: Class, number: AskId) {
-        let mut ask = ask(number, self.now);
-        ask.class = class;
-        self.message("entry", ask);
+    /// Sends a permit request of a class from the entry named `entry`.
+    pub fn request_permit_of_class(&mut self, class: Class, number: AskId) {
+        let mut permit_request = permit_request(number, self.now);
+        permit_request.class = class;
+        self.message("entry", permit_request);
     }
 
-    /// A target's report, taken just now.
-    pub fn report(&mut self, id: &str, report: EngineReport) {
+    /// Sends a target's load report, made just now.
+    pub fn report_load(&mut self, id: &str, report: EngineReport) {
         self.event(Event::TargetReported {
             target: id.into(),
             report,
         });
     }
 
-    /// Gives a permit back.
-    pub fn done(&mut self, from: &str, grant: &Grant, outcome: Outcome) {
+    /// Returns a permit.
+    pub fn return_permit(&mut self, from: &str, grant: &Grant, outcome: Outcome) {
         let done = Done {
             shard: shard(),
             permit: grant.permit,
@@ -186,8 +186,8 @@
         self.message(from, done);
     }
 
-    /// Tells what an entry holds, stamped now.
-    pub fn held(&mut self, from: &str, epoch: Epoch, permits: Vec<HeldPermit>) {
+    /// Reports the permits that an entry holds, stamped now.
+    pub fn report_held(&mut self, from: &str, epoch: Epoch, permits: Vec<HeldPermit>) {
         let held = Held {
             shard: shard(),
             epoch,
@@ -207,7 +207,7 @@
             .collect()
     }
 
-    /// The refusals of the last event: ask and time to come back.
+    /// The denials of the last event: id of the permit request and retry delay.
     pub fn denials(&self) -> Vec<(AskId, Option<Duration>)> {
         self.messages()
             .filter_map(|message| match message {
@@ -226,8 +226,8 @@
     }
 }
 
-/// What an entry says of a permit it holds.
-pub fn held(permit: PermitId, id: &str, produced: Tokens) -> HeldPermit {
+/// An entry's report of one permit that it holds.
+pub fn held_permit(permit: PermitId, id: &str, produced: Tokens) -> HeldPermit {
     HeldPermit {
         permit,
         epoch: 1,
@@ -244,8 +244,8 @@
     }
 }
 
-/// A generation that ended well.
-pub fn finished(produced: Tokens) -> Outcome {
+/// The outcome of a generation that finished.
+pub fn finished_outcome(produced: Tokens) -> Outcome {
     Outcome::Finished {
         produced,
         first: Duration::from_millis(50),
@@ -253,8 +253,8 @@
     }
 }
 
-/// A report of a warm target with nothing running.
-pub fn warm() -> EngineReport {
+/// A report of a warm target that runs nothing.
+pub fn warm_report() -> EngineReport {
     EngineReport {
         incarnation: 1,
         capacity: 10_000,
