--- a/components/front/src/callers/call.rs
+++ b/components/front/src/callers/call.rs
@@ -1,4 +1,4 @@
-//! One request while it is served.
+//! A request that is being served.
 
 use std::{
     sync::{
@@ -18,70 +18,70 @@
 
 use crate::adapters::CallerRequest;
 
-/// One request while it is served.
+/// A request that is being served.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// What it asks.
+    /// What the caller requests.
     pub request: CallerRequest,
-    /// What stays the same when its caller sends it again.
+    /// Identifies the request across retries by its caller.
     pub fingerprint: Fingerprint,
-    /// Its head as it came.
+    /// The head as received.
     pub head: http::request::Parts,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// Memory that the body takes up. Clones share it.
+    /// The share of the memory budget that the body takes up. Clones share it.
     pub memory: Arc<Share>,
-    /// Its route.
+    /// The route that matches the request.
     pub route: Arc<Route>,
-    /// The service that the route chose for it.
+    /// The service that was picked from the route.
     pub service: Arc<Service>,
     /// The caller's workspace, if the configuration has workspaces.
     pub workspace: Option<WorkspaceId>,
-    /// Its rank, the lowest first.
+    /// Priority; lower values are served first.
     pub priority: u32,
-    /// When it had arrived.
+    /// When the request arrived.
     pub arrived: Moment,
     /// Until when the caller waits.
     pub caller_deadline: Moment,
-    /// Until when it must be answered.
+    /// Until when the request must be answered: at most the route's time-out after its arrival.
     pub answer_deadline: Moment,
-    /// The version of the configuration that it is served by.
+    /// Version of the configuration by which the request is served.
     pub config_version: u64,
-    /// Whether a sending of it has begun, so that it may have run. Clones share it.
+    /// Whether the request has been sent to a target, so that it may have run. Clones share it.
     pub sent: Arc<AtomicBool>,
 }
 
 impl Call {
-    /// Notes that a sending of it begins.
+    /// Records that the request is being sent to a target.
     pub fn mark_sent(&self) {
         self.sent.store(true, Ordering::Release);
     }
 
-    /// How long it has been held.
+    /// Time since the request arrived.
     #[must_use]
     pub fn elapsed(&self) -> Duration {
         boot_time().saturating_sub(self.arrived)
     }
 
-    /// Time that the caller still waits.
+    /// Time for which the caller still waits.
     #[must_use]
     pub fn caller_time_left(&self) -> Duration {
         self.caller_deadline.saturating_sub(boot_time())
     }
 
-    /// Time until it must be answered.
+    /// Time left until the answer deadline.
     #[must_use]
     pub fn time_left(&self) -> Duration {
         self.answer_deadline.saturating_sub(boot_time())
     }
 
-    /// Time until the answer should be there, counted from this request's arrival.
+    /// Time left of the route's objective for the answer, counted from the arrival of this request.
     #[must_use]
     pub fn objective_left(&self) -> Duration {
         self.route.aim.saturating_sub(self.elapsed())
     }
 
-    /// Its kind, as metrics name it.
+    /// The kind of the route, as used in metrics.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self.route.kind {
--- a/components/front/src/callers/drain.rs
+++ b/components/front/src/callers/drain.rs
@@ -1,4 +1,4 @@
-//! A planned stop: what is served until when, and what the process leaves behind.
+//! Graceful shutdown: how long requests are still served, and what is logged at the end.
 
 use std::{
     sync::{
@@ -15,83 +15,86 @@
 
 use crate::{callers::refusal::millis, state::Front};
 
-/// After an order to stop new connections are still taken for this long: the balancer needs two
-/// questions, a second apart, to leave this instance out.
-const LINGER: Duration = Duration::from_millis(2_600);
-/// Part of the time at most in which new connections are taken.
-const LINGER_PART: f64 = 0.5;
-/// Time for the last messages to other instances to leave: owners learn that places are free.
-const LAST_NOTES: Duration = Duration::from_millis(50);
-/// Part of the grace that is not used: a signal is noticed late, and the last messages come after
-/// the last answer.
+/// How long new connections are still accepted after the order to stop. The load balancer needs two
+/// failed health checks, a second apart, to stop using this instance.
+const ACCEPT_TIME: Duration = Duration::from_millis(2_600);
+/// Upper bound for the time in which new connections are accepted, as a fraction of the grace
+/// period.
+const ACCEPT_FRACTION: f64 = 0.5;
+/// Time for the last messages to other instances: owners learn from them that capacity is free.
+const LAST_MESSAGES_TIME: Duration = Duration::from_millis(50);
+/// Part of the grace period that is not used: the signal is noticed with a delay, and the last
+/// messages are sent after the last answer.
 const RESERVE: Duration = Duration::from_millis(100);
-/// Part of the rest in which requests are served to their ends.
-const SERVE_PART: f64 = 0.97;
-/// Part of the rest after which even answers to those that are given up have left.
-const ANSWER_PART: f64 = 0.99;
-/// Time between two looks at the clock that counts suspension; sleeps don't.
+/// Fraction of the rest in which requests are served to completion.
+const SERVE_FRACTION: f64 = 0.97;
+/// Fraction of the rest after which the answers to aborted requests have been sent too.
+const ANSWER_FRACTION: f64 = 0.99;
+/// Longest sleep while waiting for a deadline. The clock counts the time in which the machine is
+/// suspended, while sleeps don't.
 const TICK: Duration = Duration::from_millis(100);
 
-/// When the steps of a stop are due, counted from its beginning.
+/// Deadlines of a shutdown, relative to its start.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DrainSchedule {
-    /// New connections are taken until then.
-    pub linger: Duration,
-    /// Requests are served to their ends until then; what is left is given up.
+    /// Until when new connections are accepted.
+    pub accept: Duration,
+    /// Until when requests are served to completion; the rest is aborted then.
     pub serve: Duration,
-    /// The answers to what is given up have left by then.
+    /// Until when the answers to aborted requests have been sent.
     pub answer: Duration,
 }
 
 impl DrainSchedule {
-    /// The schedule for a grace, after which the process is killed.
+    /// The schedule for a grace period, after which the process is killed.
     #[must_use]
     pub fn new(grace: Duration) -> Self {
         let usable = grace.saturating_sub(RESERVE);
         Self {
-            linger: LINGER.min(usable.mul_f64(LINGER_PART)),
-            serve: usable.mul_f64(SERVE_PART),
-            answer: usable.mul_f64(ANSWER_PART),
+            accept: ACCEPT_TIME.min(usable.mul_f64(ACCEPT_FRACTION)),
+            serve: usable.mul_f64(SERVE_FRACTION),
+            answer: usable.mul_f64(ANSWER_FRACTION),
         }
     }
 }
 
-/// The server of callers.
+/// The running server of callers' connections.
 pub struct CallerServer {
-    /// Its switch to take no further connections.
+    /// Set to stop accepting connections.
     pub stop: Arc<AtomicBool>,
-    /// Connections that are open.
+    /// Number of open connections.
     pub open: Arc<AtomicUsize>,
-    /// Ends with the last connection.
+    /// Ends when the last connection is closed.
     pub task: Task<()>,
 }
 
-/// Serves what there is to its end, and what still comes while the balancer learns of the stop.
+/// Serves the open requests to completion, and those that still arrive until the load balancer
+/// stops using this instance.
 ///
-/// It is over once the last connection of a caller has ended: a look at the requests that are open
-/// says nothing about the next moment, in which one more may be read.
+/// Ends once the last connection of a caller is closed. The number of open requests would be no
+/// criterion, because one more may be read at any moment.
 pub async fn drain(front: &Front, callers: &mut CallerServer) {
-    let began = boot_time();
-    let due = DrainSchedule::new(front.bounds.read().grace);
+    let started = boot_time();
+    let schedule = DrainSchedule::new(front.bounds.read().grace);
     emit(&Event::Draining {
         open: front.open_requests.count(),
     });
-    front.shutdown.begin(began + due.serve);
-    until(began + due.linger).await;
+    front.shutdown.begin(started + schedule.serve);
+    sleep_until(started + schedule.accept).await;
     callers.stop.store(true, Ordering::Release);
     emit(&Event::DrainClosing {
         connections: callers.open.load(Ordering::Acquire),
         open: front.open_requests.count() + front.generations.count(),
     });
-    if !ended(&mut callers.task, began + due.serve).await {
+    if !wait_for_end(&mut callers.task, started + schedule.serve).await {
         front.shutdown.abort();
-        ended(&mut callers.task, began + due.answer).await;
+        wait_for_end(&mut callers.task, started + schedule.answer).await;
     }
-    Timer::after(LAST_NOTES).await;
+    Timer::after(LAST_MESSAGES_TIME).await;
 }
 
-/// Waits for the end of a task until a moment; tells whether it has come.
-async fn ended(task: &mut Task<()>, moment: Moment) -> bool {
+/// Waits for a task until a deadline; returns whether the task has ended.
+async fn wait_for_end(task: &mut Task<()>, deadline: Moment) -> bool {
     if task.is_finished() {
         return true;
     }
@@ -100,16 +103,16 @@
         true
     };
     let late = async {
-        until(moment).await;
+        sleep_until(deadline).await;
         false
     };
     future::or(end, late).await
 }
 
-/// Waits until a moment. A machine that was suspended meanwhile has that much less time.
-async fn until(moment: Moment) {
+/// Waits until a deadline. Time in which the machine is suspended counts.
+async fn sleep_until(deadline: Moment) {
     loop {
-        let left = moment.saturating_sub(boot_time());
+        let left = deadline.saturating_sub(boot_time());
         if left.is_zero() {
             return;
         }
@@ -117,7 +120,8 @@
     }
 }
 
-/// Logs what the process leaves behind: connections of callers, and requests without an answer.
+/// Logs the end of the shutdown, with connections that are still open and requests without an
+/// answer.
 pub fn log_stopped(front: &Front, callers: &CallerServer) {
     let unanswered = front.open_requests.list();
     for (id, held) in &unanswered {
--- a/components/front/src/callers/handler.rs
+++ b/components/front/src/callers/handler.rs
@@ -1,4 +1,4 @@
-//! Takes callers' requests in.
+//! Admits callers' requests and hands them to the dispatcher of their kind.
 
 use std::{
     net::SocketAddr,
@@ -29,33 +29,34 @@
     state::{Front, elapsed_since},
 };
 
-/// When a caller may come back whose body finds no memory.
-const CROWDED_RETRY: Duration = Duration::from_millis(300);
-/// Knowledge older than this may lack a route or a key, so that neither is denied by it.
-const DENY_AGE: Duration = Duration::from_millis(4_500);
-/// Longest body where the configuration sets no bound, in bytes.
-const BODY_LIMIT: usize = 4 * 1_024 * 1_024;
-/// Longest pause within a body where the configuration sets no bound.
-const BODY_PAUSE: Duration = Duration::from_secs(3);
-/// Time that a caller is kept waiting where neither it nor the route says.
-const DEFAULT_LEFT: Duration = Duration::from_secs(30);
+/// `Retry-After` of a request whose body does not fit into the memory budget.
+const MEMORY_RETRY: Duration = Duration::from_millis(300);
+/// Age at which the known configuration may lack a route or a key, so that no request is denied on
+/// its ground any more.
+const MAX_DENY_AGE: Duration = Duration::from_millis(4_500);
+/// Maximum body size in bytes if the configuration sets none.
+const DEFAULT_BODY_BYTES: usize = 4 * 1_024 * 1_024;
+/// Longest pause within a body if the configuration sets none.
+const DEFAULT_BODY_PAUSE: Duration = Duration::from_secs(3);
+/// Time for an answer if neither the caller nor the route sets one.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why what outlasts the instance's life gets an answer of our own.
-const STOPS: &str = "the instance stops before it would end";
+/// Reason of the refusal of requests that outlast the instance.
+const SHUTDOWN_REASON: &str = "the instance stops before it would end";
 
-/// A body that was read, and the memory that it takes up.
-struct HeldBody {
+/// A body in memory, and its share of the memory budget.
+struct BufferedBody {
     bytes: bytes::Bytes,
     memory: Arc<Share>,
 }
 
-/// Takes callers' requests in.
+/// Handles callers' requests.
 pub struct RequestHandler {
     front: Arc<Front>,
 }
 
 impl RequestHandler {
-    /// Makes it for an instance.
+    /// Creates the handler of an instance.
     #[must_use]
     pub const fn new(front: Arc<Front>) -> Self {
         Self { front }
@@ -66,20 +67,20 @@
 impl Handler for RequestHandler {
     async fn handle(&self, _peer: SocketAddr, req: Request<Incoming>) -> Response<Body> {
         let arrived = boot_time();
-        let open = self.front.open_requests.enter(arrived);
+        let open = self.front.open_requests.register(arrived);
         let (head, body) = req.into_parts();
-        // Read to its end before any answer: a connection that is closed with unread bytes is
-        // reset, and the answer may be lost with it.
+        // The body is read to its end before any answer is sent: a connection that is closed with
+        // unread bytes is reset, and the answer may be lost with it.
         let body = self.read_body(body).await;
         let request = match self.front.adapter.parse_request(&head) {
             Ok(request) => request,
             Err(e) => {
                 let refusal = Refusal::new(StatusCode::BAD_REQUEST, e.to_string());
-                open.answered();
+                open.finish();
                 return self.front.refuse(None, elapsed_since(arrived), &refusal);
             }
         };
-        open.named(&request.id);
+        open.set_id(&request.id);
         self.front.wait_for_state_at_start().await;
         let admitted = body.and_then(|body| self.admit(request.clone(), head, body, arrived));
         let resp = match admitted {
@@ -88,7 +89,7 @@
                 .front
                 .refuse(Some(&request.id), elapsed_since(arrived), &refusal),
         };
-        open.answered();
+        open.finish();
         resp
     }
 }
@@ -105,7 +106,7 @@
             front.metrics.quarantined.inc();
             return front.refuse_call(&call, &Refusal::quarantined());
         }
-        let outlived = self.outlived(&call);
+        let aborted = self.aborted(&call);
         let served = async {
             match call.route.kind {
                 Kind::Generation => generations::dispatch::serve(front, call).await,
@@ -114,38 +115,38 @@
                 }
             }
         };
-        future::or(outlived, served).await
+        future::or(aborted, served).await
     }
 
-    /// Answers a call in the place of its target once the instance gives up what is still open.
-    /// Without an answer the caller could not tell whether it has run.
-    fn outlived(&self, call: &Call) -> impl Future<Output = Response<Body>> + use<> {
+    /// Waits for the abort at shutdown, and builds the answer to a call in place of its target.
+    /// Without an answer the caller could not tell whether its request has run.
+    fn aborted(&self, call: &Call) -> impl Future<Output = Response<Body>> + use<> {
         let front = Arc::clone(&self.front);
         let (id, kind, arrived) = (Arc::clone(&call.request.id), call.kind(), call.arrived);
         let sent = Arc::clone(&call.sent);
         async move {
             front.shutdown.aborted().await;
             let refusal = if sent.load(Ordering::Acquire) {
-                Refusal::late(STOPS)
+                Refusal::late(SHUTDOWN_REASON)
             } else {
-                Refusal::not_run(STOPS, ELSEWHERE_RETRY)
+                Refusal::not_run(SHUTDOWN_REASON, ELSEWHERE_RETRY)
             };
             front.refuse_kind(kind, &id, elapsed_since(arrived), &refusal)
         }
     }
 
-    async fn read_body(&self, body: Incoming) -> Result<HeldBody, Refusal> {
+    async fn read_body(&self, body: Incoming) -> Result<BufferedBody, Refusal> {
         let limits = self.front.view.rules().and_then(|rules| rules.limits);
-        let limit = limits.map_or(BODY_LIMIT, |limits| limits.body_bytes);
-        let pause = limits.map_or(BODY_PAUSE, |limits| limits.header_time);
-        let mut share = self.front.body_budget.share();
-        let read = async { Some(read_shared(body, limit, pause, &mut share).await) };
-        let outlived = async {
+        let limit = limits.map_or(DEFAULT_BODY_BYTES, |limits| limits.body_bytes);
+        let pause = limits.map_or(DEFAULT_BODY_PAUSE, |limits| limits.header_time);
+        let mut memory = self.front.body_budget.share();
+        let reading = async { Some(read_shared(body, limit, pause, &mut memory).await) };
+        let aborted = async {
             self.front.shutdown.aborted().await;
             None
         };
-        let Some(read) = future::or(outlived, read).await else {
-            return Err(Refusal::not_run(STOPS, ELSEWHERE_RETRY));
+        let Some(read) = future::or(aborted, reading).await else {
+            return Err(Refusal::not_run(SHUTDOWN_REASON, ELSEWHERE_RETRY));
         };
         let read = read.map_err(|e| match e {
             SharedError::Body(BodyError::TooLarge) => {
@@ -157,11 +158,11 @@
             SharedError::Body(BodyError::Broken) => {
                 Refusal::new(StatusCode::BAD_REQUEST, e.to_string())
             }
-            SharedError::Crowded => Refusal::not_run(e.to_string(), CROWDED_RETRY),
+            SharedError::Crowded => Refusal::not_run(e.to_string(), MEMORY_RETRY),
         });
-        Ok(HeldBody {
+        Ok(BufferedBody {
             bytes: read?,
-            memory: Arc::new(share),
+            memory: Arc::new(memory),
         })
     }
 
@@ -169,7 +170,7 @@
         &self,
         request: CallerRequest,
         head: http::request::Parts,
-        body: HeldBody,
+        body: BufferedBody,
         arrived: Moment,
     ) -> Result<Call, Refusal> {
         let front = &self.front;
@@ -181,8 +182,9 @@
         let rules = rules.ok_or_else(|| not_ready("no configuration is known yet"))?;
         let read = front.view.rules_read().unwrap_or_default();
         let deny = |status: StatusCode, reason: &str| {
-            // A wrong denial is final for its caller; one that may lack the newest version says so.
-            if elapsed_since(read) > DENY_AGE {
+            // A wrong denial is final for its caller, so a configuration that may be outdated
+            // denies nothing.
+            if elapsed_since(read) > MAX_DENY_AGE {
                 return not_ready("the configuration that is known may lack this");
             }
             Refusal::new(status, reason)
@@ -200,15 +202,15 @@
             .pick(fastrand::f64())
             .and_then(|name| rules.service(name))
             .ok_or_else(|| not_ready("the route's service is not configured"))?;
-        let left = request.time_left.unwrap_or(route.timeout);
+        let time_left = request.time_left.unwrap_or(route.timeout);
         let priority = priority(&identity, route.rank);
         let workspace = workspace(identity);
         Ok(Call {
             priority,
             fingerprint: fingerprint(&head, &request.host, workspace.as_deref(), &body.bytes),
             workspace,
-            caller_deadline: arrived + left,
-            answer_deadline: arrived + left.min(timeout(route.timeout)),
+            caller_deadline: arrived + time_left,
+            answer_deadline: arrived + time_left.min(timeout_or_default(route.timeout)),
             route: Arc::clone(route),
             service: Arc::clone(service),
             request,
@@ -222,8 +224,9 @@
     }
 }
 
-/// What stays the same of a request when its caller sends it again: all but its id and the time
-/// that is left. It belongs to the workspace, so that no other can bring it into disrepute.
+/// The fingerprint of a request: all that stays the same when its caller retries it, which excludes
+/// its id and the time left. It includes the workspace, so that no other workspace can get the
+/// request rejected.
 fn fingerprint(
     head: &http::request::Parts,
     host: &str,
@@ -240,10 +243,10 @@
     ])
 }
 
-fn priority(identity: &Identity, route: u32) -> u32 {
+fn priority(identity: &Identity, route_priority: u32) -> u32 {
     match identity {
-        Identity::Holder(holder) => holder.rank.unwrap_or(route),
-        Identity::Anonymous => route,
+        Identity::Holder(holder) => holder.rank.unwrap_or(route_priority),
+        Identity::Anonymous => route_priority,
     }
 }
 
@@ -254,9 +257,9 @@
     }
 }
 
-const fn timeout(timeout: Duration) -> Duration {
+const fn timeout_or_default(timeout: Duration) -> Duration {
     if timeout.is_zero() {
-        DEFAULT_LEFT
+        DEFAULT_TIMEOUT
     } else {
         timeout
     }
--- a/components/front/src/callers/mod.rs
+++ b/components/front/src/callers/mod.rs
@@ -1,4 +1,4 @@
-//! Callers' requests: taking them in, refusing them, and the end of an instance's life.
+//! Requests of callers: admission, refusals, and the shutdown of the instance.
 
 pub mod call;
 pub mod drain;
--- a/components/front/src/callers/open_requests.rs
+++ b/components/front/src/callers/open_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that were read and have no answer yet.
+//! Registry of requests that have been read and not yet answered.
 
 use std::{
     collections::HashMap,
@@ -15,89 +15,90 @@
 
 use crate::callers::refusal::millis;
 
-/// Requests that were read and have no answer yet.
+/// Requests that have been read and not yet answered.
 #[derive(Debug, Default)]
 pub struct OpenRequests {
-    numbers: AtomicU64,
-    all: Mutex<HashMap<u64, Request>>,
+    next_key: AtomicU64,
+    by_key: Mutex<HashMap<u64, Request>>,
 }
 
 #[derive(Clone, Debug)]
 struct Request {
-    /// Its caller's id, once the head was understood.
+    /// The id, once the head has been parsed.
     id: Option<GenerationId>,
     arrived: Moment,
 }
 
-/// One of them; no longer counted when dropped.
+/// The registration of one request; dropping it removes the request.
 #[derive(Debug)]
 pub struct OpenRequest<'a> {
     requests: &'a OpenRequests,
-    number: u64,
+    key: u64,
 }
 
 impl OpenRequests {
-    /// Counts one more.
-    pub fn enter(&self, arrived: Moment) -> OpenRequest<'_> {
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
+    /// Registers a request.
+    pub fn register(&self, arrived: Moment) -> OpenRequest<'_> {
+        let key = self.next_key.fetch_add(1, Ordering::Relaxed);
         let request = Request { id: None, arrived };
-        self.all.lock().insert(number, request);
+        self.by_key.lock().insert(key, request);
         OpenRequest {
             requests: self,
-            number,
+            key,
         }
     }
 
-    /// How many there are.
+    /// Number of open requests.
     #[must_use]
     pub fn count(&self) -> usize {
-        self.all.lock().len()
+        self.by_key.lock().len()
     }
 
-    /// Their ids, and how long each has been held.
+    /// The ids of all open requests, and the time since the arrival of each.
     #[must_use]
     pub fn list(&self) -> Vec<(GenerationId, Duration)> {
         let now = boot_time();
-        let all = self.all.lock();
-        all.values()
-            .map(|request| (request.name(), now.saturating_sub(request.arrived)))
+        let requests = self.by_key.lock();
+        requests
+            .values()
+            .map(|request| (request.id_or_dash(), now.saturating_sub(request.arrived)))
             .collect()
     }
 }
 
 impl OpenRequest<'_> {
-    /// Notes its caller's id.
-    pub fn named(&self, id: &GenerationId) {
-        if let Some(request) = self.requests.all.lock().get_mut(&self.number) {
+    /// Sets the request's id.
+    pub fn set_id(&self, id: &GenerationId) {
+        if let Some(request) = self.requests.by_key.lock().get_mut(&self.key) {
             request.id = Some(GenerationId::clone(id));
         }
     }
 
-    /// Its answer is there.
-    pub fn answered(self) {
-        self.requests.all.lock().remove(&self.number);
+    /// Removes the request because it has been answered.
+    pub fn finish(self) {
+        self.requests.by_key.lock().remove(&self.key);
     }
 }
 
 impl Drop for OpenRequest<'_> {
     fn drop(&mut self) {
-        // Still there only where the handler was dropped in the middle.
-        let Some(request) = self.requests.all.lock().remove(&self.number) else {
+        // Still registered only if the handler was dropped before it had an answer.
+        let Some(request) = self.requests.by_key.lock().remove(&self.key) else {
             return;
         };
-        // A panic is told by an event of its own, and its caller is answered.
+        // A panic is logged by an event of its own, and the caller gets an answer.
         if thread::panicking() {
             return;
         }
         emit(&Event::RequestDropped {
-            id: request.name(),
+            id: request.id_or_dash(),
             held_ms: millis(boot_time().saturating_sub(request.arrived)),
         });
     }
 }
 
 impl Request {
-    fn name(&self) -> GenerationId {
+    fn id_or_dash(&self) -> GenerationId {
         self.id.clone().unwrap_or_else(|| "-".into())
     }
 }
--- a/components/front/src/callers/refusal.rs
+++ b/components/front/src/callers/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of our own.
+//! Error responses of this instance.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,33 +12,34 @@
 
 use crate::{callers::call::Call, state::Front};
 
-/// When a caller may come back that another instance would serve: at once, on a new connection.
+/// `Retry-After` of a request that another instance would serve: at once, on a new connection.
 pub const ELSEWHERE_RETRY: Duration = Duration::from_millis(10);
 
-/// Why a request is not sent under which targets ended.
+/// Reason of the refusal of a quarantined request.
 pub const QUARANTINED: &str = "targets ended while they ran this request";
 
-/// Why a request gets an answer of our own.
+/// An error response of this instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Refusal {
     /// The status.
     pub status: StatusCode,
-    /// Why.
+    /// The reason, for the log and the caller.
     pub reason: Arc<str>,
-    /// When the caller may come back; only where the request has not run.
+    /// When the caller may retry; set only if the request has not run.
     pub retry: Option<Duration>,
 }
 
-/// What a refusal says in its body.
+/// The JSON body of an error response.
 #[derive(Serialize)]
 struct Problem<'a> {
     title: &'a str,
     status: u16,
+    /// Whether the request may have run: `not-run` or `unknown`.
     run: &'a str,
 }
 
 impl Refusal {
-    /// A refusal that will not change by asking again.
+    /// A refusal that a retry would not change.
     #[must_use]
     pub fn new(status: StatusCode, reason: impl Into<Arc<str>>) -> Self {
         Self {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The request has not run, and never will; the caller may come back.
+    /// The request has not run and will not run; the caller may retry.
     #[must_use]
     pub fn not_run(reason: impl Into<Arc<str>>, retry: Duration) -> Self {
         Self::new(StatusCode::SERVICE_UNAVAILABLE, reason).with_retry(retry)
@@ -60,20 +61,19 @@
         Self::new(StatusCode::BAD_GATEWAY, reason)
     }
 
-    /// The answer did not come in time; the request may have run.
+    /// No answer arrived in time; the request may have run.
     #[must_use]
     pub fn late(reason: impl Into<Arc<str>>) -> Self {
         Self::new(StatusCode::GATEWAY_TIMEOUT, reason)
     }
 
-    /// Targets ended while they ran the request. It is not sent again, and nothing is gained by
-    /// asking again.
+    /// Targets crashed while they ran the request. It is not sent again, and retrying is useless.
     #[must_use]
     pub fn quarantined() -> Self {
         Self::unknown(QUARANTINED)
     }
 
-    /// Tells when the caller may come back.
+    /// Sets when the caller may retry.
     #[must_use]
     pub const fn with_retry(mut self, after: Duration) -> Self {
         self.retry = Some(after);
@@ -89,7 +89,7 @@
 }
 
 impl Front {
-    /// Answers a request with a refusal, and logs why.
+    /// Builds the response to a refused request, and logs the refusal.
     pub fn refuse(&self, id: Option<&str>, held: Duration, refusal: &Refusal) -> Response<Body> {
         let read = self.view.rules_read().unwrap_or_default();
         emit(&Event::RequestRefused {
@@ -106,7 +106,7 @@
             status: refusal.status.as_u16(),
             run: refusal.run(),
         };
-        // Our own types have string keys only, so this can't fail for them.
+        // Serialization fails only for maps with keys that are not strings; there are none.
         let text = serde_json::to_vec(&problem).unwrap_or_default();
         let mut resp = Response::new(full(text));
         *resp.status_mut() = refusal.status;
@@ -122,12 +122,12 @@
         resp
     }
 
-    /// Refuses a call.
+    /// Refuses a call; counts and logs the refusal.
     pub fn refuse_call(&self, call: &Call, refusal: &Refusal) -> Response<Body> {
         self.refuse_kind(call.kind(), &call.request.id, call.elapsed(), refusal)
     }
 
-    /// Refuses a request of a kind.
+    /// Refuses a request of a kind; counts and logs the refusal.
     pub fn refuse_kind(
         &self,
         kind: &'static str,
@@ -145,7 +145,7 @@
     }
 }
 
-/// A time in whole milliseconds.
+/// A duration in whole milliseconds.
 #[must_use]
 pub fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
--- a/components/front/src/callers/shutdown.rs
+++ b/components/front/src/callers/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of an instance's life, for those that wait for something.
+//! The shutdown of the instance, for tasks that must react to it.
 
 use std::time::Duration;
 
@@ -8,34 +8,34 @@
 
 use crate::latch::Latch;
 
-/// The end of an instance's life.
+/// The shutdown of the instance.
 #[derive(Debug, Default)]
 pub struct Shutdown {
-    /// Until when it serves what it has taken, once it was told to stop.
+    /// Until when open requests are served; set when the shutdown begins.
     deadline: Mutex<Option<Moment>>,
-    /// Open once what is still at work is given up.
+    /// Opened when the remaining requests are aborted.
     abort: Latch,
 }
 
 impl Shutdown {
-    /// It was told to stop, and serves what it has taken until then.
-    pub fn begin(&self, at: Moment) {
-        *self.deadline.lock() = Some(at);
+    /// Begins the shutdown; open requests are served until `deadline`.
+    pub fn begin(&self, deadline: Moment) {
+        *self.deadline.lock() = Some(deadline);
     }
 
-    /// Time left to serve what it has taken, once it was told to stop.
+    /// Time left to serve open requests; `None` before the shutdown begins.
     #[must_use]
     pub fn time_left(&self) -> Option<Duration> {
-        let at = *self.deadline.lock();
-        at.map(|at| at.saturating_sub(boot_time()))
+        let deadline = *self.deadline.lock();
+        deadline.map(|deadline| deadline.saturating_sub(boot_time()))
     }
 
-    /// Gives up what is still at work: requests get an answer of our own, streams are cut.
+    /// Aborts what is still running: requests get an error response, streams are cut.
     pub fn abort(&self) {
         self.abort.open();
     }
 
-    /// Waits until what is still at work is given up.
+    /// Waits until what is still running is aborted.
     pub async fn aborted(&self) {
         self.abort.wait().await;
     }
--- a/components/front/src/generations/dispatch.rs
+++ b/components/front/src/generations/dispatch.rs
@@ -278,7 +278,7 @@
             match buffer_response(front, &head, body, call.time_left()).await {
                 Ok(resp) => {
                     front.metrics.count_request(call.kind(), "failed");
-                    aggregation::served(front, &call.fingerprint);
+                    aggregation::report_success(front, &call.fingerprint);
                     Attempt::Answer(resp)
                 }
                 Err(reason) => Attempt::Refuse(Refusal::unknown(reason)),
@@ -327,7 +327,7 @@
         smol::Timer::after(monitor.next_report_at().saturating_sub(boot_time())).await;
         if diagnose(front, generation, &mut monitor).await == Diagnosis::EngineGone {
             let sent = call.arrived;
-            crash_detection::ended_under(
+            crash_detection::report_crash(
                 front,
                 call,
                 &generation.target(),
--- a/components/front/src/generations/relay.rs
+++ b/components/front/src/generations/relay.rs
@@ -132,7 +132,7 @@
         match end {
             RelayEnd::Complete => {
                 self.assignment.completed = true;
-                aggregation::served(&self.front, &self.call.fingerprint);
+                aggregation::report_success(&self.front, &self.call.fingerprint);
                 self.front
                     .metrics
                     .count_request(self.call.kind(), "answered");
@@ -206,7 +206,7 @@
             Diagnosis::EngineGone => {
                 self.assignment.target_failed = true;
                 let sent = self.call.arrived;
-                crash_detection::ended_under(
+                crash_detection::report_crash(
                     &self.front,
                     &self.call,
                     &generation.target(),
@@ -343,7 +343,7 @@
         }
         let generation = &self.assignment.generation;
         let (target, sent) = (generation.target(), self.call.arrived);
-        crash_detection::look_into(
+        crash_detection::investigate(
             &self.front,
             &self.call,
             &target,
--- a/components/front/src/instances/membership.rs
+++ b/components/front/src/instances/membership.rs
@@ -132,7 +132,7 @@
         let member = match store.decode(Topic::Members, row) {
             Some(Record::Member(member)) => member,
             Some(Record::Quarantined(kept)) => {
-                record::found(front, &kept);
+                record::apply_stored(front, &kept);
                 continue;
             }
             _ => continue,
@@ -171,7 +171,7 @@
                 verdicts: words, ..
             } = &reply
             {
-                aggregation::learn(&front, words);
+                aggregation::apply_verdicts(&front, words);
             }
             learn_members(&front, None, Some(reply));
             front.peers_known.open();
--- a/components/front/src/instances/message_handler.rs
+++ b/components/front/src/instances/message_handler.rs
@@ -81,11 +81,11 @@
                 Reply::Acknowledged
             }
             Message::TargetCrashed(evidence) => {
-                aggregation::take(front, evidence);
+                aggregation::apply_evidence(front, evidence);
                 Reply::Acknowledged
             }
             Message::Verdicts(words) => {
-                aggregation::learn(front, &words);
+                aggregation::apply_verdicts(front, &words);
                 Reply::Acknowledged
             }
             Message::RateReport(report) => {
@@ -105,7 +105,7 @@
         Reply::Members {
             members,
             revision,
-            verdicts: aggregation::words_beside(&self.front, quarantine),
+            verdicts: aggregation::verdicts_unless_known(&self.front, quarantine),
             quarantine_digest: self.front.quarantine.lock().digest(boot_time()),
         }
     }
--- a/components/front/src/plain_calls/cold.rs
+++ b/components/front/src/plain_calls/cold.rs
@@ -1,61 +1,62 @@
-//! Bounds the requests to cold targets.
+//! Limits the rate of requests to cold targets (slow start).
 //!
-//! A target that has just started crashes when it gets its full load, and the next one then gets
-//! the crashed one's share as well. So while a target is cold each instance gives it no more than
-//! its own part of what it bears.
+//! A target that has just started crashes under its full load, and the next one then gets the load
+//! of the crashed one too. While a target is cold, each instance therefore sends it no more than
+//! its share of the rate that the target can bear.
 
 use std::{collections::HashMap, time::Duration};
 
 use types::{Moment, TargetId};
 
-/// Part of what a cold target bears that is used: instances that have just come are not updated
-/// everywhere yet.
+/// Fraction of the rate of a cold target that is used: new instances are not yet counted
+/// everywhere.
 const USED_FRACTION: f64 = 0.6;
-/// How long a target is taken for cold after its listing said it would be warm: the listing may
-/// be a heartbeat old, and clocks of two machines differ.
+/// How much longer a target is treated as cold than its listing says: the listing may be one
+/// heartbeat old, and the clocks of two machines differ.
 const COLD_MARGIN: Duration = Duration::from_millis(500);
 
+/// Token bucket of one cold target.
 #[derive(Clone, Copy, Debug)]
 struct ColdTarget {
     until: Moment,
-    /// Requests that may be sent just now.
+    /// Requests that may be sent now.
     permitted: f64,
     updated: Moment,
 }
 
-/// The cold targets.
+/// Token buckets of the cold targets.
 #[derive(Debug, Default)]
 pub struct ColdTargets {
-    cold: HashMap<TargetId, ColdTarget>,
+    by_id: HashMap<TargetId, ColdTarget>,
 }
 
 impl ColdTargets {
-    /// Notes that a target says it stays cold for `left`.
-    pub fn mark_cold(&mut self, now: Moment, target: &TargetId, left: Duration) {
-        if left.is_zero() {
+    /// Records that a target reports to stay cold for `cold_left`.
+    pub fn mark_cold(&mut self, now: Moment, target: &TargetId, cold_left: Duration) {
+        if cold_left.is_zero() {
             return;
         }
-        let until = now + left + COLD_MARGIN;
-        let fresh = ColdTarget {
+        let until = now + cold_left + COLD_MARGIN;
+        let new = ColdTarget {
             until,
             permitted: 1.0,
             updated: now,
         };
-        let cold = self.cold.entry(target.clone()).or_insert(fresh);
+        let cold = self.by_id.entry(target.clone()).or_insert(new);
         cold.until = cold.until.max(until);
     }
 
     /// Whether a target is cold.
     #[must_use]
     pub fn is_cold(&self, now: Moment, target: &str) -> bool {
-        self.cold.get(target).is_some_and(|cold| cold.until > now)
+        self.by_id.get(target).is_some_and(|cold| cold.until > now)
     }
 
-    /// Takes the right to send a request to a target that bears `per_s` when cold, as one of
-    /// `instances`. A warm target takes any number.
+    /// Takes the right to send a request to a target that bears `per_s` requests a second from all
+    /// `instances` while it is cold. A warm target accepts any number.
     pub fn try_take(&mut self, now: Moment, target: &str, per_s: f64, instances: usize) -> bool {
-        self.cold.retain(|_, cold| cold.until > now);
-        let Some(cold) = self.cold.get_mut(target) else {
+        self.by_id.retain(|_, cold| cold.until > now);
+        let Some(cold) = self.by_id.get_mut(target) else {
             return true;
         };
         if per_s <= 0.0 {
--- a/components/front/src/plain_calls/dispatch.rs
+++ b/components/front/src/plain_calls/dispatch.rs
@@ -1,4 +1,5 @@
-//! Plain calls: one answer, whole or not at all.
+//! Serves plain calls: sends each to one target after the other until there is a complete answer or
+//! no further attempt is allowed.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,79 +23,81 @@
     target_rates,
 };
 
-/// How long an idempotent call waits for one target before it is tried at another, as a multiple
-/// of the route's aim. Calls take 15 ms as a rule against aims of 100 ms, and 110 ms at most.
-const PATIENCE_AIMS: f64 = 1.6;
-/// Part of the time left that one target may take of a call that could be tried elsewhere.
-const PATIENCE_PART: f64 = 0.5;
-/// When a caller may come back that found no target.
+/// How long an idempotent call waits for one target before the next one is tried, as a multiple of
+/// the route's objective. Calls usually take 15 ms and at most 110 ms, against objectives of 100
+/// ms.
+const ATTEMPT_OBJECTIVES: f64 = 1.6;
+/// Fraction of the time left that one attempt may take if another one could follow.
+const ATTEMPT_FRACTION: f64 = 0.5;
+/// `Retry-After` of a call for which no target was found.
 const NO_TARGET_RETRY: Duration = Duration::from_millis(400);
-/// Pause before targets are looked for again while none is usable.
-const LOOK_AGAIN: Duration = Duration::from_millis(40);
-/// How long a call waits for a usable target, as a part of its aim.
-const LOOK_PART: f64 = 1.0;
-/// Part of the calls that may go to a target in need though others have room.
-const PROBED_PART: f64 = 0.02;
-/// Targets that may say in a row that they did not run a call before its caller is told so.
-const NOT_RUN_MOST: usize = 4;
+/// Pause before targets are looked up again while none is usable.
+const LOOKUP_PAUSE: Duration = Duration::from_millis(40);
+/// How long a call waits for a usable target, as a fraction of the route's objective.
+const LOOKUP_FRACTION: f64 = 1.0;
+/// Fraction of the calls that may go to a target with a rate limit although others have room; their
+/// answers tell when the limit is lifted.
+const LIMITED_FRACTION: f64 = 0.02;
+/// Targets in a row that may report that they did not run a call before it is refused.
+const MAX_NOT_RUN: usize = 4;
 
-/// Counts a call at a target for as long as it is there.
-struct AtTarget<'a> {
+/// Counts a call as in flight at a target until it is dropped.
+struct InFlightGuard<'a> {
     front: &'a Front,
     target: &'a TargetId,
 }
 
-impl<'a> AtTarget<'a> {
+impl<'a> InFlightGuard<'a> {
     fn new(front: &'a Front, target: &'a TargetId) -> Self {
         front.selector.lock().call_started(target);
         Self { front, target }
     }
 }
 
-impl Drop for AtTarget<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.front.selector.lock().call_ended(self.target);
     }
 }
 
-/// What one try brought.
-enum Try {
+/// The outcome of one attempt.
+enum Outcome {
     /// An answer for the caller.
     Answer(Response<Body>),
-    /// An answer for the caller, if no other target has a better one.
-    Failure(Response<Body>),
-    /// Not run.
+    /// A server error, which the caller gets if no other target answers better.
+    ServerError(Response<Body>),
+    /// The call did not run.
     NotRun,
-    /// Perhaps run.
-    Unknown { reason: Arc<str>, late: bool },
+    /// The call may have run.
+    Unknown { reason: Arc<str>, timed_out: bool },
 }
 
-/// What the tries so far came to.
+/// The outcome of all attempts so far.
 #[derive(Default)]
-struct Tries {
-    /// Targets that it may have run on.
-    run: u32,
+struct Attempts {
+    /// Number of targets on which the call may have run.
+    may_have_run: u32,
     /// Targets that are not tried again.
     tried: Vec<TargetId>,
-    sendings: u32,
-    /// The answer that passes if no better one comes.
-    spare: Option<Response<Body>>,
-    late: bool,
+    count: u32,
+    /// The error of a target, for the caller if no better answer comes.
+    server_error: Option<Response<Body>>,
+    timed_out: bool,
     reason: Option<Arc<str>>,
-    /// When a target takes more, where none does now.
-    come_back: Option<Duration>,
+    /// When a target accepts more, if all have reached their rate limits.
+    retry_after: Option<Duration>,
 }
 
-impl Tries {
-    /// What the caller gets when there are no more tries.
-    fn give_up(self, front: &Front, call: &Call) -> Response<Body> {
-        if let Some(resp) = self.spare {
+impl Attempts {
+    /// The response to a caller when no further attempt is allowed.
+    fn into_response(self, front: &Front, call: &Call) -> Response<Body> {
+        if let Some(resp) = self.server_error {
             front.metrics.count_request(call.kind(), "failed");
             return resp;
         }
         let reason = self.reason.unwrap_or_else(|| "no target takes it".into());
-        let refusal = match (self.run, self.late) {
-            (0, _) => Refusal::not_run(reason, self.come_back.unwrap_or(NO_TARGET_RETRY)),
+        let refusal = match (self.may_have_run, self.timed_out) {
+            (0, _) => Refusal::not_run(reason, self.retry_after.unwrap_or(NO_TARGET_RETRY)),
             (_, true) => Refusal::late(reason),
             (_, false) => Refusal::unknown(reason),
         };
@@ -104,57 +107,57 @@
 
 /// Serves a plain call.
 pub async fn serve(front: &Arc<Front>, call: &Call) -> Response<Body> {
-    let mut tries = Tries::default();
+    let mut attempts = Attempts::default();
     loop {
-        if !may_try(front, call, &tries) {
-            return tries.give_up(front, call);
+        if !may_attempt(front, call, &attempts) {
+            return attempts.into_response(front, call);
         }
-        let target = match find(front, call, &tries.tried).await {
+        let target = match find_target(front, call, &attempts.tried).await {
             Ok(target) => target,
-            Err(NoTarget::Unusable) => return tries.give_up(front, call),
+            Err(NoTarget::Unusable) => return attempts.into_response(front, call),
             Err(NoTarget::Limited { after }) => {
-                tries.come_back = Some(after);
-                return tries.give_up(front, call);
+                attempts.retry_after = Some(after);
+                return attempts.into_response(front, call);
             }
         };
-        tries.sendings += 1;
-        tries.tried.push(Arc::clone(&target.id));
-        match attempt(front, call, &target, tries.sendings).await {
-            Try::Answer(resp) => {
+        attempts.count += 1;
+        attempts.tried.push(Arc::clone(&target.id));
+        match attempt(front, call, &target, attempts.count).await {
+            Outcome::Answer(resp) => {
                 front.metrics.count_request(call.kind(), "answered");
                 return resp;
             }
-            Try::Failure(resp) => {
-                tries.run += 1;
-                tries.spare = Some(resp);
+            Outcome::ServerError(resp) => {
+                attempts.may_have_run += 1;
+                attempts.server_error = Some(resp);
             }
-            Try::NotRun => {}
-            Try::Unknown { reason, late } => {
-                tries.run += 1;
-                tries.late = late;
-                tries.reason = Some(reason);
+            Outcome::NotRun => {}
+            Outcome::Unknown { reason, timed_out } => {
+                attempts.may_have_run += 1;
+                attempts.timed_out = timed_out;
+                attempts.reason = Some(reason);
             }
         }
     }
 }
 
-/// Whether a call may go to one more target.
-fn may_try(front: &Front, call: &Call, tries: &Tries) -> bool {
+/// Whether a further attempt is allowed; takes it from the retry budget.
+fn may_attempt(front: &Front, call: &Call, attempts: &Attempts) -> bool {
     if call.time_left().is_zero() {
         return false;
     }
-    if tries.sendings == 0 {
+    if attempts.count == 0 {
         return true;
     }
     if front.rejects(&call.fingerprint) {
         return false;
     }
-    let run_out = match call.route.kind {
-        Kind::Idempotent => tries.run >= call.route.max_targets,
-        Kind::NonIdempotent | Kind::Generation => tries.run > 0,
+    let has_run_enough = match call.route.kind {
+        Kind::Idempotent => attempts.may_have_run >= call.route.max_targets,
+        Kind::NonIdempotent | Kind::Generation => attempts.may_have_run > 0,
     };
-    let sends_again = front.cfg.decisions.features.retries;
-    if !sends_again || run_out || tries.tried.len() >= NOT_RUN_MOST {
+    let retries = front.cfg.decisions.features.retries;
+    if !retries || has_run_enough || attempts.tried.len() >= MAX_NOT_RUN {
         return false;
     }
     let instances = front.instance_count();
@@ -171,26 +174,31 @@
 
 /// Why no target was found.
 enum NoTarget {
-    /// None is usable, or all were tried.
+    /// None is usable, or all have been tried.
     Unusable,
-    /// Those that are usable are in need, and take nothing more for so long.
+    /// The usable ones have reached their rate limits, and accept more after this time.
     Limited { after: Duration },
 }
 
-/// Finds a target; waits a little where none is usable just now.
-async fn find(
+/// Finds a target; waits for a while if none is usable at the moment.
+async fn find_target(
     front: &Arc<Front>,
     call: &Call,
     tried: &[TargetId],
 ) -> Result<Arc<Target>, NoTarget> {
-    let patience = call.route.aim.mul_f64(LOOK_PART).min(call.time_left());
-    let until = boot_time() + patience;
-    let mut passed_over = tried.to_vec();
+    let timeout = call
+        .route
+        .aim
+        .mul_f64(LOOKUP_FRACTION)
+        .min(call.time_left());
+    let until = boot_time() + timeout;
+    let mut skipped = tried.to_vec();
     let mut limited: Option<Duration> = None;
     loop {
         let now = boot_time();
-        let picked = pick(front, call, &passed_over, now);
-        if let Some(target) = picked.filter(|target| front.take_cold_permit(&call.service, target))
+        let selected = select(front, call, &skipped, now);
+        if let Some(target) =
+            selected.filter(|target| front.take_cold_permit(&call.service, target))
         {
             match target_rates::reserve(front, &target.id, until.saturating_sub(now)).await {
                 Reservation::Granted { after } => {
@@ -198,8 +206,8 @@
                     return Ok(target);
                 }
                 Reservation::Rejected { after } => {
-                    passed_over.push(Arc::clone(&target.id));
-                    limited = Some(limited.map_or(after, |least| least.min(after)));
+                    skipped.push(Arc::clone(&target.id));
+                    limited = Some(limited.map_or(after, |earliest| earliest.min(after)));
                     continue;
                 }
             }
@@ -207,47 +215,55 @@
         if let Some(after) = limited {
             return Err(NoTarget::Limited { after });
         }
-        // Others than those tried may come, but a call that was sent is not held for them.
+        // Other targets may join, but a call that has been sent already does not wait for them.
         if now >= until || !tried.is_empty() {
             return Err(NoTarget::Unusable);
         }
-        smol::Timer::after(LOOK_AGAIN).await;
+        smol::Timer::after(LOOKUP_PAUSE).await;
     }
 }
 
-/// Picks among the targets that this instance may open one more connection to. Those in need are
-/// passed over while others have room, but for a few calls that tell whether the need is over.
-fn pick(front: &Front, call: &Call, tried: &[TargetId], now: Moment) -> Option<Arc<Target>> {
+/// Selects among the targets to which this instance may open one more connection. Those with a rate
+/// limit are avoided while others have room, except for a few calls that find out whether the limit
+/// still applies.
+fn select(front: &Front, call: &Call, tried: &[TargetId], now: Moment) -> Option<Arc<Target>> {
     let share = connection_share(call.service.connections, front.instance_count());
     let mut targets = front.usable_targets(&call.service);
     targets.retain(|target| !tried.contains(&target.id));
     let selector = front.selector.lock();
     targets.retain(|target| selector.in_flight(&target.id) < share);
     let has_room = |target: &&Arc<Target>| selector.has_room(now, target);
-    let is_free = |target: &&Arc<Target>| !front.is_limited(&target.id);
-    if targets.iter().filter(is_free).any(|t| has_room(&t)) && fastrand::f64() >= PROBED_PART {
-        targets.retain(|target| is_free(&target));
+    let is_unlimited = |target: &&Arc<Target>| !front.is_limited(&target.id);
+    if targets.iter().filter(is_unlimited).any(|t| has_room(&t))
+        && fastrand::f64() >= LIMITED_FRACTION
+    {
+        targets.retain(|target| is_unlimited(&target));
     }
-    let near = &front.cfg.data_centre;
-    selector.select(now, &targets, tried, near, fastrand::f64())
+    let local = &front.cfg.data_centre;
+    selector.select(now, &targets, tried, local, fastrand::f64())
 }
 
-async fn attempt(front: &Arc<Front>, call: &Call, target: &Arc<Target>, sending: u32) -> Try {
-    let _at = AtTarget::new(front, &target.id);
+async fn attempt(
+    front: &Arc<Front>,
+    call: &Call,
+    target: &Arc<Target>,
+    attempt_number: u32,
+) -> Outcome {
+    let _in_flight = InFlightGuard::new(front, &target.id);
     emit(&Event::RequestSent {
         id: Arc::clone(&call.request.id),
         target: Arc::clone(&target.id),
         fingerprint: call.fingerprint.to_string().into(),
-        sending,
+        sending: attempt_number,
         held_ms: millis(call.elapsed()),
         left_ms: millis(call.caller_time_left()),
     });
-    if sending == 1 {
+    if attempt_number == 1 {
         front.metrics.observe_held(call.elapsed());
     }
-    let limit = patience(call, sending);
-    let from = boot_time();
-    match send(front, call, target, None, limit).await {
+    let timeout = attempt_timeout(call, attempt_number);
+    let started = boot_time();
+    match send(front, call, target, None, timeout).await {
         SendOutcome::Response {
             head,
             heading,
@@ -257,16 +273,16 @@
             if let Some(load) = heading.load {
                 front.selector.lock().record_load(now, &target.id, load);
             }
-            let rest = limit.saturating_sub(now.saturating_sub(from));
-            match buffer_response(front, &head, body, rest.max(LOOK_AGAIN)).await {
-                Ok(resp) => answered(front, call, target, resp),
+            let rest = timeout.saturating_sub(now.saturating_sub(started));
+            match buffer_response(front, &head, body, rest.max(LOOKUP_PAUSE)).await {
+                Ok(resp) => record_answer(front, call, target, resp),
                 Err(reason) => {
                     log_send_failure(call, target, &reason, false);
-                    crash_detection::look_into(front, call, target, from, 0);
+                    crash_detection::investigate(front, call, target, started, 0);
                     front.selector.lock().record_failure(now, &target.id);
-                    Try::Unknown {
+                    Outcome::Unknown {
                         reason,
-                        late: false,
+                        timed_out: false,
                     }
                 }
             }
@@ -276,28 +292,31 @@
                 .selector
                 .lock()
                 .record_failure(boot_time(), &target.id);
-            Try::NotRun
+            Outcome::NotRun
         }
-        SendOutcome::Rejected { reason } => Try::Unknown {
+        SendOutcome::Rejected { reason } => Outcome::Unknown {
             reason,
-            late: false,
+            timed_out: false,
         },
-        SendOutcome::Unknown {
-            reason,
-            timed_out: late,
-        } => {
+        SendOutcome::Unknown { reason, timed_out } => {
             front
                 .selector
                 .lock()
                 .record_failure(boot_time(), &target.id);
-            Try::Unknown { reason, late }
+            Outcome::Unknown { reason, timed_out }
         }
     }
 }
 
-fn answered(front: &Arc<Front>, call: &Call, target: &Target, resp: Response<Body>) -> Try {
+/// Records the answer of a target.
+fn record_answer(
+    front: &Arc<Front>,
+    call: &Call,
+    target: &Target,
+    resp: Response<Body>,
+) -> Outcome {
     let status = resp.status();
-    aggregation::served(front, &call.fingerprint);
+    aggregation::report_success(front, &call.fingerprint);
     emit(&Event::RequestAnswered {
         id: Arc::clone(&call.request.id),
         target: Arc::clone(&target.id),
@@ -309,19 +328,19 @@
             .selector
             .lock()
             .record_failure(boot_time(), &target.id);
-        return Try::Failure(resp);
+        return Outcome::ServerError(resp);
     }
     front.selector.lock().record_success(&target.id);
-    Try::Answer(resp)
+    Outcome::Answer(resp)
 }
 
-/// How long one target may take.
-fn patience(call: &Call, sending: u32) -> Duration {
+/// How long one attempt may take.
+fn attempt_timeout(call: &Call, attempt_number: u32) -> Duration {
     let left = call.time_left();
-    let may_go_on = call.route.kind == Kind::Idempotent && sending < call.route.max_targets;
-    if !may_go_on {
+    let may_retry = call.route.kind == Kind::Idempotent && attempt_number < call.route.max_targets;
+    if !may_retry {
         return left;
     }
-    let aims = call.route.aim.mul_f64(PATIENCE_AIMS);
-    aims.min(left.mul_f64(PATIENCE_PART))
+    let objectives = call.route.aim.mul_f64(ATTEMPT_OBJECTIVES);
+    objectives.min(left.mul_f64(ATTEMPT_FRACTION))
 }
--- a/components/front/src/plain_calls/mod.rs
+++ b/components/front/src/plain_calls/mod.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services: choice of a target, second sendings, cold targets.
+//! Calls to plain services: selection of a target, retries, and cold targets.
 
 pub mod cold;
 pub mod dispatch;
--- a/components/front/src/plain_calls/retry_budget.rs
+++ b/components/front/src/plain_calls/retry_budget.rs
@@ -1,8 +1,8 @@
-//! The budget of second sendings.
+//! Budget of retries.
 //!
-//! When targets fail, each instance that tries again multiplies the load on those that are left.
-//! One sees it as a service that stays down after its targets are back. So second sendings are
-//! bounded by a part of the requests, over all instances: each takes its part by its own requests.
+//! When targets fail, every retry adds to the load on those that are left, and a service can stay
+//! down after its targets are back. Retries are therefore bounded by a fraction of the requests of
+//! all instances; each instance applies it to its own requests.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -11,17 +11,18 @@
 
 use types::{Moment, ServiceId};
 
-/// Part of the bound that is used. Instances learn late of others that came, and windows of
-/// those who count begin at other moments.
+/// Fraction of the bound that is used. Instances learn of new ones with a delay, and their time
+/// windows are not aligned.
 const USED_FRACTION: f64 = 0.7;
 
+/// Requests and retries of one service in the time window.
 #[derive(Debug, Default)]
 struct Window {
     requests: VecDeque<Moment>,
     retries: VecDeque<Moment>,
 }
 
-/// Counts requests and second sendings of each service.
+/// Counts the requests and retries of each service.
 #[derive(Debug)]
 pub struct RetryBudget {
     window: Duration,
@@ -31,7 +32,8 @@
 }
 
 impl RetryBudget {
-    /// A budget of a ratio of the requests, and a slack that all instances share.
+    /// Creates a budget of `ratio` retries per request, plus a number of retries that all instances
+    /// share, in each time window.
     #[must_use]
     pub fn new(window: Duration, ratio: f64, slack: f64) -> Self {
         Self {
@@ -42,46 +44,47 @@
         }
     }
 
-    /// Sets its terms anew; what was counts stays.
+    /// Changes the parameters; the counts stay.
     pub const fn configure(&mut self, window: Duration, ratio: f64, slack: f64) {
         self.window = window;
         self.ratio = ratio;
         self.slack = slack;
     }
 
-    /// Counts a request for a service.
+    /// Counts a request.
     pub fn record_request(&mut self, now: Moment, service: &ServiceId) {
-        let counts = self.window_mut(now, service);
-        counts.requests.push_back(now);
+        let window = self.window_mut(now, service);
+        window.requests.push_back(now);
     }
 
-    /// Takes one second sending, if there is one left for one of `instances`.
+    /// Takes a retry from the budget of one of `instances`; returns false if none is left.
     pub fn try_take(&mut self, now: Moment, service: &ServiceId, instances: usize) -> bool {
         let (ratio, slack) = (self.ratio, self.slack);
-        let counts = self.window_mut(now, service);
-        let requests = as_f64(counts.requests.len());
+        let window = self.window_mut(now, service);
+        let requests = as_f64(window.requests.len());
         let share = slack / as_f64(instances.max(1));
-        let most = (ratio * requests + share) * USED_FRACTION;
-        if as_f64(counts.retries.len() + 1) > most {
+        let max_retries = (ratio * requests + share) * USED_FRACTION;
+        if as_f64(window.retries.len() + 1) > max_retries {
             return false;
         }
-        counts.retries.push_back(now);
+        window.retries.push_back(now);
         true
     }
 
+    /// The counts of a service, without those older than the time window.
     fn window_mut(&mut self, now: Moment, service: &ServiceId) -> &mut Window {
         let oldest = now.saturating_sub(self.window);
-        let counts = self.services.entry(service.clone()).or_default();
-        for list in [&mut counts.requests, &mut counts.retries] {
-            while list.front().is_some_and(|at| *at < oldest) {
-                list.pop_front();
+        let window = self.services.entry(service.clone()).or_default();
+        for times in [&mut window.requests, &mut window.retries] {
+            while times.front().is_some_and(|at| *at < oldest) {
+                times.pop_front();
             }
         }
-        counts
+        window
     }
 }
 
-/// A count of a window; far below the 52 bits that are exact.
+/// A count as a floating-point number.
 fn as_f64(count: usize) -> f64 {
     #[expect(clippy::cast_precision_loss, reason = "far below 52 bits")]
     let value = count as f64;
--- a/components/front/src/plain_calls/selection.rs
+++ b/components/front/src/plain_calls/selection.rs
@@ -1,9 +1,10 @@
-//! Chooses a target for a plain call.
+//! Selects a target for a plain call.
 //!
-//! Each instance knows its own calls exactly, and the others' only from the load that targets say
-//! in their answers, which is old when it arrives. So the load that was said counts for a short
-//! while, one's own calls always, and a target that failed is put aside for a moment, though
-//! never more than half of a service at once: the failures may be the callers' or our own.
+//! Each instance knows the number of its own calls exactly, and those of other instances only from
+//! the load that targets report in their answers, which is old when it arrives. A reported load
+//! therefore counts only for a short time, the instance's own calls always. A target that fails is
+//! ejected for a while, unless more than half of a service would be ejected at once: the cause may
+//! then be the callers' requests or this instance's network.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -12,25 +13,26 @@
 
 use crate::adapters::ReportedLoad;
 
-/// How long a load that was said counts.
+/// How long a reported load counts.
 const REPORT_LIFETIME: Duration = Duration::from_millis(1_000);
-/// What a target in another data centre costs, as a part of its places: bytes between data
-/// centres are priced, and each way takes as long as a tenth of a call.
+/// Cost of a target in another data centre, as a fraction of its capacity: traffic between data
+/// centres is billed, and each way takes a tenth of the time of a call.
 const REMOTE_COST: f64 = 0.6;
-/// How long a target is put aside after its first failure in a row; doubled with each further.
+/// How long a target is ejected at first; doubled with each further consecutive failure.
 const BASE_EJECTION: Duration = Duration::from_millis(300);
-/// The longest time that a target is put aside before it is tried again.
+/// Longest time for which a target is ejected.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
-/// Failures in a row after which a target is put aside.
+/// Consecutive failures after which a target is ejected.
 const EJECTION_FAILURES: u32 = 2;
-/// What a target that is put aside costs where all are.
+/// Cost of an ejected target: it is selected only if all others have been tried or are far over
+/// their capacity.
 const EJECTION_COST: f64 = 10.0;
-/// Part of the connections that a target takes from all instances which they share out. The rest
-/// is for questions about its health and load, and for instances that have just come.
-const CONNECTION_SHARE: f64 = 0.8;
+/// Fraction of a target's connection limit that instances share out. The rest is for health checks
+/// and load reports, and for instances that have just started.
+const SHARED_FRACTION: f64 = 0.8;
 
-/// Connections that one of `instances` may have open to a target that takes `limit` from all of
-/// them; one at least. A target resets what is beyond its limit, whoever's call it carries.
+/// Connections that one of `instances` may open to a target which accepts `limit` from all of them
+/// together; at least one. A target resets connections beyond its limit, whoever uses them.
 #[must_use]
 pub fn connection_share(limit: u32, instances: usize) -> u32 {
     let count = u32::try_from(instances.max(1)).unwrap_or(u32::MAX);
@@ -39,10 +41,11 @@
         clippy::cast_sign_loss,
         reason = "a part of a limit that fits"
     )]
-    let shared = (f64::from(limit) * CONNECTION_SHARE) as u32;
+    let shared = (f64::from(limit) * SHARED_FRACTION) as u32;
     (shared / count).max(1)
 }
 
+/// What is known of one target.
 #[derive(Clone, Debug, Default)]
 struct TargetStats {
     in_flight: u32,
@@ -51,12 +54,12 @@
     ejected_until: Moment,
 }
 
-/// What this instance knows of the targets of plain services.
+/// Selects targets of plain services by load, distance and recent failures.
 #[derive(Debug)]
 pub struct TargetSelector {
-    /// Targets near by go first.
+    /// Targets in the same data centre are preferred.
     prefers_local: bool,
-    /// Targets that failed are put aside.
+    /// Targets are ejected after failures.
     ejects: bool,
     stats: HashMap<TargetId, TargetStats>,
 }
@@ -68,7 +71,7 @@
 }
 
 impl TargetSelector {
-    /// Knows nothing yet; tells which parts of the choice are in use.
+    /// Creates a selector without statistics; the arguments switch parts of the selection on.
     #[must_use]
     pub fn new(prefers_local: bool, ejects: bool) -> Self {
         Self {
@@ -78,8 +81,9 @@
         }
     }
 
-    /// Picks one of the targets that may get work, less those that this call has tried. `tie_breaker`
-    /// from 0 up to 1 breaks ties, so that instances don't all select the same one.
+    /// Selects one of the targets that accept work, except those that this call has tried.
+    /// `tie_breaker` is a random number in `0.0..1.0`, so that instances don't all select the same
+    /// one among equals.
     #[must_use]
     pub fn select(
         &self,
@@ -99,7 +103,7 @@
             .count();
         let ignore_ejection = ejected * 2 > untried.len();
         let mut best: Option<(f64, &Arc<Target>)> = None;
-        for (number, target) in untried.iter().enumerate() {
+        for (index, target) in untried.iter().enumerate() {
             let mut cost = self.load(now, target);
             if self.prefers_local && target.data_centre != *local {
                 cost += REMOTE_COST;
@@ -107,85 +111,86 @@
             if self.is_ejected(now, &target.id) && !ignore_ejection {
                 cost += EJECTION_COST;
             }
-            let tie = (tie_breaker + as_f64(number) / as_f64(untried.len())).fract();
-            cost += tie * 0.01;
-            if best.is_none_or(|(least, _)| cost < least) {
+            let offset = (tie_breaker + as_f64(index) / as_f64(untried.len())).fract();
+            cost += offset * 0.01;
+            if best.is_none_or(|(lowest, _)| cost < lowest) {
                 best = Some((cost, target));
             }
         }
         best.map(|(_, target)| Arc::clone(target))
     }
 
-    /// Calls of this instance at a target. Each holds a connection, and a connection that is idle
-    /// is used before another is made, so no more are open than calls were there at once.
+    /// Calls of this instance that are in flight at a target. Each uses one connection, and an idle
+    /// connection is reused before a new one is opened, so this bounds the open connections too.
     #[must_use]
     pub fn in_flight(&self, target: &TargetId) -> u32 {
-        self.stats.get(target).map_or(0, |known| known.in_flight)
+        self.stats.get(target).map_or(0, |stats| stats.in_flight)
     }
 
-    /// Notes that a call goes to a target.
+    /// Records that a call is sent to a target.
     pub fn call_started(&mut self, target: &TargetId) {
         self.entry(target).in_flight += 1;
     }
 
-    /// Notes that a call has left a target, whatever came of it.
+    /// Records that a call at a target has ended, whatever its outcome.
     pub fn call_ended(&mut self, target: &TargetId) {
-        let known = self.entry(target);
-        known.in_flight = known.in_flight.saturating_sub(1);
+        let stats = self.entry(target);
+        stats.in_flight = stats.in_flight.saturating_sub(1);
     }
 
-    /// Notes the load that a target said.
+    /// Records the load that a target has reported.
     pub fn record_load(&mut self, now: Moment, target: &TargetId, load: ReportedLoad) {
         self.entry(target).reported = Some((now, load));
     }
 
-    /// Notes that a target served a call.
+    /// Records that a target has answered a call.
     pub fn record_success(&mut self, target: &TargetId) {
-        let known = self.entry(target);
-        known.failures = 0;
-        known.ejected_until = Duration::ZERO;
+        let stats = self.entry(target);
+        stats.failures = 0;
+        stats.ejected_until = Duration::ZERO;
     }
 
-    /// Notes that a target failed a call in a way that it might fail others.
+    /// Records that a target has failed a call in a way that may affect others.
     pub fn record_failure(&mut self, now: Moment, target: &TargetId) {
-        let known = self.entry(target);
-        known.failures = known.failures.saturating_add(1);
-        if known.failures >= EJECTION_FAILURES {
+        let stats = self.entry(target);
+        stats.failures = stats.failures.saturating_add(1);
+        if stats.failures >= EJECTION_FAILURES {
             let doubled =
-                BASE_EJECTION.saturating_mul(1 << (known.failures - EJECTION_FAILURES).min(8));
-            known.ejected_until = now + doubled.min(MAX_EJECTION);
+                BASE_EJECTION.saturating_mul(1 << (stats.failures - EJECTION_FAILURES).min(8));
+            stats.ejected_until = now + doubled.min(MAX_EJECTION);
         }
     }
 
-    /// Forgets targets that are gone.
+    /// Drops the statistics of targets that are not listed.
     pub fn retain(&mut self, listed: impl Fn(&TargetId) -> bool) {
         self.stats
-            .retain(|id, known| known.in_flight > 0 || listed(id));
+            .retain(|id, stats| stats.in_flight > 0 || listed(id));
     }
 
-    /// Whether a target is put aside.
+    /// Whether a target is ejected.
     #[must_use]
     pub fn is_ejected(&self, now: Moment, target: &TargetId) -> bool {
-        let known = self.stats.get(target);
-        self.ejects && known.is_some_and(|known| known.ejected_until > now)
+        let stats = self.stats.get(target);
+        self.ejects && stats.is_some_and(|stats| stats.ejected_until > now)
     }
 
-    /// Whether a target has a free place as far as is known, and is not put aside.
+    /// Whether a target has free capacity as far as is known, and is not ejected.
     #[must_use]
     pub fn has_room(&self, now: Moment, target: &Target) -> bool {
         self.load(now, target) < 1.0 && !self.is_ejected(now, &target.id)
     }
 
-    /// Calls at a target as a part of its places: our own, or those that it said if more.
+    /// Load of a target as a fraction of its capacity: the reported one, or this instance's own
+    /// calls if those are more.
     fn load(&self, now: Moment, target: &Target) -> f64 {
-        let Some(known) = self.stats.get(&target.id) else {
+        let Some(stats) = self.stats.get(&target.id) else {
             return 0.0;
         };
-        let reported = known
+        let reported = stats
             .reported
             .filter(|(at, _)| now.saturating_sub(*at) < REPORT_LIFETIME)
             .map_or(0, |(_, load)| load.running + load.waiting);
-        f64::from(reported.max(known.in_flight)) / f64::from(target.slots.max(1))
+        f64::from(reported.max(stats.in_flight)) / f64::from(target.slots.max(1))
     }
 
     fn entry(&mut self, target: &TargetId) -> &mut TargetStats {
@@ -193,7 +198,7 @@
     }
 }
 
-/// A count of targets; far below the 52 bits that are exact.
+/// A count as a floating-point number.
 fn as_f64(count: usize) -> f64 {
     #[expect(clippy::cast_precision_loss, reason = "far below 52 bits")]
     let value = count as f64;
--- a/components/front/src/quarantine/aggregation.rs
+++ b/components/front/src/quarantine/aggregation.rs
@@ -1,8 +1,10 @@
-//! Sums up what all instances see of requests that crash targets, and tells all what comes of it.
+//! Sums up the evidence that all instances find against requests which crash targets, and sends the
+//! verdicts to all instances.
 //!
-//! No instance alone sees enough of a request that comes to another one each time. So evidence goes to
-//! the request's keepers, the first in an order by its fingerprint. Verdict of what they find goes to each
-//! instance at once, and with the syncs to those that were not reached or have just started.
+//! A request that is retried at another instance each time never shows enough evidence at any one
+//! of them. Evidence is therefore sent to the request's aggregators, the first instances in an
+//! order that depends on its fingerprint. Verdicts are sent to all instances at once; instances
+//! that were not reached, or have just started, get them with the next sync.
 
 use std::sync::Arc;
 
@@ -21,8 +23,8 @@
     state::Front,
 };
 
-/// Instances that sum up the evidence against one request: another one, should the first end.
-const KEEPERS: usize = 2;
+/// Aggregators of one request. A second one is there in case the first one stops.
+const AGGREGATORS: usize = 2;
 
 impl Front {
     /// Whether a request must not be sent to any target.
@@ -32,71 +34,72 @@
     }
 }
 
-/// Takes evidence in that this instance has found.
-pub fn found(front: &Arc<Front>, evidence: Evidence) {
+/// Reports evidence that this instance has found.
+pub fn report_evidence(front: &Arc<Front>, evidence: Evidence) {
     front.metrics.target_crashes.inc();
-    for keeper in keepers(front, &evidence.fingerprint) {
-        notify(front, keeper, Message::TargetCrashed(evidence.clone()));
+    for aggregator in aggregators(front, &evidence.fingerprint) {
+        notify(front, aggregator, Message::TargetCrashed(evidence.clone()));
     }
-    take(front, evidence);
+    apply_evidence(front, evidence);
 }
 
-/// Takes evidence in; tells all instances what comes of it.
-pub fn take(front: &Arc<Front>, evidence: Evidence) {
+/// Applies evidence; sends the verdict to all instances if there is one.
+pub fn apply_evidence(front: &Arc<Front>, evidence: Evidence) {
     let verdict = front.quarantine.lock().record_crash(boot_time(), evidence);
     let Some(verdict) = verdict else {
         return;
     };
     log(&verdict);
     notify_all(front, &Message::Verdicts(vec![verdict]));
-    if verdict.kind == VerdictKind::Rejected && is_first_keeper(front, &verdict.fingerprint) {
-        record::keep(front, &verdict);
+    if verdict.kind == VerdictKind::Rejected && is_first_aggregator(front, &verdict.fingerprint) {
+        record::persist(front, &verdict);
     }
 }
 
-/// Notes that a target has served a request whole.
-pub fn served(front: &Arc<Front>, fingerprint: &Fingerprint) {
-    let served = front
+/// Reports that a target has completed a request.
+pub fn report_success(front: &Arc<Front>, fingerprint: &Fingerprint) {
+    let clearance = front
         .quarantine
         .lock()
         .record_success(boot_time(), fingerprint);
-    match served {
+    match clearance {
         None => {}
         Some((verdict, Recipients::Aggregators)) => {
-            for keeper in keepers(front, fingerprint) {
-                notify(front, keeper, Message::Verdicts(vec![verdict]));
+            for aggregator in aggregators(front, fingerprint) {
+                notify(front, aggregator, Message::Verdicts(vec![verdict]));
             }
         }
         Some((verdict, Recipients::All)) => {
             log(&verdict);
             notify_all(front, &Message::Verdicts(vec![verdict]));
-            record::keep(front, &verdict);
+            record::persist(front, &verdict);
         }
     }
 }
 
-/// Takes another instance's words.
-pub fn learn(front: &Front, words: &[Verdict]) {
+/// Applies the verdicts of another instance.
+pub fn apply_verdicts(front: &Front, verdicts: &[Verdict]) {
     let now = boot_time();
-    for verdict in words {
+    for verdict in verdicts {
         if front.quarantine.lock().apply(now, verdict) {
             log(verdict);
         }
     }
 }
 
-/// What an instance is told that knows what `mark` stands for.
+/// The verdicts to send to an instance whose state has this digest: none if it is the same as here.
 #[must_use]
-pub fn words_beside(front: &Front, mark: u64) -> Vec<Verdict> {
+pub fn verdicts_unless_known(front: &Front, digest: u64) -> Vec<Verdict> {
     let now = boot_time();
     let state = front.quarantine.lock();
-    if state.digest(now) == mark {
+    if state.digest(now) == digest {
         return Vec::new();
     }
     state.verdicts(now)
 }
 
-/// Learns what the owner that took a sync knows, and tells it what it does not know.
+/// Exchanges verdicts with the owner that has answered a sync: applies those that it has sent, and
+/// sends it the local ones if its state differs.
 pub async fn reconcile(front: &Front, owner: &InstanceId, reply: Option<&Reply>) {
     let Some(Reply::Members {
         verdicts: words,
@@ -106,30 +109,30 @@
     else {
         return;
     };
-    learn(front, words);
-    let mine = words_beside(front, *quarantine);
-    if !mine.is_empty() {
-        // Lost, it is told with the next sync.
+    apply_verdicts(front, words);
+    let local = verdicts_unless_known(front, *quarantine);
+    if !local.is_empty() {
+        // If this is lost, the next sync makes up for it.
         let _ = front
             .peers
-            .call(owner, &Message::Verdicts(mine), NOTIFY_TIMEOUT)
+            .call(owner, &Message::Verdicts(local), NOTIFY_TIMEOUT)
             .await;
     }
 }
 
-/// Whether this instance is the first of those that sum up the evidence against a request.
+/// Whether this instance is the first aggregator of a request.
 #[must_use]
-pub fn is_first_keeper(front: &Front, fingerprint: &Fingerprint) -> bool {
+pub fn is_first_aggregator(front: &Front, fingerprint: &Fingerprint) -> bool {
     let order = front.peers.owners(&fingerprint.to_string());
     order.first() == Some(&front.cfg.instance)
 }
 
-/// The other instances that sum up the evidence against a request.
-fn keepers(front: &Front, fingerprint: &Fingerprint) -> Vec<InstanceId> {
-    let mut keepers = front.peers.owners(&fingerprint.to_string());
-    keepers.truncate(KEEPERS);
-    keepers.retain(|id| *id != front.cfg.instance);
-    keepers
+/// The aggregators of a request without this instance.
+fn aggregators(front: &Front, fingerprint: &Fingerprint) -> Vec<InstanceId> {
+    let mut aggregators = front.peers.owners(&fingerprint.to_string());
+    aggregators.truncate(AGGREGATORS);
+    aggregators.retain(|id| *id != front.cfg.instance);
+    aggregators
 }
 
 fn log(verdict: &Verdict) {
--- a/components/front/src/quarantine/crash_detection.rs
+++ b/components/front/src/quarantine/crash_detection.rs
@@ -1,8 +1,8 @@
-//! Finds out whether a target ended while it ran a request.
+//! Finds out whether a target crashed while it was running a request.
 //!
-//! A cut connection alone does not tell: a reset, a lost link and a planned leaving look the same at
-//! first. A target has ended if it refuses connections right after the cut, or if its listing goes or
-//! is another life's without any word that it leaves.
+//! A lost connection alone is no proof: a reset, a network fault and a planned departure look the
+//! same at first. A target has crashed if it refuses connections right afterwards, or if its
+//! listing disappears or shows another incarnation although the target was not marked as leaving.
 
 use std::{collections::HashMap, io::ErrorKind, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,35 +17,35 @@
 
 use crate::{callers::call::Call, quarantine::aggregation, state::Front};
 
-/// Time to connect to a target that may have ended.
-const CONNECT_LIMIT: Duration = Duration::from_millis(400);
-/// Connections in a row that a target refuses if it has ended. One that has too many connections
-/// may refuse a single one.
-const REFUSALS: u32 = 2;
+/// Time to connect to a target that may have crashed.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Consecutive connections that a crashed target refuses. A target at its connection limit may
+/// refuse a single one.
+const REFUSED_CONNECTIONS: u32 = 2;
 /// Pause between two such connections.
-const CONNECT_AGAIN: Duration = Duration::from_millis(250);
-/// Time for the listing of a target that has ended to lapse, and for word of it to arrive.
-const LISTING_PATIENCE: Duration = Duration::from_millis(5_000);
-/// Time between two looks at the listing.
-const LOOK_AGAIN: Duration = Duration::from_millis(250);
-/// How long an end is remembered for other requests that the target ran.
-const REMEMBERED: Duration = Duration::from_secs(10);
-
-/// Targets that have ended lately.
+const CONNECT_PAUSE: Duration = Duration::from_millis(250);
+/// Time for the listing of a crashed target to expire, and for the change to arrive here.
+const LISTING_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// Time between two checks of the listing.
+const LISTING_POLL_PERIOD: Duration = Duration::from_millis(250);
+/// How long a crash is remembered for other requests that the target was running.
+const CRASH_RETENTION: Duration = Duration::from_secs(10);
+
+/// Incarnations of targets that have crashed recently.
 #[derive(Debug, Default)]
 pub struct RecentCrashes {
-    lately: Mutex<HashMap<(TargetId, Option<u64>), Moment>>,
+    crashed_at: Mutex<HashMap<(TargetId, Option<u64>), Moment>>,
 }
 
 impl RecentCrashes {
-    fn remember(&self, now: Moment, target: &Target) {
-        let mut lately = self.lately.lock();
-        lately.retain(|_, at| now.saturating_sub(*at) < REMEMBERED);
-        lately.insert(key(target), now);
+    fn insert(&self, now: Moment, target: &Target) {
+        let mut crashed_at = self.crashed_at.lock();
+        crashed_at.retain(|_, at| now.saturating_sub(*at) < CRASH_RETENTION);
+        crashed_at.insert(key(target), now);
     }
 
-    fn knows(&self, target: &Target) -> bool {
-        self.lately.lock().contains_key(&key(target))
+    fn contains(&self, target: &Target) -> bool {
+        self.crashed_at.lock().contains_key(&key(target))
     }
 }
 
@@ -53,61 +53,77 @@
     (Arc::clone(&target.id), target.born)
 }
 
-/// What the listings say of a target that was sent a request.
-enum Listed {
-    Same,
+/// State of the listing of a target, compared with the one when the request was sent.
+enum ListingState {
+    Unchanged,
     Leaving,
-    Gone,
-    Reborn,
+    Unlisted,
+    Restarted,
 }
 
-/// Looks into whether a target has ended whose connection was lost while it ran a request, which was
-/// sent at `sent`; `events` of its answer had come. Does not keep the caller waiting.
-pub fn look_into(front: &Arc<Front>, call: &Call, target: &Arc<Target>, sent: Moment, events: u64) {
-    // One that was about to leave has left.
-    if matches!(listed(front, target), Listed::Leaving | Listed::Gone) {
+/// Finds out in the background whether a target has crashed whose connection was lost while it was
+/// running a request, and reports that. The request was sent at `sent_at`, and `events` events of its
+/// answer had been received.
+pub fn investigate(
+    front: &Arc<Front>,
+    call: &Call,
+    target: &Arc<Target>,
+    sent_at: Moment,
+    events: u64,
+) {
+    // A target that was leaving has left.
+    if matches!(
+        listing_state(front, target),
+        ListingState::Leaving | ListingState::Unlisted
+    ) {
         return;
     }
-    let loss = Loss::new(call, sent, events);
+    let request = LostRequest::new(call, sent_at, events);
     let (front, target) = (Arc::clone(front), Arc::clone(target));
-    let look = async move {
-        if has_ended(&front, &target).await {
-            loss.blame(&front, &target);
+    let investigation = async move {
+        if has_crashed(&front, &target).await {
+            request.report_crash(&front, &target);
         }
     };
-    workers::spawn(look).detach();
+    workers::spawn(investigation).detach();
 }
 
-/// Notes that a target has ended while it ran a request, which was sent at `sent`; `events` of its
-/// answer had come.
-pub fn ended_under(front: &Arc<Front>, call: &Call, target: &Target, sent: Moment, events: u64) {
-    Loss::new(call, sent, events).blame(front, target);
+/// Reports that a target has crashed while it was running a request, which was sent at `sent_at`;
+/// `events` events of its answer had been received.
+pub fn report_crash(
+    front: &Arc<Front>,
+    call: &Call,
+    target: &Target,
+    sent_at: Moment,
+    events: u64,
+) {
+    LostRequest::new(call, sent_at, events).report_crash(front, target);
 }
 
-/// A request that was lost with its connection. Its body is not kept.
-struct Loss {
+/// A request whose connection was lost while a target was running it. Its body is not retained.
+struct LostRequest {
     id: GenerationId,
     fingerprint: Fingerprint,
-    sent: Moment,
-    lost: Moment,
+    sent_at: Moment,
+    lost_at: Moment,
     events: u64,
 }
 
-impl Loss {
-    /// A request that is lost now.
-    fn new(call: &Call, sent: Moment, events: u64) -> Self {
+impl LostRequest {
+    /// Creates the record of a request that is lost now.
+    fn new(call: &Call, sent_at: Moment, events: u64) -> Self {
         Self {
             id: Arc::clone(&call.request.id),
             fingerprint: call.fingerprint,
-            sent,
-            lost: boot_time(),
+            sent_at,
+            lost_at: boot_time(),
             events,
         }
     }
 
-    /// Holds the end of its target against the request.
-    fn blame(self, front: &Arc<Front>, target: &Target) {
-        front.recent_crashes.remember(boot_time(), target);
+    /// Reports the crash of the target as evidence against the request.
+    fn report_crash(self, front: &Arc<Front>, target: &Target) {
+        front.recent_crashes.insert(boot_time(), target);
         emit(&Event::TargetEnded {
             id: self.id,
             fingerprint: self.fingerprint.to_string().into(),
@@ -121,49 +137,50 @@
         let evidence = Evidence {
             fingerprint: self.fingerprint,
             incarnation,
-            age: boot_time().saturating_sub(self.lost),
-            ran_for: self.lost.saturating_sub(self.sent),
+            age: boot_time().saturating_sub(self.lost_at),
+            ran_for: self.lost_at.saturating_sub(self.sent_at),
         };
-        aggregation::found(front, evidence);
+        aggregation::report_evidence(front, evidence);
     }
 }
 
-async fn has_ended(front: &Front, target: &Target) -> bool {
-    if front.recent_crashes.knows(target) || refuses(target.addr).await {
+/// Whether a target has crashed; takes up to [`LISTING_TIMEOUT`].
+async fn has_crashed(front: &Front, target: &Target) -> bool {
+    if front.recent_crashes.contains(target) || refuses_connections(target.addr).await {
         return true;
     }
-    let until = boot_time() + LISTING_PATIENCE;
+    let until = boot_time() + LISTING_TIMEOUT;
     while boot_time() < until {
-        match listed(front, target) {
-            Listed::Same => smol::Timer::after(LOOK_AGAIN).await,
-            Listed::Leaving => return false,
-            Listed::Gone | Listed::Reborn => return true,
+        match listing_state(front, target) {
+            ListingState::Unchanged => smol::Timer::after(LISTING_POLL_PERIOD).await,
+            ListingState::Leaving => return false,
+            ListingState::Unlisted | ListingState::Restarted => return true,
         };
     }
     false
 }
 
-fn listed(front: &Front, target: &Target) -> Listed {
+fn listing_state(front: &Front, target: &Target) -> ListingState {
     match front.view.target(&target.id) {
-        None => Listed::Gone,
-        Some(now) if now.born != target.born => Listed::Reborn,
-        Some(now) if !now.takes_work() => Listed::Leaving,
-        Some(_) => Listed::Same,
+        None => ListingState::Unlisted,
+        Some(now) if now.born != target.born => ListingState::Restarted,
+        Some(now) if !now.takes_work() => ListingState::Leaving,
+        Some(_) => ListingState::Unchanged,
     }
 }
 
 /// Whether nothing listens at an address.
-async fn refuses(addr: SocketAddr) -> bool {
-    for number in 1..=REFUSALS {
+async fn refuses_connections(addr: SocketAddr) -> bool {
+    for number in 1..=REFUSED_CONNECTIONS {
         let connected = Timer::new()
-            .within(CONNECT_LIMIT, TcpStream::connect(addr))
+            .within(CONNECT_TIMEOUT, TcpStream::connect(addr))
             .await;
         let refused = matches!(connected, Some(Err(e)) if e.kind() == ErrorKind::ConnectionRefused);
         if !refused {
             return false;
         }
-        if number < REFUSALS {
-            smol::Timer::after(CONNECT_AGAIN).await;
+        if number < REFUSED_CONNECTIONS {
+            smol::Timer::after(CONNECT_PAUSE).await;
         }
     }
     true
--- a/components/front/src/quarantine/mod.rs
+++ b/components/front/src/quarantine/mod.rs
@@ -1,4 +1,5 @@
-//! Requests under which targets ended: found out here, summed by keepers, known to all instances.
+//! Quarantine of requests that crash targets: crashes are detected here, the evidence is summed up
+//! by aggregators, and all instances apply the verdicts.
 
 pub mod aggregation;
 pub mod crash_detection;
--- a/components/front/src/quarantine/record.rs
+++ b/components/front/src/quarantine/record.rs
@@ -1,4 +1,4 @@
-//! Rejections in the store: all instances may be lost at the same moment.
+//! Rejections in the store, which survive if all instances are lost at the same time.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,63 +11,63 @@
     state::{Front, unix_millis},
 };
 
-/// Tries to write a rejection or to drop one.
-const TRIES: u32 = 20;
-/// Mean pause between them.
-const AGAIN: Duration = Duration::from_millis(700);
+/// Attempts to write or delete a record.
+const MAX_ATTEMPTS: u32 = 20;
+/// Mean pause between two attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
-/// A rejection as it is kept.
+/// A stored rejection of a request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct QuarantineRecord {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// How often it was rejected.
+    /// The round of the verdict.
     pub round: u32,
-    /// Until when, in Unix milliseconds.
+    /// When the rejection expires, in Unix milliseconds.
     pub until_ms: u64,
 }
 
-/// Writes a rejection to the store, or drops one that was lifted.
-pub fn keep(front: &Arc<Front>, verdict: &Verdict) {
+/// Writes a rejection to the store in the background, or deletes one that was lifted.
+pub fn persist(front: &Arc<Front>, verdict: &Verdict) {
     let (front, verdict) = (Arc::clone(front), *verdict);
-    let kept = QuarantineRecord {
+    let record = QuarantineRecord {
         fingerprint: verdict.fingerprint,
         round: verdict.round,
         until_ms: unix_millis().saturating_add(millis(verdict.remaining)),
     };
-    let keeping = async move {
-        for _ in 0..TRIES {
-            let done = match verdict.kind {
-                VerdictKind::Rejected => front.store.put_quarantine_record(&kept).await,
+    let writing = async move {
+        for _ in 0..MAX_ATTEMPTS {
+            let result = match verdict.kind {
+                VerdictKind::Rejected => front.store.put_quarantine_record(&record).await,
                 VerdictKind::Suspected | VerdictKind::Cleared => {
-                    front.store.delete_quarantine_record(&kept).await
+                    front.store.delete_quarantine_record(&record).await
                 }
             };
-            if done.is_ok() {
+            if result.is_ok() {
                 return;
             }
-            smol::Timer::after(AGAIN.mul_f64(0.5 + fastrand::f64())).await;
+            smol::Timer::after(RETRY_PAUSE.mul_f64(0.5 + fastrand::f64())).await;
         }
     };
-    workers::spawn(keeping).detach();
+    workers::spawn(writing).detach();
 }
 
-/// Takes a rejection that was found in the store; drops it if its time is over.
-pub fn found(front: &Arc<Front>, kept: &QuarantineRecord) {
-    let left = kept.until_ms.saturating_sub(unix_millis());
+/// Applies a rejection that was read from the store; deletes it there if it has expired.
+pub fn apply_stored(front: &Arc<Front>, record: &QuarantineRecord) {
+    let left = record.until_ms.saturating_sub(unix_millis());
     let verdict = Verdict {
-        fingerprint: kept.fingerprint,
-        round: kept.round,
+        fingerprint: record.fingerprint,
+        round: record.round,
         kind: VerdictKind::Rejected,
         remaining: Duration::from_millis(left),
     };
     if left > 0 {
-        aggregation::learn(front, &[verdict]);
-    } else if aggregation::is_first_keeper(front, &kept.fingerprint) {
-        let lapsed = Verdict {
+        aggregation::apply_verdicts(front, &[verdict]);
+    } else if aggregation::is_first_aggregator(front, &record.fingerprint) {
+        let cleared = Verdict {
             kind: VerdictKind::Cleared,
             ..verdict
         };
-        keep(front, &lapsed);
+        persist(front, &cleared);
     }
 }
--- a/components/front/src/send.rs
+++ b/components/front/src/send.rs
@@ -86,7 +86,7 @@
         },
         Some(Err(SendError::Unsent { reason })) => SendOutcome::NotRun { reason },
         Some(Err(SendError::Lost { reason })) => {
-            crash_detection::look_into(front, call, target, from, 0);
+            crash_detection::investigate(front, call, target, from, 0);
             SendOutcome::Unknown {
                 reason,
                 timed_out: false,
--- a/components/front/src/store/follow.rs
+++ b/components/front/src/store/follow.rs
@@ -299,7 +299,7 @@
                 None
             }
             Some(Record::Quarantined(kept)) => {
-                record::found(&self.front, &kept);
+                record::apply_stored(&self.front, &kept);
                 None
             }
             Some(Record::Unreadable { key, reason }) => {
--- a/components/front/tests/drain.rs
+++ b/components/front/tests/drain.rs
@@ -13,15 +13,15 @@
     #[test]
     fn a_stop_ends_within_its_grace(millis in 200_u64..120_000) {
         let grace = Duration::from_millis(millis);
-        let due = DrainSchedule::new(grace);
-        prop_assert!(due.answer + AROUND < grace, "{:?}", due);
+        let schedule = DrainSchedule::new(grace);
+        prop_assert!(schedule.answer + AROUND < grace, "{:?}", schedule);
     }
 
     /// Guards against a stop that takes connections until nothing is left to answer them.
     #[test]
     fn what_is_taken_last_has_time_to_be_served(millis in 200_u64..120_000) {
-        let due = DrainSchedule::new(Duration::from_millis(millis));
-        prop_assert!(due.linger * 3 / 2 < due.serve, "{:?}", due);
-        prop_assert!(due.serve < due.answer, "{:?}", due);
+        let schedule = DrainSchedule::new(Duration::from_millis(millis));
+        prop_assert!(schedule.accept * 3 / 2 < schedule.serve, "{:?}", schedule);
+        prop_assert!(schedule.serve < schedule.answer, "{:?}", schedule);
     }
 }
