--- a/components/bench/src/caller.rs
+++ b/components/bench/src/caller.rs
@@ -8,7 +8,7 @@
 use net::{Client, SendError};
 use serde::Deserialize;
 use timer::Timer;
-use types::Run;
+use types::Execution;
 
 use crate::{
     record::{Reading, wrong},
@@ -40,7 +40,7 @@
 
 #[derive(Deserialize)]
 struct Problem {
-    run: Option<Run>,
+    run: Option<Execution>,
     #[serde(default)]
     code: String,
 }
@@ -190,7 +190,7 @@
 }
 
 fn is_unsure(outcome: &Outcome) -> bool {
-    let unknown = Some(Run::Unknown);
+    let unknown = Some(Execution::Unknown);
     matches!(outcome, Outcome::Refused { run, .. } if *run == unknown)
         || *outcome == Outcome::Broken
 }
--- a/components/bench/src/record.rs
+++ b/components/bench/src/record.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 use timer::Timer;
-use types::{Class, Run};
+use types::{Class, Execution};
 
 use crate::{request::Wanted, sse::Event};
 
@@ -21,7 +21,7 @@
         /// HTTP status.
         status: u16,
         /// What is known about the execution; `None` if the refusal does not say.
-        run: Option<Run>,
+        run: Option<Execution>,
         /// Its code.
         code: String,
         /// Whether it says when to come back.
--- a/components/bench/src/slopes/decisions.rs
+++ b/components/bench/src/slopes/decisions.rs
@@ -106,7 +106,7 @@
             outcome: FINISHED,
         };
         // The entry is told by the ask's number, as when it was asked for.
-        let entry = 1 + grant.ask as usize % 16;
+        let entry = 1 + grant.permit_request as usize % 16;
         self.feed(Event::Received {
             from: world::instance(entry),
             incarnation: 1,
@@ -130,7 +130,10 @@
     }
 
     fn held(&mut self) {
-        let mine = self.grants.iter().filter(|g| 1 + g.ask as usize % 16 == 1);
+        let mine = self
+            .grants
+            .iter()
+            .filter(|g| 1 + g.permit_request as usize % 16 == 1);
         let held = Held {
             shard: self.shard.clone(),
             epoch: 1 << 57,
@@ -199,7 +202,7 @@
     let hosts: Vec<Target> = view
         .targets
         .into_iter()
-        .filter(|t| world::shard(0).holds(t))
+        .filter(|t| world::shard(0).contains(t))
         .collect();
     for id in 1..=in_flight {
         place(&mut entry, id, id, &hosts);
--- a/components/bench/src/slopes/heartbeats.rs
+++ b/components/bench/src/slopes/heartbeats.rs
@@ -6,7 +6,7 @@
     Identity, Input, Membership,
     rendezvous::{Candidate, pick},
 };
-use types::{InstanceId, Member, Moment, Shard, Standing};
+use types::{InstanceId, Member, Moment, ServingState, Shard};
 use wire::{Envelope, Heartbeat, Key, ShardSummary};
 
 use super::{
@@ -27,7 +27,7 @@
         id: world::instance(number),
         data_centre: world::shard(number % DATA_CENTRES * MODELS).data_centre,
         addr: std::net::SocketAddr::from(([127, 0, 0, 1], 9000)),
-        standing: Standing::Live,
+        state: ServingState::Live,
     }
 }
 
@@ -96,7 +96,7 @@
             from: world::instance(0),
             incarnation: 1,
             to: world::instance(1),
-            number: 1_000_000,
+            sequence: 1_000_000,
             messages: vec![heartbeat.into()],
         }
     }
--- a/components/bench/src/slopes/sizes.rs
+++ b/components/bench/src/slopes/sizes.rs
@@ -13,7 +13,7 @@
         from: world::instance(1),
         incarnation: 1 << 40,
         to: world::instance(2),
-        number: 1_000_000,
+        sequence: 1_000_000,
         messages,
     };
     Key::new("key").seal(&envelope).len()
--- a/components/bench/src/slopes/world.rs
+++ b/components/bench/src/slopes/world.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
 use policy::{Request, TargetLimits, View};
-use types::{Class, InstanceId, Moment, ServiceKind, Shard, Standing, Target};
-use wire::{Ask, HeldPermit, ShardSummary};
+use types::{Class, InstanceId, Moment, ServiceKind, ServingState, Shard, Target};
+use wire::{HeldPermit, PermitRequest, ShardSummary};
 
 pub const MODELS: usize = 29;
 pub const DATA_CENTRES: usize = 18;
@@ -32,7 +32,7 @@
         data_centre: Arc::clone(&shard.data_centre),
         addr: SocketAddr::from(([127, 0, 0, 1], 9000)),
         incarnation: 1,
-        standing: Standing::Live,
+        state: ServingState::Live,
     }
 }
 
@@ -94,19 +94,19 @@
     }
 }
 
-pub fn ask(id: u64, shard: &Shard, now: Moment) -> Ask {
+pub fn ask(id: u64, shard: &Shard, now: Moment) -> PermitRequest {
     let request = request(id, shard);
-    Ask {
+    PermitRequest {
         shard: shard.clone(),
-        ask: id,
+        permit_request: id,
         stamp: now,
         kind: request.kind,
         class: request.class,
         workspace: request.workspace,
         route: request.route,
-        within: Duration::from_secs(10),
+        deadline_left: Duration::from_secs(10),
         waited: Duration::ZERO,
-        prompt: request.prompt_tokens,
+        prompt_tokens: request.prompt_tokens,
         max_output: request.max_output,
         slots: 1,
         prefix: request.prefix,
@@ -123,11 +123,11 @@
         class: Class::Normal,
         workspace: "workspace-123".into(),
         route: "chat".into(),
-        prompt: 500,
+        prompt_tokens: 500,
         max_output: 2000,
         produced: 700,
         slots: 1,
-        seen: true,
+        answer_started: true,
     }
 }
 
@@ -135,14 +135,14 @@
     wire::Grant {
         shard: shard.clone(),
         epoch: 1 << 57,
-        ask: id,
+        permit_request: id,
         permit: (1 << 62) + id,
         target: Arc::clone(&target.id),
         incarnation: target.incarnation,
         reserved: 2500,
         slots: 1,
         stamp: now,
-        life: wire::PERMIT_LIFE,
+        lifetime: wire::PERMIT_LIFETIME,
         cold: false,
     }
 }
--- a/components/bench/src/sweep/entry.rs
+++ b/components/bench/src/sweep/entry.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use types::{AskId, Class, Moment, PermitId, Shard, TargetId, Tokens};
-use wire::{Ask, Done, Grant, Held, HeldPermit, Outcome};
+use types::{Class, Moment, PermitId, PermitRequestId, Shard, TargetId, Tokens};
+use wire::{Done, Grant, Held, HeldPermit, Outcome, PermitRequest};
 
 use super::requests::Drawn;
 
@@ -19,9 +19,9 @@
 /// One fake entry.
 #[derive(Debug, Default)]
 pub struct Entry {
-    next_ask: AskId,
+    next_ask: PermitRequestId,
     /// Requests that wait, by ask.
-    pub asks: BTreeMap<AskId, usize>,
+    pub asks: BTreeMap<PermitRequestId, usize>,
     /// Permits in use.
     pub permits: BTreeMap<PermitId, InHand>,
 }
@@ -51,21 +51,27 @@
 
 impl Entry {
     /// Asks for a request.
-    pub fn ask(&mut self, now: Moment, shard: &Shard, request: usize, shape: Shape<'_>) -> Ask {
+    pub fn ask(
+        &mut self,
+        now: Moment,
+        shard: &Shard,
+        request: usize,
+        shape: Shape<'_>,
+    ) -> PermitRequest {
         self.next_ask += 1;
         self.asks.insert(self.next_ask, request);
         let deadline = shape.drawn.at + shape.drawn.patience;
-        Ask {
+        PermitRequest {
             shard: shard.clone(),
-            ask: self.next_ask,
+            permit_request: self.next_ask,
             stamp: now,
             kind: types::ServiceKind::Model,
             class: shape.drawn.class,
             workspace: shape.workspace(),
             route: shape.drawn.route.into(),
-            within: deadline.saturating_sub(now),
+            deadline_left: deadline.saturating_sub(now),
             waited: now.saturating_sub(shape.drawn.at),
-            prompt: shape.drawn.prompt,
+            prompt_tokens: shape.drawn.prompt,
             max_output: shape.max_output(),
             slots: 1,
             prefix: Vec::new(),
@@ -115,11 +121,11 @@
         class: shape.drawn.class,
         workspace: shape.workspace(),
         route: shape.drawn.route.into(),
-        prompt: shape.drawn.prompt,
+        prompt_tokens: shape.drawn.prompt,
         max_output: shape.max_output(),
         produced,
         slots: 1,
-        seen: produced > 0,
+        answer_started: produced > 0,
     }
 }
 
--- a/components/bench/src/sweep/world.rs
+++ b/components/bench/src/sweep/world.rs
@@ -11,9 +11,10 @@
     Action, EngineReport, Event, MemoryEstimate, Owner, ShardRole, TargetLimits, Tuning, View,
 };
 use types::{
-    Epoch, InstanceId, Moment, ServiceId, ServiceKind, Shard, Standing, Target, TargetId, Tokens,
+    Epoch, InstanceId, Moment, ServiceId, ServiceKind, ServingState, Shard, Target, TargetId,
+    Tokens,
 };
-use wire::{Grant, Message, Outcome, Recall};
+use wire::{Grant, Message, Outcome, Revoke};
 
 use super::{
     engine::{Engine, Sequence, Step},
@@ -198,7 +199,7 @@
                     data_centre: self.shard.data_centre.clone(),
                     addr: ([127, 0, 0, 1], 9).into(),
                     incarnation: 1,
-                    standing: Standing::Live,
+                    state: ServingState::Live,
                 })
                 .collect(),
             limits: BTreeMap::from([(self.shard.service.clone(), Arc::new(limits))]),
@@ -287,14 +288,14 @@
         match message {
             Message::Grant(grant) => self.granted(entry, grant),
             Message::Deny(deny) => {
-                if let Some(request) = self.entries[entry].asks.remove(&deny.ask)
+                if let Some(request) = self.entries[entry].asks.remove(&deny.permit_request)
                     && self.counts()
                 {
                     self.figures.refused[index(self.requests[request].class)] += 1;
                 }
             }
             Message::Query(_) => self.tell_held(entry),
-            Message::Recall(recall) => self.recalled(entry, &recall),
+            Message::Revoke(recall) => self.recalled(entry, &recall),
             _ => {}
         }
     }
@@ -302,10 +303,10 @@
     fn granted(&mut self, entry: usize, grant: Grant) {
         let permit = grant.permit;
         let engine = engine_of(&grant.target);
-        let Some(request) = self.entries[entry].asks.remove(&grant.ask) else {
+        let Some(request) = self.entries[entry].asks.remove(&grant.permit_request) else {
             return;
         };
-        let late = grant.stamp + grant.life <= self.now;
+        let late = grant.stamp + grant.lifetime <= self.now;
         let in_hand = InHand { request, grant };
         self.entries[entry].permits.insert(permit, in_hand);
         if late {
@@ -328,7 +329,7 @@
         self.step_begins(engine);
     }
 
-    fn recalled(&mut self, entry: usize, recall: &Recall) {
+    fn recalled(&mut self, entry: usize, recall: &Revoke) {
         let Some(in_hand) = self.entries[entry].permits.get(&recall.permit).cloned() else {
             return;
         };
--- a/components/bench/src/verify.rs
+++ b/components/bench/src/verify.rs
@@ -6,7 +6,7 @@
     engine::{EngineLog, batch::Generation},
     service::ServiceLog,
 };
-use types::Run;
+use types::Execution;
 
 use crate::caller::{Outcome, Record};
 
@@ -103,7 +103,7 @@
         matches!(
             &record.outcome,
             Outcome::Refused {
-                run: Some(Run::NotRun),
+                run: Some(Execution::NotRun),
                 ..
             }
         ) && sent.get(record.name.as_str()) == Some(&1)
--- a/components/front/tests/decisions.rs
+++ b/components/front/tests/decisions.rs
@@ -12,7 +12,7 @@
     },
 };
 use proptest::prelude::*;
-use types::{ServiceId, Standing};
+use types::{ServiceId, ServingState};
 use view::Target;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -25,7 +25,7 @@
         addr: SocketAddr::from(([127, 0, 0, 1], 1)),
         data_centre: data_centre.into(),
         slots: 6,
-        standing: Standing::Live,
+        standing: ServingState::Live,
         cold_left: Duration::ZERO,
         born: None,
     })
--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -3,7 +3,7 @@
 use futures_lite::future;
 use relay::ActiveStream;
 use targets::{Piece, TargetError};
-use types::{Refusal, Run};
+use types::{Execution, Refusal};
 
 use crate::{
     admission::{PermitHandle, WorkOutcome},
@@ -105,7 +105,7 @@
             },
             AttemptEvent::DeadlineExceeded => AttemptResult::Failed {
                 outcome: None,
-                refusal: refusals::deadline(Run::Unknown),
+                refusal: refusals::deadline(Execution::Unknown),
             },
             AttemptEvent::StreamFailed => {
                 // Cancelled in the background: the retry does not wait for a failed engine.
@@ -216,8 +216,8 @@
 
 /// Corrects a refusal that says `not-run` if an earlier attempt may have run.
 pub fn with_earlier_runs(refusal: Refusal, ran: bool) -> Refusal {
-    if ran && refusal.run == Run::NotRun {
-        return refusal.with_run(Run::Unknown);
+    if ran && refusal.execution == Execution::NotRun {
+        return refusal.with_execution(Execution::Unknown);
     }
     refusal
 }
--- a/components/gateway/src/buffered.rs
+++ b/components/gateway/src/buffered.rs
@@ -110,7 +110,7 @@
     };
     let produced = finish(&core, attempt);
     let joined = JoinedAnswer::of(&answer.data)
-        .inspect_err(|e| generation.in_flight.set_outcome(e.run.into()))?;
+        .inspect_err(|e| generation.in_flight.set_outcome(e.execution.into()))?;
     generation.in_flight.set_outcome(Outcome::Whole);
     core.quarantine.record_success(&generation.fingerprint);
     let document = joined.document(&generation, produced);
--- a/components/gateway/src/gateway.rs
+++ b/components/gateway/src/gateway.rs
@@ -17,7 +17,7 @@
 use settings::Limits;
 use targets::{Engine, Plain, StreamId};
 use timer::Timer;
-use types::{InstanceId, Moment, Refusal, Run, TargetId};
+use types::{Execution, InstanceId, Moment, Refusal, TargetId};
 
 use crate::{
     admission::{Admission, PermitHandle},
@@ -211,7 +211,7 @@
         let timeout = async {
             let time_left = self.time_left(deadline).saturating_add(ADMISSION_GRACE);
             self.timer.sleep(time_left).await;
-            Err(refusals::deadline(Run::NotRun))
+            Err(refusals::deadline(Execution::NotRun))
         };
         future::or(permit, timeout).await
     }
--- a/components/gateway/src/generate.rs
+++ b/components/gateway/src/generate.rs
@@ -208,7 +208,7 @@
     {
         self.run_attempts(run_attempt)
             .await
-            .inspect_err(|refusal| self.in_flight.set_outcome(refusal.run.into()))
+            .inspect_err(|refusal| self.in_flight.set_outcome(refusal.execution.into()))
     }
 
     async fn run_attempts<T, F>(
--- a/components/gateway/src/metrics.rs
+++ b/components/gateway/src/metrics.rs
@@ -12,7 +12,7 @@
     },
     registry::Registry,
 };
-use types::{Class, Run};
+use types::{Class, Execution};
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, EncodeLabelValue, Eq, Hash, PartialEq)]
@@ -29,12 +29,12 @@
     Left,
 }
 
-impl From<Run> for Outcome {
-    fn from(run: Run) -> Self {
+impl From<Execution> for Outcome {
+    fn from(run: Execution) -> Self {
         match run {
-            Run::NotRun => Self::NotRun,
-            Run::Unknown => Self::Unknown,
-            Run::Partial => Self::Partial,
+            Execution::NotRun => Self::NotRun,
+            Execution::Unknown => Self::Unknown,
+            Execution::Partial => Self::Partial,
         }
     }
 }
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -8,7 +8,7 @@
 use hyper::{Request, Response, body::Incoming};
 use net::{Body, Share};
 use targets::{PlainAnswer, PlainCall, TargetError};
-use types::{Class, Moment, Refusal, Run};
+use types::{Class, Execution, Moment, Refusal};
 
 use crate::{
     admission::{AdmissionRequest, PermitHandle, WorkOutcome},
@@ -127,7 +127,7 @@
 
     /// Records how the request ended.
     pub fn record_result(&self, result: &Result<PlainAnswer, Refusal>) {
-        let run = result.as_ref().map_err(|refusal| refusal.run);
+        let run = result.as_ref().map_err(|refusal| refusal.execution);
         self.in_flight
             .set_outcome(run.map_or_else(Into::into, |_| Outcome::Whole));
     }
@@ -242,5 +242,5 @@
 
 /// Whether the refusal guarantees that the call did not run.
 pub fn proves_not_run(refusal: &Refusal) -> bool {
-    refusal.run == Run::NotRun
+    refusal.execution == Execution::NotRun
 }
--- a/components/gateway/src/problem.rs
+++ b/components/gateway/src/problem.rs
@@ -6,7 +6,7 @@
 use hyper::Response;
 use net::{Body, Reply, full};
 use serde::Serialize;
-use types::{Refusal, Run};
+use types::{Execution, Refusal};
 
 /// A problem document (RFC 9457) with extension members.
 #[derive(Serialize)]
@@ -16,7 +16,7 @@
     status: u16,
     detail: &'a str,
     code: &'a str,
-    run: Run,
+    run: Execution,
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_after: Option<u64>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -31,7 +31,7 @@
             status: refusal.status,
             detail: &refusal.detail,
             code: &refusal.code,
-            run: refusal.run,
+            run: refusal.execution,
             retry_after: refusal.retry_after.map(whole_seconds),
             partial_text: None,
         }
--- a/components/gateway/src/quarantine.rs
+++ b/components/gateway/src/quarantine.rs
@@ -5,7 +5,7 @@
 use ::quarantine::{Evidence, Fingerprint, TargetIncarnation};
 use events::Event;
 use targets::{Report, TargetError};
-use types::{Moment, Refusal, ServiceKind, Standing, Target};
+use types::{Moment, Refusal, ServiceKind, ServingState, Target};
 
 use crate::{gateway::Core, refusals};
 
@@ -49,7 +49,7 @@
     ) {
         let listed = self.admission.find_target(&target.id);
         // A target that is leaving, or no longer listed, ended on purpose.
-        if listed.is_none_or(|listed| listed.standing == Standing::Leaving) {
+        if listed.is_none_or(|listed| listed.state == ServingState::Leaving) {
             return;
         }
         let (core, target) = (Arc::clone(self), target.clone());
--- a/components/gateway/src/refusals.rs
+++ b/components/gateway/src/refusals.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use types::{Refusal, Run};
+use types::{Execution, Refusal};
 
 /// Retry delay after a temporary shortage.
 const RETRY_AFTER_SHORTAGE: Duration = Duration::from_secs(1);
@@ -106,25 +106,27 @@
 }
 
 /// The deadline passed before the answer.
-pub fn deadline(run: Run) -> Refusal {
+pub fn deadline(run: Execution) -> Refusal {
     Refusal::new(
         504,
         "deadline",
         "The deadline has passed",
         "no answer arrived before the deadline; the work was cancelled",
     )
-    .with_run(run)
+    .with_execution(run)
     .with_retry_after(RETRY_AFTER_SHORTAGE)
 }
 
 /// The answer to a call was lost; the call may have run.
 pub fn answer_lost(detail: &str) -> Refusal {
-    Refusal::new(504, "answer-lost", "The answer was lost", detail).with_run(Run::Unknown)
+    Refusal::new(504, "answer-lost", "The answer was lost", detail)
+        .with_execution(Execution::Unknown)
 }
 
 /// The engine failed after a part of the answer.
 pub fn partial(detail: &str) -> Refusal {
-    Refusal::new(502, "engine-lost", "The answer is incomplete", detail).with_run(Run::Partial)
+    Refusal::new(502, "engine-lost", "The answer is incomplete", detail)
+        .with_execution(Execution::Partial)
 }
 
 /// The answer is larger than an instance may buffer.
@@ -135,7 +137,7 @@
         "The answer is too large to be buffered",
         "use `stream: true`, or request fewer tokens",
     )
-    .with_run(Run::Partial)
+    .with_execution(Execution::Partial)
 }
 
 /// Buffered answers of other requests use all the memory reserved for answers.
@@ -146,7 +148,7 @@
         "Too many buffered answers at this instance",
         "retry a little later, or use `stream: true`; the generation was cancelled",
     )
-    .with_run(Run::Partial)
+    .with_execution(Execution::Partial)
     .with_retry_after(RETRY_AFTER_SHORTAGE)
 }
 
@@ -166,7 +168,7 @@
         "The stream no longer exists",
         "its engine is gone, or it was cancelled; no more of the answer is available",
     )
-    .with_run(Run::Partial)
+    .with_execution(Execution::Partial)
 }
 
 /// The table service is unavailable.
@@ -198,7 +200,7 @@
         "The call is still running under this key",
         "retry with the same key to get its answer",
     )
-    .with_run(Run::Unknown)
+    .with_execution(Execution::Unknown)
     .with_retry_after(RETRY_AFTER_SHORTAGE)
 }
 
@@ -220,5 +222,5 @@
         "The outcome is unknown",
         "the call was sent once under this key; it will not be sent again",
     )
-    .with_run(Run::Unknown)
+    .with_execution(Execution::Unknown)
 }
--- a/components/gateway/tests/fakes/mod.rs
+++ b/components/gateway/tests/fakes/mod.rs
@@ -21,7 +21,7 @@
 use timer::Timer;
 use tree::{InForce, Knobs, RouteRule, Snapshot};
 use types::{
-    Class, ConfigVersion, DataCentreId, InstanceId, ServiceId, ServiceKind, Standing, Target,
+    Class, ConfigVersion, DataCentreId, InstanceId, ServiceId, ServiceKind, ServingState, Target,
     TargetId, WorkspaceId,
 };
 
@@ -62,7 +62,7 @@
         data_centre: "one".into(),
         addr: SocketAddr::from(([127, 0, 0, 1], 1)),
         incarnation: 1,
-        standing: Standing::Live,
+        state: ServingState::Live,
     }
 }
 
--- a/components/members/src/exclusive.rs
+++ b/components/members/src/exclusive.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use types::{Epoch, Moment, Shard};
-use wire::PERMIT_LIFE;
+use wire::PERMIT_LIFETIME;
 
 use crate::{
     peer::{Following, Peer},
@@ -65,7 +65,7 @@
 impl Exclusivity {
     /// Until a former owner's belief and the permits it gave have lapsed.
     pub const WAIT: Duration = FOLLOW_FRESH
-        .saturating_add(PERMIT_LIFE)
+        .saturating_add(PERMIT_LIFETIME)
         .saturating_add(MARGIN);
 
     /// Takes the present count into account.
--- a/components/members/src/follow.rs
+++ b/components/members/src/follow.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use types::{Epoch, InstanceId, Shard};
-use wire::Claim;
+use wire::KnownOwner;
 
 /// The owner that an instance follows for a shard.
 #[derive(Clone, Debug, PartialEq)]
@@ -74,7 +74,7 @@
 
     /// What this instance tells an owner that it follows.
     #[must_use]
-    pub fn claims_of(&self, owner: &InstanceId) -> Vec<Claim> {
+    pub fn claims_of(&self, owner: &InstanceId) -> Vec<KnownOwner> {
         let mut claims = Vec::new();
         for (shard, followed) in &self.by_shard {
             if followed.owner.as_ref() == Some(owner) {
@@ -87,7 +87,7 @@
     /// Tells a peer that claims a shard in an outdated term which term is the newest; it would
     /// otherwise believe for good to own what nobody follows it for.
     #[must_use]
-    pub fn newer_than(&self, claimed: &BTreeMap<Shard, Epoch>) -> Vec<Claim> {
+    pub fn newer_than(&self, claimed: &BTreeMap<Shard, Epoch>) -> Vec<KnownOwner> {
         let mut claims = Vec::new();
         for (shard, followed) in &self.by_shard {
             if claimed
@@ -114,8 +114,8 @@
     }
 }
 
-fn claim(shard: &Shard, followed: &Followed) -> Claim {
-    Claim {
+fn claim(shard: &Shard, followed: &Followed) -> KnownOwner {
+    KnownOwner {
         shard: shard.clone(),
         epoch: followed.epoch,
         owner: followed.owner.clone(),
--- a/components/members/src/times.rs
+++ b/components/members/src/times.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use wire::PERMIT_LIFE;
+use wire::PERMIT_LIFETIME;
 
 /// A peer that was not heard for this long owns nothing in our eyes.
 pub const SILENT: Duration = Duration::from_millis(1000);
@@ -27,5 +27,5 @@
 /// before a restart has lapsed, and so that it hears its peers before it judges them silent.
 pub const START_WAIT: Duration = Duration::from_millis(600);
 
-const _: () = assert!(GONE.as_millis() >= SILENT.as_millis() + PERMIT_LIFE.as_millis());
+const _: () = assert!(GONE.as_millis() >= SILENT.as_millis() + PERMIT_LIFETIME.as_millis());
 const _: () = assert!(PAUSE.as_millis() < SILENT.as_millis());
--- a/components/members/tests/ownership.rs
+++ b/components/members/tests/ownership.rs
@@ -4,7 +4,7 @@
 
 use members::{Change, Identity, Input, Membership, times::PAUSE};
 use proptest::prelude::*;
-use types::{Epoch, InstanceId, Member, Moment, Shard, Standing};
+use types::{Epoch, InstanceId, Member, Moment, ServingState, Shard};
 use wire::{Heartbeat, ShardSummary};
 
 const STEP: Duration = Duration::from_millis(50);
@@ -221,7 +221,7 @@
         id: format!("instance-{n}").into(),
         data_centre: format!("dc-{}", n % 3).into(),
         addr: ([127, 0, 0, 1], 1).into(),
-        standing: Standing::Live,
+        state: ServingState::Live,
     }
 }
 
--- a/components/node/src/admitted.rs
+++ b/components/node/src/admitted.rs
@@ -188,7 +188,7 @@
         let detail = "a stream that began elsewhere can't be run again";
         Err(
             Refusal::new(502, "not-repeatable", "Not repeatable", detail)
-                .with_run(types::Run::Partial),
+                .with_execution(types::Execution::Partial),
         )
     }
 }
--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -128,8 +128,8 @@
                 shard: query.shard.clone(),
                 epoch: query.epoch,
             }),
-            Message::Ended(evidence) => self.take_evidence(evidence.clone()),
-            Message::Words(words) => self.learn_words(words),
+            Message::TargetCrashed(evidence) => self.take_evidence(evidence.clone()),
+            Message::Verdicts(words) => self.learn_words(words),
             _ => {}
         }
         self.feed(Event::Received {
--- a/components/node/src/outbox.rs
+++ b/components/node/src/outbox.rs
@@ -134,7 +134,7 @@
             from: shared.me.clone(),
             incarnation: shared.incarnation,
             to: member.id.clone(),
-            number,
+            sequence: number,
             messages,
         };
         fresh = !send(&shared, &member, &envelope, fresh).await;
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use targets::StreamId;
 use types::{Incarnation, InstanceId, TargetId};
-use wire::{Envelope, Key, SIZE_LIMIT, WireError};
+use wire::{Envelope, Key, MAX_ENVELOPE_BYTES, WireError};
 
 use crate::{core::Core, outbox::MESSAGES_PATH};
 
@@ -117,7 +117,7 @@
     /// An envelope that was delayed on an old connection, or recorded and sent again by somebody
     /// else, could bring back a permit that was given back. Numbers that only grow stop both.
     fn is_newer(&self, envelope: &Envelope) -> bool {
-        let this = (envelope.incarnation, envelope.number);
+        let this = (envelope.incarnation, envelope.sequence);
         let mut last = self.last.lock();
         let newer = last.get(&envelope.from).is_none_or(|before| this > *before);
         if newer {
@@ -157,7 +157,7 @@
 impl Handler for PeerServer {
     async fn handle(&self, _peer: SocketAddr, req: Request<Incoming>) -> Response<Body> {
         let path = req.uri().path().to_owned();
-        let body = match net::read_limited(req.into_body(), SIZE_LIMIT, PATIENCE).await {
+        let body = match net::read_limited(req.into_body(), MAX_ENVELOPE_BYTES, PATIENCE).await {
             Ok(body) => body,
             Err(error) => return Reply::text(400, error.to_string()).done(),
         };
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -38,7 +38,8 @@
 
     fn record_crash(&self, evidence: Evidence) {
         for keeper in self.core.keepers(&evidence.fingerprint) {
-            self.core.push(&keeper, Message::Ended(evidence.clone()));
+            self.core
+                .push(&keeper, Message::TargetCrashed(evidence.clone()));
         }
         self.core.take_evidence(evidence);
     }
@@ -55,7 +56,7 @@
         };
         log(&verdict);
         for peer in to {
-            self.core.push(&peer, Message::Words(vec![verdict]));
+            self.core.push(&peer, Message::Verdicts(vec![verdict]));
         }
     }
 }
@@ -72,7 +73,7 @@
         };
         log(&verdict);
         for peer in self.others() {
-            self.push(&peer, Message::Words(vec![verdict]));
+            self.push(&peer, Message::Verdicts(vec![verdict]));
         }
     }
 
@@ -97,7 +98,7 @@
         };
         drop(state);
         if !words.is_empty() {
-            self.push(peer, Message::Words(words));
+            self.push(peer, Message::Verdicts(words));
         }
     }
 
--- a/components/policy/src/account.rs
+++ b/components/policy/src/account.rs
@@ -5,7 +5,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use types::{Incarnation, Moment, ServiceId, ServiceKind, Standing, Target, Tokens};
+use types::{Incarnation, Moment, ServiceId, ServiceKind, ServingState, Target, Tokens};
 use wire::HeldPermit;
 
 use crate::{
@@ -131,7 +131,7 @@
     #[must_use]
     pub fn is_in_service(&self, view: &View) -> bool {
         self.listed.as_ref().is_some_and(|listed| {
-            listed.standing == Standing::Live
+            listed.state == ServingState::Live
                 && !view.data_centres_out.contains(&listed.data_centre)
         })
     }
@@ -244,7 +244,7 @@
         }
         permit.produced = permit.produced.max(held.produced.min(MAX_TOKENS));
         permit.updated_at = now;
-        permit.seen |= held.seen;
+        permit.seen |= held.answer_started;
         if stamp > permit.expires_at {
             permit.slots = permit.slots.min(held.slots);
         }
--- a/components/policy/src/api.rs
+++ b/components/policy/src/api.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use types::{
-    AskId, Class, DataCentreId, Epoch, Incarnation, InstanceId, Moment, PermitId, Refusal, RouteId,
-    ServiceId, ServiceKind, Shard, Target, TargetId, Tokens, WorkspaceId,
+    Class, DataCentreId, Epoch, Incarnation, InstanceId, Moment, PermitId, PermitRequestId,
+    Refusal, RouteId, ServiceId, ServiceKind, Shard, Target, TargetId, Tokens, WorkspaceId,
 };
 use wire::{Message, Outcome, ShardSummary};
 
@@ -259,5 +259,5 @@
     fn dump(&self, now: Moment) -> Vec<String>;
 
     /// Returns the id of the newest permit request, for tests and dumps.
-    fn last_permit_request(&self) -> AskId;
+    fn last_permit_request(&self) -> PermitRequestId;
 }
--- a/components/policy/src/baseline/local.rs
+++ b/components/policy/src/baseline/local.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use types::{AskId, Moment, Refusal, Standing, TargetId};
+use types::{Moment, PermitRequestId, Refusal, ServingState, TargetId};
 use wire::{Outcome, ShardSummary};
 
 use crate::{
@@ -84,7 +84,7 @@
     fn available_targets(&self, request: &Request) -> Vec<TargetId> {
         let available = self.targets.values().map(|k| &k.target).filter(|t| {
             t.service == request.service
-                && t.standing == Standing::Live
+                && t.state == ServingState::Live
                 && !self.view.data_centres_out.contains(&t.data_centre)
         });
         available.map(|t| t.id.clone()).collect()
@@ -186,7 +186,7 @@
         )]
     }
 
-    fn last_permit_request(&self) -> AskId {
+    fn last_permit_request(&self) -> PermitRequestId {
         0
     }
 }
--- a/components/policy/src/choose.rs
+++ b/components/policy/src/choose.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use types::{Class, InstanceId, Moment, ServiceKind, TargetId};
-use wire::Ask;
+use wire::PermitRequest;
 
 use crate::{
     account::TargetAccount, api::TargetLimits, length::GenerationSource, memory::RunningGeneration,
@@ -17,7 +17,7 @@
 /// What a permit request requires of a target.
 #[derive(Debug)]
 pub(crate) struct Demand<'a> {
-    pub(crate) ask: &'a Ask,
+    pub(crate) ask: &'a PermitRequest,
     pub(crate) class: Class,
     /// The generation to be placed; `None` for plain calls.
     pub(crate) generation: Option<RunningGeneration>,
@@ -42,7 +42,7 @@
             workspace: &queued.ask.workspace,
         };
         let generation = (limits.kind == ServiceKind::Model).then(|| RunningGeneration {
-            prompt_tokens: queued.ask.prompt,
+            prompt_tokens: queued.ask.prompt_tokens,
             produced: 0,
             max_output: queued.ask.max_output,
             curve: owner_state.lengths.curve(&source),
@@ -109,7 +109,7 @@
     /// one. At most a quarter of the targets, but at least one, is reserved at a time.
     pub(crate) fn reserve_target(
         &self,
-        ask: &Ask,
+        ask: &PermitRequest,
         reserved: &BTreeSet<TargetId>,
         limits: &TargetLimits,
         owner_state: &OwnerState,
--- a/components/policy/src/entry/machine.rs
+++ b/components/policy/src/entry/machine.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use types::{AskId, DataCentreId, InstanceId, Moment, ServiceKind, Shard, Standing};
+use types::{DataCentreId, InstanceId, Moment, PermitRequestId, ServiceKind, ServingState, Shard};
 use wire::{Message, Outcome};
 
 use crate::{
@@ -34,7 +34,7 @@
     pub(super) last_report_at: Moment,
     /// Whether owners are given the true lengths, for the oracle baseline only.
     pub(super) known_lengths: bool,
-    pub(super) last_permit_request: AskId,
+    pub(super) last_permit_request: PermitRequestId,
 }
 
 impl Entry {
@@ -66,7 +66,7 @@
 
     /// Returns the id of the newest permit request.
     #[must_use]
-    pub const fn last_permit_request(&self) -> AskId {
+    pub const fn last_permit_request(&self) -> PermitRequestId {
         self.last_permit_request
     }
 
@@ -267,7 +267,7 @@
         match message {
             Message::Grant(grant) => self.handle_grant(now, from, grant, out),
             Message::Deny(deny) => self.handle_deny(now, deny, out),
-            Message::Recall(recall) => self.handle_revoke(from, recall, out),
+            Message::Revoke(recall) => self.handle_revoke(from, recall, out),
             Message::Query(query) => self.handle_query(now, from, query, out),
             _ => {}
         }
@@ -297,7 +297,7 @@
         self.view.targets.iter().any(|t| {
             *t.id == *target
                 && t.incarnation == incarnation
-                && t.standing == Standing::Live
+                && t.state == ServingState::Live
                 && !self.view.data_centres_out.contains(&t.data_centre)
         })
     }
--- a/components/policy/src/entry/owner_messages.rs
+++ b/components/policy/src/entry/owner_messages.rs
@@ -2,8 +2,10 @@
 
 use std::collections::BTreeSet;
 
-use types::{AskId, InstanceId, Moment, RouteId, ServiceKind, Shard, Target, WorkspaceId};
-use wire::{Deny, Done, Grant, Message, Outcome, Query, Recall};
+use types::{
+    InstanceId, Moment, PermitRequestId, RouteId, ServiceKind, Shard, Target, WorkspaceId,
+};
+use wire::{Deny, Done, Grant, Message, Outcome, Query, Revoke};
 
 use crate::{
     api::{Action, DispatchPermit, RequestId},
@@ -31,8 +33,11 @@
         {
             return;
         }
-        let valid_until = grant.stamp + grant.life;
-        let request = self.permit_requests.remove(&grant.ask).map(|a| a.request);
+        let valid_until = grant.stamp + grant.lifetime;
+        let request = self
+            .permit_requests
+            .remove(&grant.permit_request)
+            .map(|a| a.request);
         let target = self.granted_target(grant);
         let (Some(request), Some(target), true) = (request, target, valid_until > now) else {
             return_unused(from, grant, out);
@@ -79,7 +84,7 @@
             shard: grant.shard.clone(),
             owner: from.clone(),
             target,
-            valid_until: grant.stamp + grant.life,
+            valid_until: grant.stamp + grant.lifetime,
             slots: grant.slots,
             cold: grant.cold,
             kind: requester.map_or(ServiceKind::Plain, |r| r.kind),
@@ -121,7 +126,7 @@
     }
 
     pub(super) fn handle_deny(&mut self, now: Moment, deny: &Deny, out: &mut Vec<Action>) {
-        let Some(sent) = self.permit_requests.remove(&deny.ask) else {
+        let Some(sent) = self.permit_requests.remove(&deny.permit_request) else {
             return;
         };
         let Some(id) = sent.request else { return };
@@ -140,7 +145,7 @@
     pub(super) fn handle_revoke(
         &mut self,
         from: &InstanceId,
-        revoke: &Recall,
+        revoke: &Revoke,
         out: &mut Vec<Action>,
     ) {
         let permit = self
@@ -206,7 +211,7 @@
 
     /// This entry's requests that have waited at a shard for a while, last in order of service
     /// first.
-    fn movable_requests(&self, now: Moment, shard: &Shard) -> Vec<(AskId, RequestId)> {
+    fn movable_requests(&self, now: Moment, shard: &Shard) -> Vec<(PermitRequestId, RequestId)> {
         let mut movable = Vec::new();
         for (permit_request, sent) in &self.permit_requests {
             let has_waited = now.saturating_sub(sent.sent_at) >= MOVE_AFTER;
--- a/components/policy/src/entry/pending.rs
+++ b/components/policy/src/entry/pending.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use types::{AskId, InstanceId, Moment, Shard, TargetId};
+use types::{InstanceId, Moment, PermitRequestId, Shard, TargetId};
 
 use crate::{
     api::{Request, RequestId},
@@ -15,7 +15,7 @@
     /// Waits at the entry because there is no owner to request a permit from.
     Waiting,
     /// A permit request is outstanding.
-    Asked(AskId),
+    Asked(PermitRequestId),
     /// It has a permit and is being sent or is running.
     Placed(PermitKey),
 }
@@ -54,7 +54,7 @@
 /// All requests by id.
 pub type Requests = BTreeMap<RequestId, PendingRequest>;
 /// All outstanding permit requests by id.
-pub type PermitRequests = BTreeMap<AskId, OutstandingPermitRequest>;
+pub type PermitRequests = BTreeMap<PermitRequestId, OutstandingPermitRequest>;
 
 /// A request for which no owner could be found is refused after this time. Changes of ownership
 /// normally take less, and the caller can retry sooner than if it were left waiting.
--- a/components/policy/src/entry/permit.rs
+++ b/components/policy/src/entry/permit.rs
@@ -81,7 +81,7 @@
             class: self.class,
             workspace: self.workspace.clone(),
             route: self.route.clone(),
-            prompt: self.prompt_tokens,
+            prompt_tokens: self.prompt_tokens,
             max_output: self.max_output,
             produced: self.produced,
             slots: if self.valid_until > now {
@@ -89,7 +89,7 @@
             } else {
                 running
             },
-            seen: self.seen,
+            answer_started: self.seen,
         }
     }
 }
--- a/components/policy/src/entry/permit_requests.rs
+++ b/components/policy/src/entry/permit_requests.rs
@@ -1,7 +1,7 @@
 //! Sending and withdrawing permit requests.
 
-use types::{AskId, InstanceId, Moment, Shard};
-use wire::{Ask, Withdraw};
+use types::{InstanceId, Moment, PermitRequestId, Shard};
+use wire::{PermitRequest, Withdraw};
 
 use crate::{
     api::{Action, RequestId},
@@ -38,17 +38,17 @@
         pending.stage = Stage::Asked(ask);
         let request = &pending.request;
         let known_length = request.true_output.filter(|_| self.known_lengths);
-        let message = Ask {
+        let message = PermitRequest {
             shard: shard.clone(),
-            ask,
+            permit_request: ask,
             stamp: now,
             kind: request.kind,
             class: request.class,
             workspace: request.workspace.clone(),
             route: request.route.clone(),
-            within: request.deadline.saturating_sub(now),
+            deadline_left: request.deadline.saturating_sub(now),
             waited: now.saturating_sub(pending.arrived_at),
-            prompt: request.prompt_tokens,
+            prompt_tokens: request.prompt_tokens,
             max_output: known_length.unwrap_or(request.max_output),
             slots: self.call_demand.slots(request),
             prefix: request.prefix.clone(),
@@ -68,19 +68,19 @@
         });
     }
 
-    pub(super) const fn next_permit_request(&mut self) -> AskId {
+    pub(super) const fn next_permit_request(&mut self) -> PermitRequestId {
         self.last_permit_request += 1;
         self.last_permit_request
     }
 
     /// Withdraws a permit request. If it is granted meanwhile, the permit is returned on arrival.
-    pub(super) fn withdraw(&mut self, ask: AskId, out: &mut Vec<Action>) {
+    pub(super) fn withdraw(&mut self, ask: PermitRequestId, out: &mut Vec<Action>) {
         let Some(outstanding) = self.permit_requests.remove(&ask) else {
             return;
         };
         let message = Withdraw {
             shard: outstanding.shard,
-            ask,
+            permit_request: ask,
         };
         out.push(Action::Send {
             to: outstanding.owner,
@@ -90,7 +90,7 @@
 
     /// Repeats permit requests that have not been answered in time.
     pub(super) fn retry_unanswered(&mut self, now: Moment, out: &mut Vec<Action>) {
-        let unanswered: Vec<(AskId, Option<RequestId>)> = self
+        let unanswered: Vec<(PermitRequestId, Option<RequestId>)> = self
             .permit_requests
             .iter()
             .filter(|(_, outstanding)| {
--- a/components/policy/src/entry/plain_calls.rs
+++ b/components/policy/src/entry/plain_calls.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use types::{Moment, ServiceId, ServiceKind};
-use wire::Ask;
+use wire::PermitRequest;
 
 use crate::{
     api::{Action, Request, RequestId},
@@ -193,17 +193,17 @@
             return;
         };
         let ask = self.next_permit_request();
-        let message = Ask {
+        let message = PermitRequest {
             shard: shard.clone(),
-            ask,
+            permit_request: ask,
             stamp: now,
             kind: ServiceKind::Plain,
             class: request.class,
             workspace: request.workspace,
             route: request.route,
-            within: MIN_BLOCK_LIFETIME,
+            deadline_left: MIN_BLOCK_LIFETIME,
             waited: Duration::ZERO,
-            prompt: 0,
+            prompt_tokens: 0,
             max_output: 0,
             slots: slots.max(2),
             prefix: Vec::new(),
--- a/components/policy/src/entry/shard_directory.rs
+++ b/components/policy/src/entry/shard_directory.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use types::{DataCentreId, Epoch, InstanceId, ServiceId, Shard, Standing};
+use types::{DataCentreId, Epoch, InstanceId, ServiceId, ServingState, Shard};
 use wire::ShardSummary;
 
 use crate::api::View;
@@ -75,7 +75,7 @@
             info.targets = 0;
         }
         for target in &view.targets {
-            let accepts_work = target.standing == Standing::Live
+            let accepts_work = target.state == ServingState::Live
                 && !view.data_centres_out.contains(&target.data_centre);
             let shard = Shard::new(&target.service, &target.data_centre);
             self.shards.entry(shard).or_default().targets += u32::from(accepts_work);
--- a/components/policy/src/entry/view_changes.rs
+++ b/components/policy/src/entry/view_changes.rs
@@ -1,6 +1,6 @@
 //! Changes of the configuration, the target listing and the ownership of shards.
 
-use types::{AskId, InstanceId, Moment, Shard};
+use types::{InstanceId, Moment, PermitRequestId, Shard};
 
 use crate::{
     api::{Action, RequestId, ShardRole, View},
@@ -12,7 +12,7 @@
         self.view = view.clone();
         self.shards.update(view);
         // Requests to shards that no longer take work are placed elsewhere at once.
-        let without_targets: Vec<(AskId, Option<RequestId>)> = self
+        let without_targets: Vec<(PermitRequestId, Option<RequestId>)> = self
             .permit_requests
             .iter()
             .filter(|(_, a)| self.shards.get(&a.shard).is_none_or(|i| i.targets == 0))
@@ -37,7 +37,7 @@
             ShardRole::Follow { owner, epoch } => (owner.clone(), *epoch),
         };
         self.shards.follow(shard, owner, epoch);
-        let lost: Vec<AskId> = self
+        let lost: Vec<PermitRequestId> = self
             .permit_requests
             .iter()
             .filter(|(_, a)| a.shard == *shard)
@@ -54,7 +54,7 @@
     }
 
     pub(super) fn remove_owner(&mut self, now: Moment, peer: &InstanceId, out: &mut Vec<Action>) {
-        let lost: Vec<AskId> = self
+        let lost: Vec<PermitRequestId> = self
             .permit_requests
             .iter()
             .filter(|(_, a)| a.owner == *peer)
--- a/components/policy/src/granting.rs
+++ b/components/policy/src/granting.rs
@@ -6,7 +6,7 @@
 use std::{collections::BTreeSet, sync::Arc};
 
 use types::{Class, Moment, Target, TargetId};
-use wire::{Ask, Grant};
+use wire::{Grant, PermitRequest};
 
 use crate::{
     account::TargetAccount,
@@ -15,7 +15,7 @@
     outbox::send,
     owner_state::{EntryContact, OwnerState},
     permit::{GrantedPermit, PermitKey},
-    shard::{PERMIT_LIFE, ShardState},
+    shard::{PERMIT_LIFETIME, ShardState},
     wait_queue::QueuePosition,
 };
 
@@ -164,7 +164,7 @@
         let grant = Grant {
             shard: self.shard.clone(),
             epoch: self.epoch,
-            ask: queued.ask.ask,
+            permit_request: queued.ask.permit_request,
             permit: owner_state.next_permit(),
             target: target.id.clone(),
             incarnation: target.incarnation,
@@ -175,14 +175,14 @@
             },
             slots,
             stamp: contact.stamp,
-            life: PERMIT_LIFE,
+            lifetime: PERMIT_LIFETIME,
             cold: account.limiter.is_cold(),
         };
         owner_state.decision_log.record(
             now,
             format!(
                 "permit {} for ask {} of {} on {id}, {slots} slots, cold {}",
-                grant.permit, grant.ask, queued.entry, grant.cold
+                grant.permit, grant.permit_request, queued.entry, grant.cold
             ),
         );
         let key = PermitKey {
@@ -205,7 +205,7 @@
 
 fn new_permit(
     now: Moment,
-    ask: &Ask,
+    ask: &PermitRequest,
     grant: &Grant,
     entry_incarnation: u64,
     charged_tokens: f64,
@@ -217,14 +217,14 @@
         class: ask.class,
         workspace: Arc::clone(&ask.workspace),
         route: Arc::clone(&ask.route),
-        prompt_tokens: ask.prompt,
+        prompt_tokens: ask.prompt_tokens,
         max_output: ask.max_output,
         produced: 0,
         updated_at: now,
         slots: grant.slots,
         seen: false,
         granted_at: now,
-        expires_at: grant.stamp.saturating_add(grant.life),
+        expires_at: grant.stamp.saturating_add(grant.lifetime),
         started_at: None,
         orphaned_at: None,
         revoked: false,
--- a/components/policy/src/instance.rs
+++ b/components/policy/src/instance.rs
@@ -1,6 +1,6 @@
 //! The product's policy: the entry and the owner of one instance.
 
-use types::{AskId, DataCentreId, Incarnation, InstanceId, Moment};
+use types::{DataCentreId, Incarnation, InstanceId, Moment, PermitRequestId};
 use wire::{Message, ShardSummary};
 
 use crate::{
@@ -76,7 +76,7 @@
 const fn is_for_entry(message: &Message) -> bool {
     matches!(
         message,
-        Message::Grant(_) | Message::Deny(_) | Message::Recall(_) | Message::Query(_)
+        Message::Grant(_) | Message::Deny(_) | Message::Revoke(_) | Message::Query(_)
     )
 }
 
@@ -115,7 +115,7 @@
         lines
     }
 
-    fn last_permit_request(&self) -> AskId {
+    fn last_permit_request(&self) -> PermitRequestId {
         self.entry.last_permit_request()
     }
 }
--- a/components/policy/src/outbox.rs
+++ b/components/policy/src/outbox.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use types::{AskId, InstanceId, Shard};
+use types::{InstanceId, PermitRequestId, Shard};
 use wire::{Deny, Message};
 
 use crate::api::Action;
@@ -11,13 +11,13 @@
 pub fn deny(
     to: &InstanceId,
     shard: &Shard,
-    ask: AskId,
+    ask: PermitRequestId,
     retry_after: Option<Duration>,
     out: &mut Vec<Action>,
 ) {
     let deny = Deny {
         shard: shard.clone(),
-        ask,
+        permit_request: ask,
         retry_after,
     };
     send(to, deny.into(), out);
--- a/components/policy/src/owner.rs
+++ b/components/policy/src/owner.rs
@@ -6,7 +6,7 @@
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use types::{Incarnation, InstanceId, Moment, Shard, TargetId};
-use wire::{Ask, Done, Held, Message, ShardSummary};
+use wire::{Done, Held, Message, PermitRequest, ShardSummary};
 
 use crate::{
     api::{Action, EngineReport, Event, ShardRole, TargetLimits, View},
@@ -100,7 +100,7 @@
         out: &mut Vec<Action>,
     ) {
         match message {
-            Message::Ask(ask) => {
+            Message::PermitRequest(ask) => {
                 self.record_contact(now, from, incarnation, ask.stamp);
                 self.handle_permit_request(now, from, ask, out);
             }
@@ -144,11 +144,11 @@
         &mut self,
         now: Moment,
         from: &InstanceId,
-        ask: &Ask,
+        ask: &PermitRequest,
         out: &mut Vec<Action>,
     ) {
         let Some(state) = self.shards.get_mut(&ask.shard) else {
-            deny(from, &ask.shard, ask.ask, None, out);
+            deny(from, &ask.shard, ask.permit_request, None, out);
             return;
         };
         state.enqueue(now, from, ask, &mut self.owner_state, out);
--- a/components/policy/src/queueing.rs
+++ b/components/policy/src/queueing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use types::{Class, InstanceId, Moment};
-use wire::{Ask, Withdraw};
+use wire::{PermitRequest, Withdraw};
 
 use crate::{
     api::Action, outbox::deny, owner_state::OwnerState, shard::ShardState,
@@ -23,7 +23,7 @@
         &mut self,
         now: Moment,
         from: &InstanceId,
-        ask: &Ask,
+        ask: &PermitRequest,
         owner_state: &mut OwnerState,
         out: &mut Vec<Action>,
     ) {
@@ -31,18 +31,18 @@
             self.last_urgent_at = Some(now);
         }
         if self.has_no_target(owner_state) {
-            deny(from, &self.shard, ask.ask, None, out);
+            deny(from, &self.shard, ask.permit_request, None, out);
             return;
         }
-        self.queue.remove(from, ask.ask);
+        self.queue.remove(from, ask.permit_request);
         let ahead = self.queue.len_of(ask.class);
         let wait = self
             .grant_rate
             .expected_wait(now, ask.class, ahead)
             .unwrap_or_default();
-        if wait > ask.within || !self.make_room(now, ask.class, owner_state, out) {
+        if wait > ask.deadline_left || !self.make_room(now, ask.class, owner_state, out) {
             let after = owner_state.with_jitter(wait);
-            deny(from, &self.shard, ask.ask, Some(after), out);
+            deny(from, &self.shard, ask.permit_request, Some(after), out);
             return;
         }
         self.grant_rate.record_waiting(now, ask.class);
@@ -87,7 +87,13 @@
             .expected_wait(now, queued.effective_class, ahead)
             .unwrap_or_default();
         let after = owner_state.with_jitter(wait);
-        deny(&queued.entry, &self.shard, queued.ask.ask, Some(after), out);
+        deny(
+            &queued.entry,
+            &self.shard,
+            queued.ask.permit_request,
+            Some(after),
+            out,
+        );
     }
 
     /// Returns whether no target of the shard will take work, so that requests have to go
@@ -111,13 +117,19 @@
     /// owner.
     pub fn deny_all(&mut self, out: &mut Vec<Action>) {
         for queued in self.queue.drain_if(|_| true) {
-            deny(&queued.entry, &self.shard, queued.ask.ask, None, out);
+            deny(
+                &queued.entry,
+                &self.shard,
+                queued.ask.permit_request,
+                None,
+                out,
+            );
         }
     }
 
     /// Removes a request that its entry has withdrawn.
     pub fn withdraw(&mut self, from: &InstanceId, withdraw: &Withdraw) {
-        self.queue.remove(from, withdraw.ask);
+        self.queue.remove(from, withdraw.permit_request);
     }
 
     /// Denies requests as soon as it is clear that they can't be served before their deadline. A
--- a/components/policy/src/revoke.rs
+++ b/components/policy/src/revoke.rs
@@ -7,7 +7,7 @@
 use std::{cmp::Reverse, time::Duration};
 
 use types::{Class, Moment};
-use wire::Recall;
+use wire::Revoke;
 
 use crate::{
     account::TargetAccount,
@@ -54,7 +54,7 @@
             }
             let line = format!("permit {} revoked on {id}", key.permit);
             owner_state.decision_log.record(now, line);
-            let recall = Recall {
+            let recall = Revoke {
                 shard: self.shard.clone(),
                 permit: key.permit,
             };
--- a/components/policy/src/shard.rs
+++ b/components/policy/src/shard.rs
@@ -6,7 +6,7 @@
 };
 
 use types::{Epoch, InstanceId, Moment, Shard, TargetId};
-pub use wire::PERMIT_LIFE;
+pub use wire::PERMIT_LIFETIME;
 use wire::Query;
 
 use crate::{
@@ -99,7 +99,8 @@
     /// hold, or all unused permits of an earlier owner have expired.
     #[must_use]
     pub fn can_grant(&self, now: Moment) -> bool {
-        self.unanswered_queries.is_empty() || now >= self.started_at + PERMIT_LIFE + EXPIRY_MARGIN
+        self.unanswered_queries.is_empty()
+            || now >= self.started_at + PERMIT_LIFETIME + EXPIRY_MARGIN
     }
 
     /// Returns whether a cold target may get work: this is the only owner, it knows all work that
@@ -161,7 +162,7 @@
             account.listed = None;
         }
         for target in &owner_state.view.targets {
-            if !self.shard.holds(target) {
+            if !self.shard.contains(target) {
                 continue;
             }
             let account = self
--- a/components/policy/src/wait_queue.rs
+++ b/components/policy/src/wait_queue.rs
@@ -12,8 +12,8 @@
     time::Duration,
 };
 
-use types::{AskId, Class, InstanceId, Moment, Tokens, WorkspaceId};
-use wire::Ask;
+use types::{Class, InstanceId, Moment, PermitRequestId, Tokens, WorkspaceId};
+use wire::PermitRequest;
 
 /// Difference in tokens up to which two workspaces count as equally served.
 const QUANTUM: f64 = 4096.0;
@@ -38,7 +38,7 @@
     /// The entry that sent the request.
     pub entry: InstanceId,
     /// The request.
-    pub ask: Ask,
+    pub ask: PermitRequest,
     /// When it arrived at this owner.
     pub queued_at: Moment,
     /// The caller's deadline, on this process's clock.
@@ -53,14 +53,14 @@
 impl QueuedRequest {
     /// Creates an entry of the queue for a request that has just arrived.
     #[must_use]
-    pub fn new(entry: &InstanceId, ask: &Ask, now: Moment) -> Self {
+    pub fn new(entry: &InstanceId, ask: &PermitRequest, now: Moment) -> Self {
         let mut ask = ask.clone();
-        ask.prompt = ask.prompt.min(MAX_TOKENS);
+        ask.prompt_tokens = ask.prompt_tokens.min(MAX_TOKENS);
         ask.max_output = ask.max_output.min(MAX_TOKENS);
         Self {
             entry: entry.clone(),
             queued_at: now,
-            deadline: now.saturating_add(ask.within),
+            deadline: now.saturating_add(ask.deadline_left),
             bypassed: 0,
             effective_class: ask.class,
             ask,
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct RequestKey {
     entry: InstanceId,
-    ask: AskId,
+    ask: PermitRequestId,
 }
 
 /// Order among the requests of a workspace and class.
@@ -136,12 +136,12 @@
 
     /// Adds a request, and replaces an earlier one with the same id from the same entry.
     pub fn push(&mut self, queued: QueuedRequest) {
-        self.remove(&queued.entry.clone(), queued.ask.ask);
+        self.remove(&queued.entry.clone(), queued.ask.permit_request);
         let position = self.next_position;
         self.next_position += 1;
         let key = RequestKey {
             entry: queued.entry.clone(),
-            ask: queued.ask.ask,
+            ask: queued.ask.permit_request,
         };
         self.positions.insert(key, position);
         self.add_to_class(position, &queued);
@@ -149,7 +149,7 @@
     }
 
     /// Removes a request.
-    pub fn remove(&mut self, entry: &InstanceId, ask: AskId) -> Option<QueuedRequest> {
+    pub fn remove(&mut self, entry: &InstanceId, ask: PermitRequestId) -> Option<QueuedRequest> {
         let key = RequestKey {
             entry: entry.clone(),
             ask,
@@ -318,7 +318,7 @@
         let queued = self.queued.remove(&position)?;
         let key = RequestKey {
             entry: queued.entry.clone(),
-            ask: queued.ask.ask,
+            ask: queued.ask.permit_request,
         };
         self.positions.remove(&key);
         self.remove_from_class(position, &queued);
--- a/components/policy/tests/faults.rs
+++ b/components/policy/tests/faults.rs
@@ -300,7 +300,7 @@
         self.entries[entry].last_permit_request += 1;
         let mut permit_request =
             permit_request(self.entries[entry].last_permit_request, self.clock(entry));
-        permit_request.within = Duration::from_secs(5);
+        permit_request.deadline_left = Duration::from_secs(5);
         self.send_message(entry, self.current_owner, permit_request);
     }
 
@@ -448,7 +448,7 @@
         let grant = held_grant.grant.clone();
         held_grant.sent = true;
         let engine = number(&grant.target);
-        let expired = self.clock(entry) >= grant.stamp + grant.life;
+        let expired = self.clock(entry) >= grant.stamp + grant.lifetime;
         if expired || self.engines[engine].incarnation != grant.incarnation {
             self.return_permit(entry, owner, permit, Outcome::Unsent);
             return;
--- a/components/policy/tests/limits.rs
+++ b/components/policy/tests/limits.rs
@@ -6,7 +6,7 @@
 
 use policy::{EngineReport, Event, TargetLimits};
 use support::{DATA_CENTRE, Fixture, finished_outcome, limits, target, view, warm_report};
-use types::Standing;
+use types::ServingState;
 use wire::{Grant, Outcome};
 
 fn large_limits() -> TargetLimits {
@@ -211,7 +211,7 @@
 fn a_leaving_target_finishes_its_work_and_gets_no_more() {
     let (mut fixture, grants) = warmed_up();
     let mut leaving = target("a", 1);
-    leaving.standing = Standing::Leaving;
+    leaving.state = ServingState::Leaving;
     fixture.event(Event::ViewChanged(view(
         vec![leaving, target("b", 1)],
         large_limits(),
--- a/components/policy/tests/lost_permit_requests.rs
+++ b/components/policy/tests/lost_permit_requests.rs
@@ -33,7 +33,7 @@
         matches!(
             action,
             Action::Send {
-                message: Message::Ask(_),
+                message: Message::PermitRequest(_),
                 ..
             }
         )
--- a/components/policy/tests/order.rs
+++ b/components/policy/tests/order.rs
@@ -9,7 +9,7 @@
     Fixture, finished_outcome, held_permit, limits, permit_request, target, view, warm_report,
 };
 use types::{Class, ServiceKind};
-use wire::{Ask, Grant, Message};
+use wire::{Grant, Message, PermitRequest};
 
 /// One warm target with four slots.
 fn narrow() -> Fixture {
@@ -43,8 +43,8 @@
 fn modified_request(
     fixture: &Fixture,
     number: u64,
-    modified_request: impl FnOnce(&mut Ask),
-) -> Ask {
+    modified_request: impl FnOnce(&mut PermitRequest),
+) -> PermitRequest {
     let mut ask = permit_request(number, fixture.now);
     modified_request(&mut ask);
     ask
@@ -55,7 +55,7 @@
     let mut order = Vec::new();
     for grant in grants {
         fixture.return_permit("entry", grant, finished_outcome(10));
-        order.extend(fixture.grants().iter().map(|grant| grant.ask));
+        order.extend(fixture.grants().iter().map(|grant| grant.permit_request));
     }
     order
 }
@@ -73,7 +73,7 @@
     for (number, class, within) in asks {
         let ask = modified_request(&fixture, number, |ask| {
             ask.class = class;
-            ask.within = Duration::from_secs(within);
+            ask.deadline_left = Duration::from_secs(within);
         });
         fixture.message("entry", ask);
     }
@@ -90,12 +90,12 @@
     for number in 100..120 {
         let long = modified_request(&fixture, number, |ask| {
             ask.workspace = "films".into();
-            ask.prompt = 4000;
+            ask.prompt_tokens = 4000;
         });
         fixture.message("entry", long);
     }
     for number in 200..210 {
-        let short = modified_request(&fixture, number, |ask| ask.prompt = 50);
+        let short = modified_request(&fixture, number, |ask| ask.prompt_tokens = 50);
         fixture.message("entry", short);
     }
     let mut order = Vec::new();
@@ -103,7 +103,7 @@
         let grant = grants.remove(0);
         fixture.return_permit("entry", &grant, finished_outcome(10));
         for grant in fixture.grants() {
-            order.push(grant.ask);
+            order.push(grant.permit_request);
             grants.push(grant);
         }
     }
@@ -119,7 +119,7 @@
     let old = modified_request(&fixture, 10, |ask| {
         ask.class = Class::Background;
         ask.waited = Duration::from_secs(30);
-        ask.within = Duration::from_secs(10);
+        ask.deadline_left = Duration::from_secs(10);
     });
     fixture.message("entry", old);
     fixture.advance(10);
@@ -149,7 +149,7 @@
         fixture.message("entry", ask);
         running.extend(fixture.grants());
     }
-    let big = modified_request(&fixture, 1000, |ask| ask.prompt = 8000);
+    let big = modified_request(&fixture, 1000, |ask| ask.prompt_tokens = 8000);
     fixture.message("entry", big);
     let mut next = 2000;
     for _ in 0..400 {
@@ -162,7 +162,7 @@
         let ask = small(&fixture, next);
         fixture.message("entry", ask);
         running.extend(fixture.grants());
-        if running.iter().any(|grant| grant.ask == 1000) {
+        if running.iter().any(|grant| grant.permit_request == 1000) {
             return;
         }
     }
@@ -198,7 +198,7 @@
     let mut targets = Vec::new();
     for number in 0..24 {
         let ask = modified_request(&fixture, number, |ask| {
-            ask.prompt = 300;
+            ask.prompt_tokens = 300;
             ask.prefix = vec![1, 2, 3];
         });
         fixture.message("entry", ask);
@@ -241,7 +241,7 @@
     let revoked: Vec<u64> = fixture
         .messages()
         .filter_map(|message| match message {
-            Message::Recall(recall) => Some(recall.permit),
+            Message::Revoke(recall) => Some(recall.permit),
             _ => None,
         })
         .collect();
@@ -268,7 +268,7 @@
         modified_request(fixture, number, |ask| {
             ask.kind = ServiceKind::Plain;
             ask.slots = 8;
-            ask.prompt = 0;
+            ask.prompt_tokens = 0;
             ask.max_output = 0;
         })
     };
@@ -302,7 +302,9 @@
         fixture.return_permit("entry", &grant, finished_outcome(10));
         grants.extend(fixture.grants());
     }
-    let short_deadline = modified_request(&fixture, 90, |ask| ask.within = Duration::from_secs(2));
+    let short_deadline = modified_request(&fixture, 90, |ask| {
+        ask.deadline_left = Duration::from_secs(2)
+    });
     fixture.message("entry", short_deadline);
     let denials = fixture.denials();
     let [(90, Some(after))] = denials[..] else {
@@ -312,7 +314,9 @@
         after > Duration::from_secs(4) && after < Duration::from_secs(20),
         "{after:?}"
     );
-    let long_deadline = modified_request(&fixture, 91, |ask| ask.within = Duration::from_secs(60));
+    let long_deadline = modified_request(&fixture, 91, |ask| {
+        ask.deadline_left = Duration::from_secs(60)
+    });
     fixture.message("entry", long_deadline);
     assert!(fixture.denials().is_empty());
 }
--- a/components/policy/tests/owner.rs
+++ b/components/policy/tests/owner.rs
@@ -9,7 +9,7 @@
     Fixture, finished_outcome, held_permit, limits, permit_request, shard, target, view,
     warm_report,
 };
-use types::{Class, Standing};
+use types::{Class, ServingState};
 use wire::Message;
 
 #[test]
@@ -22,7 +22,7 @@
     fixture.request_permit("entry", 3);
     assert!(fixture.grants().is_empty() && fixture.denials().is_empty());
     fixture.return_permit("entry", &grant, finished_outcome(10));
-    assert_eq!(fixture.grants()[0].ask, 3);
+    assert_eq!(fixture.grants()[0].permit_request, 3);
 }
 
 #[test]
@@ -200,7 +200,7 @@
 #[test]
 fn a_leaving_target_gets_no_new_work() {
     let mut leaving = target("a", 1);
-    leaving.standing = Standing::Leaving;
+    leaving.state = ServingState::Leaving;
     let mut fixture = Fixture::owning(view(vec![leaving], limits()));
     fixture.request_permit("entry", 1);
     assert!(fixture.grants().is_empty());
@@ -279,9 +279,9 @@
     let mut fixture = Fixture::owning(view(vec![target("a", 1)], limits()));
     for number in 1..=3 {
         let mut absurd = permit_request(number, Duration::MAX);
-        absurd.within = Duration::MAX;
+        absurd.deadline_left = Duration::MAX;
         absurd.waited = Duration::MAX;
-        absurd.prompt = u64::MAX;
+        absurd.prompt_tokens = u64::MAX;
         absurd.max_output = u64::MAX;
         absurd.slots = u32::MAX;
         absurd.class = Class::Background;
@@ -289,7 +289,7 @@
         assert!(fixture.grants().is_empty());
     }
     let absurd = wire::HeldPermit {
-        prompt: u64::MAX,
+        prompt_tokens: u64::MAX,
         max_output: u64::MAX,
         slots: u32::MAX,
         ..held_permit(7, "a", u64::MAX)
--- a/components/policy/tests/support/mod.rs
+++ b/components/policy/tests/support/mod.rs
@@ -5,10 +5,10 @@
 
 use policy::{Action, EngineReport, Event, Owner, ShardRole, TargetLimits, View};
 use types::{
-    AskId, Class, Epoch, Incarnation, InstanceId, Moment, PermitId, ServiceId, ServiceKind, Shard,
-    Standing, Target, TargetId, Tokens,
+    Class, Epoch, Incarnation, InstanceId, Moment, PermitId, PermitRequestId, ServiceId,
+    ServiceKind, ServingState, Shard, Target, TargetId, Tokens,
 };
-use wire::{Ask, Done, Grant, Held, HeldPermit, Message, Outcome};
+use wire::{Done, Grant, Held, HeldPermit, Message, Outcome, PermitRequest};
 
 /// The service used by all tests.
 pub const SERVICE: &str = "drafts";
@@ -31,7 +31,7 @@
         data_centre: DATA_CENTRE.into(),
         addr: "127.0.0.1:9".parse().expect("an address"),
         incarnation,
-        standing: Standing::Live,
+        state: ServingState::Live,
     }
 }
 
@@ -59,18 +59,18 @@
 }
 
 /// A permit request of normal class.
-pub fn permit_request(number: AskId, stamp: Moment) -> Ask {
-    Ask {
+pub fn permit_request(number: PermitRequestId, stamp: Moment) -> PermitRequest {
+    PermitRequest {
         shard: shard(),
-        ask: number,
+        permit_request: number,
         stamp,
         kind: ServiceKind::Model,
         class: Class::Normal,
         workspace: "signs".into(),
         route: "draft".into(),
-        within: Duration::from_secs(60),
+        deadline_left: Duration::from_secs(60),
         waited: Duration::ZERO,
-        prompt: 100,
+        prompt_tokens: 100,
         max_output: 400,
         slots: 1,
         prefix: Vec::new(),
@@ -155,13 +155,13 @@
     }
 
     /// Sends a permit request of normal class, stamped now.
-    pub fn request_permit(&mut self, from: &str, number: AskId) {
+    pub fn request_permit(&mut self, from: &str, number: PermitRequestId) {
         let permit_request = permit_request(number, self.now);
         self.message(from, permit_request);
     }
 
     /// Sends a permit request of a class from the entry named `entry`.
-    pub fn request_permit_of_class(&mut self, class: Class, number: AskId) {
+    pub fn request_permit_of_class(&mut self, class: Class, number: PermitRequestId) {
         let mut permit_request = permit_request(number, self.now);
         permit_request.class = class;
         self.message("entry", permit_request);
@@ -208,10 +208,10 @@
     }
 
     /// The denials of the last event: id of the permit request and retry delay.
-    pub fn denials(&self) -> Vec<(AskId, Option<Duration>)> {
+    pub fn denials(&self) -> Vec<(PermitRequestId, Option<Duration>)> {
         self.messages()
             .filter_map(|message| match message {
-                Message::Deny(deny) => Some((deny.ask, deny.retry_after)),
+                Message::Deny(deny) => Some((deny.permit_request, deny.retry_after)),
                 _ => None,
             })
             .collect()
@@ -236,11 +236,11 @@
         class: Class::Normal,
         workspace: "signs".into(),
         route: "draft".into(),
-        prompt: 100,
+        prompt_tokens: 100,
         max_output: 400,
         produced,
         slots: 1,
-        seen: produced > 0,
+        answer_started: produced > 0,
     }
 }
 
--- a/components/relay/examples/resume.rs
+++ b/components/relay/examples/resume.rs
@@ -14,7 +14,7 @@
 use relay::Relay;
 use targets::{EngineCall, OpenAiEngine, Piece};
 use timer::Timer;
-use types::{Standing, Target};
+use types::{ServingState, Target};
 
 const STREAMS: u64 = 200;
 /// Tokens sent before the connection goes silent.
@@ -96,7 +96,7 @@
                 data_centre: "one".into(),
                 addr: server.addr().expect("an address"),
                 incarnation: 1,
-                standing: Standing::Live,
+                state: ServingState::Live,
             };
             workers::spawn(server.run()).detach();
             let timer = Timer::new();
--- a/components/relay/tests/scripted_engine/mod.rs
+++ b/components/relay/tests/scripted_engine/mod.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use parking_lot::Mutex;
 use targets::{Engine, EngineCall, Order, Piece, Report, Stream, StreamId, TargetError};
-use types::{Standing, Target, Tokens};
+use types::{ServingState, Target, Tokens};
 
 /// One step of a connection.
 #[derive(Clone, Copy, Debug)]
@@ -39,7 +39,7 @@
         data_centre: "one".into(),
         addr: SocketAddr::from(([127, 0, 0, 1], 1)),
         incarnation: 1,
-        standing: Standing::Live,
+        state: ServingState::Live,
     }
 }
 
--- a/components/standins/src/control.rs
+++ b/components/standins/src/control.rs
@@ -93,7 +93,7 @@
 struct Problem<'a> {
     title: &'a str,
     status: u16,
-    run: types::Run,
+    run: types::Execution,
     code: &'a str,
 }
 
@@ -103,7 +103,7 @@
     let problem = Problem {
         title: code,
         status,
-        run: types::Run::NotRun,
+        run: types::Execution::NotRun,
         code,
     };
     // A struct of plain text always becomes JSON.
--- a/components/stores/src/slices_form.rs
+++ b/components/stores/src/slices_form.rs
@@ -9,7 +9,7 @@
 
 use serde::Deserialize;
 use serde_json::Value;
-use types::{Incarnation, Listing, Member, ServiceId, Standing, Target};
+use types::{Incarnation, Listing, Member, ServiceId, ServingState, Target};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{api::PlatformError, slices::address};
@@ -102,11 +102,11 @@
 }
 
 impl Endpoint {
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> ServingState {
         let conditions = self.conditions.as_ref();
         match conditions.and_then(|c| c.terminating) {
-            Some(true) => Standing::Leaving,
-            _ => Standing::Live,
+            Some(true) => ServingState::Leaving,
+            _ => ServingState::Live,
         }
     }
 
@@ -169,7 +169,7 @@
             id: Arc::clone(&endpoint.target_ref.name),
             data_centre: endpoint.zone,
             addr,
-            standing,
+            state: standing,
         };
         members.put(&endpoint.target_ref.name, standing, member);
     }
@@ -190,7 +190,7 @@
             incarnation: endpoint.incarnation(),
             data_centre: endpoint.zone,
             addr,
-            standing,
+            state: standing,
         };
         targets.put(&endpoint.target_ref.name, standing, target);
     }
@@ -213,13 +213,13 @@
 }
 
 impl<T> Latest<T> {
-    fn put(&mut self, id: &Arc<str>, standing: Standing, entry: T) {
+    fn put(&mut self, id: &Arc<str>, standing: ServingState, entry: T) {
         match self.places.get(id) {
             None => {
                 self.places.insert(Arc::clone(id), self.list.len());
                 self.list.push(entry);
             }
-            Some(place) if standing == Standing::Leaving => self.list[*place] = entry,
+            Some(place) if standing == ServingState::Leaving => self.list[*place] = entry,
             Some(_) => {}
         }
     }
--- a/components/stores/tests/stores.rs
+++ b/components/stores/tests/stores.rs
@@ -10,7 +10,7 @@
     platform::{Faults, start},
 };
 use stores::{Directory, Objects, PlatformError, S3Objects, SliceDirectory, slices::read_listing};
-use types::Standing;
+use types::ServingState;
 
 fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
@@ -69,7 +69,7 @@
         assert_eq!(&*list.members[0].data_centre, "amman-1");
         assert_eq!(list.targets.len(), 1);
         assert_eq!(&*list.targets[0].service, "catalogue");
-        assert_eq!(list.targets[0].standing, Standing::Leaving);
+        assert_eq!(list.targets[0].state, ServingState::Leaving);
         assert_eq!(list.targets[0].incarnation, 12);
         assert_eq!(list.targets[0].addr.port(), 7001);
     });
@@ -108,7 +108,7 @@
         let text = format!(r#"{{"items":[{},{}]}}"#, list[0], list[1]);
         let listing = read_listing(text.as_bytes()).expect("it is a list");
         assert_eq!(listing.targets.len(), 1);
-        assert_eq!(listing.targets[0].standing, Standing::Leaving);
+        assert_eq!(listing.targets[0].state, ServingState::Leaving);
     }
 }
 
--- a/components/targets/src/answer.rs
+++ b/components/targets/src/answer.rs
@@ -6,7 +6,7 @@
 use hyper::{HeaderMap, Response, StatusCode, body::Incoming, header::RETRY_AFTER};
 use net::{SendError, read_all};
 use serde::Deserialize;
-use types::Run;
+use types::Execution;
 
 use crate::api::TargetError;
 
@@ -18,7 +18,7 @@
 /// The part of a problem document that matters here.
 #[derive(Deserialize)]
 struct Problem {
-    run: Option<Run>,
+    run: Option<Execution>,
 }
 
 impl From<SendError> for TargetError {
@@ -93,7 +93,7 @@
         .ok()
         .and_then(|p| p.run)
     {
-        Some(run) => run == Run::NotRun,
+        Some(run) => run == Execution::NotRun,
         None => retry_after.is_some(),
     }
 }
--- a/components/targets/tests/wire/mod.rs
+++ b/components/targets/tests/wire/mod.rs
@@ -7,7 +7,7 @@
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpStream},
 };
-use types::{Standing, Target};
+use types::{ServingState, Target};
 
 /// What one connection does.
 #[derive(Clone, Debug)]
@@ -79,7 +79,7 @@
             data_centre: "one".into(),
             addr: self.addr,
             incarnation: 1,
-            standing: Standing::Live,
+            state: ServingState::Live,
         }
     }
 }
--- a/components/types/src/ids.rs
+++ b/components/types/src/ids.rs
@@ -23,7 +23,7 @@
 /// Number of a permit, unique per owner instance and its incarnation.
 pub type PermitId = u64;
 /// Number of an ask, unique per entry instance and its incarnation.
-pub type AskId = u64;
+pub type PermitRequestId = u64;
 /// A count of tokens.
 pub type Tokens = u64;
 /// A point in time on one process's own steady clock, as time since that process started.
--- a/components/types/src/lib.rs
+++ b/components/types/src/lib.rs
@@ -7,8 +7,8 @@
 
 pub use class::Class;
 pub use ids::{
-    AskId, ConfigVersion, DataCentreId, Epoch, Incarnation, InstanceId, Moment, PermitId, RouteId,
-    ServiceId, TargetId, Tokens, WorkspaceId,
+    ConfigVersion, DataCentreId, Epoch, Incarnation, InstanceId, Moment, PermitId, PermitRequestId,
+    RouteId, ServiceId, TargetId, Tokens, WorkspaceId,
 };
-pub use refusal::{Refusal, Run};
-pub use target::{Listing, Member, ServiceKind, Shard, Standing, Target};
+pub use refusal::{Execution, Refusal};
+pub use target::{Listing, Member, ServiceKind, ServingState, Shard, Target};
--- a/components/types/src/refusal.rs
+++ b/components/types/src/refusal.rs
@@ -8,7 +8,7 @@
 /// What is known about the execution of a refused request.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Run {
+pub enum Execution {
     /// No byte left for a target, or the target itself said that it did not run.
     #[display("not-run")]
     NotRun,
@@ -27,7 +27,7 @@
     /// HTTP status.
     pub status: u16,
     /// What is known about the execution.
-    pub run: Run,
+    pub execution: Execution,
     /// Short machine-readable name, for instance `queue-full`.
     pub code: Arc<str>,
     /// Short summary for people.
@@ -44,7 +44,7 @@
     pub fn new(status: u16, code: &str, title: &str, detail: &str) -> Self {
         Self {
             status,
-            run: Run::NotRun,
+            execution: Execution::NotRun,
             code: code.into(),
             title: title.into(),
             detail: detail.into(),
@@ -54,8 +54,8 @@
 
     /// Sets what is known about the execution.
     #[must_use]
-    pub const fn with_run(mut self, run: Run) -> Self {
-        self.run = run;
+    pub const fn with_execution(mut self, execution: Execution) -> Self {
+        self.execution = execution;
         self
     }
 
--- a/components/types/src/target.rs
+++ b/components/types/src/target.rs
@@ -23,7 +23,7 @@
 /// Whether the platform's list names a process as staying or going.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Display, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Standing {
+pub enum ServingState {
     /// In service.
     #[default]
     #[display("live")]
@@ -47,7 +47,8 @@
     /// Which life of the process this is.
     pub incarnation: Incarnation,
     /// Whether it stays or goes.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub state: ServingState,
 }
 
 /// One celerystand instance as the platform lists it.
@@ -60,7 +61,8 @@
     /// Where it listens for other instances.
     pub addr: SocketAddr,
     /// Whether it stays or goes.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub state: ServingState,
 }
 
 /// The platform's list of instances and targets; it lags behind the truth.
@@ -98,7 +100,7 @@
 
     /// Tells whether a target belongs to this shard.
     #[must_use]
-    pub fn holds(&self, target: &Target) -> bool {
+    pub fn contains(&self, target: &Target) -> bool {
         target.service == self.service && target.data_centre == self.data_centre
     }
 }
--- a/components/view/src/believed.rs
+++ b/components/view/src/believed.rs
@@ -7,7 +7,7 @@
 };
 
 use parking_lot::RwLock;
-use types::{ConfigVersion, DataCentreId, Moment, ServiceId, Standing, TargetId};
+use types::{ConfigVersion, DataCentreId, Moment, ServiceId, ServingState, TargetId};
 
 use crate::{rules::Rules, target::Target};
 
@@ -192,7 +192,7 @@
         let mut beliefs = self.beliefs.write();
         let target = beliefs.targets.get(id).filter(|t| t.takes_work())?;
         let leaving = Arc::new(Target {
-            standing: Standing::Leaving,
+            standing: ServingState::Leaving,
             ..Target::clone(target)
         });
         beliefs.put(&leaving);
@@ -211,7 +211,8 @@
         let mut beliefs = self.beliefs.write();
         let standing = beliefs.targets.get(id)?.standing;
         let believed = outage_end.map(|at| at + LAPSE_GRACE);
-        if let Some(until) = believed.filter(|until| *until > now && standing == Standing::Live) {
+        if let Some(until) = believed.filter(|until| *until > now && standing == ServingState::Live)
+        {
             beliefs.lapsed.insert(Arc::clone(id), until);
             return None;
         }
--- a/components/view/src/target.rs
+++ b/components/view/src/target.rs
@@ -2,7 +2,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use types::{DataCentreId, ServiceId, Standing, TargetId};
+use types::{DataCentreId, ServiceId, ServingState, TargetId};
 
 /// Where a target listens.
 pub type Address = SocketAddr;
@@ -21,7 +21,7 @@
     /// Requests that it works on at once.
     pub slots: u32,
     /// Whether it stays or leaves.
-    pub standing: Standing,
+    pub standing: ServingState,
     /// How much longer it is cold, counted from when this was written.
     pub cold_left: Duration,
     /// When this life of it began, in Unix milliseconds, if it told; another life under the same
@@ -33,6 +33,6 @@
     /// Whether it takes new work as far as its listing tells.
     #[must_use]
     pub fn takes_work(&self) -> bool {
-        self.standing == Standing::Live
+        self.standing == ServingState::Live
     }
 }
--- a/components/view/tests/believed.rs
+++ b/components/view/tests/believed.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
-use types::Standing;
+use types::ServingState;
 use view::{Change, Holder, Identity, Kind, Route, Rules, Share, Target, Unidentified, View};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -25,7 +25,7 @@
     }
 }
 
-fn target(id: &str, standing: Standing, born: Option<u64>) -> Target {
+fn target(id: &str, standing: ServingState, born: Option<u64>) -> Target {
     Target {
         id: id.into(),
         service: "a-service".into(),
@@ -110,13 +110,13 @@
 #[test]
 fn listings_that_lapsed_in_an_outage_are_believed_for_a_while() {
     let view = View::new();
-    view.learn_target(target("t-1", Standing::Live, None));
-    view.learn_target(target("t-2", Standing::Live, None));
+    view.learn_target(target("t-1", ServingState::Live, None));
+    view.learn_target(target("t-2", ServingState::Live, None));
     let back = 100 * SECOND;
     assert_eq!(view.unlist_target(&"t-1".into(), back, Some(back)), None);
     assert_eq!(view.unlist_target(&"t-2".into(), back, Some(back)), None);
     assert!(view.target("t-1").is_some());
-    view.learn_target(target("t-1", Standing::Live, None));
+    view.learn_target(target("t-1", ServingState::Live, None));
     let later = view.expire_lapsed(back + 3 * SECOND);
     assert!(matches!(&later[..], [Change::Leaving(gone)] if &*gone.id == "t-2"));
     assert!(view.target("t-1").is_some());
@@ -125,7 +125,7 @@
 #[test]
 fn a_listing_dropped_on_a_calm_day_is_gone_at_once() {
     let view = View::new();
-    view.learn_target(target("t-1", Standing::Live, None));
+    view.learn_target(target("t-1", ServingState::Live, None));
     let change = view.unlist_target(&"t-1".into(), SECOND, None);
     assert!(matches!(change, Some(Change::Leaving(_))));
     assert!(view.target("t-1").is_none());
@@ -136,7 +136,7 @@
 #[test]
 fn word_that_a_target_leaves_counts_before_its_listing_says_so() {
     let view = View::new();
-    view.learn_target(target("t-1", Standing::Live, None));
+    view.learn_target(target("t-1", ServingState::Live, None));
     let change = view.hear_leaving(&"t-1".into());
     assert!(matches!(change, Some(Change::Leaving(_))));
     assert_eq!(view.hear_leaving(&"t-1".into()), None);
@@ -149,17 +149,17 @@
 #[test]
 fn a_new_life_under_an_old_id_is_noticed() {
     let view = View::new();
-    view.learn_target(target("t-1", Standing::Live, Some(1)));
-    let change = view.learn_target(target("t-1", Standing::Live, Some(2)));
+    view.learn_target(target("t-1", ServingState::Live, Some(1)));
+    let change = view.learn_target(target("t-1", ServingState::Live, Some(2)));
     assert!(matches!(change, Some(Change::Reborn(_))));
-    let again = view.learn_target(target("t-1", Standing::Live, Some(2)));
+    let again = view.learn_target(target("t-1", ServingState::Live, Some(2)));
     assert_eq!(again, None);
 }
 
 #[test]
 fn a_closed_data_centre_gets_no_work_until_it_is_opened() {
     let view = View::new();
-    view.learn_target(target("t-1", Standing::Live, None));
+    view.learn_target(target("t-1", ServingState::Live, None));
     let known = view.target("t-1").expect("listed");
     assert!(view.takes_work(&known));
     view.learn_closed(&"dc-1".into(), true);
--- a/components/wire/src/codec.rs
+++ b/components/wire/src/codec.rs
@@ -10,7 +10,7 @@
 use crate::message::Envelope;
 
 /// The longest envelope that is taken, in bytes.
-pub const SIZE_LIMIT: usize = 4 * 1024 * 1024;
+pub const MAX_ENVELOPE_BYTES: usize = 4 * 1024 * 1024;
 
 const TAG_BYTES: usize = 32;
 
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum WireError {
     /// Longer than `SIZE_LIMIT`.
-    #[display("the envelope is larger than {SIZE_LIMIT} bytes")]
+    #[display("the envelope is larger than {MAX_ENVELOPE_BYTES} bytes")]
     TooLarge,
     /// Too short, or made with another key.
     #[display("the envelope is not authentic")]
@@ -72,7 +72,7 @@
     /// # Errors
     /// Tells what is wrong with the bytes.
     pub fn open<T: serde::de::DeserializeOwned>(&self, sealed: &[u8]) -> Result<T, WireError> {
-        if sealed.len() > SIZE_LIMIT {
+        if sealed.len() > MAX_ENVELOPE_BYTES {
             return Err(WireError::TooLarge);
         }
         let (tag, body) = sealed
--- a/components/wire/src/heartbeat.rs
+++ b/components/wire/src/heartbeat.rs
@@ -5,7 +5,7 @@
 
 /// What an instance knows about the ownership of a shard.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Claim {
+pub struct KnownOwner {
     /// The shard.
     pub shard: Shard,
     /// The term of ownership.
@@ -50,7 +50,7 @@
     pub owned: Vec<ShardSummary>,
     /// For shards owned by the receiver: the ownership that the sender follows. For shards that
     /// the receiver claims in an outdated term: the newest term that the sender knows.
-    pub follows: Vec<Claim>,
+    pub follows: Vec<KnownOwner>,
     /// A digest of what the sender knows of requests that crash targets.
     pub quarantine: u64,
 }
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -5,9 +5,10 @@
 pub mod message;
 pub mod permit;
 
-pub use codec::{Key, SIZE_LIMIT, WireError};
-pub use heartbeat::{Claim, Heartbeat, ShardSummary};
+pub use codec::{Key, MAX_ENVELOPE_BYTES, WireError};
+pub use heartbeat::{Heartbeat, KnownOwner, ShardSummary};
 pub use message::{Envelope, Message};
 pub use permit::{
-    Ask, Deny, Done, Grant, Held, HeldPermit, Outcome, PERMIT_LIFE, Query, Recall, Withdraw,
+    Deny, Done, Grant, Held, HeldPermit, Outcome, PERMIT_LIFETIME, PermitRequest, Query, Revoke,
+    Withdraw,
 };
--- a/components/wire/src/message.rs
+++ b/components/wire/src/message.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     heartbeat::Heartbeat,
-    permit::{Ask, Deny, Done, Grant, Held, Query, Recall, Withdraw},
+    permit::{Deny, Done, Grant, Held, PermitRequest, Query, Revoke, Withdraw},
 };
 
 /// One message from one instance to another. Delivery is at most once and in order per pair;
@@ -15,7 +15,8 @@
 #[derive(Clone, Debug, Deserialize, From, PartialEq, Serialize)]
 pub enum Message {
     /// An entry asks an owner for a permit.
-    Ask(Ask),
+    #[serde(rename = "Ask")]
+    PermitRequest(PermitRequest),
     /// An entry takes an ask back.
     Withdraw(Withdraw),
     /// An owner grants a permit.
@@ -25,7 +26,8 @@
     /// An entry gives a permit back.
     Done(Done),
     /// An owner asks for a permit back whose caller has seen nothing yet.
-    Recall(Recall),
+    #[serde(rename = "Recall")]
+    Revoke(Revoke),
     /// A new owner asks what an entry holds on a shard.
     Query(Query),
     /// An entry tells what it holds on a shard.
@@ -33,9 +35,11 @@
     /// Periodic sign of life.
     Heartbeat(Heartbeat),
     /// A target ended while it ran a request for the sender; the receiver sums such evidence up.
-    Ended(Evidence),
+    #[serde(rename = "Ended")]
+    TargetCrashed(Evidence),
     /// How requests are taken under which targets ended.
-    Words(Vec<Verdict>),
+    #[serde(rename = "Words")]
+    Verdicts(Vec<Verdict>),
 }
 
 /// A batch of messages from one instance to one other.
@@ -51,7 +55,8 @@
     pub to: InstanceId,
     /// Grows with each envelope of this life of the sender to this receiver; one that does not
     /// grow was delayed or sent again by somebody else and is dropped.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub sequence: u64,
     /// The messages, in order.
     pub messages: Vec<Message>,
 }
--- a/components/wire/src/permit.rs
+++ b/components/wire/src/permit.rs
@@ -4,20 +4,21 @@
 
 use serde::{Deserialize, Serialize};
 use types::{
-    AskId, Class, Epoch, Incarnation, Moment, PermitId, RouteId, ServiceKind, Shard, TargetId,
-    Tokens, WorkspaceId,
+    Class, Epoch, Incarnation, Moment, PermitId, PermitRequestId, RouteId, ServiceKind, Shard,
+    TargetId, Tokens, WorkspaceId,
 };
 
 /// How long a permit may be used, counted from the entry's clock stamp that it answers.
-pub const PERMIT_LIFE: Duration = Duration::from_millis(1000);
+pub const PERMIT_LIFETIME: Duration = Duration::from_millis(1000);
 
 /// An entry asks a shard's owner for a permit.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Ask {
+pub struct PermitRequest {
     /// Which shard.
     pub shard: Shard,
     /// The entry's number for this ask.
-    pub ask: AskId,
+    #[serde(rename = "ask")]
+    pub permit_request: PermitRequestId,
     /// The entry's own clock at sending; the grant carries it back.
     pub stamp: Moment,
     /// What the shard's targets are.
@@ -29,11 +30,13 @@
     /// The request's route; lengths are learned by it.
     pub route: RouteId,
     /// Time left until the caller's deadline.
-    pub within: Duration,
+    #[serde(rename = "within")]
+    pub deadline_left: Duration,
     /// Time the request has waited already, at this or another owner.
     pub waited: Duration,
     /// Tokens in the prompt.
-    pub prompt: Tokens,
+    #[serde(rename = "prompt")]
+    pub prompt_tokens: Tokens,
     /// The most tokens the caller lets the engine produce.
     pub max_output: Tokens,
     /// How many concurrent calls the permit should cover; 1 for generations.
@@ -50,7 +53,8 @@
     /// Which shard.
     pub shard: Shard,
     /// The ask.
-    pub ask: AskId,
+    #[serde(rename = "ask")]
+    pub permit_request: PermitRequestId,
 }
 
 /// An owner grants a permit.
@@ -61,7 +65,8 @@
     /// The owner's term.
     pub epoch: Epoch,
     /// The ask it answers.
-    pub ask: AskId,
+    #[serde(rename = "ask")]
+    pub permit_request: PermitRequestId,
     /// The permit's number.
     pub permit: PermitId,
     /// Where the work may go.
@@ -76,7 +81,8 @@
     /// until `stamp + life` on the entry's clock, so a grant of a frozen owner is void.
     pub stamp: Moment,
     /// How long after `stamp` work may be sent.
-    pub life: Duration,
+    #[serde(rename = "life")]
+    pub lifetime: Duration,
     /// Whether the target is in cold start.
     pub cold: bool,
 }
@@ -87,7 +93,8 @@
     /// Which shard.
     pub shard: Shard,
     /// The ask.
-    pub ask: AskId,
+    #[serde(rename = "ask")]
+    pub permit_request: PermitRequestId,
     /// When to come back; `None` if this owner no longer serves the shard and the entry should
     /// ask elsewhere.
     pub retry_after: Option<Duration>,
@@ -135,7 +142,7 @@
 
 /// An owner asks for a permit back whose caller has seen nothing yet.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Recall {
+pub struct Revoke {
     /// Which shard.
     pub shard: Shard,
     /// The permit.
@@ -170,7 +177,8 @@
     /// The route.
     pub route: RouteId,
     /// Tokens in the prompt.
-    pub prompt: Tokens,
+    #[serde(rename = "prompt")]
+    pub prompt_tokens: Tokens,
     /// The most tokens the caller lets the engine produce.
     pub max_output: Tokens,
     /// Tokens produced so far.
@@ -178,7 +186,8 @@
     /// Concurrent calls it covers.
     pub slots: u32,
     /// Whether the caller has seen any of the answer.
-    pub seen: bool,
+    #[serde(rename = "seen")]
+    pub answer_started: bool,
 }
 
 /// An entry tells an owner all that it holds on a shard: the answer to a `Query`, and otherwise
--- a/components/wire/tests/codec.rs
+++ b/components/wire/tests/codec.rs
@@ -18,7 +18,7 @@
         from: "a".into(),
         incarnation: 3,
         to: to.into(),
-        number: 1,
+        sequence: 1,
         messages: vec![Message::Held(held)],
     }
 }
--- a/tests/promises_calls.rs
+++ b/tests/promises_calls.rs
@@ -15,7 +15,7 @@
     platform,
 };
 use timer::Timer;
-use types::Run;
+use types::Execution;
 
 /// Time between two looks at something that takes a while.
 const POLL: Duration = Duration::from_millis(20);
@@ -116,7 +116,7 @@
     deployment.platform_fault(&faults).await;
 }
 
-fn refusal(record: &Record) -> (u16, &str, Option<Run>) {
+fn refusal(record: &Record) -> (u16, &str, Option<Execution>) {
     match &record.outcome {
         Outcome::Refused {
             status, code, run, ..
@@ -161,7 +161,10 @@
         let other = save("other", Some("key-0"));
         for addr in entries {
             let record = caller.follow(&[addr], &other).await;
-            assert_eq!(refusal(&record), (422, "key-reused", Some(Run::NotRun)));
+            assert_eq!(
+                refusal(&record),
+                (422, "key-reused", Some(Execution::NotRun))
+            );
             records.push(record);
         }
         assert_eq!(effects(deployment, "other").await, 0);
@@ -192,7 +195,10 @@
         until_effect(deployment, "keyless").await;
         cut_services(deployment).await;
         let record = sending.await;
-        assert_eq!(refusal(&record), (504, "answer-lost", Some(Run::Unknown)));
+        assert_eq!(
+            refusal(&record),
+            (504, "answer-lost", Some(Execution::Unknown))
+        );
         records.push(record);
         assert_eq!(effects(deployment, "keyless").await, 1);
 
@@ -202,7 +208,10 @@
         for (number, addr) in entries.iter().enumerate() {
             let name = format!("outage-{number}");
             let record = caller.follow(&[*addr], &save(&name, Some(&name))).await;
-            assert_eq!(refusal(&record), (503, "store-down", Some(Run::NotRun)));
+            assert_eq!(
+                refusal(&record),
+                (503, "store-down", Some(Execution::NotRun))
+            );
             assert_eq!(effects(deployment, &name).await, 0);
             records.push(record);
             // Calls without a key go on.
@@ -234,7 +243,7 @@
             let (_, code, run) = refusal(&record);
             told.insert(code.to_owned(), run);
         }
-        let unknown = BTreeMap::from([("outcome-unknown".to_owned(), Some(Run::Unknown))]);
+        let unknown = BTreeMap::from([("outcome-unknown".to_owned(), Some(Execution::Unknown))]);
         assert_eq!(told, unknown, "all instances tell the same");
         assert_eq!(effects(deployment, "keyed").await, 1);
         assert_no_breach(deployment, &records).await;
