--- a/components/front/src/instances/joining.rs
+++ b/components/front/src/instances/joining.rs
@@ -1,46 +1,49 @@
-//! Whom an instance that has started greets, and who looks for other instances again. No I/O.
+//! Decides which peers an instance greets after its start, and which instances reread the members
+//! from the store. No I/O.
 //!
-//! All instances start together after a loss of power. Greetings of all by all would be O(n²), and
-//! looks of all at the list O(n) calls to the store. An instance that owns nothing and reads for
-//! nobody is known early enough by its first sync.
+//! After a power failure all instances start together. If each greeted all others, that would take
+//! O(n²) messages, and if each reread the members, O(n) calls to the store. An instance that is
+//! neither an owner nor a reader becomes known early enough by its first sync.
 
 use std::collections::BTreeSet;
 
 use types::InstanceId;
 
 /// Instances at the head of an order that greet each other at the start. Small deployments have no
-/// more, so that each of them knows all at once.
+/// more instances than that, so there each instance knows all others at once.
 pub const GREETED_PER_ORDER: usize = 12;
-/// Instances at the head of an order that lead: a group that does not know the rest follows one of
-/// these.
+/// Instances at the head of an order that lead. A group of instances that does not know the rest
+/// takes one of its own leaders for the owner or reader, so leaders reread the members.
 const LEADERS: usize = 2;
-/// Instances that look again, beside those that lead. The others hear of new members from those.
+/// Mean number of instances that reread the members, besides the leaders. The others get new
+/// members from those.
 const EXTRA_READERS: f64 = 8.0;
 
-/// Instances that `me` greets when it has started. An order says in which order instances would own
-/// or read something; only those at its head need to know each other at once.
+/// The peers that `me` greets after its start: the heads of those orders in whose head it is. Each
+/// order ranks the instances as owners of a shard or readers of a topic; only those at its head
+/// need to know each other at once.
 #[must_use]
 pub fn peers_to_greet<'a>(
     me: &InstanceId,
     orders: &'a [Vec<InstanceId>],
 ) -> BTreeSet<&'a InstanceId> {
     let heads = orders.iter().map(|order| head(order, GREETED_PER_ORDER));
-    let mine = heads.filter(|head| head.contains(me));
-    mine.flatten().filter(|id| *id != me).collect()
+    let own = heads.filter(|head| head.contains(me));
+    own.flatten().filter(|id| *id != me).collect()
 }
 
-/// Whether `me` looks at the members in the store again, as one of `count` instances that it knows;
-/// `luck` from 0 up to 1 chooses among those that lead nowhere.
+/// Whether `me`, as one of `count` known instances, rereads the members from the store. Leaders
+/// always do; of the others, a uniform random number `random` in [0, 1) chooses a few.
 #[must_use]
 pub fn rereads_members(
     me: &InstanceId,
     orders: &[Vec<InstanceId>],
     count: usize,
-    luck: f64,
+    random: f64,
 ) -> bool {
     let leads = orders.iter().any(|order| head(order, LEADERS).contains(me));
     let count = u32::try_from(count).unwrap_or(u32::MAX);
-    leads || luck * f64::from(count) < EXTRA_READERS
+    leads || random * f64::from(count) < EXTRA_READERS
 }
 
 fn head(order: &[InstanceId], length: usize) -> &[InstanceId] {
--- a/components/front/src/instances/membership.rs
+++ b/components/front/src/instances/membership.rs
@@ -1,4 +1,5 @@
-//! Gets to know the other instances, and tells owners what this one holds.
+//! Membership: discovers the other instances, and syncs this instance's generations with the owners
+//! of their engines.
 
 use std::{collections::BTreeSet, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,79 +18,81 @@
     store::timeouts,
 };
 
-/// Time between two syncs with the owners.
+/// Period of the syncs with owners.
 const SYNC_PERIOD: Duration = Duration::from_millis(700);
-/// Rounds of syncs between two in which an instance that holds nothing makes itself heard. Owners
-/// hear of ends by notes; this makes up for lost ones, and tells of new members.
-const IDLE_ROUNDS: u32 = 3;
-/// The first of these rounds: one that has just started knows nothing of requests that crash targets.
-const FIRST_ROUND: u32 = 1;
-/// Time for a peer to take a sync.
+/// An instance without generations syncs only every so many periods. This repairs lost updates on
+/// ended generations, and spreads new members.
+const IDLE_SYNC_INTERVAL: u32 = 3;
+/// The first period in which an idle instance syncs: one that has just started needs the verdicts
+/// on requests that crash targets.
+const FIRST_IDLE_SYNC: u32 = 1;
+/// Time for a peer to answer a sync or a hello.
 const SYNC_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time between two looks at the members in the store. Instances also hear of each other from
+/// Period of the reads of the members from the store. Instances also discover each other through
 /// the owners that they sync with.
 const MEMBERS_PERIOD: Duration = Duration::from_secs(30);
-/// Time until the second look. Where all instances start for the first time, the first look shows
-/// some of them only; those that know other parts of all have other owners, and engines are filled
-/// twice for as long as that lasts.
-const SECOND_LOOK: Duration = Duration::from_millis(1_500);
-/// Time in which all instances of a first start are up.
-const FIRST_START: Duration = Duration::from_millis(350);
-/// Tries to reach an instance that the settings name; all start at about the same time.
-const SEED_TRIES: usize = 5;
-/// Time before the store is asked again for the members, when it failed.
-const MEMBERS_PAUSE: Duration = Duration::from_millis(700);
+/// Time until the second read. When all instances start for the first time, the first read shows
+/// only some of them. Instances that know different members disagree on owners, and engines are
+/// overfilled for as long as that lasts.
+const SECOND_READ_DELAY: Duration = Duration::from_millis(1_500);
+/// Time within which all instances are up when they start together for the first time.
+const FIRST_START_TIME: Duration = Duration::from_millis(350);
+/// Attempts to reach a seed, which may be starting at the same time.
+const MAX_SEED_ATTEMPTS: usize = 5;
+/// Mean pause after a failed call to the store or a seed.
+const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
-/// What a look at the members in the store showed.
-struct Look {
+/// What a read of the members from the store showed.
+struct StoredMembers {
     /// Other instances are listed.
-    others: bool,
-    /// This instance is listed as it is.
-    lists_me: bool,
+    has_others: bool,
+    /// This instance is listed with its current address, capacity and data centre.
+    has_me: bool,
 }
 
-/// Makes this instance known, and gets to know the others: from the store, or while that is away
-/// from instances that the settings name.
+/// Announces this instance and discovers the others: through the store, or through the seeds in the
+/// settings while the store is unavailable. Then rereads the members from time to time.
 pub async fn join(front: Arc<Front>, store: Arc<dyn Store>) {
-    let first = look(&front, &store).await;
+    let first = read_members(&front, &store).await;
     match &first {
-        Some(look) if !look.others && !front.cfg.seeds.is_empty() => {
-            // All start for the first time. Once each has greeted the seeds these know nearly all.
+        Some(stored) if !stored.has_others && !front.cfg.seeds.is_empty() => {
+            // All instances start for the first time. Each announces itself to the seeds now, and
+            // asks them for the others once the seeds know nearly all.
             for seed in front.cfg.seeds.clone() {
                 let front = Arc::clone(&front);
                 let greeting = async move {
-                    // One that is not up yet is greeted again below.
+                    // A seed that is not up yet is contacted again below.
                     let hello = hello(&front, false);
                     let _ = front.peers.exchange(seed, &hello, SYNC_TIMEOUT).await;
                 };
                 workers::spawn(greeting).detach();
             }
             let front = Arc::clone(&front);
-            let asking = async move {
-                smol::Timer::after(FIRST_START).await;
+            let delayed = async move {
+                smol::Timer::after(FIRST_START_TIME).await;
                 greet_seeds(&front);
             };
-            workers::spawn(asking).detach();
+            workers::spawn(delayed).detach();
         }
         Some(_) => front.peers_known.open(),
         None => {
-            // Whoever follows the store must find another source at once.
+            // The store is unavailable: its followers must turn to another source at once.
             front.peers_known.open();
             greet_seeds(&front);
         }
     }
-    let listed = first.is_some_and(|look| look.lists_me);
-    if !listed {
+    let was_listed = first.is_some_and(|stored| stored.has_me);
+    if !was_listed {
         announce(&front, &store).await;
     }
-    greet(&front);
-    let mut pause = SECOND_LOOK;
+    greet_peers(&front);
+    let mut pause = SECOND_READ_DELAY;
     loop {
         smol::Timer::after(pause).await;
-        // Who was listed before has seen all that were listed with it.
-        let is_new = pause == SECOND_LOOK && !listed;
-        if (is_new || pause == MEMBERS_PERIOD) && looks_again(&front) {
-            look_until_seen(&front, &store).await;
+        // An instance that was listed before has already read the others that were.
+        let is_new = pause == SECOND_READ_DELAY && !was_listed;
+        if (is_new || pause == MEMBERS_PERIOD) && should_reread_members(&front) {
+            read_members_until_success(&front, &store).await;
         }
         pause = MEMBERS_PERIOD;
     }
@@ -107,105 +110,103 @@
     }
 }
 
-async fn look_until_seen(front: &Arc<Front>, store: &Arc<dyn Store>) {
-    while look(front, store).await.is_none() {
+async fn read_members_until_success(front: &Arc<Front>, store: &Arc<dyn Store>) {
+    while read_members(front, store).await.is_none() {
         pause_after_failure().await;
     }
 }
 
 async fn pause_after_failure() {
-    smol::Timer::after(MEMBERS_PAUSE.mul_f64(0.5 + fastrand::f64())).await;
+    smol::Timer::after(RETRY_PAUSE.mul_f64(0.5 + fastrand::f64())).await;
 }
 
-/// Learns the members that are listed in the store; nothing comes of it where the store fails.
-async fn look(front: &Arc<Front>, store: &Arc<dyn Store>) -> Option<Look> {
-    let news = store
+/// Reads the members and the quarantine records from the store and applies them; none if the store
+/// fails.
+async fn read_members(front: &Arc<Front>, store: &Arc<dyn Store>) -> Option<StoredMembers> {
+    let update = store
         .read(Topic::Members, timeouts::READ_TIMEOUT)
         .await
         .ok()?;
     let me = front.peers.me();
-    let mut look = Look {
-        others: false,
-        lists_me: false,
+    let mut stored = StoredMembers {
+        has_others: false,
+        has_me: false,
     };
-    for row in &news.rows {
+    for row in &update.rows {
         let member = match store.decode(Topic::Members, row) {
             Some(Record::Member(member)) => member,
-            Some(Record::Quarantined(kept)) => {
-                record::apply_stored(front, &kept);
+            Some(Record::Quarantined(record)) => {
+                record::apply_stored(front, &record);
                 continue;
             }
             _ => continue,
         };
         if member.id == me.id {
-            look.lists_me = member.is_same_except_start(me);
+            stored.has_me = member.is_same_except_start(me);
         } else {
-            look.others = true;
+            stored.has_others = true;
             front.peers.upsert(member);
         }
     }
-    Some(look)
+    Some(stored)
 }
 
-/// Whether this instance looks at the members in the store again. Each look has its price, and
-/// what one has seen the others hear at their next sync.
-fn looks_again(front: &Front) -> bool {
+/// Whether this instance rereads the members from the store. Each read has a cost, and what one
+/// instance has read reaches the others with their next syncs.
+fn should_reread_members(front: &Front) -> bool {
     let owners = front.shards_of_all().map(|shard| front.owners(&shard));
-    let orders: Vec<Vec<InstanceId>> = reading_orders(front).into_iter().chain(owners).collect();
+    let orders: Vec<Vec<InstanceId>> = reader_orders(front).into_iter().chain(owners).collect();
     let count = front.peers.count();
     joining::rereads_members(&front.cfg.instance, &orders, count, fastrand::f64())
 }
 
-/// Instances in the order in which they read each topic for others.
-fn reading_orders(front: &Front) -> [Vec<InstanceId>; 2] {
+/// The instances in the order in which they read each topic from the store.
+fn reader_orders(front: &Front) -> [Vec<InstanceId>; 2] {
     [Topic::Operator, Topic::Targets].map(|topic| front.peers.readers(topic))
 }
 
-/// Makes this instance known to one that the settings name, and learns of others from it.
+/// Introduces this instance to a seed, and applies the members and verdicts that the seed returns.
 pub async fn greet_seed(front: Arc<Front>, seed: SocketAddr) {
     let message = hello(&front, true);
-    for _ in 0..SEED_TRIES {
+    for _ in 0..MAX_SEED_ATTEMPTS {
         let reply = front.peers.exchange(seed, &message, SYNC_TIMEOUT).await;
         if let Ok(reply) = reply {
-            if let Reply::Members {
-                verdicts: words, ..
-            } = &reply
-            {
-                aggregation::apply_verdicts(&front, words);
+            if let Reply::Members { verdicts, .. } = &reply {
+                aggregation::apply_verdicts(&front, verdicts);
             }
-            learn_members(&front, None, Some(reply));
+            apply_members(&front, None, Some(reply));
             front.peers_known.open();
             return;
         }
-        smol::Timer::after(MEMBERS_PAUSE).await;
+        smol::Timer::after(RETRY_PAUSE).await;
     }
 }
 
-/// Makes this instance known to those that may own or read, if it may itself: two that don't know of
-/// each other would both take themselves for the owner. All others make themselves known by their
+/// If this instance may be an owner or a reader, introduces it to the others that may: two that
+/// don't know of each other would both act as the owner. All other instances become known by their
 /// syncs.
-fn greet(front: &Arc<Front>) {
-    let orders = reading_orders(front);
+fn greet_peers(front: &Arc<Front>) {
+    let orders = reader_orders(front);
     for peer in joining::peers_to_greet(&front.cfg.instance, &orders) {
         let (front, peer) = (Arc::clone(front), Arc::clone(peer));
-        workers::spawn(async move { say_hello(&front, &peer).await }).detach();
+        workers::spawn(async move { greet_peer(&front, &peer).await }).detach();
     }
 }
 
-fn hello(front: &Front, asks: bool) -> Message {
+fn hello(front: &Front, wants_leaders: bool) -> Message {
     Message::Hello {
         member: front.peers.me().clone(),
-        wants_leaders: asks,
+        wants_leaders,
     }
 }
 
-async fn say_hello(front: &Front, peer: &InstanceId) {
+async fn greet_peer(front: &Front, peer: &InstanceId) {
     let message = hello(front, false);
-    // Whether it answers is noted with the peer; there is nothing else to learn from it.
+    // `call` records whether the peer answers; the reply carries nothing else.
     let _ = front.peers.call(peer, &message, SYNC_TIMEOUT).await;
 }
 
-fn learn_members(front: &Front, from: Option<&InstanceId>, reply: Option<Reply>) {
+fn apply_members(front: &Front, from: Option<&InstanceId>, reply: Option<Reply>) {
     let Some(Reply::Members {
         members, revision, ..
     }) = reply
@@ -220,14 +221,16 @@
     }
 }
 
-/// Tells owners from time to time what this instance holds.
+/// Periodically syncs this instance's generations with the owners of their engines, and removes
+/// targets that are no longer listed from the shared state.
 pub async fn sync_with_owners(front: Arc<Front>) {
     let mut ticks = Timer::new().every(SYNC_PERIOD);
     let mut round = 0_u32;
     loop {
         ticks.next().await;
         round = round.wrapping_add(1);
-        // Beside the syncs: an owner forgets in seconds what it does not hear of.
+        // Not awaited: owners drop generations that are not synced for seconds, so an unresponsive
+        // peer must not delay the syncs.
         for peer in front
             .peers
             .due_for_retry()
@@ -235,10 +238,10 @@
             .take(joining::GREETED_PER_ORDER)
         {
             let front = Arc::clone(&front);
-            workers::spawn(async move { say_hello(&front, &peer).await }).detach();
+            workers::spawn(async move { greet_peer(&front, &peer).await }).detach();
         }
-        for shard in shards(&front) {
-            sync_shard(&front, shard, round % IDLE_ROUNDS == FIRST_ROUND).await;
+        for shard in shards_to_sync(&front) {
+            sync_shard(&front, shard, round % IDLE_SYNC_INTERVAL == FIRST_IDLE_SYNC).await;
         }
         let targets = front.view.targets();
         front.selector.lock().retain(|id| targets.contains_key(id));
@@ -255,13 +258,13 @@
     }
 }
 
-/// Parts of services' engines whose owners are told: those where something runs for this
-/// instance, and one at least of each service, for the owner also tells of other instances.
-fn shards(front: &Front) -> BTreeSet<Shard> {
-    let running = front.generations.snapshots();
-    let mut shards: BTreeSet<Shard> = running
+/// The shards to sync: those in which this instance has generations, and at least one of each
+/// service, since the owner also returns other instances.
+fn shards_to_sync(front: &Front) -> BTreeSet<Shard> {
+    let generations = front.generations.snapshots();
+    let mut shards: BTreeSet<Shard> = generations
         .iter()
-        .map(|run| front.shard_of(&run.service, &run.target))
+        .map(|it| front.shard_of(&it.service, &it.target))
         .collect();
     let Some(rules) = front.view.rules() else {
         return shards;
@@ -274,33 +277,33 @@
     shards
 }
 
-/// Tells the owner of a part what this instance holds there; nothing at all is told in some rounds
-/// only.
-async fn sync_shard(front: &Front, shard: Shard, tells_nothing: bool) {
-    let mut runs = front.generations.snapshots();
-    runs.retain(|run| run.service == shard.service && shard.contains(&run.target));
-    if runs.is_empty() && !tells_nothing {
+/// Syncs this instance's generations in a shard with its owner; if there are none, only if
+/// `even_if_idle`.
+async fn sync_shard(front: &Front, shard: Shard, even_if_idle: bool) {
+    let mut generations = front.generations.snapshots();
+    generations.retain(|it| it.service == shard.service && shard.contains(&it.target));
+    if generations.is_empty() && !even_if_idle {
         return;
     }
     let Some(owner) = front.owners(&shard).into_iter().next() else {
         return;
     };
-    let held = StateSync {
+    let state = StateSync {
         entry: Arc::clone(&front.cfg.instance),
         shard,
-        generations: runs,
+        generations,
     };
     if owner == front.cfg.instance {
-        front.placement.owner.lock().apply_sync(boot_time(), &held);
+        front.placement.owner.lock().apply_sync(boot_time(), &state);
         return;
     }
     let message = Message::Sync {
         member: front.peers.me().clone(),
-        held,
+        state,
         known_revision: front.peers.revision_of(&owner),
         quarantine_digest: front.quarantine.lock().digest(boot_time()),
     };
     let reply = front.peers.call(&owner, &message, SYNC_TIMEOUT).await;
     aggregation::reconcile(front, &owner, reply.as_ref()).await;
-    learn_members(front, Some(&owner), reply);
+    apply_members(front, Some(&owner), reply);
 }
--- a/components/front/src/instances/message_handler.rs
+++ b/components/front/src/instances/message_handler.rs
@@ -1,4 +1,4 @@
-//! Takes the other instances' messages.
+//! Handles the messages of other instances.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,7 +12,7 @@
 use crate::{
     generations::migration,
     instances::{
-        peers::{MESSAGE_LIMIT, MESSAGES_PATH, Members},
+        peers::{MAX_MESSAGE_BYTES, MESSAGES_PATH, Members},
         wire::{Message, Reply, Topic},
     },
     quarantine::aggregation,
@@ -21,22 +21,22 @@
     target_rates,
 };
 
-/// Time for a message to arrive whole.
-const BODY_TIMEOUT: Duration = Duration::from_secs(1);
+/// The longest pause within a message that has begun to arrive.
+const BODY_PAUSE: Duration = Duration::from_secs(1);
 
-/// The longest time that an instance is kept waiting for news.
+/// The longest time that a follower waits for changes of a topic.
 const MAX_FOLLOW_WAIT: Duration = Duration::from_secs(3);
 
-/// The longest time that one is kept waiting by an instance that knows nothing yet.
+/// The longest time that a follower waits for the first data on a topic.
 const FIRST_UPDATE_WAIT: Duration = Duration::from_millis(300);
 
-/// Takes the other instances' messages.
+/// Handles the messages of other instances, at their own address and at that of the admin server.
 pub struct MessageHandler {
     front: Arc<Front>,
 }
 
 impl MessageHandler {
-    /// Makes it for an instance.
+    /// Handles messages with the state of this instance.
     #[must_use]
     pub const fn new(front: Arc<Front>) -> Self {
         Self { front }
@@ -46,36 +46,36 @@
         let front = &self.front;
         let now = boot_time();
         match message {
-            Message::Place(ask) => Reply::Placement(front.place_locally(&ask)),
-            Message::GenerationUpdates(notes) => {
+            Message::Place(request) => Reply::Placement(front.place_locally(&request)),
+            Message::GenerationUpdates(updates) => {
                 let mut owner = front.placement.owner.lock();
-                for note in &notes {
-                    owner.apply_update(now, note);
+                for update in &updates {
+                    owner.apply_update(now, update);
                 }
                 Reply::Acknowledged
             }
             Message::Sync {
                 member,
-                held,
-                known_revision: known,
-                quarantine_digest: quarantine,
+                state,
+                known_revision,
+                quarantine_digest,
             } => {
-                front.placement.owner.lock().apply_sync(now, &held);
+                front.placement.owner.lock().apply_sync(now, &state);
                 front.peers.mark_seen(member);
-                self.members(front.peers.members_since(known), quarantine)
+                self.members(front.peers.members_since(known_revision), quarantine_digest)
             }
             Message::Hello {
                 member,
-                wants_leaders: asks,
+                wants_leaders,
             } => {
                 front.peers.mark_seen(member);
-                if asks {
+                if wants_leaders {
                     self.members(front.peers.leaders(), 0)
                 } else {
                     Reply::Acknowledged
                 }
             }
-            Message::Follow { topic, after, wait } => self.news(topic, after, wait).await,
+            Message::Follow { topic, after, wait } => self.topic_update(topic, after, wait).await,
             Message::TargetLeaving(target) => {
                 follow::mark_leaving(front, &target);
                 Reply::Acknowledged
@@ -84,8 +84,8 @@
                 aggregation::apply_evidence(front, evidence);
                 Reply::Acknowledged
             }
-            Message::Verdicts(words) => {
-                aggregation::apply_verdicts(front, &words);
+            Message::Verdicts(verdicts) => {
+                aggregation::apply_verdicts(front, &verdicts);
                 Reply::Acknowledged
             }
             Message::RateReport(report) => {
@@ -95,60 +95,62 @@
             Message::ReserveRate { report, max_wait } => {
                 Reply::Reservation(target_rates::allocate(front, &report, max_wait))
             }
-            Message::Migrate(order) => Reply::Migrated(self.carry(order).await),
+            Message::Migrate(order) => Reply::Migrated(self.migrate(order).await),
         }
     }
 
-    /// Tells of members, and of requests that crash targets what the asker does not know of them.
-    fn members(&self, known: Members, quarantine: u64) -> Reply {
-        let Members { members, revision } = known;
+    /// A reply with members, and with the verdicts that a sender with this digest may not know.
+    fn members(&self, members: Members, quarantine_digest: u64) -> Reply {
+        let Members { members, revision } = members;
         Reply::Members {
             members,
             revision,
-            verdicts: aggregation::verdicts_unless_known(&self.front, quarantine),
+            verdicts: aggregation::verdicts_unless_known(&self.front, quarantine_digest),
             quarantine_digest: self.front.quarantine.lock().digest(boot_time()),
         }
     }
 
-    /// Carries a generation over, to the end also where the owner that ordered it hangs up: its
-    /// engine may have stopped it already.
-    async fn carry(&self, order: Migration) -> MigrationOutcome {
+    /// Migrates a generation. The migration completes even if the owner that ordered it
+    /// disconnects, since the engine may already have stopped the generation.
+    async fn migrate(&self, order: Migration) -> MigrationOutcome {
         let front = Arc::clone(&self.front);
         let (tx, rx) = bounded(1);
-        let carry = async move {
+        let migration = async move {
             let outcome = migration::migrate(&front, &order).await;
-            // Fails only where the owner has gone.
+            // Fails only if the owner has disconnected.
             let _ = tx.try_send(outcome);
         };
-        workers::spawn(carry).detach();
+        workers::spawn(migration).detach();
         rx.recv().await.unwrap_or(MigrationOutcome::Lost)
     }
 
-    /// What is new on a topic; waits until something is, or until what is known was confirmed.
-    async fn news(&self, topic: Topic, after: Option<u64>, wait: Duration) -> Reply {
-        let arrived = boot_time();
+    /// The changes of a topic since version `after`. If there are none, waits until there are some
+    /// or the cached version is confirmed, for at most `wait`.
+    async fn topic_update(&self, topic: Topic, after: Option<u64>, wait: Duration) -> Reply {
+        let arrived_at = boot_time();
         let cache = self.front.topic_cache(topic);
         if cache.confirmed_at().is_none() {
-            // Both have just started; told that nothing is known, the asker would turn to the store.
+            // Both instances have just started. Without any data the follower would turn to the
+            // store.
             cache.wait_for_change(wait.min(FIRST_UPDATE_WAIT)).await;
         }
-        let fresh = cache
+        let is_fresh = cache
             .confirmed_at()
             .is_some_and(|read| elapsed_since(read) < MAX_PEER_STATE_AGE);
         let from = cache.history_start();
-        if fresh && after.is_some_and(|after| after < from) {
+        if is_fresh && after.is_some_and(|after| after < from) {
             return Reply::HistoryGone { from };
         }
-        // Nobody is kept waiting by one that has lost the store itself.
-        let nothing_new = after.is_some_and(|after| cache.version() <= Some(after));
-        if fresh && nothing_new && !cache.is_source_lost() {
+        // An instance that has lost its own source replies at once.
+        let is_unchanged = after.is_some_and(|after| cache.version() <= Some(after));
+        if is_fresh && is_unchanged && !cache.is_source_lost() {
             cache.wait_for_change(wait.min(MAX_FOLLOW_WAIT)).await;
         }
         match cache.update_since(after) {
-            Some((news, read)) => Reply::Update {
-                update: news,
-                before: arrived.saturating_sub(read),
-                after: read.saturating_sub(arrived),
+            Some((update, read)) => Reply::Update {
+                update,
+                before: arrived_at.saturating_sub(read),
+                after: read.saturating_sub(arrived_at),
                 age: boot_time().saturating_sub(read),
             },
             None => Reply::NoData,
@@ -162,11 +164,11 @@
         if req.uri().path() != MESSAGES_PATH {
             return HttpReply::new(404).done();
         }
-        let Ok(body) = read_limited(req.into_body(), MESSAGE_LIMIT, BODY_TIMEOUT).await else {
+        let Ok(body) = read_limited(req.into_body(), MAX_MESSAGE_BYTES, BODY_PAUSE).await else {
             return HttpReply::new(400).done();
         };
         let Ok(message) = rmp_serde::from_slice(&body) else {
-            return HttpReply::text(400, "not a message").done();
+            return HttpReply::text(400, "the body is not a valid message").done();
         };
         let reply = self.process(message).await;
         match rmp_serde::to_vec(&reply) {
--- a/components/front/src/instances/mod.rs
+++ b/components/front/src/instances/mod.rs
@@ -1,4 +1,5 @@
-//! The other instances: who they are, what is told, and how a start of all goes.
+//! Communication with the other instances: membership, messages, and the start of many instances at
+//! once.
 
 pub mod joining;
 pub mod membership;
--- a/components/front/src/instances/notify.rs
+++ b/components/front/src/instances/notify.rs
@@ -1,4 +1,4 @@
-//! Tells other instances what they must act on.
+//! Sends other instances messages that they must act on, with retries.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,21 +6,21 @@
 
 use crate::{instances::wire::Message, state::Front};
 
-/// Time for an instance to take a message.
+/// Time for an instance to acknowledge a message.
 pub const NOTIFY_TIMEOUT: Duration = Duration::from_millis(300);
-/// Times that an instance is told before it is left to what it hears later.
+/// Attempts per instance. An instance that misses the message gets its content with later syncs.
 const MAX_ATTEMPTS: u32 = 4;
-/// Pause between them.
+/// Pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Tells all others.
+/// Sends a message to all other instances.
 pub fn notify_all(front: &Arc<Front>, message: &Message) {
     for peer in front.peers.ids() {
         notify(front, peer, message.clone());
     }
 }
 
-/// Tells one, again if it does not answer.
+/// Sends a message to an instance in the background, and retries if it does not answer.
 pub fn notify(front: &Arc<Front>, peer: InstanceId, message: Message) {
     let front = Arc::clone(front);
     let sending = async move {
--- a/components/front/src/instances/peers.rs
+++ b/components/front/src/instances/peers.rs
@@ -1,4 +1,7 @@
-//! The other instances: who they are, who answers, and calls to them.
+//! The other instances: what is known of each, which of them respond, and calls to them.
+//!
+//! Each instance numbers the members that it has seen with increasing revisions, so that a peer
+//! that knows all up to a revision gets only newer ones.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -30,79 +33,84 @@
     store::fanout::Ranking,
 };
 
-/// Where instances take each other's messages.
+/// The path for messages between instances.
 pub const MESSAGES_PATH: &str = "/peer/v4/messages";
-/// Bytes of a message at most.
-pub const MESSAGE_LIMIT: usize = 4 * 1_024 * 1_024;
-/// The longest pause within a message that has begun to arrive.
+/// The most bytes of a message.
+pub const MAX_MESSAGE_BYTES: usize = 4 * 1_024 * 1_024;
+/// The longest pause within a reply that has begun to arrive.
 const BODY_PAUSE: Duration = Duration::from_millis(500);
-/// How long a peer that did not answer is left alone at first; doubled with each further time.
-const SUSPECT: Duration = Duration::from_millis(1_500);
-/// The longest time that a peer is left alone.
-const SUSPECT_MOST: Duration = Duration::from_secs(20);
-/// A peer is told of to others if it was heard within this time.
-const HEARD_LATELY: Duration = Duration::from_secs(4);
-
+/// How long a peer is skipped after its first failure; doubled with each further failure in a row.
+const BASE_SUSPECT_TIME: Duration = Duration::from_millis(1_500);
+/// The longest time that a peer is skipped.
+const MAX_SUSPECT_TIME: Duration = Duration::from_secs(20);
+/// A peer is passed on to others if it was seen within this time.
+const RECENT: Duration = Duration::from_secs(4);
+
+/// What is known of one peer.
 #[derive(Clone, Debug)]
-struct Known {
+struct Peer {
     member: Member,
-    heard: Option<Moment>,
+    /// When it last sent or answered a message.
+    last_seen: Option<Moment>,
+    /// Calls in a row that have failed.
     failures: u32,
+    /// Until then it is skipped after a failure.
     suspect_until: Moment,
-    /// Counts up with each member that is first heard, or heard again after a while.
-    heard_as: u64,
-    /// The mark up to which this member has told of others.
-    mark: u64,
+    /// The revision at which it was first seen, or seen again after an absence.
+    seen_revision: u64,
+    /// The revision of its own list of members up to which this instance has received them.
+    received_revision: u64,
 }
 
-/// Members that one who asks may not know.
+/// Members that a peer may not know.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     /// The members.
     pub members: Vec<Member>,
-    /// The mark up to which the asker knows all then.
+    /// The revision up to which the peer then knows all members.
     pub revision: u64,
 }
 
 /// The other instances.
 pub struct Peers {
     me: Member,
-    known: Mutex<BTreeMap<InstanceId, Known>>,
-    /// The mark of the member that was first heard last.
-    newest: AtomicU64,
-    /// Whether the strongest own and read first.
-    strong_first: bool,
+    peers: Mutex<BTreeMap<InstanceId, Peer>>,
+    /// The latest revision.
+    revision: AtomicU64,
+    /// Whether instances with more capacity come first as owners and readers.
+    by_capacity: bool,
     client: Client,
     timer: Timer,
-    /// Bytes of messages and replies.
+    /// Counts the bytes of messages and replies.
     bytes: Family<PeerBytesLabels, Counter>,
 }
 
 impl Peers {
-    /// Knows only itself.
+    /// Only this instance is known yet.
     #[must_use]
     pub fn new(me: Member, client: Client) -> Self {
         Self {
             me,
-            known: Mutex::default(),
-            newest: AtomicU64::new(0),
-            strong_first: true,
+            peers: Mutex::default(),
+            revision: AtomicU64::new(0),
+            by_capacity: true,
             client,
             timer: Timer::new(),
             bytes: Family::default(),
         }
     }
 
-    /// Says whether the strongest own and read first; else the order is by hash alone.
+    /// Sets whether instances with more capacity come first as owners and readers; else the order
+    /// is by hash alone.
     #[must_use]
-    pub const fn with_strong_first(mut self, strong_first: bool) -> Self {
-        self.strong_first = strong_first;
+    pub const fn with_capacity_order(mut self, by_capacity: bool) -> Self {
+        self.by_capacity = by_capacity;
         self
     }
 
-    /// Counts the bytes of messages and replies there.
+    /// Sets the counter of the bytes of messages and replies.
     #[must_use]
-    pub fn with_bytes(mut self, bytes: Family<PeerBytesLabels, Counter>) -> Self {
+    pub fn with_byte_counter(mut self, bytes: Family<PeerBytesLabels, Counter>) -> Self {
         self.bytes = bytes;
         self
     }
@@ -113,65 +121,66 @@
         &self.me
     }
 
-    /// Instances that share budgets, this one included.
+    /// The number of known instances, including this one.
     #[must_use]
     pub fn count(&self) -> usize {
-        self.known.lock().len() + 1
+        self.peers.lock().len() + 1
     }
 
-    /// Takes word of a member. One that began a later life replaces what was known of it.
+    /// Adds a member, or replaces what is known of it if this is a later incarnation.
     pub fn upsert(&self, member: Member) {
         if member.id == self.me.id {
             return;
         }
-        let mut known = self.known.lock();
-        let newer = known
+        let mut peers = self.peers.lock();
+        let is_newer = peers
             .get(&member.id)
-            .is_none_or(|known| known.member.started_at < member.started_at);
-        if newer {
-            let fresh = Known {
+            .is_none_or(|peer| peer.member.started_at < member.started_at);
+        if is_newer {
+            let peer = Peer {
                 member: member.clone(),
-                heard: None,
+                last_seen: None,
                 failures: 0,
                 suspect_until: Duration::ZERO,
-                heard_as: 0,
-                mark: 0,
+                seen_revision: 0,
+                received_revision: 0,
             };
-            known.insert(Arc::clone(&member.id), fresh);
+            peers.insert(Arc::clone(&member.id), peer);
         }
     }
 
-    /// Notes that a member was heard.
+    /// Records that a member has sent a message.
     pub fn mark_seen(&self, member: Member) {
         let id = Arc::clone(&member.id);
         self.upsert(member);
-        self.answered(&id);
+        self.record_contact(&id);
     }
 
-    /// Members that were heard lately, this one included, and that one who knows all up to a mark
-    /// may not know. The whole list in each reply would grow with the square of their number.
+    /// The members seen recently, including this instance, that a peer which knows all up to
+    /// `revision` may not know. The whole list in each reply would cost O(n²) bytes.
     #[must_use]
     pub fn members_since(&self, revision: u64) -> Members {
-        let newest = self.newest.load(Ordering::Acquire);
-        // A mark from this instance's former life says nothing about this one.
-        let revision = if revision > newest { 0 } else { revision };
-        let oldest = boot_time().saturating_sub(HEARD_LATELY);
-        let known = self.known.lock();
-        let heard = known.values().filter(|known| {
-            known.heard_as > revision && known.heard.is_some_and(|at| at >= oldest)
+        let latest = self.revision.load(Ordering::Acquire);
+        // A revision of an earlier incarnation of this instance has no meaning in this one.
+        let revision = if revision > latest { 0 } else { revision };
+        let oldest = boot_time().saturating_sub(RECENT);
+        let peers = self.peers.lock();
+        let seen = peers.values().filter(|peer| {
+            peer.seen_revision > revision && peer.last_seen.is_some_and(|at| at >= oldest)
         });
-        let mut members: Vec<Member> = heard.map(|known| known.member.clone()).collect();
+        let mut members: Vec<Member> = seen.map(|peer| peer.member.clone()).collect();
         if revision == 0 {
             members.push(self.me.clone());
         }
         Members {
             members,
-            revision: newest,
+            revision: latest,
         }
     }
 
-    /// Members at the heads of the orders of readers. A newcomer finds sources and owners with these,
-    /// and the rest at its first sync. The whole list for each of n newcomers would be O(n²) bytes.
+    /// The first members in the orders of readers. With these a new instance finds sources and
+    /// owners; it gets the rest at its first sync. The whole list for each of n new instances would
+    /// cost O(n²) bytes.
     #[must_use]
     pub fn leaders(&self) -> Members {
         let orders = [Topic::Operator, Topic::Targets].map(|topic| self.readers(topic));
@@ -179,9 +188,9 @@
             .iter()
             .flat_map(|order| order.iter().take(GREETED_PER_ORDER));
         let heads: BTreeSet<&InstanceId> = heads.collect();
-        let known = self.known.lock();
-        let others = heads.iter().filter_map(|id| known.get(*id));
-        let mut members: Vec<Member> = others.map(|known| known.member.clone()).collect();
+        let peers = self.peers.lock();
+        let others = heads.iter().filter_map(|id| peers.get(*id));
+        let mut members: Vec<Member> = others.map(|peer| peer.member.clone()).collect();
         members.push(self.me.clone());
         Members {
             members,
@@ -189,213 +198,219 @@
         }
     }
 
-    /// The mark up to which a member has told of others.
+    /// The revision of a peer's list of members up to which this instance has received them.
     #[must_use]
     pub fn revision_of(&self, id: &InstanceId) -> u64 {
-        let known = self.known.lock();
-        known.get(id).map_or(0, |known| known.mark)
+        let peers = self.peers.lock();
+        peers.get(id).map_or(0, |peer| peer.received_revision)
     }
 
-    /// Notes up to which mark a member has told of others.
+    /// Records the revision of a peer's list of members up to which this instance has received
+    /// them.
     pub fn set_revision(&self, id: &InstanceId, revision: u64) {
-        if let Some(known) = self.known.lock().get_mut(id) {
-            known.mark = revision;
+        if let Some(peer) = self.peers.lock().get_mut(id) {
+            peer.received_revision = revision;
         }
     }
 
-    /// All members that are known.
+    /// The ids of all other known instances.
     #[must_use]
     pub fn ids(&self) -> Vec<InstanceId> {
-        self.known.lock().keys().cloned().collect()
+        self.peers.lock().keys().cloned().collect()
     }
 
-    /// Instances in the order in which they own a service, less those that don't answer.
+    /// The responsive instances, including this one, ranked as owners of the item `name`.
     #[must_use]
-    pub fn owners(&self, service: &str) -> Vec<InstanceId> {
-        self.ranked(service, |_| true)
+    pub fn owners(&self, name: &str) -> Vec<InstanceId> {
+        self.ranked(name, |_| true)
     }
 
-    /// Instances in the order in which they read a topic at the store, less those that don't answer.
+    /// The responsive instances in the order in which they read a topic from the store.
     #[must_use]
     pub fn readers(&self, topic: Topic) -> Vec<InstanceId> {
-        self.owners(&reading(topic))
+        self.owners(&reader_name(topic))
     }
 
-    /// Instances in the order in which they read a topic or relay it in this data centre, less
-    /// those that don't answer.
+    /// The responsive instances in the order in which they read a topic from the store, and those
+    /// of this data centre in the order in which they relay it.
     #[must_use]
     pub fn ranking(&self, topic: Topic) -> Ranking {
-        let here = &self.me.data_centre;
+        let own = &self.me.data_centre;
         Ranking {
             all: self.readers(topic),
-            same_data_centre: self.ranked(&reading(topic), |member| member.data_centre == *here),
+            same_data_centre: self.ranked(&reader_name(topic), |member| member.data_centre == *own),
         }
     }
 
-    fn ranked(&self, what: &str, fits: impl Fn(&Member) -> bool) -> Vec<InstanceId> {
+    fn ranked(&self, name: &str, is_eligible: impl Fn(&Member) -> bool) -> Vec<InstanceId> {
         let now = boot_time();
-        let known = self.known.lock();
-        let answering = known
+        let peers = self.peers.lock();
+        let responsive = peers
             .values()
-            .filter(|known| known.suspect_until <= now && known.failures == 0)
-            .map(|known| &known.member);
-        let fitting = answering.chain([&self.me]).filter(|member| fits(member));
-        let all = fitting.map(|member| OwnerCandidate {
+            .filter(|peer| peer.suspect_until <= now && peer.failures == 0)
+            .map(|peer| &peer.member);
+        let eligible = responsive
+            .chain([&self.me])
+            .filter(|member| is_eligible(member));
+        let all = eligible.map(|member| OwnerCandidate {
             id: Arc::clone(&member.id),
-            capacity: if self.strong_first {
-                member.capacity
-            } else {
-                0
-            },
+            capacity: if self.by_capacity { member.capacity } else { 0 },
         });
-        rank_owners(what, all)
+        rank_owners(name, all)
     }
 
-    /// Members that did not answer and may be tried again.
+    /// The peers whose last call has failed and that may be called again.
     #[must_use]
     pub fn due_for_retry(&self) -> Vec<InstanceId> {
         let now = boot_time();
-        let known = self.known.lock();
-        known
+        let peers = self.peers.lock();
+        peers
             .values()
-            .filter(|known| known.failures > 0 && known.suspect_until <= now)
-            .map(|known| Arc::clone(&known.member.id))
+            .filter(|peer| peer.failures > 0 && peer.suspect_until <= now)
+            .map(|peer| Arc::clone(&peer.member.id))
             .collect()
     }
 
-    /// Sends a message and waits for the reply; none if the peer does not answer in time.
+    /// Sends a message and waits for the reply; none if the peer is unknown or does not answer in
+    /// time. Records whether it answered.
     pub async fn call(
         &self,
         to: &InstanceId,
         message: &Message,
-        patience: Duration,
+        timeout: Duration,
     ) -> Option<Reply> {
-        let (addr, here) = self.way_to(to)?;
-        match self.exchange_with(addr, here, message, patience).await {
+        let (addr, is_local) = self.address_of(to)?;
+        match self.exchange_at(addr, is_local, message, timeout).await {
             Ok(reply) => {
-                self.answered(to);
+                self.record_contact(to);
                 Some(reply)
             }
             Err(reason) => {
-                self.failed(to, &reason);
+                self.record_failure(to, &reason);
                 None
             }
         }
     }
 
-    /// Sends a message to a peer that may have started at this moment too: no answer says nothing
-    /// about it.
+    /// Like [`Self::call`], but a missing answer does not count as a failure: the peer may be
+    /// starting at the same time.
     pub async fn try_call(
         &self,
         to: &InstanceId,
         message: &Message,
-        patience: Duration,
+        timeout: Duration,
     ) -> Option<Reply> {
-        let (addr, here) = self.way_to(to)?;
+        let (addr, is_local) = self.address_of(to)?;
         let reply = self
-            .exchange_with(addr, here, message, patience)
+            .exchange_at(addr, is_local, message, timeout)
             .await
             .ok()?;
-        self.answered(to);
+        self.record_contact(to);
         Some(reply)
     }
 
-    /// Where a peer listens, and whether it is in this data centre.
-    fn way_to(&self, id: &InstanceId) -> Option<(SocketAddr, bool)> {
-        let known = self.known.lock();
-        let member = &known.get(id)?.member;
+    /// A peer's address, and whether the peer is in this data centre.
+    fn address_of(&self, id: &InstanceId) -> Option<(SocketAddr, bool)> {
+        let peers = self.peers.lock();
+        let member = &peers.get(id)?.member;
         Some((member.addr, member.data_centre == self.me.data_centre))
     }
 
-    /// Sends a message to an address, whoever listens there.
+    /// Sends a message to the instance at an address, which may not be known yet.
     ///
     /// # Errors
-    /// Tells why there is no reply.
+    /// Returns why there is no reply.
     pub async fn exchange(
         &self,
         addr: SocketAddr,
         message: &Message,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Reply, String> {
-        // Whose address it is is not known; most are elsewhere.
-        self.exchange_with(addr, false, message, patience).await
+        // The data centre is not known; counted as another one, which most are.
+        self.exchange_at(addr, false, message, timeout).await
     }
 
-    async fn exchange_with(
+    async fn exchange_at(
         &self,
         addr: SocketAddr,
-        here: bool,
+        is_local: bool,
         message: &Message,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Reply, String> {
         let buf = rmp_serde::to_vec(message).map_err(|e| e.to_string())?;
-        self.count_bytes(message, "out", here, buf.len());
+        self.count_bytes(message, "out", is_local, buf.len());
         let req = Request::post(MESSAGES_PATH)
             .body(Full::new(Bytes::from(buf)))
             .map_err(|e| e.to_string())?;
         let sent = async {
             let head = self.client.send(addr, req);
-            let resp = self.timer.within(patience, head).await;
-            let resp = resp.ok_or_else(|| format!("nothing within {patience:?}"))?;
+            let resp = self.timer.within(timeout, head).await;
+            let resp = resp.ok_or_else(|| format!("no answer within {timeout:?}"))?;
             let body = resp.map_err(|e| e.to_string())?.into_body();
-            // All listings of a large service take a second over a narrow link; what arrives has
-            // been answered.
-            let body = read_limited(body, MESSAGE_LIMIT, BODY_PAUSE).await;
+            // The timeout covers the head only: all listings of a large service take a second over
+            // a narrow link.
+            let body = read_limited(body, MAX_MESSAGE_BYTES, BODY_PAUSE).await;
             let body = body.map_err(|e| e.to_string())?;
-            self.count_bytes(message, "in", here, body.len());
+            self.count_bytes(message, "in", is_local, body.len());
             rmp_serde::from_slice(&body).map_err(|e| e.to_string())
         };
         let answer: Result<Reply, String> = sent.await;
         if answer.is_err() {
-            // Other connections to it may have gone silent as well.
+            // Other connections to this address may be dead as well.
             self.client.forget(addr);
         }
         answer
     }
 
-    fn count_bytes(&self, message: &Message, direction: &'static str, here: bool, bytes: usize) {
-        let exchange = PeerBytesLabels {
+    fn count_bytes(
+        &self,
+        message: &Message,
+        direction: &'static str,
+        is_local: bool,
+        bytes: usize,
+    ) {
+        let labels = PeerBytesLabels {
             topic: message.topic(),
             direction,
-            data_centre: if here { "same" } else { "other" },
+            data_centre: if is_local { "same" } else { "other" },
         };
         let bytes = u64::try_from(bytes).unwrap_or(u64::MAX);
-        self.bytes.get_or_create(&exchange).inc_by(bytes);
+        self.bytes.get_or_create(&labels).inc_by(bytes);
     }
 
-    fn answered(&self, id: &InstanceId) {
-        let mut known = self.known.lock();
-        let Some(peer) = known.get_mut(id) else {
+    fn record_contact(&self, id: &InstanceId) {
+        let mut peers = self.peers.lock();
+        let Some(peer) = peers.get_mut(id) else {
             return;
         };
         let now = boot_time();
-        let away = peer.heard.is_none_or(|at| at + HEARD_LATELY < now);
-        if away {
-            // Those who asked while it was away were not told of it.
-            peer.heard_as = self.newest.fetch_add(1, Ordering::AcqRel) + 1;
+        let was_absent = peer.last_seen.is_none_or(|at| at + RECENT < now);
+        if was_absent {
+            // Peers that synced during its absence did not get it.
+            peer.seen_revision = self.revision.fetch_add(1, Ordering::AcqRel) + 1;
         }
-        peer.heard = Some(now);
+        peer.last_seen = Some(now);
         peer.suspect_until = Duration::ZERO;
-        let was = std::mem::take(&mut peer.failures);
-        drop(known);
-        if was > 0 {
+        let failures = std::mem::take(&mut peer.failures);
+        drop(peers);
+        if failures > 0 {
             emit(&Event::PeerRegained {
                 peer: Arc::clone(id),
             });
         }
     }
 
-    fn failed(&self, id: &InstanceId, reason: &str) {
-        let mut known = self.known.lock();
-        let Some(peer) = known.get_mut(id) else {
+    fn record_failure(&self, id: &InstanceId, reason: &str) {
+        let mut peers = self.peers.lock();
+        let Some(peer) = peers.get_mut(id) else {
             return;
         };
-        let doubled = SUSPECT.saturating_mul(1 << peer.failures.min(8));
-        peer.suspect_until = boot_time() + doubled.min(SUSPECT_MOST);
+        let doubled = BASE_SUSPECT_TIME.saturating_mul(1 << peer.failures.min(8));
+        peer.suspect_until = boot_time() + doubled.min(MAX_SUSPECT_TIME);
         peer.failures = peer.failures.saturating_add(1);
-        let first = peer.failures == 1;
-        drop(known);
-        if first {
+        let is_first = peer.failures == 1;
+        drop(peers);
+        if is_first {
             emit(&Event::PeerLost {
                 peer: Arc::clone(id),
                 reason: reason.into(),
@@ -404,7 +419,7 @@
     }
 }
 
-/// What instances are ranked for that read a topic.
-fn reading(topic: Topic) -> String {
+/// The name under which the readers of a topic are ranked.
+fn reader_name(topic: Topic) -> String {
     format!("reader of {topic}")
 }
--- a/components/front/src/instances/wire.rs
+++ b/components/front/src/instances/wire.rs
@@ -111,7 +111,8 @@
         /// The sender.
         member: Member,
         /// Its generations.
-        held: StateSync,
+        #[serde(rename = "held")]
+        state: StateSync,
         /// The revision of the receiver's list of members that the sender knows.
         #[serde(rename = "known")]
         known_revision: u64,
--- a/components/front/src/run.rs
+++ b/components/front/src/run.rs
@@ -145,8 +145,8 @@
         store: Arc::new(CountedStore::new(Arc::clone(&adapters.store), calls)),
         client: Client::new().with_connect_limit(CONNECT_LIMIT),
         peers: Peers::new(me, Client::new().with_connect_limit(CONNECT_LIMIT))
-            .with_strong_first(cfg.decisions.features.capacity_order)
-            .with_bytes(metrics.peer_bytes.clone()),
+            .with_capacity_order(cfg.decisions.features.capacity_order)
+            .with_byte_counter(metrics.peer_bytes.clone()),
         placement: Placement::new(cfg.decisions.placing),
         generations: ActiveGenerations::default(),
         operator_rows: Arc::new(TopicCache::new()),
