--- a/components/bench/src/sweep/world.rs
+++ b/components/bench/src/sweep/world.rs
@@ -8,12 +8,13 @@
 };
 
 use policy::{
-    Action, Admission, EngineReport, Event, Owner, ShardRole, TargetLimits, Tuning, View,
+    Action, EngineReport, Event, MemoryEstimate, Owner, ShardRole, TargetLimits, Tuning, View,
 };
 use types::{
-    Epoch, InstanceId, Moment, ServiceId, ServiceKind, Shard, Standing, Target, TargetId, Tokens,
+    Epoch, InstanceId, Moment, ServiceId, ServiceKind, ServingState, Shard, Target, TargetId,
+    Tokens,
 };
-use wire::{Grant, Message, Outcome, Recall};
+use wire::{Grant, Message, Outcome, Revoke};
 
 use super::{
     engine::{Engine, Sequence, Step},
@@ -120,7 +121,7 @@
             engines: (0..ENGINES).map(|_| Engine::default()).collect(),
             steps: (0..ENGINES).map(|_| Step::default()).collect(),
             requests,
-            told: setup.tuning.admission == Admission::Told,
+            told: setup.tuning.memory_estimate == MemoryEstimate::KnownLengths,
             tuning: setup.tuning,
             warm_up: setup.warm_up,
             figures: Figures::new(),
@@ -151,17 +152,20 @@
     }
 
     /// Makes the owner own the shard, in a new term.
-    fn own(&mut self, ask: Vec<InstanceId>) {
+    fn own(&mut self, entries_to_query: Vec<InstanceId>) {
         let view = self.view();
-        self.tell(&Event::Changed(view));
+        self.tell(&Event::ViewChanged(view));
         self.epoch += 1;
         let epoch = self.epoch;
         let shard = self.shard.clone();
-        let role = ShardRole::Own { epoch, ask };
-        self.tell(&Event::Role { shard, role });
+        let role = ShardRole::Own {
+            epoch,
+            entries_to_query,
+        };
+        self.tell(&Event::RoleChanged { shard, role });
         let shard = self.shard.clone();
         let exclusive = true;
-        self.tell(&Event::Exclusive { shard, exclusive });
+        self.tell(&Event::ExclusivityChanged { shard, exclusive });
     }
 
     /// Another owner takes over; what waited at the first asks again.
@@ -182,7 +186,7 @@
             kind: ServiceKind::Model,
             cold_limit: 2,
             warm_limit: 96,
-            memory: CAPACITY,
+            memory_tokens: CAPACITY,
             warm_after: 8,
             queue_limit: 2000,
             retry_percent: 10,
@@ -195,11 +199,11 @@
                     data_centre: self.shard.data_centre.clone(),
                     addr: ([127, 0, 0, 1], 9).into(),
                     incarnation: 1,
-                    standing: Standing::Live,
+                    state: ServingState::Live,
                 })
                 .collect(),
             limits: BTreeMap::from([(self.shard.service.clone(), Arc::new(limits))]),
-            out: Vec::new(),
+            data_centres_out: Vec::new(),
             instances: 0,
         }
     }
@@ -284,14 +288,14 @@
         match message {
             Message::Grant(grant) => self.granted(entry, grant),
             Message::Deny(deny) => {
-                if let Some(request) = self.entries[entry].asks.remove(&deny.ask)
+                if let Some(request) = self.entries[entry].asks.remove(&deny.permit_request)
                     && self.counts()
                 {
                     self.figures.refused[index(self.requests[request].class)] += 1;
                 }
             }
             Message::Query(_) => self.tell_held(entry),
-            Message::Recall(recall) => self.recalled(entry, &recall),
+            Message::Revoke(recall) => self.recalled(entry, &recall),
             _ => {}
         }
     }
@@ -299,10 +303,10 @@
     fn granted(&mut self, entry: usize, grant: Grant) {
         let permit = grant.permit;
         let engine = engine_of(&grant.target);
-        let Some(request) = self.entries[entry].asks.remove(&grant.ask) else {
+        let Some(request) = self.entries[entry].asks.remove(&grant.permit_request) else {
             return;
         };
-        let late = grant.stamp + grant.life <= self.now;
+        let late = grant.stamp + grant.lifetime <= self.now;
         let in_hand = InHand { request, grant };
         self.entries[entry].permits.insert(permit, in_hand);
         if late {
@@ -325,7 +329,7 @@
         self.step_begins(engine);
     }
 
-    fn recalled(&mut self, entry: usize, recall: &Recall) {
+    fn recalled(&mut self, entry: usize, recall: &Revoke) {
         let Some(in_hand) = self.entries[entry].permits.get(&recall.permit).cloned() else {
             return;
         };
@@ -442,7 +446,7 @@
         let target = target(at);
         self.mails += 1;
         self.mail_in
-            .insert(self.mails, Event::Reported { target, report });
+            .insert(self.mails, Event::TargetReported { target, report });
         self.at(self.now + REPORT_EVERY, Next::ToOwner(self.mails));
         self.at(self.now + REPORT_EVERY, Next::Report(at));
     }
--- a/components/front/src/callers/handler.rs
+++ b/components/front/src/callers/handler.rs
@@ -1,4 +1,4 @@
-//! Takes callers' requests in.
+//! Admits callers' requests and hands them to the dispatcher of their kind.
 
 use std::{
     net::SocketAddr,
@@ -19,44 +19,44 @@
 use view::{Identity, Kind};
 
 use crate::{
+    adapters::CallerRequest,
     callers::{
         call::Call,
-        refuse::{ELSEWHERE_RETRY, Refusal},
-        retry_after::come_back_after,
+        refusal::{ELSEWHERE_RETRY, Refusal},
+        retry_after::retry_after,
     },
-    face::Asked,
-    generations::generation,
-    plain_calls::plain,
-    state::{Front, age},
+    generations, plain_calls,
+    state::{Front, elapsed_since},
 };
 
-/// When a caller may come back whose body finds no memory.
-const CROWDED_RETRY: Duration = Duration::from_millis(300);
-/// Knowledge older than this may lack a route or a key, so that neither is denied by it.
-const DENY_AGE: Duration = Duration::from_millis(4_500);
-/// Longest body where the configuration sets no bound, in bytes.
-const BODY_LIMIT: usize = 4 * 1_024 * 1_024;
-/// Longest pause within a body where the configuration sets no bound.
-const BODY_PAUSE: Duration = Duration::from_secs(3);
-/// Time that a caller is kept waiting where neither it nor the route says.
-const DEFAULT_LEFT: Duration = Duration::from_secs(30);
+/// `Retry-After` of a request whose body does not fit into the memory budget.
+const MEMORY_RETRY: Duration = Duration::from_millis(300);
+/// Age at which the known configuration may lack a route or a key, so that no request is denied on
+/// its ground any more.
+const MAX_DENY_AGE: Duration = Duration::from_millis(4_500);
+/// Maximum body size in bytes if the configuration sets none.
+const DEFAULT_BODY_BYTES: usize = 4 * 1_024 * 1_024;
+/// Longest pause within a body if the configuration sets none.
+const DEFAULT_BODY_PAUSE: Duration = Duration::from_secs(3);
+/// Time for an answer if neither the caller nor the route sets one.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why what outlasts the instance's life gets an answer of our own.
-const STOPS: &str = "the instance stops before it would end";
+/// Reason of the refusal of requests that outlast the instance.
+const SHUTDOWN_REASON: &str = "the instance stops before it would end";
 
-/// A body that was read, and the memory that it takes up.
-struct HeldBody {
+/// A body in memory, and its share of the memory budget.
+struct BufferedBody {
     bytes: bytes::Bytes,
-    share: Arc<Share>,
+    memory: Arc<Share>,
 }
 
-/// Takes callers' requests in.
-pub struct Callers {
+/// Handles callers' requests.
+pub struct RequestHandler {
     front: Arc<Front>,
 }
 
-impl Callers {
-    /// Makes it for an instance.
+impl RequestHandler {
+    /// Creates the handler of an instance.
     #[must_use]
     pub const fn new(front: Arc<Front>) -> Self {
         Self { front }
@@ -64,82 +64,89 @@
 }
 
 #[async_trait]
-impl Handler for Callers {
+impl Handler for RequestHandler {
     async fn handle(&self, _peer: SocketAddr, req: Request<Incoming>) -> Response<Body> {
         let arrived = boot_time();
-        let open = self.front.open.enter(arrived);
+        let open = self.front.open_requests.register(arrived);
         let (head, body) = req.into_parts();
-        // Read to its end before any answer: a connection that is closed with unread bytes is
-        // reset, and the answer may be lost with it.
+        // The body is read to its end before any answer is sent: a connection that is closed with
+        // unread bytes is reset, and the answer may be lost with it.
         let body = self.read_body(body).await;
-        let asked = match self.front.face.read(&head) {
-            Ok(asked) => asked,
+        let request = match self.front.adapter.parse_request(&head) {
+            Ok(request) => request,
             Err(e) => {
                 let refusal = Refusal::new(StatusCode::BAD_REQUEST, e.to_string());
-                open.answered();
-                return self.front.refuse(None, age(arrived), &refusal);
+                open.finish();
+                return self.front.refuse(None, elapsed_since(arrived), &refusal);
             }
         };
-        open.named(&asked.id);
-        self.front.informed_at_start().await;
-        let admitted = body.and_then(|body| self.admit(asked.clone(), head, body, arrived));
+        open.set_id(&request.id);
+        self.front.wait_for_state_at_start().await;
+        let admitted = body.and_then(|body| self.admit(request.clone(), head, body, arrived));
         let resp = match admitted {
             Ok(call) => self.serve(call).await,
-            Err(refusal) => self.front.refuse(Some(&asked.id), age(arrived), &refusal),
+            Err(refusal) => self
+                .front
+                .refuse(Some(&request.id), elapsed_since(arrived), &refusal),
         };
-        open.answered();
+        open.finish();
         resp
     }
 }
 
-impl Callers {
+impl RequestHandler {
     async fn serve(&self, call: Call) -> Response<Body> {
         let front = Arc::clone(&self.front);
         let service = Arc::clone(&call.service.name);
-        front.budget.lock().count(boot_time(), &service);
+        front
+            .retry_budget
+            .lock()
+            .record_request(boot_time(), &service);
         if front.rejects(&call.fingerprint) {
             front.metrics.quarantined.inc();
             return front.refuse_call(&call, &Refusal::quarantined());
         }
-        let outlived = self.outlived(&call);
+        let aborted = self.aborted(&call);
         let served = async {
             match call.route.kind {
-                Kind::Generation => generation::serve(front, call).await,
-                Kind::Idempotent | Kind::NonIdempotent => plain::serve(&front, &call).await,
+                Kind::Generation => generations::dispatch::serve(front, call).await,
+                Kind::Idempotent | Kind::NonIdempotent => {
+                    plain_calls::dispatch::serve(&front, &call).await
+                }
             }
         };
-        future::or(outlived, served).await
+        future::or(aborted, served).await
     }
 
-    /// Answers a call in the place of its target once the instance gives up what is still open.
-    /// Without an answer the caller could not tell whether it has run.
-    fn outlived(&self, call: &Call) -> impl Future<Output = Response<Body>> + use<> {
+    /// Waits for the abort at shutdown, and builds the answer to a call in place of its target.
+    /// Without an answer the caller could not tell whether its request has run.
+    fn aborted(&self, call: &Call) -> impl Future<Output = Response<Body>> + use<> {
         let front = Arc::clone(&self.front);
-        let (id, kind, arrived) = (Arc::clone(&call.asked.id), call.kind(), call.arrived);
+        let (id, kind, arrived) = (Arc::clone(&call.request.id), call.kind(), call.arrived);
         let sent = Arc::clone(&call.sent);
         async move {
-            front.ending.over().await;
+            front.shutdown.aborted().await;
             let refusal = if sent.load(Ordering::Acquire) {
-                Refusal::late(STOPS)
+                Refusal::late(SHUTDOWN_REASON)
             } else {
-                Refusal::not_run(STOPS, ELSEWHERE_RETRY)
+                Refusal::not_run(SHUTDOWN_REASON, ELSEWHERE_RETRY)
             };
-            front.refuse_kind(kind, &id, age(arrived), &refusal)
+            front.refuse_kind(kind, &id, elapsed_since(arrived), &refusal)
         }
     }
 
-    async fn read_body(&self, body: Incoming) -> Result<HeldBody, Refusal> {
+    async fn read_body(&self, body: Incoming) -> Result<BufferedBody, Refusal> {
         let limits = self.front.view.rules().and_then(|rules| rules.limits);
-        let limit = limits.map_or(BODY_LIMIT, |limits| limits.body_bytes);
-        let pause = limits.map_or(BODY_PAUSE, |limits| limits.header_time);
-        let mut share = self.front.bodies.share();
-        let read = async { Some(read_shared(body, limit, pause, &mut share).await) };
-        let outlived = async {
-            self.front.ending.over().await;
+        let limit = limits.map_or(DEFAULT_BODY_BYTES, |limits| limits.body_bytes);
+        let pause = limits.map_or(DEFAULT_BODY_PAUSE, |limits| limits.header_time);
+        let mut memory = self.front.body_budget.share();
+        let reading = async { Some(read_shared(body, limit, pause, &mut memory).await) };
+        let aborted = async {
+            self.front.shutdown.aborted().await;
             None
         };
-        let Some(read) = future::or(outlived, read).await else {
-            return Err(Refusal::not_run(STOPS, ELSEWHERE_RETRY));
+        let Some(read) = future::or(aborted, reading).await else {
+            return Err(Refusal::not_run(SHUTDOWN_REASON, ELSEWHERE_RETRY));
         };
         let read = read.map_err(|e| match e {
             SharedError::Body(BodyError::TooLarge) => {
@@ -151,73 +158,75 @@
             SharedError::Body(BodyError::Broken) => {
                 Refusal::new(StatusCode::BAD_REQUEST, e.to_string())
             }
-            SharedError::Crowded => Refusal::not_run(e.to_string(), CROWDED_RETRY),
+            SharedError::Crowded => Refusal::not_run(e.to_string(), MEMORY_RETRY),
         });
-        Ok(HeldBody {
+        Ok(BufferedBody {
             bytes: read?,
-            share: Arc::new(share),
+            memory: Arc::new(memory),
         })
     }
 
     fn admit(
         &self,
-        asked: Asked,
+        request: CallerRequest,
         head: http::request::Parts,
-        body: HeldBody,
+        body: BufferedBody,
         arrived: Moment,
     ) -> Result<Call, Refusal> {
         let front = &self.front;
         let rules = front.view.rules();
-        let ignorant = |reason: &str| {
-            let after = come_back_after(front.ignorant_for(), asked.left, fastrand::f64());
+        let not_ready = |reason: &str| {
+            let after = retry_after(front.state_age(), request.time_left, fastrand::f64());
             Refusal::not_run(reason, after)
         };
-        let rules = rules.ok_or_else(|| ignorant("no configuration is known yet"))?;
+        let rules = rules.ok_or_else(|| not_ready("no configuration is known yet"))?;
         let read = front.view.rules_read().unwrap_or_default();
         let deny = |status: StatusCode, reason: &str| {
-            // A wrong denial is final for its caller; one that may lack the newest version says so.
-            if age(read) > DENY_AGE {
-                return ignorant("the configuration that is known may lack this");
+            // A wrong denial is final for its caller, so a configuration that may be outdated
+            // denies nothing.
+            if elapsed_since(read) > MAX_DENY_AGE {
+                return not_ready("the configuration that is known may lack this");
             }
             Refusal::new(status, reason)
         };
-        let Some(route) = rules.route(&asked.host, &asked.path) else {
+        let Some(route) = rules.route(&request.host, &request.path) else {
             return Err(deny(StatusCode::NOT_FOUND, "no route takes this path"));
         };
         let identity = rules
-            .identify(route, asked.key.as_deref())
+            .identify(route, request.key.as_deref())
             .map_err(|_| deny(StatusCode::UNAUTHORIZED, "no workspace has this key"))?;
-        if identity != Identity::Anonymous && !front.keys_fresh() {
-            return Err(ignorant("knowledge of keys is too old"));
+        if identity != Identity::Anonymous && !front.can_honour_keys() {
+            return Err(not_ready("knowledge of keys is too old"));
         }
         let service = route
             .pick(fastrand::f64())
             .and_then(|name| rules.service(name))
-            .ok_or_else(|| ignorant("the route's service is not configured"))?;
-        let left = asked.left.unwrap_or(route.timeout);
-        let rank = rank(&identity, route.rank);
+            .ok_or_else(|| not_ready("the route's service is not configured"))?;
+        let time_left = request.time_left.unwrap_or(route.timeout);
+        let priority = priority(&identity, route.rank);
         let workspace = workspace(identity);
         Ok(Call {
-            rank,
-            fingerprint: fingerprint(&head, &asked.host, workspace.as_deref(), &body.bytes),
+            priority,
+            fingerprint: fingerprint(&head, &request.host, workspace.as_deref(), &body.bytes),
             workspace,
-            deadline: arrived + left,
-            due: arrived + left.min(timeout(route.timeout)),
+            caller_deadline: arrived + time_left,
+            answer_deadline: arrived + time_left.min(timeout_or_default(route.timeout)),
             route: Arc::clone(route),
             service: Arc::clone(service),
-            asked,
+            request,
             head,
             body: body.bytes,
-            share: body.share,
+            memory: body.memory,
             arrived,
-            rules: rules.version,
+            config_version: rules.version,
             sent: Arc::new(AtomicBool::new(false)),
         })
     }
 }
 
-/// What stays the same of a request when its caller sends it again: all but its id and the time
-/// that is left. It belongs to the workspace, so that no other can bring it into disrepute.
+/// The fingerprint of a request: all that stays the same when its caller retries it, which excludes
+/// its id and the time left. It includes the workspace, so that no other workspace can get the
+/// request rejected.
 fn fingerprint(
     head: &http::request::Parts,
     host: &str,
@@ -234,10 +243,10 @@
     ])
 }
 
-fn rank(identity: &Identity, route: u32) -> u32 {
+fn priority(identity: &Identity, route_priority: u32) -> u32 {
     match identity {
-        Identity::Holder(holder) => holder.rank.unwrap_or(route),
-        Identity::Anonymous => route,
+        Identity::Holder(holder) => holder.rank.unwrap_or(route_priority),
+        Identity::Anonymous => route_priority,
     }
 }
 
@@ -248,9 +257,9 @@
     }
 }
 
-const fn timeout(timeout: Duration) -> Duration {
+const fn timeout_or_default(timeout: Duration) -> Duration {
     if timeout.is_zero() {
-        DEFAULT_LEFT
+        DEFAULT_TIMEOUT
     } else {
         timeout
     }
--- a/components/front/src/callers/mod.rs
+++ b/components/front/src/callers/mod.rs
@@ -1,9 +1,9 @@
-//! Callers' requests: taking them in, refusing them, and the end of an instance's life.
+//! Requests of callers: admission, refusals, and the shutdown of the instance.
 
 pub mod call;
 pub mod drain;
 pub mod handler;
-pub mod open;
-pub mod refuse;
+pub mod open_requests;
+pub mod refusal;
 pub mod retry_after;
 pub mod shutdown;
--- a/components/front/src/callers/shutdown.rs
+++ b/components/front/src/callers/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of an instance's life, for those that wait for something.
+//! The shutdown of the instance, for tasks that must react to it.
 
 use std::time::Duration;
 
@@ -6,37 +6,37 @@
 use timer::boot_time;
 use types::Moment;
 
-use crate::gate::Gate;
+use crate::latch::Latch;
 
-/// The end of an instance's life.
+/// The shutdown of the instance.
 #[derive(Debug, Default)]
-pub struct Ending {
-    /// Until when it serves what it has taken, once it was told to stop.
-    at: Mutex<Option<Moment>>,
-    /// Open once what is still at work is given up.
-    over: Gate,
+pub struct Shutdown {
+    /// Until when open requests are served; set when the shutdown begins.
+    deadline: Mutex<Option<Moment>>,
+    /// Opened when the remaining requests are aborted.
+    abort: Latch,
 }
 
-impl Ending {
-    /// It was told to stop, and serves what it has taken until then.
-    pub fn set(&self, at: Moment) {
-        *self.at.lock() = Some(at);
+impl Shutdown {
+    /// Begins the shutdown; open requests are served until `deadline`.
+    pub fn begin(&self, deadline: Moment) {
+        *self.deadline.lock() = Some(deadline);
     }
 
-    /// Time left to serve what it has taken, once it was told to stop.
+    /// Time left to serve open requests; `None` before the shutdown begins.
     #[must_use]
-    pub fn left(&self) -> Option<Duration> {
-        let at = *self.at.lock();
-        at.map(|at| at.saturating_sub(boot_time()))
+    pub fn time_left(&self) -> Option<Duration> {
+        let deadline = *self.deadline.lock();
+        deadline.map(|deadline| deadline.saturating_sub(boot_time()))
     }
 
-    /// Gives up what is still at work: requests get an answer of our own, streams are cut.
-    pub fn give_up(&self) {
-        self.over.open();
+    /// Aborts what is still running: requests get an error response, streams are cut.
+    pub fn abort(&self) {
+        self.abort.open();
     }
 
-    /// Waits until what is still at work is given up.
-    pub async fn over(&self) {
-        self.over.passed().await;
+    /// Waits until what is still running is aborted.
+    pub async fn aborted(&self) {
+        self.abort.wait().await;
     }
 }
--- a/components/front/src/dump.rs
+++ b/components/front/src/dump.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use placing::RunId;
+use placing::GenerationId;
 use serde::Serialize;
 use types::{ConfigVersion, DataCentreId, InstanceId, TargetId};
 
 use crate::{
-    callers::refuse::millis,
-    state::{Front, age},
+    callers::refusal::millis,
+    state::{Front, elapsed_since},
 };
 
 /// The state of an instance; it holds no keys.
@@ -25,9 +25,9 @@
     members: Vec<InstanceId>,
     /// Requests that were read and have no answer yet.
     open: Vec<OpenState>,
-    generations: Vec<placing::Running>,
+    generations: Vec<placing::ActiveGeneration>,
     /// Engines in the account that this instance keeps.
-    account: Vec<placing::Load>,
+    account: Vec<placing::EngineLoad>,
 }
 
 #[derive(Debug, Serialize)]
@@ -40,7 +40,7 @@
 
 #[derive(Debug, Serialize)]
 struct OpenState {
-    id: RunId,
+    id: GenerationId,
     held_ms: u64,
 }
 
@@ -49,30 +49,41 @@
     #[must_use]
     pub fn dump(&self) -> Dump {
         let now = timer::boot_time();
-        let choice = self.choice.lock();
+        let choice = self.selector.lock();
         let state = |target: &std::sync::Arc<view::Target>| TargetState {
             id: target.id.clone(),
             data_centre: target.data_centre.clone(),
             takes_work: self.view.takes_work(target),
-            aside: choice.is_aside(now, &target.id),
+            aside: choice.is_ejected(now, &target.id),
         };
         Dump {
             instance: self.cfg.instance.clone(),
             ready: self.is_ready(),
             rules: self.view.rules().map(|rules| rules.version),
-            rules_age_ms: self.view.rules_read().map(|read| millis(age(read))),
-            targets_age_ms: self.view.targets_read().map(|read| millis(age(read))),
+            rules_age_ms: self
+                .view
+                .rules_read()
+                .map(|read| millis(elapsed_since(read))),
+            targets_age_ms: self
+                .view
+                .targets_read()
+                .map(|read| millis(elapsed_since(read))),
             targets: self.view.targets().values().map(state).collect(),
-            members: self.peers.all(),
-            open: self.open.list().into_iter().map(OpenState::from).collect(),
-            generations: self.live.running(),
+            members: self.peers.ids(),
+            open: self
+                .open_requests
+                .list()
+                .into_iter()
+                .map(OpenState::from)
+                .collect(),
+            generations: self.generations.snapshots(),
             account: self.placement.owner.lock().loads(now),
         }
     }
 }
 
-impl From<(RunId, Duration)> for OpenState {
-    fn from((id, held): (RunId, Duration)) -> Self {
+impl From<(GenerationId, Duration)> for OpenState {
+    fn from((id, held): (GenerationId, Duration)) -> Self {
         Self {
             id,
             held_ms: millis(held),
--- /dev/null
+++ b/components/front/src/generations/active.rs
@@ -0,0 +1,247 @@
+//! Generations that run for callers of this instance.
+
+use std::{
+    collections::HashMap,
+    sync::{
+        Arc,
+        atomic::{AtomicBool, AtomicU64, Ordering},
+    },
+};
+
+use async_channel::{Receiver, Sender, unbounded};
+use parking_lot::Mutex;
+use placing::{ActiveGeneration, GenerationId};
+use types::{RouteId, ServiceId, Tokens};
+use view::Target;
+
+use crate::adapters::{GenerationSizes, Resume};
+
+/// A command to the task that relays a generation.
+#[derive(Debug)]
+pub enum RelayCommand {
+    /// The engine is about to stop the generation for a migration; the end of its stream is then not
+    /// an error.
+    MigrationStarted,
+    /// The migration was given up; the generation stays on its engine.
+    MigrationCancelled,
+    /// The outcome of the migration is unknown; the engine may have stopped the generation.
+    MigrationUncertain,
+    /// Resume the generation from a copy of its KV cache.
+    Resume {
+        /// The engine that resumes it.
+        target: Arc<Target>,
+        /// The copy.
+        resume: Resume,
+        /// Receives whether the generation was resumed.
+        done: Sender<bool>,
+    },
+}
+
+/// State of one generation, shared by the task that relays it and by migrations.
+#[derive(Debug)]
+pub struct GenerationHandle {
+    /// Request id of the generation.
+    pub id: GenerationId,
+    /// Its service.
+    pub service: ServiceId,
+    /// Tokens in the prompt.
+    pub prompt_tokens: Tokens,
+    /// Its route.
+    pub route: RouteId,
+    /// Maximum number of tokens in the answer.
+    pub max_tokens: Tokens,
+    /// The caller's estimate of the number of tokens in the answer.
+    pub length_hint: Option<Tokens>,
+    /// Tokens in one event of the stream.
+    pub tokens_per_event: Tokens,
+    /// Its priority; lower values are served first.
+    pub priority: u32,
+    target: Mutex<Arc<Target>>,
+    /// Whether the first event has been received.
+    started: AtomicBool,
+    events_received: AtomicU64,
+    /// Whether a migration or recovery is in progress.
+    migrating: AtomicBool,
+    /// A copy from which the generation can be resumed if its engine fails.
+    copy: Mutex<Option<(Arc<Target>, Resume)>>,
+    commands: (Sender<RelayCommand>, Receiver<RelayCommand>),
+}
+
+impl GenerationHandle {
+    /// Creates the state of a generation that is assigned to an engine.
+    #[must_use]
+    pub fn new(id: GenerationId, service: ServiceId, target: Arc<Target>) -> Self {
+        Self {
+            id,
+            service,
+            prompt_tokens: 0,
+            route: "".into(),
+            max_tokens: 0,
+            length_hint: None,
+            tokens_per_event: 1,
+            priority: 0,
+            target: Mutex::new(target),
+            started: AtomicBool::new(false),
+            events_received: AtomicU64::new(0),
+            migrating: AtomicBool::new(false),
+            copy: Mutex::new(None),
+            commands: unbounded(),
+        }
+    }
+
+    /// Sets the sizes, and the number of tokens in one event.
+    #[must_use]
+    pub const fn with_sizes(mut self, sizes: GenerationSizes, tokens_per_event: Tokens) -> Self {
+        self.prompt_tokens = sizes.prompt_tokens;
+        self.max_tokens = sizes.max_tokens;
+        self.length_hint = sizes.length_hint;
+        self.tokens_per_event = tokens_per_event;
+        self
+    }
+
+    /// Sets the route and the priority.
+    #[must_use]
+    pub fn with_route(mut self, route: RouteId, priority: u32) -> Self {
+        self.route = route;
+        self.priority = priority;
+        self
+    }
+
+    /// Tokens generated so far, as counted from the events received.
+    #[must_use]
+    pub fn tokens_generated(&self) -> Tokens {
+        self.events_received() * self.tokens_per_event
+    }
+
+    /// Events received so far, from all engines that have run the generation.
+    #[must_use]
+    pub fn events_received(&self) -> u64 {
+        self.events_received.load(Ordering::Relaxed)
+    }
+
+    /// The engine that runs the generation.
+    #[must_use]
+    pub fn target(&self) -> Arc<Target> {
+        Arc::clone(&self.target.lock())
+    }
+
+    /// Sets the engine that runs the generation from now on, and drops the copy.
+    pub fn set_target(&self, target: Arc<Target>) {
+        *self.target.lock() = target;
+        *self.copy.lock() = None;
+    }
+
+    /// Counts an event; returns whether it was the first.
+    pub fn record_event(&self) -> bool {
+        self.events_received.fetch_add(1, Ordering::Relaxed);
+        !self.started.swap(true, Ordering::AcqRel)
+    }
+
+    /// Whether the first event has been received.
+    #[must_use]
+    pub fn has_started(&self) -> bool {
+        self.started.load(Ordering::Acquire)
+    }
+
+    /// Claims the right to migrate the generation; returns false if another task holds it.
+    #[must_use]
+    pub fn begin_migration(&self) -> bool {
+        !self.migrating.swap(true, Ordering::AcqRel)
+    }
+
+    /// Whether a migration or recovery is in progress.
+    #[must_use]
+    pub fn is_migrating(&self) -> bool {
+        self.migrating.load(Ordering::Acquire)
+    }
+
+    /// Releases the right to migrate the generation.
+    pub fn end_migration(&self) {
+        self.migrating.store(false, Ordering::Release);
+    }
+
+    /// Stores a copy from which the generation can be resumed.
+    pub fn store_copy(&self, target: Arc<Target>, resume: Resume) {
+        *self.copy.lock() = Some((target, resume));
+    }
+
+    /// Takes the stored copy, if there is one.
+    #[must_use]
+    pub fn take_copy(&self) -> Option<(Arc<Target>, Resume)> {
+        self.copy.lock().take()
+    }
+
+    /// Sends a command to the relaying task. Returns false if that task has ended.
+    #[must_use]
+    pub fn send_command(&self, command: RelayCommand) -> bool {
+        self.commands.0.try_send(command).is_ok()
+    }
+
+    /// Waits for the next command; `None` once the handle is closed.
+    pub async fn next_command(&self) -> Option<RelayCommand> {
+        self.commands.1.recv().await.ok()
+    }
+
+    /// Closes the command channel.
+    pub fn close(&self) {
+        self.commands.0.close();
+    }
+
+    /// The state that is reported to the owner of the engine.
+    #[must_use]
+    pub fn snapshot(&self) -> ActiveGeneration {
+        ActiveGeneration {
+            generation: Arc::clone(&self.id),
+            service: Arc::clone(&self.service),
+            target: Arc::clone(&self.target.lock().id),
+            prompt_tokens: self.prompt_tokens,
+            tokens_generated: self.tokens_generated(),
+            route: Arc::clone(&self.route),
+            max_tokens: self.max_tokens,
+            length_hint: self.length_hint,
+            priority: self.priority,
+            started: self.has_started(),
+        }
+    }
+}
+
+/// The active generations of this instance, by request id.
+#[derive(Debug, Default)]
+pub struct ActiveGenerations {
+    by_id: Mutex<HashMap<GenerationId, Arc<GenerationHandle>>>,
+}
+
+impl ActiveGenerations {
+    /// Adds a generation.
+    pub fn add(&self, generation: &Arc<GenerationHandle>) {
+        let id = Arc::clone(&generation.id);
+        self.by_id.lock().insert(id, Arc::clone(generation));
+    }
+
+    /// Removes a generation.
+    pub fn remove(&self, id: &str) {
+        self.by_id.lock().remove(id);
+    }
+
+    /// Finds a generation.
+    #[must_use]
+    pub fn get(&self, id: &str) -> Option<Arc<GenerationHandle>> {
+        self.by_id.lock().get(id).cloned()
+    }
+
+    /// The states that are reported to the owners of the engines.
+    #[must_use]
+    pub fn snapshots(&self) -> Vec<ActiveGeneration> {
+        self.by_id
+            .lock()
+            .values()
+            .map(|generation| generation.snapshot())
+            .collect()
+    }
+
+    /// Number of active generations.
+    #[must_use]
+    pub fn count(&self) -> usize {
+        self.by_id.lock().len()
+    }
+}
--- /dev/null
+++ b/components/front/src/generations/dispatch.rs
@@ -0,0 +1,395 @@
+//! Serves generations: obtains an engine from the owner of its shard, then relays the stream.
+
+use std::{sync::Arc, time::Duration};
+
+use async_channel::Receiver;
+use events::{Event, emit};
+use hyper::{Response, http};
+use net::{Body, fed};
+use placing::{GenerationUpdate, PlacementAnswer, PlacementRequest, Shard};
+use rates::Reservation;
+use smol::future;
+use timer::boot_time;
+use types::TargetId;
+use view::Target;
+
+use crate::{
+    adapters::GenerationSizes,
+    callers::{
+        call::Call,
+        refusal::{ELSEWHERE_RETRY, Refusal, millis},
+    },
+    generations::{
+        active::GenerationHandle,
+        idle::{Diagnosis, IdleMonitor, diagnose},
+        relay::Relay,
+    },
+    quarantine::{aggregation, crash_detection},
+    send::{SendOutcome, buffer_response, send},
+    state::Front,
+    target_rates,
+};
+
+/// `Retry-After` of a generation for which no engine was found.
+const NO_TARGET_RETRY: Duration = Duration::from_millis(1_000);
+/// Shards of a service's engines that are asked before a generation is refused. With two or more at
+/// random of many, one full shard hardly ever decides while others have room.
+const MAX_SHARDS_ASKED: u32 = 3;
+/// Engines in a row that may report that they did not run a generation before it is refused.
+const MAX_NOT_RUN: usize = 4;
+/// Fraction of its time to the first token that a generation waits for the rate limit of an engine.
+const RATE_WAIT_FRACTION: f64 = 0.25;
+/// Sizes assumed for a generation that declares none: those of a short question.
+const DEFAULT_SIZES: GenerationSizes = GenerationSizes {
+    prompt_tokens: 1_000,
+    max_tokens: 1_000,
+    length_hint: None,
+};
+
+/// The assignment of a generation to an engine, as the owner of the shard accounts for it. When it
+/// is released or dropped the owner is notified; otherwise the engine's capacity would stay
+/// reserved.
+pub struct Assignment {
+    front: Arc<Front>,
+    /// The generation.
+    pub generation: Arc<GenerationHandle>,
+    /// Whether the engine refused or failed the generation.
+    pub target_failed: bool,
+    /// Whether the generation ran to its end, so that its length can be recorded.
+    pub completed: bool,
+    /// Whether the owner has been notified of the release.
+    released: bool,
+}
+
+impl Assignment {
+    fn new(front: &Arc<Front>, generation: GenerationHandle) -> Self {
+        let generation = Arc::new(generation);
+        front.generations.add(&generation);
+        Self {
+            front: Arc::clone(front),
+            generation,
+            target_failed: false,
+            completed: false,
+            released: false,
+        }
+    }
+
+    /// Releases the assignment, and waits until the owner has processed that. The owner would
+    /// otherwise take an update that arrives after the next placement request for the end of the
+    /// new assignment.
+    async fn release(mut self) {
+        // Nothing is ever sent: `recv` fails once the owner has been notified.
+        let _ = self.notify_owner().recv().await;
+    }
+
+    /// Notifies the owner that the assignment is released.
+    fn notify_owner(&mut self) -> Receiver<()> {
+        self.released = true;
+        self.generation.close();
+        self.front.generations.remove(&self.generation.id);
+        let note = GenerationUpdate::Ended {
+            generation: Arc::clone(&self.generation.id),
+            target_failed: self.target_failed,
+            tokens_generated: self.completed.then(|| self.generation.tokens_generated()),
+        };
+        let shard = self
+            .front
+            .shard_of(&self.generation.service, &self.generation.target().id);
+        Front::notify_owner(&self.front, &shard, note)
+    }
+}
+
+impl Drop for Assignment {
+    fn drop(&mut self) {
+        if !self.released {
+            self.notify_owner();
+        }
+    }
+}
+
+/// Serves a generation; retries on other engines while it certainly has not run.
+pub async fn serve(front: Arc<Front>, call: Call) -> Response<Body> {
+    let mut avoid = Vec::new();
+    loop {
+        let target = match assign_engine(&front, &call, &avoid).await {
+            Ok(target) => target,
+            Err(refusal) => return front.refuse_call(&call, &refusal),
+        };
+        match attempt(&front, &call, target, &mut avoid).await {
+            Attempt::Answer(resp) => return resp,
+            Attempt::Retry => {}
+            Attempt::Refuse(refusal) => return front.refuse_call(&call, &refusal),
+        }
+    }
+}
+
+/// Requests engines until one is assigned, or refuses once none can serve the call in time.
+async fn assign_engine(
+    front: &Arc<Front>,
+    call: &Call,
+    avoid: &[TargetId],
+) -> Result<Arc<Target>, Refusal> {
+    let mut shard = first_shard(front, call);
+    let mut full_shards = 0;
+    // Engines that the owner assigned although this instance can't use them.
+    let mut unusable: Vec<TargetId> = Vec::new();
+    let usable = |id: &TargetId| {
+        let listed = front.view.target(id);
+        listed.filter(|target| front.view.takes_work(target))
+    };
+    loop {
+        if call.time_left().is_zero() {
+            return Err(Refusal::not_run(
+                "no engine came free in time",
+                NO_TARGET_RETRY,
+            ));
+        }
+        unusable.retain(|id| usable(id).is_none());
+        let avoid = [avoid, &unusable].concat();
+        let ask = ask(front, call, shard.clone(), &avoid);
+        if !front.can_complete(&ask) {
+            return Err(Refusal::not_run(
+                "this instance stops before it would end",
+                ELSEWHERE_RETRY,
+            ));
+        }
+        let after = match front.place(&ask).await {
+            PlacementAnswer::Assigned { target: id } => match usable(&id) {
+                Some(target) => return Ok(target),
+                None => {
+                    // The owner and this instance know different listings of the engine: it has
+                    // just joined or is about to leave.
+                    unusable.push(id);
+                    let run = Arc::clone(&call.request.id);
+                    let note = GenerationUpdate::Ended {
+                        generation: run,
+                        target_failed: false,
+                        tokens_generated: None,
+                    };
+                    // Awaited, because the owner would take a late update for the end of its next
+                    // assignment.
+                    let _ = Front::notify_owner(front, &shard, note).recv().await;
+                    LISTING_DELAY
+                }
+            },
+            PlacementAnswer::Wait { after } => after,
+            PlacementAnswer::Rejected { .. }
+                if full_shards + 1 < shard.count.min(MAX_SHARDS_ASKED) =>
+            {
+                full_shards += 1;
+                shard = shard.next();
+                continue;
+            }
+            PlacementAnswer::Rejected { after } => {
+                return Err(Refusal::not_run("no engine can begin it in time", after));
+            }
+        };
+        smol::Timer::after(after.min(call.time_left())).await;
+    }
+}
+
+/// Time within which the listing of a new engine arrives at the other instances.
+const LISTING_DELAY: Duration = Duration::from_millis(20);
+
+/// The shard that is asked first for a generation. It is chosen by the fingerprint, so that
+/// requests are spread over the shards while retries of one request go to the same shard.
+pub(crate) fn first_shard(front: &Front, call: &Call) -> Shard {
+    let service = &call.service.name;
+    Shard::of_target(
+        Arc::clone(service),
+        &call.fingerprint.to_string(),
+        front.shard_count(service),
+    )
+}
+
+/// Builds the placement request for a call.
+pub(crate) fn ask(
+    front: &Front,
+    call: &Call,
+    shard: Shard,
+    avoid: &[TargetId],
+) -> PlacementRequest {
+    let sizes = call.request.sizes.unwrap_or(DEFAULT_SIZES);
+    PlacementRequest {
+        generation: Arc::clone(&call.request.id),
+        digest: call.fingerprint.short(),
+        entry: Arc::clone(&front.cfg.instance),
+        data_centre: Arc::clone(&front.cfg.data_centre),
+        shard,
+        route: Arc::clone(&call.route.name),
+        prompt_tokens: sizes.prompt_tokens,
+        max_tokens: sizes.max_tokens,
+        length_hint: sizes.length_hint,
+        priority: call.priority,
+        objective_left: call.objective_left(),
+        deadline_left: call.time_left(),
+        waited: call.elapsed(),
+        avoid: avoid.to_vec(),
+    }
+}
+
+enum Attempt {
+    Answer(Response<Body>),
+    Retry,
+    Refuse(Refusal),
+}
+
+async fn attempt(
+    front: &Arc<Front>,
+    call: &Call,
+    target: Arc<Target>,
+    avoid: &mut Vec<TargetId>,
+) -> Attempt {
+    let mut assignment = Assignment::new(front, new_handle(call, &target));
+    if let Reservation::Rejected { after } = wait_for_rate(front, call, &target.id).await {
+        // Nothing was sent, so this does not count against the retry budget.
+        avoid.push(Arc::clone(&target.id));
+        assignment.release().await;
+        if avoid.len() < MAX_NOT_RUN {
+            return Attempt::Retry;
+        }
+        return Attempt::Refuse(Refusal::not_run("engines in need take no more", after));
+    }
+    let sending = u32::try_from(avoid.len() + 1).unwrap_or(u32::MAX);
+    if !front.take_cold_permit(&call.service, &target) {
+        avoid.push(Arc::clone(&target.id));
+        return retry_or_refuse("every engine is cold", assignment, call, avoid).await;
+    }
+    emit(&Event::RequestSent {
+        id: Arc::clone(&call.request.id),
+        target: Arc::clone(&target.id),
+        fingerprint: call.fingerprint.to_string().into(),
+        sending,
+        held_ms: millis(call.elapsed()),
+        left_ms: millis(call.caller_time_left()),
+    });
+    front.metrics.observe_held(call.elapsed());
+    let sending = send(front, call, &target, None, call.time_left());
+    match future::or(
+        sending,
+        wait_until_gone(front, call, &assignment.generation),
+    )
+    .await
+    {
+        SendOutcome::Response { head, body, .. } if head.status.is_success() => {
+            Attempt::Answer(stream(front, call, assignment, &head, body))
+        }
+        SendOutcome::Response { head, body, .. } => {
+            match buffer_response(front, &head, body, call.time_left()).await {
+                Ok(resp) => {
+                    front.metrics.count_request(call.kind(), "failed");
+                    aggregation::report_success(front, &call.fingerprint);
+                    Attempt::Answer(resp)
+                }
+                Err(reason) => Attempt::Refuse(Refusal::unknown(reason)),
+            }
+        }
+        SendOutcome::NotRun { reason } => {
+            assignment.target_failed = true;
+            avoid.push(Arc::clone(&target.id));
+            retry_or_refuse(&reason, assignment, call, avoid).await
+        }
+        SendOutcome::Rejected { .. } => Attempt::Refuse(Refusal::quarantined()),
+        SendOutcome::Unknown { reason, timed_out } => {
+            assignment.target_failed = !timed_out;
+            let refusal = if timed_out {
+                Refusal::late
+            } else {
+                Refusal::unknown
+            };
+            Attempt::Refuse(refusal(reason))
+        }
+    }
+}
+
+/// Waits for a reservation under the rate limit of an engine, if it has announced one.
+async fn wait_for_rate(front: &Arc<Front>, call: &Call, target: &TargetId) -> Reservation {
+    let timeout = call.objective_left().mul_f64(RATE_WAIT_FRACTION);
+    let reservation = target_rates::reserve(front, target, timeout).await;
+    if let Reservation::Granted { after } = reservation {
+        smol::Timer::after(after).await;
+    }
+    reservation
+}
+
+/// Waits until an engine that still owes the first event is found to be gone. Without this check
+/// the caller would wait for its whole timeout.
+async fn wait_until_gone(
+    front: &Arc<Front>,
+    call: &Call,
+    generation: &GenerationHandle,
+) -> SendOutcome {
+    if !front.cfg.decisions.features.idle_detection {
+        return future::pending().await;
+    }
+    let mut monitor = IdleMonitor::new(boot_time() + call.objective_left());
+    loop {
+        smol::Timer::after(monitor.next_report_at().saturating_sub(boot_time())).await;
+        if diagnose(front, generation, &mut monitor).await == Diagnosis::EngineGone {
+            let sent = call.arrived;
+            crash_detection::report_crash(
+                front,
+                call,
+                &generation.target(),
+                sent,
+                generation.events_received(),
+            );
+            return SendOutcome::Unknown {
+                reason: "its engine is silent and not listed any more".into(),
+                timed_out: false,
+            };
+        }
+    }
+}
+
+/// Retries a call that has not run, or refuses it if the retry budget is used up.
+async fn retry_or_refuse(
+    reason: &str,
+    assignment: Assignment,
+    call: &Call,
+    avoid: &[TargetId],
+) -> Attempt {
+    let front = Arc::clone(&assignment.front);
+    let service = &call.service.name;
+    let instances = front.instance_count();
+    let granted = front.cfg.decisions.features.retries
+        && avoid.len() < MAX_NOT_RUN
+        && front
+            .retry_budget
+            .lock()
+            .try_take(boot_time(), service, instances);
+    if !granted {
+        return Attempt::Refuse(Refusal::not_run(reason, NO_TARGET_RETRY));
+    }
+    front.metrics.retries.inc();
+    assignment.release().await;
+    Attempt::Retry
+}
+
+fn new_handle(call: &Call, target: &Arc<Target>) -> GenerationHandle {
+    let sizes = call.request.sizes.unwrap_or(DEFAULT_SIZES);
+    let tokens_per_event = call
+        .service
+        .engine
+        .as_ref()
+        .map_or(1, |engine| engine.tokens_per_event);
+    let run = Arc::clone(&call.request.id);
+    let service = Arc::clone(&call.service.name);
+    GenerationHandle::new(run, service, Arc::clone(target))
+        .with_sizes(sizes, tokens_per_event)
+        .with_route(Arc::clone(&call.route.name), call.priority)
+}
+
+fn stream(
+    front: &Arc<Front>,
+    call: &Call,
+    assignment: Assignment,
+    head: &http::response::Parts,
+    body: hyper::body::Incoming,
+) -> Response<Body> {
+    let relay = Relay::new(Arc::clone(front), call.clone(), assignment, head, body);
+    let mut resp = Response::new(fed(move |tx| relay.run(tx)));
+    *resp.status_mut() = head.status;
+    *resp.headers_mut() = front.adapter.forwarded_headers(head);
+    resp
+}
--- a/components/front/src/instances/mod.rs
+++ b/components/front/src/instances/mod.rs
@@ -1,8 +1,9 @@
-//! The other instances: who they are, what is told, and how a start of all goes.
+//! Communication with the other instances: membership, messages, and the start of many instances at
+//! once.
 
 pub mod joining;
 pub mod membership;
-pub mod message;
+pub mod message_handler;
+pub mod notify;
 pub mod peers;
-pub mod telling;
 pub mod wire;
--- a/components/front/src/lib.rs
+++ b/components/front/src/lib.rs
@@ -1,17 +1,16 @@
-//! Serves requests by declared routes on a platform that lists targets and keeps the
-//! configuration: who may ask what, where it goes, what comes back, and what happens when
-//! something on the way fails.
+//! The reverse proxy for a platform that lists targets and keeps the configuration in its store:
+//! authorizes callers by declared routes, chooses a target, forwards requests and streams, and
+//! handles the failures of targets, instances and the store.
 
+pub mod adapters;
 pub mod admin;
 pub mod callers;
 pub mod config;
 pub mod decisions;
 pub mod dump;
-pub mod face;
-pub mod gate;
 pub mod generations;
 pub mod instances;
-pub mod limited;
+pub mod latch;
 pub mod metrics;
 pub mod plain_calls;
 pub mod quarantine;
@@ -20,13 +19,15 @@
 pub mod send;
 pub mod state;
 pub mod store;
+pub mod target_rates;
 
-pub use config::{Bounds, Config};
-pub use decisions::{Decisions, Parts};
-pub use face::{
-    Asked, BadRequest, Copied, CopyOrder, EngineReport, EngineState, Engines, Face, Heading,
-    Record, Resume, RunReport, SaidLoad, Sending, Sizes, Store, StoreError,
+pub use adapters::{
+    BadRequest, CallerRequest, EngineControl, EngineReport, EngineState, GenerationReport,
+    GenerationSizes, KvCopyOutcome, KvCopyRequest, OutgoingRequest, ProtocolAdapter, Record,
+    ReportedLoad, ResponseHead, Resume, Store, StoreError,
 };
-pub use instances::wire::{Member, News, Row, Topic};
-pub use quarantine::kept::Kept;
-pub use run::{Outside, serve};
+pub use config::{Bounds, Config};
+pub use decisions::{Decisions, Features};
+pub use instances::wire::{Member, Row, Topic, TopicUpdate};
+pub use quarantine::record::QuarantineRecord;
+pub use run::{Adapters, serve};
--- /dev/null
+++ b/components/front/src/plain_calls/dispatch.rs
@@ -0,0 +1,346 @@
+//! Serves plain calls: sends each to one target after the other until there is a complete answer or
+//! no further attempt is allowed.
+
+use std::{sync::Arc, time::Duration};
+
+use events::{Event, emit};
+use hyper::Response;
+use net::Body;
+use rates::Reservation;
+use timer::boot_time;
+use types::{Moment, TargetId};
+use view::{Kind, Target};
+
+use crate::{
+    callers::{
+        call::Call,
+        refusal::{Refusal, millis},
+    },
+    plain_calls::selection::connection_share,
+    quarantine::{aggregation, crash_detection},
+    send::{SendOutcome, buffer_response, log_send_failure, send},
+    state::Front,
+    target_rates,
+};
+
+/// How long an idempotent call waits for one target before the next one is tried, as a multiple of
+/// the route's objective. Calls usually take 15 ms and at most 110 ms, against objectives of 100
+/// ms.
+const ATTEMPT_OBJECTIVES: f64 = 1.6;
+/// Fraction of the time left that one attempt may take if another one could follow.
+const ATTEMPT_FRACTION: f64 = 0.5;
+/// `Retry-After` of a call for which no target was found.
+const NO_TARGET_RETRY: Duration = Duration::from_millis(400);
+/// Pause before targets are looked up again while none is usable.
+const LOOKUP_PAUSE: Duration = Duration::from_millis(40);
+/// How long a call waits for a usable target, as a fraction of the route's objective.
+const LOOKUP_FRACTION: f64 = 1.0;
+/// Fraction of the calls that may go to a target with a rate limit although others have room; their
+/// answers tell when the limit is lifted.
+const LIMITED_FRACTION: f64 = 0.02;
+/// Targets in a row that may report that they did not run a call before it is refused.
+const MAX_NOT_RUN: usize = 4;
+
+/// Counts a call as in flight at a target until it is dropped.
+struct InFlightGuard<'a> {
+    front: &'a Front,
+    target: &'a TargetId,
+}
+
+impl<'a> InFlightGuard<'a> {
+    fn new(front: &'a Front, target: &'a TargetId) -> Self {
+        front.selector.lock().call_started(target);
+        Self { front, target }
+    }
+}
+
+impl Drop for InFlightGuard<'_> {
+    fn drop(&mut self) {
+        self.front.selector.lock().call_ended(self.target);
+    }
+}
+
+/// The outcome of one attempt.
+enum Outcome {
+    /// An answer for the caller.
+    Answer(Response<Body>),
+    /// A server error, which the caller gets if no other target answers better.
+    ServerError(Response<Body>),
+    /// The call did not run.
+    NotRun,
+    /// The call may have run.
+    Unknown { reason: Arc<str>, timed_out: bool },
+}
+
+/// The outcome of all attempts so far.
+#[derive(Default)]
+struct Attempts {
+    /// Number of targets on which the call may have run.
+    may_have_run: u32,
+    /// Targets that are not tried again.
+    tried: Vec<TargetId>,
+    count: u32,
+    /// The error of a target, for the caller if no better answer comes.
+    server_error: Option<Response<Body>>,
+    timed_out: bool,
+    reason: Option<Arc<str>>,
+    /// When a target accepts more, if all have reached their rate limits.
+    retry_after: Option<Duration>,
+}
+
+impl Attempts {
+    /// The response to a caller when no further attempt is allowed.
+    fn into_response(self, front: &Front, call: &Call) -> Response<Body> {
+        if let Some(resp) = self.server_error {
+            front.metrics.count_request(call.kind(), "failed");
+            return resp;
+        }
+        let reason = self.reason.unwrap_or_else(|| "no target takes it".into());
+        let refusal = match (self.may_have_run, self.timed_out) {
+            (0, _) => Refusal::not_run(reason, self.retry_after.unwrap_or(NO_TARGET_RETRY)),
+            (_, true) => Refusal::late(reason),
+            (_, false) => Refusal::unknown(reason),
+        };
+        front.refuse_call(call, &refusal)
+    }
+}
+
+/// Serves a plain call.
+pub async fn serve(front: &Arc<Front>, call: &Call) -> Response<Body> {
+    let mut attempts = Attempts::default();
+    loop {
+        if !may_attempt(front, call, &attempts) {
+            return attempts.into_response(front, call);
+        }
+        let target = match find_target(front, call, &attempts.tried).await {
+            Ok(target) => target,
+            Err(NoTarget::Unusable) => return attempts.into_response(front, call),
+            Err(NoTarget::Limited { after }) => {
+                attempts.retry_after = Some(after);
+                return attempts.into_response(front, call);
+            }
+        };
+        attempts.count += 1;
+        attempts.tried.push(Arc::clone(&target.id));
+        match attempt(front, call, &target, attempts.count).await {
+            Outcome::Answer(resp) => {
+                front.metrics.count_request(call.kind(), "answered");
+                return resp;
+            }
+            Outcome::ServerError(resp) => {
+                attempts.may_have_run += 1;
+                attempts.server_error = Some(resp);
+            }
+            Outcome::NotRun => {}
+            Outcome::Unknown { reason, timed_out } => {
+                attempts.may_have_run += 1;
+                attempts.timed_out = timed_out;
+                attempts.reason = Some(reason);
+            }
+        }
+    }
+}
+
+/// Whether a further attempt is allowed; takes it from the retry budget.
+fn may_attempt(front: &Front, call: &Call, attempts: &Attempts) -> bool {
+    if call.time_left().is_zero() {
+        return false;
+    }
+    if attempts.count == 0 {
+        return true;
+    }
+    if front.rejects(&call.fingerprint) {
+        return false;
+    }
+    let has_run_enough = match call.route.kind {
+        Kind::Idempotent => attempts.may_have_run >= call.route.max_targets,
+        Kind::NonIdempotent | Kind::Generation => attempts.may_have_run > 0,
+    };
+    let retries = front.cfg.decisions.features.retries;
+    if !retries || has_run_enough || attempts.tried.len() >= MAX_NOT_RUN {
+        return false;
+    }
+    let instances = front.instance_count();
+    let service = &call.service.name;
+    let granted = front
+        .retry_budget
+        .lock()
+        .try_take(boot_time(), service, instances);
+    if granted {
+        front.metrics.retries.inc();
+    }
+    granted
+}
+
+/// Why no target was found.
+enum NoTarget {
+    /// None is usable, or all have been tried.
+    Unusable,
+    /// The usable ones have reached their rate limits, and accept more after this time.
+    Limited { after: Duration },
+}
+
+/// Finds a target; waits for a while if none is usable at the moment.
+async fn find_target(
+    front: &Arc<Front>,
+    call: &Call,
+    tried: &[TargetId],
+) -> Result<Arc<Target>, NoTarget> {
+    let timeout = call
+        .route
+        .aim
+        .mul_f64(LOOKUP_FRACTION)
+        .min(call.time_left());
+    let until = boot_time() + timeout;
+    let mut skipped = tried.to_vec();
+    let mut limited: Option<Duration> = None;
+    loop {
+        let now = boot_time();
+        let selected = select(front, call, &skipped, now);
+        if let Some(target) =
+            selected.filter(|target| front.take_cold_permit(&call.service, target))
+        {
+            match target_rates::reserve(front, &target.id, until.saturating_sub(now)).await {
+                Reservation::Granted { after } => {
+                    smol::Timer::after(after).await;
+                    return Ok(target);
+                }
+                Reservation::Rejected { after } => {
+                    skipped.push(Arc::clone(&target.id));
+                    limited = Some(limited.map_or(after, |earliest| earliest.min(after)));
+                    continue;
+                }
+            }
+        }
+        if let Some(after) = limited {
+            return Err(NoTarget::Limited { after });
+        }
+        // Other targets may join, but a call that has been sent already does not wait for them.
+        if now >= until || !tried.is_empty() {
+            return Err(NoTarget::Unusable);
+        }
+        smol::Timer::after(LOOKUP_PAUSE).await;
+    }
+}
+
+/// Selects among the targets to which this instance may open one more connection. Those with a rate
+/// limit are avoided while others have room, except for a few calls that find out whether the limit
+/// still applies.
+fn select(front: &Front, call: &Call, tried: &[TargetId], now: Moment) -> Option<Arc<Target>> {
+    let share = connection_share(call.service.connections, front.instance_count());
+    let mut targets = front.usable_targets(&call.service);
+    targets.retain(|target| !tried.contains(&target.id));
+    let selector = front.selector.lock();
+    targets.retain(|target| selector.in_flight(&target.id) < share);
+    let has_room = |target: &&Arc<Target>| selector.has_room(now, target);
+    let is_unlimited = |target: &&Arc<Target>| !front.is_limited(&target.id);
+    if targets.iter().filter(is_unlimited).any(|t| has_room(&t))
+        && fastrand::f64() >= LIMITED_FRACTION
+    {
+        targets.retain(|target| is_unlimited(&target));
+    }
+    let local = &front.cfg.data_centre;
+    selector.select(now, &targets, tried, local, fastrand::f64())
+}
+
+async fn attempt(
+    front: &Arc<Front>,
+    call: &Call,
+    target: &Arc<Target>,
+    attempt_number: u32,
+) -> Outcome {
+    let _in_flight = InFlightGuard::new(front, &target.id);
+    emit(&Event::RequestSent {
+        id: Arc::clone(&call.request.id),
+        target: Arc::clone(&target.id),
+        fingerprint: call.fingerprint.to_string().into(),
+        sending: attempt_number,
+        held_ms: millis(call.elapsed()),
+        left_ms: millis(call.caller_time_left()),
+    });
+    if attempt_number == 1 {
+        front.metrics.observe_held(call.elapsed());
+    }
+    let timeout = attempt_timeout(call, attempt_number);
+    let started = boot_time();
+    match send(front, call, target, None, timeout).await {
+        SendOutcome::Response {
+            head,
+            heading,
+            body,
+        } => {
+            let now = boot_time();
+            if let Some(load) = heading.load {
+                front.selector.lock().record_load(now, &target.id, load);
+            }
+            let rest = timeout.saturating_sub(now.saturating_sub(started));
+            match buffer_response(front, &head, body, rest.max(LOOKUP_PAUSE)).await {
+                Ok(resp) => record_answer(front, call, target, resp),
+                Err(reason) => {
+                    log_send_failure(call, target, &reason, false);
+                    crash_detection::investigate(front, call, target, started, 0);
+                    front.selector.lock().record_failure(now, &target.id);
+                    Outcome::Unknown {
+                        reason,
+                        timed_out: false,
+                    }
+                }
+            }
+        }
+        SendOutcome::NotRun { .. } => {
+            front
+                .selector
+                .lock()
+                .record_failure(boot_time(), &target.id);
+            Outcome::NotRun
+        }
+        SendOutcome::Rejected { reason } => Outcome::Unknown {
+            reason,
+            timed_out: false,
+        },
+        SendOutcome::Unknown { reason, timed_out } => {
+            front
+                .selector
+                .lock()
+                .record_failure(boot_time(), &target.id);
+            Outcome::Unknown { reason, timed_out }
+        }
+    }
+}
+
+/// Records the answer of a target.
+fn record_answer(
+    front: &Arc<Front>,
+    call: &Call,
+    target: &Target,
+    resp: Response<Body>,
+) -> Outcome {
+    let status = resp.status();
+    aggregation::report_success(front, &call.fingerprint);
+    emit(&Event::RequestAnswered {
+        id: Arc::clone(&call.request.id),
+        target: Arc::clone(&target.id),
+        status: status.as_u16(),
+        took_ms: millis(call.elapsed()),
+    });
+    if status.is_server_error() {
+        front
+            .selector
+            .lock()
+            .record_failure(boot_time(), &target.id);
+        return Outcome::ServerError(resp);
+    }
+    front.selector.lock().record_success(&target.id);
+    Outcome::Answer(resp)
+}
+
+/// How long one attempt may take.
+fn attempt_timeout(call: &Call, attempt_number: u32) -> Duration {
+    let left = call.time_left();
+    let may_retry = call.route.kind == Kind::Idempotent && attempt_number < call.route.max_targets;
+    if !may_retry {
+        return left;
+    }
+    let objectives = call.route.aim.mul_f64(ATTEMPT_OBJECTIVES);
+    objectives.min(left.mul_f64(ATTEMPT_FRACTION))
+}
--- /dev/null
+++ b/components/front/src/quarantine/crash_detection.rs
@@ -0,0 +1,187 @@
+//! Finds out whether a target crashed while it was running a request.
+//!
+//! A lost connection alone is no proof: a reset, a network fault and a planned departure look the
+//! same at first. A target has crashed if it refuses connections right afterwards, or if its
+//! listing disappears or shows another incarnation although the target was not marked as leaving.
+
+use std::{collections::HashMap, io::ErrorKind, net::SocketAddr, sync::Arc, time::Duration};
+
+use ::quarantine::{Evidence, Fingerprint, TargetIncarnation};
+use events::{Event, emit};
+use parking_lot::Mutex;
+use placing::GenerationId;
+use smol::net::TcpStream;
+use timer::{Timer, boot_time};
+use types::{Moment, TargetId};
+use view::Target;
+
+use crate::{callers::call::Call, quarantine::aggregation, state::Front};
+
+/// Time to connect to a target that may have crashed.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Consecutive connections that a crashed target refuses. A target at its connection limit may
+/// refuse a single one.
+const REFUSED_CONNECTIONS: u32 = 2;
+/// Pause between two such connections.
+const CONNECT_PAUSE: Duration = Duration::from_millis(250);
+/// Time for the listing of a crashed target to expire, and for the change to arrive here.
+const LISTING_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// Time between two checks of the listing.
+const LISTING_POLL_PERIOD: Duration = Duration::from_millis(250);
+/// How long a crash is remembered for other requests that the target was running.
+const CRASH_RETENTION: Duration = Duration::from_secs(10);
+
+/// Incarnations of targets that have crashed recently.
+#[derive(Debug, Default)]
+pub struct RecentCrashes {
+    crashed_at: Mutex<HashMap<(TargetId, Option<u64>), Moment>>,
+}
+
+impl RecentCrashes {
+    fn insert(&self, now: Moment, target: &Target) {
+        let mut crashed_at = self.crashed_at.lock();
+        crashed_at.retain(|_, at| now.saturating_sub(*at) < CRASH_RETENTION);
+        crashed_at.insert(key(target), now);
+    }
+
+    fn contains(&self, target: &Target) -> bool {
+        self.crashed_at.lock().contains_key(&key(target))
+    }
+}
+
+fn key(target: &Target) -> (TargetId, Option<u64>) {
+    (Arc::clone(&target.id), target.born)
+}
+
+/// State of the listing of a target, compared with the one when the request was sent.
+enum ListingState {
+    Unchanged,
+    Leaving,
+    Unlisted,
+    Restarted,
+}
+
+/// Finds out in the background whether a target has crashed whose connection was lost while it was
+/// running a request, and reports that. The request was sent at `sent_at`, and `events` events of its
+/// answer had been received.
+pub fn investigate(
+    front: &Arc<Front>,
+    call: &Call,
+    target: &Arc<Target>,
+    sent_at: Moment,
+    events: u64,
+) {
+    // A target that was leaving has left.
+    if matches!(
+        listing_state(front, target),
+        ListingState::Leaving | ListingState::Unlisted
+    ) {
+        return;
+    }
+    let request = LostRequest::new(call, sent_at, events);
+    let (front, target) = (Arc::clone(front), Arc::clone(target));
+    let investigation = async move {
+        if has_crashed(&front, &target).await {
+            request.report_crash(&front, &target);
+        }
+    };
+    workers::spawn(investigation).detach();
+}
+
+/// Reports that a target has crashed while it was running a request, which was sent at `sent_at`;
+/// `events` events of its answer had been received.
+pub fn report_crash(
+    front: &Arc<Front>,
+    call: &Call,
+    target: &Target,
+    sent_at: Moment,
+    events: u64,
+) {
+    LostRequest::new(call, sent_at, events).report_crash(front, target);
+}
+
+/// A request whose connection was lost while a target was running it. Its body is not retained.
+struct LostRequest {
+    id: GenerationId,
+    fingerprint: Fingerprint,
+    sent_at: Moment,
+    lost_at: Moment,
+    events: u64,
+}
+
+impl LostRequest {
+    /// Creates the record of a request that is lost now.
+    fn new(call: &Call, sent_at: Moment, events: u64) -> Self {
+        Self {
+            id: Arc::clone(&call.request.id),
+            fingerprint: call.fingerprint,
+            sent_at,
+            lost_at: boot_time(),
+            events,
+        }
+    }
+
+    /// Reports the crash of the target as evidence against the request.
+    fn report_crash(self, front: &Arc<Front>, target: &Target) {
+        front.recent_crashes.insert(boot_time(), target);
+        emit(&Event::TargetEnded {
+            id: self.id,
+            fingerprint: self.fingerprint.to_string().into(),
+            target: Arc::clone(&target.id),
+            events: self.events,
+        });
+        let incarnation = TargetIncarnation {
+            target: Arc::clone(&target.id),
+            started_at: target.born,
+        };
+        let evidence = Evidence {
+            fingerprint: self.fingerprint,
+            incarnation,
+            age: boot_time().saturating_sub(self.lost_at),
+            ran_for: self.lost_at.saturating_sub(self.sent_at),
+        };
+        aggregation::report_evidence(front, evidence);
+    }
+}
+
+/// Whether a target has crashed; takes up to [`LISTING_TIMEOUT`].
+async fn has_crashed(front: &Front, target: &Target) -> bool {
+    if front.recent_crashes.contains(target) || refuses_connections(target.addr).await {
+        return true;
+    }
+    let until = boot_time() + LISTING_TIMEOUT;
+    while boot_time() < until {
+        match listing_state(front, target) {
+            ListingState::Unchanged => smol::Timer::after(LISTING_POLL_PERIOD).await,
+            ListingState::Leaving => return false,
+            ListingState::Unlisted | ListingState::Restarted => return true,
+        };
+    }
+    false
+}
+
+fn listing_state(front: &Front, target: &Target) -> ListingState {
+    match front.view.target(&target.id) {
+        None => ListingState::Unlisted,
+        Some(now) if now.born != target.born => ListingState::Restarted,
+        Some(now) if !now.takes_work() => ListingState::Leaving,
+        Some(_) => ListingState::Unchanged,
+    }
+}
+
+/// Whether nothing listens at an address.
+async fn refuses_connections(addr: SocketAddr) -> bool {
+    for number in 1..=REFUSED_CONNECTIONS {
+        let connected = Timer::new()
+            .within(CONNECT_TIMEOUT, TcpStream::connect(addr))
+            .await;
+        let refused = matches!(connected, Some(Err(e)) if e.kind() == ErrorKind::ConnectionRefused);
+        if !refused {
+            return false;
+        }
+        if number < REFUSED_CONNECTIONS {
+            smol::Timer::after(CONNECT_PAUSE).await;
+        }
+    }
+    true
+}
--- a/components/front/src/run.rs
+++ b/components/front/src/run.rs
@@ -18,21 +18,21 @@
 use view::View;
 
 use crate::{
+    adapters::{EngineControl, ProtocolAdapter, Store},
     admin::{Admin, Readiness},
-    callers::{drain, handler::Callers, open::OpenRequests, shutdown::Ending},
+    callers::{drain, handler::RequestHandler, open_requests::OpenRequests, shutdown::Shutdown},
     config::Config,
-    face::{Engines, Face, Store},
-    gate::Gate,
-    generations::{live::LiveRuns, placement::Placement, probing},
+    generations::{active::ActiveGenerations, placement::Placement, probing},
     instances::{
         membership,
-        message::Messages,
+        message_handler::MessageHandler,
         peers::Peers,
         wire::{Member, Topic},
     },
+    latch::Latch,
     metrics::Metrics,
-    plain_calls::{budget::Budget, choice::Choice, cold::ColdTargets},
-    quarantine::ends::Endings,
+    plain_calls::{cold::ColdTargets, retry_budget::RetryBudget, selection::TargetSelector},
+    quarantine::crash_detection::RecentCrashes,
     reload,
     state::{Front, unix_millis},
     store::{counted::CountedStore, follow::Follower, topic_cache::TopicCache},
@@ -49,11 +49,11 @@
 /// is known.
 const IDLE_TIME: Duration = Duration::from_secs(16);
 /// What an instance talks to.
-pub struct Outside {
+pub struct Adapters {
     /// Speaks with callers and targets.
-    pub face: Arc<dyn Face>,
+    pub protocol: Arc<dyn ProtocolAdapter>,
     /// Gives engines orders, over the connections given.
-    pub engines: Arc<dyn Engines>,
+    pub engines: Arc<dyn EngineControl>,
     /// The store.
     pub store: Arc<dyn Store>,
     /// Reads the settings again.
@@ -64,30 +64,30 @@
 ///
 /// # Errors
 /// Tells why it could not start.
-pub fn serve(cfg: Config, outside: Outside) -> Result<()> {
+pub fn serve(cfg: Config, adapters: Adapters) -> Result<()> {
     let stop = Arc::new(AtomicBool::new(false));
     let signal = Arc::new(AtomicBool::new(false));
     for end in [SIGTERM, SIGINT] {
         signal_hook::flag::register(end, Arc::clone(&stop)).context("signals")?;
     }
     signal_hook::flag::register(SIGHUP, Arc::clone(&signal)).context("signals")?;
-    smol::block_on(run(cfg, outside, stop, signal))
+    smol::block_on(run(cfg, adapters, stop, signal))
 }
 
 async fn run(
     cfg: Config,
-    outside: Outside,
+    adapters: Adapters,
     stop: Arc<AtomicBool>,
     signal: Arc<AtomicBool>,
 ) -> Result<()> {
-    let front = Arc::new(front(cfg, &outside));
+    let front = Arc::new(front(cfg, &adapters));
     let callers = listen(
         front.cfg.callers,
         limits(&front),
-        Callers::new(Arc::clone(&front)),
+        RequestHandler::new(Arc::clone(&front)),
     );
     let callers = callers.await?.with_terms(Arc::clone(&front.terms));
-    let messages = Messages::new(Arc::clone(&front));
+    let messages = MessageHandler::new(Arc::clone(&front));
     let peers = listen(front.cfg.peers, ServeLimits::default(), messages).await?;
     let readiness = Readiness::new(Arc::clone(&front));
     let ready = listen(front.cfg.ready, ServeLimits::default(), readiness).await?;
@@ -97,7 +97,7 @@
         workers::spawn(admin.run()).detach();
     }
     let retire = callers.retire();
-    let mut callers = drain::Callers {
+    let mut callers = drain::CallerServer {
         stop: callers.stop(),
         open: callers.open(),
         task: workers::spawn(callers.run()),
@@ -109,24 +109,24 @@
         let follower = Follower::new(Arc::clone(&front), Arc::clone(&store), topic);
         workers::spawn(follower.run()).detach();
     }
-    workers::spawn(membership::meet(Arc::clone(&front), store)).detach();
-    workers::spawn(membership::sync(Arc::clone(&front))).detach();
+    workers::spawn(membership::join(Arc::clone(&front), store)).detach();
+    workers::spawn(membership::sync_with_owners(Arc::clone(&front))).detach();
     workers::spawn(probing::watch(Arc::clone(&front))).detach();
     emit(&Event::Started {
         instance: Arc::clone(&front.cfg.instance),
     });
-    reload::watch(&front, &outside.reload, &stop, &signal).await;
+    reload::watch(&front, &adapters.reload, &stop, &signal).await;
     retire.store(true, Ordering::Release);
     drain::drain(&front, &mut callers).await;
-    drain::tell_end(&front, &callers);
+    drain::log_stopped(&front, &callers);
     Ok(())
 }
 
-fn front(cfg: Config, outside: &Outside) -> Front {
+fn front(cfg: Config, adapters: &Adapters) -> Front {
     let me = Member {
         id: Arc::clone(&cfg.instance),
         addr: cfg.peers,
-        born: unix_millis(),
+        started_at: unix_millis(),
         capacity: cfg.capacity,
         data_centre: Arc::clone(&cfg.data_centre),
     };
@@ -140,41 +140,41 @@
     let calls = metrics.store_calls.clone();
     Front {
         view: View::new(),
-        face: Arc::clone(&outside.face),
-        engines: Arc::clone(&outside.engines),
-        store: Arc::new(CountedStore::new(Arc::clone(&outside.store), calls)),
+        adapter: Arc::clone(&adapters.protocol),
+        engines: Arc::clone(&adapters.engines),
+        store: Arc::new(CountedStore::new(Arc::clone(&adapters.store), calls)),
         client: Client::new().with_connect_limit(CONNECT_LIMIT),
         peers: Peers::new(me, Client::new().with_connect_limit(CONNECT_LIMIT))
-            .with_strong_first(cfg.decisions.parts.strong_first)
-            .with_bytes(metrics.peer_bytes.clone()),
+            .with_capacity_order(cfg.decisions.features.capacity_order)
+            .with_byte_counter(metrics.peer_bytes.clone()),
         placement: Placement::new(cfg.decisions.placing),
-        live: LiveRuns::default(),
+        generations: ActiveGenerations::default(),
         operator_rows: Arc::new(TopicCache::new()),
         target_rows: Arc::new(TopicCache::new()),
         member_rows: Arc::new(TopicCache::new()),
-        choice: Mutex::new(Choice::new(
-            cfg.decisions.parts.prefers_near,
-            cfg.decisions.parts.sets_aside,
+        selector: Mutex::new(TargetSelector::new(
+            cfg.decisions.features.locality,
+            cfg.decisions.features.ejection,
         )),
-        budget: Mutex::new(Budget::new(
+        retry_budget: Mutex::new(RetryBudget::new(
             bounds.retry_window,
             bounds.retry_ratio,
             bounds.retry_slack,
         )),
-        cold: Mutex::new(ColdTargets::default()),
-        limits: Mutex::default(),
-        slots: Mutex::default(),
+        cold_targets: Mutex::new(ColdTargets::default()),
+        rate_limits: Mutex::default(),
+        rate_allocator: Mutex::default(),
         quarantine: Mutex::default(),
-        endings: Endings::default(),
-        bodies: net::Budget::new(cfg.memory / BODIES_PART),
-        ending: Ending::default(),
-        introduced: Gate::default(),
-        informed: Gate::default(),
-        open: OpenRequests::default(),
+        recent_crashes: RecentCrashes::default(),
+        body_budget: net::Budget::new(cfg.memory / BODIES_PART),
+        shutdown: Shutdown::default(),
+        peers_known: Latch::default(),
+        state_known: Latch::default(),
+        open_requests: OpenRequests::default(),
         metrics,
         terms: Arc::new(Terms::new(&terms)),
         targets_lost: AtomicBool::new(false),
-        since: boot_time(),
+        started_at: boot_time(),
         bounds: RwLock::new(bounds),
         cfg,
     }
--- a/components/front/src/state.rs
+++ b/components/front/src/state.rs
@@ -1,8 +1,8 @@
-//! What all parts of one instance share.
+//! The state that all parts of one instance share.
 //!
-//! Locks, in the order in which they may be held together: `bounds`, `budget`, `cold`, `choice`, then those
-//! inside `live`, `placement`, `peers` and `view`. `limits` comes after all of
-//! these; `quarantine` and `slots` are held alone. None is held over an await.
+//! Lock order: `bounds`, `retry_budget`, `cold_targets`, `selector`, then the locks inside
+//! `generations`, `placement`, `peers` and `view`, then `rate_limits`. `quarantine` and
+//! `rate_allocator` are never held together with another lock. No lock is held across an await.
 
 use std::{
     sync::{Arc, atomic::AtomicBool},
@@ -12,155 +12,161 @@
 use net::{Client, Terms};
 use parking_lot::{Mutex, RwLock};
 use quarantine::QuarantineState;
-use rates::{Limits, Slots};
+use rates::{RateAllocator, RateLimits};
 use timer::{Timer, boot_time};
 use types::Moment;
 use view::{Service, Target, View};
 
 use crate::{
-    callers::{open::OpenRequests, shutdown::Ending},
+    adapters::{EngineControl, ProtocolAdapter, Store},
+    callers::{open_requests::OpenRequests, shutdown::Shutdown},
     config::{Bounds, Config},
-    face::{Engines, Face, Store},
-    gate::Gate,
-    generations::{live::LiveRuns, placement::Placement},
+    generations::{active::ActiveGenerations, placement::Placement},
     instances::{peers::Peers, wire::Topic},
+    latch::Latch,
     metrics::Metrics,
-    plain_calls::{budget::Budget, choice::Choice, cold::ColdTargets},
-    quarantine::ends::Endings,
+    plain_calls::{cold::ColdTargets, retry_budget::RetryBudget, selection::TargetSelector},
+    quarantine::crash_detection::RecentCrashes,
     store::topic_cache::TopicCache,
 };
 
-/// Part of a revoked key's life after which knowledge is too old to honour any key: a request
-/// must not be passed on at the very last moment.
-const REVOKE_PART: f64 = 0.92;
-/// Time beyond the longest idleness that callers are allowed: a request that arrives just as its
-/// connection is closed is lost, and its caller can't tell whether it was read.
+/// Share of the revocation limit up to which cached keys are honoured. The rest is a margin for
+/// forwarding the request.
+const KEY_AGE_SHARE: f64 = 0.92;
+/// Margin beyond the configured idle time before an idle connection is closed. A request that
+/// arrives just as its connection is closed is lost, and its caller can't tell whether it was read.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
-/// Time from its start in which an instance keeps callers waiting until it knows enough to take them.
-const START_PATIENCE: Duration = Duration::from_millis(400);
-/// Buffers as a multiple of the headers that callers may send: the request line comes on top, and
-/// a whole request may arrive at once.
-const HEADER_ROOM: usize = 2;
+/// Time after the start during which requests wait until the instance is ready.
+const START_TIMEOUT: Duration = Duration::from_millis(400);
+/// Size of a connection's read buffer as a multiple of the limit on headers: the request line comes
+/// on top, and the body may arrive with the head.
+const HEADER_BUFFER_FACTOR: usize = 2;
 
-/// What all parts of one instance share.
+/// The state that all parts of one instance share.
 pub struct Front {
-    /// Its settings.
+    /// The settings at the start.
     pub cfg: Config,
-    /// What it believes.
+    /// The cached configuration, data centres and targets.
     pub view: View,
-    /// Speaks with callers and targets.
-    pub face: Arc<dyn Face>,
-    /// Gives engines orders.
-    pub engines: Arc<dyn Engines>,
+    /// The protocol of callers and targets.
+    pub adapter: Arc<dyn ProtocolAdapter>,
+    /// The control interface of engines.
+    pub engines: Arc<dyn EngineControl>,
     /// The platform's store.
     pub store: Arc<dyn Store>,
-    /// Connections to targets.
+    /// The HTTP client for targets.
     pub client: Client,
     /// The other instances.
     pub peers: Peers,
-    /// Engines for generations.
+    /// Placement of generations on engines.
     pub placement: Placement,
-    /// Generations that run for its callers.
-    pub live: LiveRuns,
-    /// Rows of the operator.
+    /// Generations that run for callers of this instance.
+    pub generations: ActiveGenerations,
+    /// Cached rows of the configuration and of data centres taken out of service.
     pub operator_rows: Arc<TopicCache>,
-    /// Rows of the targets.
+    /// Cached rows of the targets.
     pub target_rows: Arc<TopicCache>,
-    /// Rows of the instances.
+    /// Cached rows of the instances.
     pub member_rows: Arc<TopicCache>,
-    /// Targets for plain calls.
-    pub choice: Mutex<Choice>,
-    /// Second sendings.
-    pub budget: Mutex<Budget>,
-    /// Cold targets.
-    pub cold: Mutex<ColdTargets>,
-    /// Rates that targets have named for all instances.
-    pub limits: Mutex<Limits>,
-    /// The rates that this instance hands out.
-    pub slots: Mutex<Slots>,
-    /// Requests under which targets ended.
+    /// Selection of targets for plain calls.
+    pub selector: Mutex<TargetSelector>,
+    /// The budget for retries.
+    pub retry_budget: Mutex<RetryBudget>,
+    /// Targets in slow start.
+    pub cold_targets: Mutex<ColdTargets>,
+    /// Rate limits that targets have announced for all instances together.
+    pub rate_limits: Mutex<RateLimits>,
+    /// Allocation of the rate limits that this instance coordinates.
+    pub rate_allocator: Mutex<RateAllocator>,
+    /// Requests during which targets crashed.
     pub quarantine: Mutex<QuarantineState>,
-    /// Targets that have ended lately.
-    pub endings: Endings,
-    /// Bytes that bodies may hold together.
-    pub bodies: net::Budget,
-    /// The end of its life.
-    pub ending: Ending,
-    /// Open once it has looked for the other instances, or can't.
-    pub introduced: Gate,
-    /// Requests that were read and have no answer yet.
-    pub open: OpenRequests,
-    /// Open once it has known enough to take callers.
-    pub informed: Gate,
+    /// Targets that have crashed recently.
+    pub recent_crashes: RecentCrashes,
+    /// The budget of bytes for all request bodies together.
+    pub body_budget: net::Budget,
+    /// Shutdown of this instance.
+    pub shutdown: Shutdown,
+    /// Opened once the other instances have been read from the store or a seed, or the store has
+    /// failed.
+    pub peers_known: Latch,
+    /// Requests that have no answer yet.
+    pub open_requests: OpenRequests,
+    /// Opened once the instance has been ready for callers for the first time.
+    pub state_known: Latch,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Limits of callers' connections, as the configuration in force sets them.
+    /// Limits on callers' connections, from the current configuration.
     pub terms: Arc<Terms>,
-    /// No source tells it of the targets any more.
+    /// All sources of the targets have failed, so the cached targets may be stale.
     pub targets_lost: AtomicBool,
-    /// When it started.
-    pub since: Moment,
-    /// The operators' bounds, as the settings say now.
+    /// When the instance started.
+    pub started_at: Moment,
+    /// The operators' bounds, from the current settings.
     pub bounds: RwLock<Bounds>,
 }
 
 impl Front {
-    /// Targets of a service that may get work now.
+    /// The targets of a service that accept work.
     #[must_use]
-    pub fn usable(&self, service: &Service) -> Vec<Arc<Target>> {
+    pub fn usable_targets(&self, service: &Service) -> Vec<Arc<Target>> {
         self.view.usable(&service.name)
     }
 
-    /// Whether knowledge of keys is fresh enough to honour them. A key may have been taken away
-    /// since the last read that we know of; when that read is too old, honouring any key might
-    /// serve somebody who has lost the right to it.
+    /// Whether the cached keys are recent enough to be honoured. A key may have been revoked since
+    /// the last read; once that read is too old, honouring any key could let a revoked one through.
     #[must_use]
-    pub fn keys_fresh(&self) -> bool {
+    pub fn can_honour_keys(&self) -> bool {
         let bounds = *self.bounds.read();
         if !bounds.strict_revocation {
             return true;
         }
-        let most = bounds.revoke.mul_f64(REVOKE_PART);
-        self.view.rules_read().is_some_and(|read| age(read) < most)
+        let max_age = bounds.revocation_limit.mul_f64(KEY_AGE_SHARE);
+        self.view
+            .rules_read()
+            .is_some_and(|read| elapsed_since(read) < max_age)
     }
 
-    /// How long it has known too little to serve callers: since the last read of the operator's rows
-    /// was sent, or since it started.
+    /// The age of the cached configuration: time since the last read of it was sent, or since the
+    /// start if there was none.
     #[must_use]
-    pub fn ignorant_for(&self) -> Duration {
-        age(self.view.rules_read().unwrap_or(self.since))
+    pub fn state_age(&self) -> Duration {
+        elapsed_since(self.view.rules_read().unwrap_or(self.started_at))
     }
 
-    /// Whether it takes callers.
+    /// Whether the instance accepts callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let known = self.view.rules().is_some() && self.view.targets_read().is_some();
-        known && self.ending.left().is_none() && self.keys_fresh()
+        known && self.shutdown.time_left().is_none() && self.can_honour_keys()
     }
 
-    /// Waits, right after the start, until it knows enough to take callers: a short wait spares them
+    /// Waits until the instance is ready, if it has only just started: a short wait saves callers
     /// one of their few retries.
-    pub async fn informed_at_start(&self) {
-        let left = START_PATIENCE.saturating_sub(age(self.since));
-        if !left.is_zero() {
-            // Where it does not get there in time, the request is judged as at any other time.
-            let _ = Timer::new().within(left, self.informed.passed()).await;
+    pub async fn wait_for_state_at_start(&self) {
+        let time_left = START_TIMEOUT.saturating_sub(elapsed_since(self.started_at));
+        if !time_left.is_zero() {
+            // If the wait times out, the request is handled as at any other time.
+            let _ = Timer::new()
+                .within(time_left, self.state_known.wait())
+                .await;
         }
     }
 
-    /// Takes the limits of callers' connections from the configuration in force.
-    pub fn apply_limits(&self) {
+    /// Applies the limits on callers' connections from the current configuration.
+    pub fn apply_connection_limits(&self) {
         let Some(limits) = self.view.rules().and_then(|rules| rules.limits) else {
             return;
         };
         let idle = limits.idle_time.max(limits.header_time) + IDLE_MARGIN;
-        self.terms
-            .set(limits.header_bytes.saturating_mul(HEADER_ROOM), idle);
+        self.terms.set(
+            limits.header_bytes.saturating_mul(HEADER_BUFFER_FACTOR),
+            idle,
+        );
     }
 
-    /// The rows of a topic.
+    /// The cached rows of a topic.
     #[must_use]
-    pub fn cache(&self, topic: Topic) -> Arc<TopicCache> {
+    pub fn topic_cache(&self, topic: Topic) -> Arc<TopicCache> {
         Arc::clone(match topic {
             Topic::Operator => &self.operator_rows,
             Topic::Targets => &self.target_rows,
@@ -168,34 +174,35 @@
         })
     }
 
-    /// Instances that share budgets, this one included.
+    /// The number of instances that share budgets, including this one.
     #[must_use]
-    pub fn instances(&self) -> usize {
+    pub fn instance_count(&self) -> usize {
         self.peers.count()
     }
 
-    /// Takes the right to send a request to a target that may be cold.
-    pub fn take_cold(&self, service: &Service, target: &Target) -> bool {
+    /// Takes a permit to send a request to a target; false if the target is cold and this
+    /// instance's share of its rate is used up.
+    pub fn take_cold_permit(&self, service: &Service, target: &Target) -> bool {
         let bounds = *self.bounds.read();
         let per_s = if service.cold_per_s > 0.0 {
             service.cold_per_s * bounds.cold_overage + bounds.cold_slack
         } else {
             0.0
         };
-        let instances = self.instances();
-        self.cold
+        let instances = self.instance_count();
+        self.cold_targets
             .lock()
-            .take(boot_time(), &target.id, per_s, instances)
+            .try_take(boot_time(), &target.id, per_s, instances)
     }
 }
 
-/// Time since a moment.
+/// The time since a moment.
 #[must_use]
-pub fn age(moment: Moment) -> Duration {
+pub fn elapsed_since(moment: Moment) -> Duration {
     boot_time().saturating_sub(moment)
 }
 
-/// The time of day, in Unix milliseconds.
+/// The wall-clock time in Unix milliseconds.
 #[must_use]
 pub fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/components/front/src/store/topic_cache.rs
+++ b/components/front/src/store/topic_cache.rs
@@ -8,7 +8,7 @@
 use timer::{Timer, boot_time};
 use types::Moment;
 
-use crate::instances::wire::{News, Row};
+use crate::instances::wire::{Row, TopicUpdate};
 
 /// How long it is remembered that a row was dropped. One who follows from further back is told
 /// everything anew.
@@ -52,15 +52,15 @@
 
     /// When the read was sent that confirmed it last.
     #[must_use]
-    pub fn read(&self) -> Option<Moment> {
+    pub fn confirmed_at(&self) -> Option<Moment> {
         self.rows.lock().read
     }
 
     /// Takes news that was true at `read`; tells which rows it changed. Older news changes
     /// nothing, whoever brings it: knowledge never goes back.
-    pub fn take(&self, news: &News, read: Moment) -> Vec<Row> {
+    pub fn apply(&self, news: &TopicUpdate, read: Moment) -> Vec<Row> {
         let mut rows = self.rows.lock();
-        let changed = if news.whole {
+        let changed = if news.is_full {
             take_whole(&mut rows, news)
         } else {
             take_changes(&mut rows, news)
@@ -76,7 +76,7 @@
 
     /// Notes whether this instance has no source. Nobody is kept waiting for news that it would be
     /// the last to hear.
-    pub fn set_lost(&self, lost: bool) {
+    pub fn set_source_lost(&self, lost: bool) {
         let mut rows = self.rows.lock();
         if rows.lost != lost {
             rows.lost = lost;
@@ -86,21 +86,21 @@
 
     /// Whether this instance has no source.
     #[must_use]
-    pub fn is_lost(&self) -> bool {
+    pub fn is_source_lost(&self) -> bool {
         self.rows.lock().lost
     }
 
     /// The version since which all changes can be told from here; to one who asks from further back
     /// everything would have to be told.
     #[must_use]
-    pub fn tells_from(&self) -> u64 {
+    pub fn history_start(&self) -> u64 {
         self.rows.lock().forgotten
     }
 
     /// What has changed since a version, or everything; and when the read was sent that
     /// confirmed it.
     #[must_use]
-    pub fn news(&self, after: Option<u64>) -> Option<(News, Moment)> {
+    pub fn update_since(&self, after: Option<u64>) -> Option<(TopicUpdate, Moment)> {
         let rows = self.rows.lock();
         let read = rows.read?;
         let since = after.filter(|after| *after >= rows.forgotten && *after <= rows.version);
@@ -109,17 +109,17 @@
             Some(after) => list.filter(|row| row.version > after).cloned().collect(),
             None => list.filter(|row| row.value.is_some()).cloned().collect(),
         };
-        let news = News {
+        let news = TopicUpdate {
             rows: chosen,
             version: rows.version,
             after: since.unwrap_or_default(),
-            whole: since.is_none(),
+            is_full: since.is_none(),
         };
         Some((news, read))
     }
 
     /// Waits until the cache was confirmed or changed, or lost its source, at most this long.
-    pub async fn wait(&self, limit: Duration) {
+    pub async fn wait_for_change(&self, limit: Duration) {
         let rx = self.waiter();
         // Whether it was confirmed or not, the one who waits gets what there is.
         let _ = Timer::new().within(limit, rx.recv()).await;
@@ -141,7 +141,7 @@
     }
 }
 
-fn take_whole(rows: &mut Rows, news: &News) -> Vec<Row> {
+fn take_whole(rows: &mut Rows, news: &TopicUpdate) -> Vec<Row> {
     if news.version < rows.version {
         return Vec::new();
     }
@@ -165,7 +165,7 @@
     changed
 }
 
-fn take_changes(rows: &mut Rows, news: &News) -> Vec<Row> {
+fn take_changes(rows: &mut Rows, news: &TopicUpdate) -> Vec<Row> {
     // From further on than what is known: something between would be missed.
     if news.after > rows.version || news.version < rows.version {
         return Vec::new();
--- a/components/gateway/src/flight.rs
+++ b/components/gateway/src/in_flight.rs
@@ -1,4 +1,4 @@
-//! Requests in flight: by workspace, and in all.
+//! Counts requests in flight, per workspace and in total.
 
 use std::{
     collections::HashMap,
@@ -16,36 +16,37 @@
     refusals,
 };
 
-/// Counts requests in flight. Clones share the counts.
+/// Counts of requests in flight. Clones share the counts.
 #[derive(Clone)]
-pub struct Flights {
-    all: Arc<AtomicUsize>,
+pub struct InFlightRequests {
+    total: Arc<AtomicUsize>,
     by_workspace: Arc<Mutex<HashMap<WorkspaceId, u32>>>,
     metrics: Metrics,
 }
 
-impl Flights {
-    /// Starts at zero.
+impl InFlightRequests {
+    /// Creates counts at zero.
     pub fn new(metrics: Metrics) -> Self {
         Self {
-            all: Arc::default(),
+            total: Arc::default(),
             by_workspace: Arc::default(),
             metrics,
         }
     }
 
-    /// Requests in flight in all.
-    pub fn open(&self) -> usize {
-        self.all.load(Ordering::Acquire)
+    /// Returns the total number of requests in flight.
+    pub fn total(&self) -> usize {
+        self.total.load(Ordering::Acquire)
     }
 
-    /// Lets a request of a workspace in, if the workspace has fewer than `limit`.
+    /// Counts a request of a workspace as in flight, unless the workspace already has `limit`
+    /// requests.
     pub fn enter(
         &self,
         workspace: &WorkspaceId,
         limit: u32,
         class: Class,
-    ) -> Result<Flight, Refusal> {
+    ) -> Result<InFlightGuard, Refusal> {
         let mut by_workspace = self.by_workspace.lock();
         let count = by_workspace
             .entry(WorkspaceId::clone(workspace))
@@ -55,17 +56,17 @@
         }
         *count += 1;
         drop(by_workspace);
-        self.all.fetch_add(1, Ordering::AcqRel);
-        self.metrics.entered();
-        Ok(Flight {
-            flights: self.clone(),
+        self.total.fetch_add(1, Ordering::AcqRel);
+        self.metrics.increment_in_flight();
+        Ok(InFlightGuard {
+            requests: self.clone(),
             workspace: WorkspaceId::clone(workspace),
             class,
             outcome: Mutex::new(Outcome::Left),
         })
     }
 
-    /// Requests in flight by workspace.
+    /// Returns the number of requests in flight by workspace, sorted.
     pub fn by_workspace(&self) -> Vec<(WorkspaceId, u32)> {
         let by_workspace = self.by_workspace.lock();
         let mut counts: Vec<_> = by_workspace.iter().map(|(w, n)| (w.clone(), *n)).collect();
@@ -74,25 +75,25 @@
     }
 }
 
-/// One request in flight; over when dropped.
-pub struct Flight {
-    flights: Flights,
+/// One request in flight. Dropping it ends the count and records the outcome.
+pub struct InFlightGuard {
+    requests: InFlightRequests,
     workspace: WorkspaceId,
     class: Class,
-    /// A request dropped without a word is one whose caller went away.
+    /// Initially `Left`: a request dropped before any outcome lost its caller.
     outcome: Mutex<Outcome>,
 }
 
-impl Flight {
-    /// Notes how the request ends.
-    pub fn note(&self, outcome: Outcome) {
+impl InFlightGuard {
+    /// Sets how the request ended.
+    pub fn set_outcome(&self, outcome: Outcome) {
         *self.outcome.lock() = outcome;
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let mut by_workspace = self.flights.by_workspace.lock();
+        let mut by_workspace = self.requests.by_workspace.lock();
         if let Some(count) = by_workspace.get_mut(&self.workspace) {
             *count -= 1;
             if *count == 0 {
@@ -100,8 +101,10 @@
             }
         }
         drop(by_workspace);
-        self.flights.all.fetch_sub(1, Ordering::AcqRel);
-        self.flights.metrics.left();
-        self.flights.metrics.ended(self.class, *self.outcome.lock());
+        self.requests.total.fetch_sub(1, Ordering::AcqRel);
+        self.requests.metrics.decrement_in_flight();
+        self.requests
+            .metrics
+            .record_end(self.class, *self.outcome.lock());
     }
 }
--- a/components/gateway/src/lib.rs
+++ b/components/gateway/src/lib.rs
@@ -1,31 +1,32 @@
-//! The callers' HTTP API.
+//! The HTTP API for callers: authenticates requests, obtains permits from admission, sends the
+//! requests to targets and returns streamed or buffered answers.
 
 pub mod admission;
 mod attempt;
 mod auth;
-mod call;
-mod flight;
+mod buffered;
+mod completion_request;
+mod delivery;
 mod forward;
+mod gateway;
 mod generate;
 mod handler;
-mod keyed;
-mod linger;
+mod idempotency;
+mod in_flight;
 mod merge;
 pub mod metrics;
-mod pace;
-mod parts;
 mod plain;
 mod prefix;
 mod problem;
+mod progress;
 mod quarantine;
 mod refusals;
 mod request;
+pub mod resume_handle;
 mod streams;
-pub mod ticket;
-mod whole;
 mod writer;
 
-pub use admission::{Admission, Admitted, Ending, Wanted};
+pub use admission::{Admission, AdmissionRequest, PermitHandle, WorkOutcome};
+pub use gateway::{Gateway, GatewayParts, Takeover};
 pub use metrics::Metrics;
-pub use parts::{Gateway, GatewayParts, Takeover};
 pub use quarantine::Quarantine;
--- a/components/policy/src/account.rs
+++ b/components/policy/src/account.rs
@@ -1,278 +1,296 @@
-//! The exact account of what runs on one target.
+//! Bookkeeping of the permits that occupy one target.
+//!
+//! The owner of a shard is the only one to grant permits for its targets, so an account knows all
+//! work that its term has placed there.
 
 use std::{collections::BTreeMap, time::Duration};
 
-use types::{Incarnation, Moment, ServiceId, ServiceKind, Standing, Target, Tokens};
+use types::{Incarnation, Moment, ServiceId, ServiceKind, ServingState, Target, Tokens};
 use wire::HeldPermit;
 
 use crate::{
     api::{EngineReport, TargetLimits, View},
-    length::{Lengths, Source},
-    limit::Limiter,
-    line::TOKENS_MOST,
-    memory::{Projection, Running},
-    permit::{Permit, PermitKey},
+    length::{GenerationSource, LengthEstimator},
+    limiter::ConcurrencyLimiter,
+    memory::{MemoryProjection, RunningGeneration},
+    permit::{GrantedPermit, PermitKey},
     prefixes::Prefixes,
     tuning::Tuning,
+    wait_queue::MAX_TOKENS,
 };
 
-/// Age at which a projection is made anew from what has been produced since.
-const PROJECTION_LIFE: Duration = Duration::from_millis(100);
-/// Age at which a report no longer says anything about memory in use.
-const REPORT_LIFE: Duration = Duration::from_secs(3);
-/// Weight of one observation in the estimate of a target's tokens per second.
+/// A projection older than this is rebuilt from the progress reported since.
+const MAX_PROJECTION_AGE: Duration = Duration::from_millis(100);
+/// A load report older than this is not used for the memory in use.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(3);
+/// Weight of one observation in the moving average of a target's tokens per second.
 const RATE_WEIGHT: f64 = 0.1;
 
-/// A load report and the moment it describes.
+/// A load report with the time that it describes.
 #[derive(Clone, Copy, Debug)]
-pub struct Report {
-    /// The moment it describes.
-    pub taken: Moment,
-    /// What it says.
+pub struct TimedReport {
+    /// When the target made the report, on this process's clock.
+    pub taken_at: Moment,
+    /// The report itself.
     pub report: EngineReport,
 }
 
-/// One target and what runs there.
+/// One target and the permits that occupy it.
 #[derive(Debug)]
-pub struct Account {
-    /// The target as listed; `None` while it isn't listed.
+pub struct TargetAccount {
+    /// The target as listed; `None` while it is not listed.
     pub listed: Option<Target>,
-    /// Which life of the target this account is of.
-    pub life: Option<Incarnation>,
-    /// Its permits.
-    pub permits: BTreeMap<PermitKey, Permit>,
-    /// Its limit.
-    pub limiter: Limiter,
-    /// Its newest report.
-    pub report: Option<Report>,
-    /// Prompts it has seen lately.
+    /// The target's incarnation that this account describes.
+    pub incarnation: Option<Incarnation>,
+    /// Permits that occupy the target.
+    pub permits: BTreeMap<PermitKey, GrantedPermit>,
+    /// Limit of concurrent requests.
+    pub limiter: ConcurrencyLimiter,
+    /// The newest load report.
+    pub report: Option<TimedReport>,
+    /// Prompt blocks that the target has probably cached.
     pub prefixes: Prefixes,
-    /// Whether its own word is enough to count as warm: it was there before this owner, which
-    /// therefore hasn't seen it start.
-    pub may_trust: bool,
-    /// When it refused a connection last while it counted as warm; only a later report that it
-    /// is warm is believed.
-    pub doubted: Option<Moment>,
-    /// Whether work of before this owner's term, whose entry is lost, may still run there.
-    pub strange: bool,
-    /// When work was last asked back.
-    pub recalled: Moment,
-    pub(crate) created: Moment,
-    pub(crate) hold_until: Moment,
-    rate: f64,
-    projection: Projection,
-    pub(crate) projected: Option<Moment>,
+    /// Whether a report that the target is warm is enough to end cold start. True if the target was
+    /// there before this owner, which therefore did not see it start.
+    pub trusts_warm_report: bool,
+    /// When the target last refused a connection while it counted as warm. Only a report made after
+    /// that can end cold start early.
+    pub uncertain_since: Option<Moment>,
+    /// Whether work of an earlier term, whose entry is lost, may still run on the target.
+    pub may_run_unknown_work: bool,
+    /// When a permit of this target was last revoked.
+    pub last_revoked_at: Moment,
+    pub(crate) created_at: Moment,
+    pub(crate) admission_paused_until: Moment,
+    token_rate: f64,
+    projection: MemoryProjection,
+    pub(crate) projected_at: Option<Moment>,
 }
 
-impl Account {
-    /// Starts with nothing known to run.
+impl TargetAccount {
+    /// Creates an account without permits. The target counts as cold.
     #[must_use]
     pub fn new(now: Moment) -> Self {
         Self {
             listed: None,
-            life: None,
+            incarnation: None,
             permits: BTreeMap::new(),
-            limiter: Limiter::new(now),
+            limiter: ConcurrencyLimiter::new(now),
             report: None,
             prefixes: Prefixes::new(),
-            may_trust: false,
-            doubted: None,
-            strange: true,
-            recalled: Moment::ZERO,
-            created: now,
-            hold_until: Moment::ZERO,
-            rate: 0.0,
-            projection: Projection::new(),
-            projected: None,
+            trusts_warm_report: false,
+            uncertain_since: None,
+            may_run_unknown_work: true,
+            last_revoked_at: Moment::ZERO,
+            created_at: now,
+            admission_paused_until: Moment::ZERO,
+            token_rate: 0.0,
+            projection: MemoryProjection::new(),
+            projected_at: None,
         }
     }
 
-    /// Concurrent requests that it has or may get, orphans included.
+    /// Number of concurrent requests that the permits cover, orphaned ones included.
     #[must_use]
-    pub fn occupied(&self) -> u32 {
+    pub fn occupied_slots(&self) -> u32 {
         self.permits.values().map(|permit| permit.slots).sum()
     }
 
-    /// Concurrent requests that a cold target may have, work of before this term included.
+    /// Upper bound of the concurrent requests on a cold target, work of earlier terms included.
     ///
-    /// When an entry dies together with the owner, nobody can tell the new owner what the dead
-    /// entry's work occupies. The cold target would get its bound on top of that and fall over,
-    /// so until it reports itself idle once its own count is believed where that is higher.
+    /// When an entry dies together with the owner, nobody can tell the new owner which work the
+    /// dead entry had placed. Granting the cold limit on top of that work would overload the
+    /// target. Until the target has once reported itself idle, its own count is therefore used
+    /// where it is higher.
     #[must_use]
-    pub fn bearing(&self) -> u32 {
-        let occupied = self.occupied();
-        let Some(report) = self.report.filter(|_| self.strange) else {
+    pub fn max_occupied_slots(&self) -> u32 {
+        let occupied = self.occupied_slots();
+        let Some(report) = self.report.filter(|_| self.may_run_unknown_work) else {
             return occupied;
         };
-        let not_in_it: u32 = self
+        let not_in_report: u32 = self
             .permits
             .values()
-            .filter(|permit| !permit.ran_by(report.taken))
+            .filter(|permit| !permit.was_running_at(report.taken_at))
             .map(|permit| permit.slots)
             .sum();
-        occupied.max(report.report.running + report.report.waiting + not_in_it)
+        occupied.max(report.report.running + report.report.waiting + not_in_report)
     }
 
-    /// Tells whether it may get new work at all: listed as staying, in a data centre that is
-    /// in service, and its report is of the life that is listed.
+    /// Returns whether the target may get new work: it is in service, and its report is of the
+    /// listed incarnation.
     #[must_use]
-    pub fn is_open(&self, view: &View) -> bool {
-        self.is_staying(view)
+    pub fn accepts_work(&self, view: &View) -> bool {
+        self.is_in_service(view)
             && self.report.is_none_or(|report| {
                 Some(report.report.incarnation) == self.listed.as_ref().map(|t| t.incarnation)
             })
     }
 
-    /// Tells whether it is listed as staying, in a data centre that is in service.
+    /// Returns whether the target is listed as live and its data centre is in service.
     #[must_use]
-    pub fn is_staying(&self, view: &View) -> bool {
+    pub fn is_in_service(&self, view: &View) -> bool {
         self.listed.as_ref().is_some_and(|listed| {
-            listed.standing == Standing::Live && !view.out.contains(&listed.data_centre)
+            listed.state == ServingState::Live
+                && !view.data_centres_out.contains(&listed.data_centre)
         })
     }
 
-    /// Tokens of memory in all.
+    /// Total memory in tokens: as reported, or else as configured.
     #[must_use]
     pub fn capacity(&self, limits: &TargetLimits) -> Tokens {
         self.report
             .map(|report| report.report.capacity)
             .filter(|&capacity| capacity > 0)
-            .unwrap_or(limits.memory)
+            .unwrap_or(limits.memory_tokens)
     }
 
-    /// Share of the memory in use by the newest report, 0.0 without a fresh one.
+    /// Share of the memory that is in use by the newest report; 0.0 without a recent one.
     #[must_use]
     pub fn used_share(&self, now: Moment) -> f64 {
         self.report
-            .filter(|report| now.saturating_sub(report.taken) < REPORT_LIFE)
+            .filter(|report| now.saturating_sub(report.taken_at) < MAX_REPORT_AGE)
             .filter(|report| report.report.capacity > 0)
             .map_or(0.0, |r| r.report.used as f64 / r.report.capacity as f64)
     }
 
-    /// Tells whether nothing is admitted because the projection has proved wrong.
+    /// Returns whether nothing is admitted at present because memory use exceeded the projection.
     #[must_use]
-    pub fn is_stopped(&self, now: Moment, tuning: &Tuning) -> bool {
-        now < self.hold_until || self.used_share(now) > tuning.stop_share
+    pub fn is_admission_paused(&self, now: Moment, tuning: &Tuning) -> bool {
+        now < self.admission_paused_until || self.used_share(now) > tuning.stop_share
     }
 
-    /// Starts a life of the target. Permits of earlier lives go on counting until they are given
-    /// back: the platform's list lags, so one of them may have been sent to the new life, which
-    /// can't tell, and a cold target that got its bound on top of that would fall over. Entries
-    /// give those back at once whose work died with an earlier life, for their links broke.
-    pub fn begin_life(&mut self, now: Moment, incarnation: Incarnation) {
-        if self.life.replace(incarnation).is_none() {
+    /// Starts a new incarnation of the target.
+    ///
+    /// Permits of earlier incarnations count until they are returned. The listing lags, so one of
+    /// them may have been used to send a request to the new incarnation, and the full cold limit on
+    /// top of it would overload the target. Entries whose work died with the earlier incarnation
+    /// notice the broken connection and return its permits at once.
+    pub fn start_incarnation(&mut self, now: Moment, incarnation: Incarnation) {
+        if self.incarnation.replace(incarnation).is_none() {
             return;
         }
-        self.limiter = Limiter::new(now);
+        self.limiter = ConcurrencyLimiter::new(now);
         self.prefixes.clear();
-        self.may_trust = false;
-        self.strange = false;
-        self.projected = None;
+        self.trusts_warm_report = false;
+        self.may_run_unknown_work = false;
+        self.projected_at = None;
     }
 
-    /// Takes note that the target refused a connection. Its process may be gone, and back again
-    /// cold before the platform's list says so; what is granted on the word of before would be
-    /// too much for it. A report of the same life that it is warm ends the doubt.
-    pub fn doubt(&mut self, now: Moment) {
+    /// Records that the target refused a connection. Its process may have been replaced by a cold
+    /// one that the listing does not show yet, for which the previous limit would be too much. A
+    /// report of the same incarnation, made after this, that the target is warm lifts the cold
+    /// limit again.
+    pub fn mark_uncertain(&mut self, now: Moment) {
         if !self.limiter.is_cold() {
-            self.limiter.chill(now);
-            self.may_trust = true;
-            self.doubted = Some(now);
+            self.limiter.mark_cold(now);
+            self.trusts_warm_report = true;
+            self.uncertain_since = Some(now);
         }
     }
 
-    /// Puts the target back to cold start.
-    pub fn chill(&mut self, now: Moment) {
-        self.limiter.chill(now);
-        self.may_trust = false;
+    /// Puts the target back into cold start, which only finished requests can end.
+    pub fn mark_cold(&mut self, now: Moment) {
+        self.limiter.mark_cold(now);
+        self.trusts_warm_report = false;
     }
 
-    /// Adds a permit; gives back an earlier one of the same number.
-    pub fn insert(&mut self, key: PermitKey, permit: Permit) -> Option<Permit> {
-        self.projected = None;
+    /// Adds a permit and returns an earlier one with the same key.
+    pub fn insert(&mut self, key: PermitKey, permit: GrantedPermit) -> Option<GrantedPermit> {
+        self.projected_at = None;
         self.permits.insert(key, permit)
     }
 
-    /// Removes a permit.
-    pub fn remove(&mut self, key: &PermitKey) -> Option<Permit> {
+    /// Removes a permit and returns it.
+    pub fn remove(&mut self, key: &PermitKey) -> Option<GrantedPermit> {
         let permit = self.permits.remove(key)?;
-        self.projected = None;
+        self.projected_at = None;
         Some(permit)
     }
 
-    /// Keeps a permit whose entry has lost the link to the target: the work may still run there,
-    /// and a cold target that gets more in its place falls over. The target's reports tell when
-    /// it has ended. Tells what the permit was, unless it was lost before.
-    pub fn lose(&mut self, now: Moment, key: &PermitKey) -> Option<Permit> {
+    /// Keeps a permit whose entry has lost the connection to the target: the work may still run
+    /// there, and a cold target that gets more in its place is overloaded. The target's reports
+    /// show when the work has ended. Returns the permit, or `None` if it was orphaned before.
+    pub fn orphan(&mut self, now: Moment, key: &PermitKey) -> Option<GrantedPermit> {
         let permit = self.permits.get_mut(key)?;
-        if permit.orphaned.is_some() {
+        if permit.orphaned_at.is_some() {
             return None;
         }
-        permit.orphaned = Some(now);
+        permit.orphaned_at = Some(now);
         Some(permit.clone())
     }
 
-    /// Takes news of a permit's progress; `stamp` is the entry's clock at saying so. A block that
-    /// can't be used for new calls any more covers only those that still run.
-    pub fn progressed(&mut self, now: Moment, stamp: Moment, key: &PermitKey, held: &HeldPermit) {
+    /// Records the progress of a permit; `stamp` is the entry's clock when it was reported. A block
+    /// of plain calls that has expired covers only the calls that still run.
+    pub fn record_progress(
+        &mut self,
+        now: Moment,
+        stamp: Moment,
+        key: &PermitKey,
+        held: &HeldPermit,
+    ) {
         let Some(permit) = self.permits.get_mut(key) else {
             return;
         };
-        let span = now.saturating_sub(permit.heard).as_secs_f64();
-        if permit.produced > 0 && span > 0.0 && held.produced < held.max_output {
-            let rate = held.produced.saturating_sub(permit.produced) as f64 / span;
-            let weight = if self.rate > 0.0 { RATE_WEIGHT } else { 1.0 };
-            self.rate += weight * (rate - self.rate);
+        let elapsed = now.saturating_sub(permit.updated_at).as_secs_f64();
+        if permit.produced > 0 && elapsed > 0.0 && held.produced < held.max_output {
+            let rate = held.produced.saturating_sub(permit.produced) as f64 / elapsed;
+            let weight = if self.token_rate > 0.0 {
+                RATE_WEIGHT
+            } else {
+                1.0
+            };
+            self.token_rate += weight * (rate - self.token_rate);
         }
-        permit.produced = permit.produced.max(held.produced.min(TOKENS_MOST));
-        permit.heard = now;
-        permit.seen |= held.seen;
-        if stamp > permit.lapses {
+        permit.produced = permit.produced.max(held.produced.min(MAX_TOKENS));
+        permit.updated_at = now;
+        permit.seen |= held.answer_started;
+        if stamp > permit.expires_at {
             permit.slots = permit.slots.min(held.slots);
         }
         if held.produced > 0 {
-            permit.started.get_or_insert(now);
+            permit.started_at.get_or_insert(now);
         }
-        permit.orphaned = None;
+        permit.orphaned_at = None;
     }
 
-    /// The projection of its memory, made anew if it is out of date.
-    pub fn projection(
+    /// Returns the projection of the memory in use, rebuilt if it is out of date.
+    pub fn refresh_projection(
         &mut self,
         now: Moment,
         service: &ServiceId,
-        lengths: &mut Lengths,
+        lengths: &mut LengthEstimator,
         tuning: &Tuning,
-    ) -> &Projection {
-        let fresh = |at: Moment| now.saturating_sub(at) < PROJECTION_LIFE;
-        if !self.projected.is_some_and(fresh) {
-            self.projection = Projection::new();
+    ) -> &MemoryProjection {
+        let is_fresh = |at: Moment| now.saturating_sub(at) < MAX_PROJECTION_AGE;
+        if !self.projected_at.is_some_and(is_fresh) {
+            self.projection = MemoryProjection::new();
             for permit in self.permits.values() {
-                let source = Source {
+                let source = GenerationSource {
                     service,
                     route: &permit.route,
                     workspace: &permit.workspace,
                 };
-                let running = Running {
-                    prompt: permit.prompt,
-                    produced: permit.produced_by(now, self.rate),
+                let generation = RunningGeneration {
+                    prompt_tokens: permit.prompt_tokens,
+                    produced: permit.estimated_tokens(now, self.token_rate),
                     max_output: permit.max_output,
                     curve: lengths.curve(&source),
                 };
-                self.projection.add(&running, tuning.admission);
+                self.projection.add(&generation, tuning.memory_estimate);
             }
-            self.projected = Some(now);
+            self.projected_at = Some(now);
         }
         &self.projection
     }
 
-    /// The projection as it was made last.
+    /// Returns the projection without rebuilding it.
     #[must_use]
-    pub const fn last_projection(&self) -> &Projection {
+    pub const fn last_projection(&self) -> &MemoryProjection {
         &self.projection
     }
 
-    /// Tells whether a permit is for a generation.
+    /// Returns whether the targets are engines, whose permits are for generations.
     #[must_use]
     pub const fn is_model(limits: &TargetLimits) -> bool {
         matches!(limits.kind, ServiceKind::Model)
--- a/components/policy/src/baseline/pick.rs
+++ b/components/policy/src/baseline/pick.rs
@@ -1,4 +1,4 @@
-//! How a baseline picks a target.
+//! Strategies by which a baseline picks a target.
 
 use std::collections::BTreeMap;
 
@@ -6,87 +6,89 @@
 
 use crate::api::{EngineReport, Request, TargetLimits};
 
-/// What an instance alone knows of a target.
+/// What one instance knows of a target.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct LocalTarget {
     /// The target.
     pub target: Target,
-    /// Its last report.
+    /// The newest load report.
     pub report: EngineReport,
-    /// Requests of this instance that it runs.
+    /// Requests that this instance runs on the target.
     pub running: u32,
 }
 
-/// Picks a target for a request, or none if the request has to wait.
-pub trait Pick: Send {
-    /// Picks among targets that may take work.
+/// A strategy to pick a target for a request.
+pub trait TargetPicker: Send {
+    /// Picks one of the targets in `open`, all of which may take work. `None` if the request has to
+    /// wait.
     fn pick(
         &mut self,
         request: &Request,
         limits: &TargetLimits,
-        known: &BTreeMap<TargetId, Known>,
-        open: &[TargetId],
+        targets: &BTreeMap<TargetId, LocalTarget>,
+        available: &[TargetId],
     ) -> Option<TargetId>;
 }
 
-/// One target after another, without admission.
+/// Takes the targets in turn, without a limit on concurrent requests.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     next: usize,
 }
 
-impl Pick for RoundRobin {
+impl TargetPicker for RoundRobin {
     fn pick(
         &mut self,
         _request: &Request,
         _limits: &TargetLimits,
-        _known: &BTreeMap<TargetId, Known>,
-        open: &[TargetId],
+        _targets: &BTreeMap<TargetId, LocalTarget>,
+        available: &[TargetId],
     ) -> Option<TargetId> {
         self.next = self.next.wrapping_add(1);
-        open.get(self.next % open.len().max(1)).cloned()
+        available.get(self.next % available.len().max(1)).cloned()
     }
 }
 
-/// The target with the least load by its lagging report, plus this instance's own.
+/// Picks the target with the least load: the load in its last report plus this instance's own
+/// requests.
 #[derive(Debug, Default)]
 pub struct LeastLoaded;
 
-impl Pick for LeastLoaded {
+impl TargetPicker for LeastLoaded {
     fn pick(
         &mut self,
         _request: &Request,
         _limits: &TargetLimits,
-        known: &BTreeMap<TargetId, Known>,
-        open: &[TargetId],
+        targets: &BTreeMap<TargetId, LocalTarget>,
+        available: &[TargetId],
     ) -> Option<TargetId> {
         let load = |id: &&TargetId| {
-            known
+            targets
                 .get(*id)
                 .map_or(0, |k| k.report.running + k.report.waiting + k.running)
         };
-        open.iter().min_by_key(load).cloned()
+        available.iter().min_by_key(load).cloned()
     }
 }
 
-/// Each instance may use a fixed share of each target's concurrency.
+/// Uses at most a fixed share of each target's concurrency, the same for every instance.
 #[derive(Debug)]
 pub struct FixedShare {
-    /// Instances that share the targets.
+    /// Number of instances that share the targets.
     pub instances: u32,
 }
 
-impl Pick for FixedShare {
+impl TargetPicker for FixedShare {
     fn pick(
         &mut self,
         _request: &Request,
         limits: &TargetLimits,
-        known: &BTreeMap<TargetId, Known>,
-        open: &[TargetId],
+        targets: &BTreeMap<TargetId, LocalTarget>,
+        available: &[TargetId],
     ) -> Option<TargetId> {
-        let running = |id: &TargetId| known.get(id).map_or(0, |k| k.running);
+        let running = |id: &TargetId| targets.get(id).map_or(0, |k| k.running);
         let share = |id: &TargetId| {
-            let warm = known.get(id).is_none_or(|k| k.report.warm);
+            let warm = targets.get(id).is_none_or(|k| k.report.warm);
             let limit = if warm {
                 limits.warm_limit
             } else {
@@ -94,7 +96,7 @@
             };
             (limit / self.instances.max(1)).max(1)
         };
-        let free = open.iter().filter(|id| running(id) < share(id));
+        let free = available.iter().filter(|id| running(id) < share(id));
         free.min_by_key(|id| running(id)).cloned()
     }
 }
--- a/components/policy/src/choose.rs
+++ b/components/policy/src/choose.rs
@@ -1,192 +1,204 @@
-//! Which target an ask goes to.
+//! Selects the target for a permit request.
 
 use std::collections::BTreeSet;
 
 use types::{Class, InstanceId, Moment, ServiceKind, TargetId};
-use wire::Ask;
+use wire::PermitRequest;
 
 use crate::{
-    account::Account, api::TargetLimits, length::Source, line::Waiting, memory::Running,
-    shard::ShardState, shared::Shared,
+    account::TargetAccount, api::TargetLimits, length::GenerationSource, memory::RunningGeneration,
+    owner_state::OwnerState, shard::ShardState, wait_queue::QueuedRequest,
 };
 
-/// Share of a target's capacity that full reuse of a cached prefix is worth. This is also the
-/// cap on affinity: a target gets work for its cache only while its load is less than this above
-/// the least loaded one's, so that one hot prefix can't overload it.
-const REUSE_WORTH: f64 = 0.15;
-/// What an ask needs.
+/// Bonus in the score, as a share of the target's capacity, if a prompt's whole prefix is cached.
+/// It also limits affinity: a target gets work for its cache only while its load is less than this
+/// above that of the least loaded target, so that one popular prefix can't overload it.
+const MAX_CACHE_BONUS: f64 = 0.15;
+/// What a permit request requires of a target.
 #[derive(Debug)]
-pub(crate) struct Need<'a> {
-    pub(crate) ask: &'a Ask,
+pub(crate) struct Demand<'a> {
+    pub(crate) ask: &'a PermitRequest,
     pub(crate) class: Class,
-    /// What it will occupy; `None` for plain calls.
-    pub(crate) running: Option<Running>,
+    /// The generation to be placed; `None` for plain calls.
+    pub(crate) generation: Option<RunningGeneration>,
 }
 
-/// A target that fits and how well; smaller is better.
-struct Choice {
+/// A target with room for the request. The lowest score is chosen.
+struct Candidate {
     target: TargetId,
     score: f64,
 }
 
 impl ShardState {
-    pub(crate) fn need<'a>(
+    pub(crate) fn demand<'a>(
         &self,
-        waiting: &'a Waiting,
+        queued: &'a QueuedRequest,
         limits: &TargetLimits,
-        shared: &mut Shared,
-    ) -> Need<'a> {
-        let source = Source {
+        owner_state: &mut OwnerState,
+    ) -> Demand<'a> {
+        let source = GenerationSource {
             service: &self.shard.service,
-            route: &waiting.ask.route,
-            workspace: &waiting.ask.workspace,
+            route: &queued.ask.route,
+            workspace: &queued.ask.workspace,
         };
-        let running = (limits.kind == ServiceKind::Model).then(|| Running {
-            prompt: waiting.ask.prompt,
+        let generation = (limits.kind == ServiceKind::Model).then(|| RunningGeneration {
+            prompt_tokens: queued.ask.prompt_tokens,
             produced: 0,
-            max_output: waiting.ask.max_output,
-            curve: shared.lengths.curve(&source),
+            max_output: queued.ask.max_output,
+            curve: owner_state.lengths.curve(&source),
         });
-        Need {
-            ask: &waiting.ask,
-            class: waiting.rank,
-            running,
+        Demand {
+            ask: &queued.ask,
+            class: queued.effective_class,
+            generation,
         }
     }
 
-    /// The best target with room.
+    /// Returns the best target with room for the request. Targets in `reserved` are left out.
     pub(crate) fn choose(
         &self,
         now: Moment,
-        need: &Need<'_>,
-        kept: &BTreeSet<TargetId>,
+        demand: &Demand<'_>,
+        reserved: &BTreeSet<TargetId>,
         limits: &TargetLimits,
-        shared: &Shared,
+        owner_state: &OwnerState,
     ) -> Option<TargetId> {
         self.accounts
             .iter()
             .filter(|(id, account)| {
-                !kept.contains(*id)
-                    && !need.ask.avoid.contains(id)
-                    && account.is_open(&shared.view)
-                    && self.room(now, account, need.class, limits) > 0
+                !reserved.contains(*id)
+                    && !demand.ask.avoid.contains(id)
+                    && account.accepts_work(&owner_state.view)
+                    && self.free_slots(now, account, demand.class, limits) > 0
             })
             .filter_map(|(id, account)| {
-                let load = load_with(now, account, need, limits, shared)?;
-                let reuse = account.prefixes.reuse(&need.ask.prefix);
-                Some(Choice {
+                let load = load_with(now, account, demand, limits, owner_state)?;
+                let cached_share = account.prefixes.cached_share(&demand.ask.prefix);
+                Some(Candidate {
                     target: id.clone(),
-                    score: load - REUSE_WORTH * reuse,
+                    score: load - MAX_CACHE_BONUS * cached_share,
                 })
             })
             .min_by(|a, b| a.score.total_cmp(&b.score))
             .map(|choice| choice.target)
     }
 
-    /// Slots of a target that a class may take.
-    fn room(&self, now: Moment, account: &Account, class: Class, limits: &TargetLimits) -> u32 {
+    /// Number of slots of a target that a class may still take.
+    fn free_slots(
+        &self,
+        now: Moment,
+        account: &TargetAccount,
+        class: Class,
+        limits: &TargetLimits,
+    ) -> u32 {
         let slots = account.limiter.slots(limits);
         if account.limiter.is_cold() {
-            if !self.cold_ready(now, account) {
+            if !self.can_grant_cold(now, account) {
                 return 0;
             }
-            return slots.saturating_sub(account.bearing());
+            return slots.saturating_sub(account.max_occupied_slots());
         }
         let reserve = match class {
             Class::Urgent => 0,
             _ => self.urgent_reserve(now, slots),
         };
-        slots.saturating_sub(account.occupied() + reserve)
+        slots.saturating_sub(account.occupied_slots() + reserve)
     }
 
-    /// A target to be kept free for an ask that others have gone ahead of: the least loaded.
-    /// At most a quarter of the targets are kept free at a time.
-    pub(crate) fn keep_free(
+    /// Returns a target to be kept free for a request that others have overtaken: the least loaded
+    /// one. At most a quarter of the targets, but at least one, is reserved at a time.
+    pub(crate) fn reserve_target(
         &self,
-        ask: &Ask,
-        kept: &BTreeSet<TargetId>,
+        ask: &PermitRequest,
+        reserved: &BTreeSet<TargetId>,
         limits: &TargetLimits,
-        shared: &Shared,
+        owner_state: &OwnerState,
     ) -> Option<TargetId> {
-        let open: Vec<(&TargetId, &Account)> = self
+        let candidates: Vec<(&TargetId, &TargetAccount)> = self
             .accounts
             .iter()
-            .filter(|(_, account)| account.is_open(&shared.view))
+            .filter(|(_, account)| account.accepts_work(&owner_state.view))
             .collect();
-        if kept.len() >= (open.len() / 4).max(1) {
+        if reserved.len() >= (candidates.len() / 4).max(1) {
             return None;
         }
-        open.into_iter()
-            .filter(|(id, _)| !kept.contains(*id) && !ask.avoid.contains(id))
+        candidates
+            .into_iter()
+            .filter(|(id, _)| !reserved.contains(*id) && !ask.avoid.contains(id))
             .min_by(|(_, a), (_, b)| {
-                let load = |account: &Account| {
-                    account.last_projection().peak(&shared.tuning)
+                let load = |account: &TargetAccount| {
+                    account.last_projection().peak(&owner_state.tuning)
                         / account.capacity(limits).max(1) as f64
                 };
                 load(a)
                     .total_cmp(&load(b))
-                    .then(a.occupied().cmp(&b.occupied()))
+                    .then(a.occupied_slots().cmp(&b.occupied_slots()))
             })
             .map(|(id, _)| id.clone())
     }
 
-    /// How many slots an ask gets: what it wants, within its entry's fair share of the shard.
+    /// Number of slots that a permit covers: those requested, up to the entry's fair share of the
+    /// shard and the free slots of the target.
     pub(crate) fn slots_for(
         &self,
         now: Moment,
-        waiting: &Waiting,
-        account: &Account,
+        queued: &QueuedRequest,
+        account: &TargetAccount,
         limits: &TargetLimits,
-        shared: &Shared,
+        owner_state: &OwnerState,
     ) -> u32 {
-        let room = self.room(now, account, waiting.rank, limits).max(1);
-        if waiting.ask.slots <= 1 {
+        let free = self
+            .free_slots(now, account, queued.effective_class, limits)
+            .max(1);
+        if queued.ask.slots <= 1 {
             return 1;
         }
         let total: u32 = self
             .accounts
             .values()
-            .filter(|account| account.is_open(&shared.view))
+            .filter(|account| account.accepts_work(&owner_state.view))
             .map(|account| account.limiter.slots(limits))
             .sum();
-        let mut entries: BTreeSet<InstanceId> = self.line.entries();
+        let mut entries: BTreeSet<InstanceId> = self.queue.entries();
         let mut held = 0;
         for account in self.accounts.values() {
             for (key, permit) in &account.permits {
                 entries.insert(key.entry.clone());
-                if key.entry == waiting.entry {
+                if key.entry == queued.entry {
                     held += permit.slots;
                 }
             }
         }
         let share = total / u32::try_from(entries.len().max(1)).unwrap_or(u32::MAX);
         let fair = share.saturating_sub(held).max(1);
-        waiting.ask.slots.min(fair).min(room)
+        queued.ask.slots.min(fair).min(free)
     }
 }
 
-/// Share of a target's capacity that would be in use with one more; `None` if it doesn't fit.
+/// Returns the share of a target's capacity in use if the request were placed there; `None` if it
+/// does not fit.
 fn load_with(
     now: Moment,
-    account: &Account,
-    need: &Need<'_>,
+    account: &TargetAccount,
+    demand: &Demand<'_>,
     limits: &TargetLimits,
-    shared: &Shared,
+    owner_state: &OwnerState,
 ) -> Option<f64> {
-    let occupied = account.occupied();
+    let occupied = account.occupied_slots();
     let slots = account.limiter.slots(limits);
     let by_slots = f64::from(occupied + 1) / f64::from(slots.max(1));
-    let Some(running) = &need.running else {
+    let Some(generation) = &demand.generation else {
         return Some(by_slots);
     };
     let capacity = account.capacity(limits).max(1);
     let mut projection = account.last_projection().clone();
-    projection.add(running, shared.tuning.admission);
-    let load = projection.peak(&shared.tuning) / capacity as f64;
+    projection.add(generation, owner_state.tuning.memory_estimate);
+    let load = projection.peak(&owner_state.tuning) / capacity as f64;
     if occupied == 0 {
-        // Nothing is gained by waiting for more room than an idle engine has.
-        return (running.prompt < capacity).then_some(load);
+        // An idle engine is as empty as it can get, so waiting for more room would be pointless.
+        return (generation.prompt_tokens < capacity).then_some(load);
     }
-    let fits = load <= shared.tuning.share && !account.is_stopped(now, &shared.tuning);
+    let fits = load <= owner_state.tuning.admit_share
+        && !account.is_admission_paused(now, &owner_state.tuning);
     fits.then_some(load)
 }
--- a/components/policy/src/dump.rs
+++ b/components/policy/src/dump.rs
@@ -1,33 +1,33 @@
-//! An owner's state as text.
+//! The state of a shard as text, for dumps.
 
 use types::Moment;
 
-use crate::{shard::ShardState, shared::Shared};
+use crate::{owner_state::OwnerState, shard::ShardState};
 
 impl ShardState {
-    /// Appends a few lines about the shard and each of its targets.
-    pub fn dump(&self, now: Moment, shared: &Shared, lines: &mut Vec<String>) {
+    /// Appends one line about the shard and one about each of its targets.
+    pub fn dump(&self, now: Moment, owner_state: &OwnerState, lines: &mut Vec<String>) {
         lines.push(format!(
             "owner of {} in term {}: granting {}, exclusive {}, {} waiting, awaiting {:?}",
             self.shard,
             self.epoch,
-            self.granting(now),
+            self.can_grant(now),
             self.exclusive,
-            self.line.len(),
-            self.awaiting()
+            self.queue.len(),
+            self.unanswered_queries()
         ));
-        let Some(limits) = shared.view.limits.get(&self.shard.service) else {
+        let Some(limits) = owner_state.view.limits.get(&self.shard.service) else {
             return;
         };
         for (id, account) in &self.accounts {
             lines.push(format!(
                 "  target {id}: {} of {} running, cold {}, open {}, {:.0} of {} tokens at the peak, {:.0} now",
-                account.occupied(),
+                account.occupied_slots(),
                 account.limiter.slots(limits),
                 account.limiter.is_cold(),
-                account.is_open(&shared.view),
-                account.last_projection().peak(&shared.tuning),
-                account.capacity(limits), account.last_projection().now()
+                account.accepts_work(&owner_state.view),
+                account.last_projection().peak(&owner_state.tuning),
+                account.capacity(limits), account.last_projection().current()
             ));
         }
     }
--- a/components/policy/src/entry/report.rs
+++ b/components/policy/src/entry/held_report.rs
@@ -1,4 +1,4 @@
-//! Giving permits back, and telling owners what is held.
+//! Returning permits to their owners, and reporting those that are held.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -13,11 +13,11 @@
     },
 };
 
-/// Time between two reports of what is held.
-pub const REPORT_PERIOD: Duration = Duration::from_millis(250);
+/// Interval between two reports of the permits held.
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Entry {
-    /// A request no longer uses its permit.
+    /// Ends a request's use of its permit, and returns the permit if nothing else can use it.
     pub(super) fn release(
         &mut self,
         now: Moment,
@@ -31,26 +31,26 @@
         };
         permit.users.remove(&id);
         permit.tally.add(outcome);
-        self.fill(now, key, out);
-        if self.permits.get(&key).is_some_and(|p| p.spent(now)) {
-            self.give_up(key, out);
+        self.fill_block(now, key, out);
+        if self.permits.get(&key).is_some_and(|p| p.is_returnable(now)) {
+            self.return_permit(key, out);
         }
     }
 
-    /// Gives back what nothing uses and nothing can use any more.
-    pub(super) fn return_spent(&mut self, now: Moment, out: &mut Vec<Action>) {
-        let spent: Vec<PermitKey> = self
+    /// Returns the permits that nothing uses and nothing can use any more.
+    pub(super) fn return_unneeded_permits(&mut self, now: Moment, out: &mut Vec<Action>) {
+        let returnable: Vec<PermitKey> = self
             .permits
             .values()
-            .filter(|p| p.spent(now))
+            .filter(|p| p.is_returnable(now))
             .map(|p| p.key)
             .collect();
-        for key in spent {
-            self.give_up(key, out);
+        for key in returnable {
+            self.return_permit(key, out);
         }
     }
 
-    fn give_up(&mut self, key: PermitKey, out: &mut Vec<Action>) {
+    fn return_permit(&mut self, key: PermitKey, out: &mut Vec<Action>) {
         let Some(permit) = self.permits.remove(&key) else {
             return;
         };
@@ -66,17 +66,17 @@
         });
     }
 
-    /// Tells each owner all that is held of it. A lost `Done` or `Grant` would otherwise leave
-    /// memory reserved for good.
+    /// Reports to each owner all permits held of it. A lost `Done` or `Grant` would otherwise leave
+    /// memory reserved for ever.
     pub(super) fn report_held(&mut self, now: Moment, out: &mut Vec<Action>) {
-        if now.saturating_sub(self.last_report) < REPORT_PERIOD {
+        if now.saturating_sub(self.last_report_at) < REPORT_INTERVAL {
             return;
         }
-        self.last_report = now;
+        self.last_report_at = now;
         let mut shards: BTreeSet<Shard> = self.permits.values().map(|p| p.shard.clone()).collect();
-        shards.extend(self.asks.values().map(|a| a.shard.clone()));
-        // Once more after the last permit, so that the owner sees that there is none.
-        let reported = std::mem::replace(&mut self.reported, shards.clone());
+        shards.extend(self.permit_requests.values().map(|a| a.shard.clone()));
+        // One more report after the last permit, so that the owner sees that none is held.
+        let reported = std::mem::replace(&mut self.reported_shards, shards.clone());
         shards.extend(reported);
         for shard in shards {
             let Some(info) = self.shards.get(&shard) else {
--- a/components/policy/src/entry/machine.rs
+++ b/components/policy/src/entry/machine.rs
@@ -2,106 +2,109 @@
 
 use std::collections::BTreeSet;
 
-use types::{AskId, DataCentreId, InstanceId, Moment, ServiceKind, Shard, Standing};
+use types::{DataCentreId, InstanceId, Moment, PermitRequestId, ServiceKind, ServingState, Shard};
 use wire::{Message, Outcome};
 
 use crate::{
     api::{Action, Event, Request, RequestId, View},
     entry::{
-        calls::Calls,
-        pending::{Asks, Pending, Requests, Stage},
+        pending::{PendingRequest, PermitRequests, Requests, Stage},
         permit::Permits,
-        refuse,
-        shards::Shards,
+        plain_calls::CallDemand,
+        refusals,
+        shard_directory::ShardDirectory,
     },
-    retry::Budgets,
+    retry_budget::RetryBudgets,
 };
 
-/// One instance's entry side.
+/// The entry of one instance.
 #[derive(Debug)]
 pub struct Entry {
     pub(super) me: InstanceId,
     pub(super) view: View,
-    pub(super) shards: Shards,
+    pub(super) shards: ShardDirectory,
     pub(super) requests: Requests,
-    pub(super) asks: Asks,
+    pub(super) permit_requests: PermitRequests,
     pub(super) permits: Permits,
-    pub(super) calls: Calls,
-    pub(super) budgets: Budgets,
-    /// Shards about which an owner still has to be told that nothing is held any more.
-    pub(super) reported: BTreeSet<Shard>,
-    pub(super) last_report: Moment,
-    /// Whether owners are told the true lengths; for the oracle baseline only.
-    pub(super) told: bool,
-    pub(super) next_ask: AskId,
+    pub(super) call_demand: CallDemand,
+    pub(super) retry_budgets: RetryBudgets,
+    /// Shards reported with the last report. Their owners get one more report after the last
+    /// permit.
+    pub(super) reported_shards: BTreeSet<Shard>,
+    pub(super) last_report_at: Moment,
+    /// Whether owners are given the true lengths, for the oracle baseline only.
+    pub(super) known_lengths: bool,
+    pub(super) last_permit_request: PermitRequestId,
 }
 
 impl Entry {
-    /// Starts without requests; `home` is this instance's data centre.
+    /// Creates an entry without requests; `home` is this instance's data centre.
     #[must_use]
     pub fn new(me: InstanceId, home: DataCentreId) -> Self {
         Self {
             me,
             view: View::default(),
-            shards: Shards::new(home),
+            shards: ShardDirectory::new(home),
             requests: Requests::new(),
-            asks: Asks::new(),
+            permit_requests: PermitRequests::new(),
             permits: Permits::new(),
-            calls: Calls::default(),
-            budgets: Budgets::default(),
-            reported: BTreeSet::new(),
-            last_report: Moment::ZERO,
-            told: false,
-            next_ask: 0,
+            call_demand: CallDemand::default(),
+            retry_budgets: RetryBudgets::default(),
+            reported_shards: BTreeSet::new(),
+            last_report_at: Moment::ZERO,
+            known_lengths: false,
+            last_permit_request: 0,
         }
     }
 
-    /// Makes it the entry of the oracle baseline, which tells owners the true lengths.
+    /// Turns it into the entry of the oracle baseline, which gives owners the true lengths.
     #[must_use]
-    pub const fn with_told_lengths(mut self) -> Self {
-        self.told = true;
+    pub const fn with_known_lengths(mut self) -> Self {
+        self.known_lengths = true;
         self
     }
 
-    /// The number of the newest ask.
+    /// Returns the id of the newest permit request.
     #[must_use]
-    pub const fn last_ask(&self) -> AskId {
-        self.next_ask
+    pub const fn last_permit_request(&self) -> PermitRequestId {
+        self.last_permit_request
     }
 
-    /// Takes one event and appends what has to be done to `out`.
+    /// Handles one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Vec<Action>) {
         match event {
-            Event::Arrive(request) => self.arrive(now, request, out),
-            Event::Leave { request } => self.leave(now, *request, Outcome::Unsent, out),
+            Event::Arrived(request) => self.add_request(now, request, out),
+            Event::CallerLeft { request } => {
+                self.remove_request(now, *request, Outcome::Unsent, out)
+            }
             Event::Progress {
                 request,
                 produced,
                 seen,
-            } => self.progress(*request, *produced, *seen),
+            } => self.record_progress(*request, *produced, *seen),
             Event::Ended {
                 request,
                 outcome,
-                again,
+                retry,
             } => {
-                self.ended(now, *request, *outcome, *again, out);
+                self.end_request(now, *request, *outcome, *retry, out);
             }
-            Event::Received { from, message, .. } => self.receive(now, from, message, out),
-            Event::Changed(view) => self.change(now, view, out),
-            Event::Role { shard, role } => self.role(now, shard, role, out),
-            Event::Summary { owner, shards } => self.shards.hear(owner, shards),
-            Event::PeerGone { peer } => self.lose_owner(now, peer, out),
+            Event::Received { from, message, .. } => self.handle_message(now, from, message, out),
+            Event::ViewChanged(view) => self.apply_view(now, view, out),
+            Event::RoleChanged { shard, role } => self.apply_role(now, shard, role, out),
+            Event::Summary { owner, shards } => self.shards.apply_summaries(owner, shards),
+            Event::PeerGone { peer } => self.remove_owner(now, peer, out),
             Event::Tick => self.tick(now, out),
             Event::Sent { .. } | Event::Paused { .. } => {}
-            Event::Reported { .. } | Event::Exclusive { .. } => {}
+            Event::TargetReported { .. } | Event::ExclusivityChanged { .. } => {}
         }
     }
 
-    /// Whether a request may still be sent under its permit.
+    /// Returns whether a request may still be sent under its permit.
     ///
-    /// A permit may have lapsed, and its target may have been told to leave or its data centre
-    /// taken out, since the request was placed; sending then would give a target work that its
-    /// owner no longer counts, or work after it should get none.
+    /// Since the request was placed, its permit may have expired, its target may be leaving, or the
+    /// target's data centre may have been taken out of service. A request sent after that would be
+    /// work that the owner no longer accounts for, or that the target should not get.
     #[must_use]
     pub fn may_send(&self, now: Moment, request: RequestId) -> bool {
         let Some(Stage::Placed(key)) = self.requests.get(&request).map(|p| &p.stage) else {
@@ -110,15 +113,15 @@
         let Some(permit) = self.permits.get(key) else {
             return false;
         };
-        permit.until > now && self.open(&permit.target.id, permit.target.incarnation)
+        permit.valid_until > now && self.accepts_work(&permit.target.id, permit.target.incarnation)
     }
 
-    /// Lines for a dump.
+    /// Returns the state as lines of text for a dump.
     #[must_use]
     pub fn dump(&self, now: Moment) -> Vec<String> {
         let mut lines = Vec::new();
         for (id, pending) in &self.requests {
-            let age = now.saturating_sub(pending.since).as_millis();
+            let age = now.saturating_sub(pending.arrived_at).as_millis();
             let class = pending.request.class;
             lines.push(format!(
                 "request {id} {class} {:?} since {age} ms",
@@ -136,27 +139,28 @@
         lines
     }
 
-    fn arrive(&mut self, now: Moment, request: &Request, out: &mut Vec<Action>) {
+    fn add_request(&mut self, now: Moment, request: &Request, out: &mut Vec<Action>) {
         let limits = self.view.limits.get(&request.service);
-        self.budgets
-            .earn(&request.service, limits.map_or(0, |l| l.retry_percent));
-        let pending = Pending {
+        self.retry_budgets
+            .deposit(&request.service, limits.map_or(0, |l| l.retry_percent));
+        let pending = PendingRequest {
             request: request.clone(),
             stage: Stage::Waiting,
-            since: now,
+            arrived_at: now,
             avoid: Vec::new(),
             seen: false,
-            pause_until: Moment::ZERO,
+            not_before: Moment::ZERO,
         };
         let before = self.requests.insert(request.id, pending);
         assert!(before.is_none(), "request {} arrived twice", request.id);
         if request.kind == ServiceKind::Plain {
-            self.calls.arrive(now, &request.service);
+            self.call_demand.record_call(now, &request.service);
         }
         self.place(now, request.id, out);
     }
 
-    /// Finds a permit for a request: one in hand for plain calls, otherwise an ask.
+    /// Finds a permit for a request: for a plain call one that is held, otherwise by a permit
+    /// request.
     pub(super) fn place(&mut self, now: Moment, id: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else {
             return;
@@ -164,10 +168,15 @@
         if pending.request.kind == ServiceKind::Plain && self.place_on_block(now, id, out) {
             return;
         }
-        self.ask(now, id, out);
+        self.request_permit(now, id, out);
     }
 
-    pub(super) fn refuse(&mut self, id: RequestId, refusal: types::Refusal, out: &mut Vec<Action>) {
+    pub(super) fn refuse_request(
+        &mut self,
+        id: RequestId,
+        refusal: types::Refusal,
+        out: &mut Vec<Action>,
+    ) {
         self.requests.remove(&id);
         out.push(Action::Refuse {
             request: id,
@@ -175,8 +184,15 @@
         });
     }
 
-    /// A caller went away before its request was sent.
-    fn leave(&mut self, now: Moment, id: RequestId, outcome: Outcome, out: &mut Vec<Action>) {
+    /// Removes a request that has ended or whose caller went away, with its permit request or
+    /// permit.
+    fn remove_request(
+        &mut self,
+        now: Moment,
+        id: RequestId,
+        outcome: Outcome,
+        out: &mut Vec<Action>,
+    ) {
         let Some(pending) = self.requests.remove(&id) else {
             return;
         };
@@ -187,7 +203,7 @@
         }
     }
 
-    fn progress(&mut self, id: RequestId, produced: types::Tokens, seen: bool) {
+    fn record_progress(&mut self, id: RequestId, produced: types::Tokens, seen: bool) {
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
@@ -200,16 +216,16 @@
         }
     }
 
-    fn ended(
+    fn end_request(
         &mut self,
         now: Moment,
         id: RequestId,
         outcome: Outcome,
-        again: bool,
+        retry: bool,
         out: &mut Vec<Action>,
     ) {
-        if !again {
-            self.leave(now, id, outcome, out);
+        if !retry {
+            self.remove_request(now, id, outcome, out);
             return;
         }
         let Some(pending) = self.requests.get_mut(&id) else {
@@ -217,7 +233,7 @@
         };
         assert!(
             !pending.seen,
-            "request {id} is to run again though its caller has seen tokens"
+            "request {id} is to be retried although its caller has seen tokens"
         );
         let Stage::Placed(key) = std::mem::replace(&mut pending.stage, Stage::Waiting) else {
             return;
@@ -229,18 +245,19 @@
         let service = pending.request.service.clone();
         if failed && let Some(permit) = self.permits.get_mut(&key) {
             pending.avoid.push(permit.target.id.clone());
-            // The target may have died and come back cold: no further call under this permit.
-            permit.until = permit.until.min(now);
+            // The target may have died and be back cold, so no further call is sent under this
+            // permit.
+            permit.valid_until = permit.valid_until.min(now);
         }
         self.release(now, key, id, outcome, out);
-        if failed && !self.budgets.spend(&service) {
-            self.refuse(id, refuse::no_retry(), out);
+        if failed && !self.retry_budgets.try_spend(&service) {
+            self.refuse_request(id, refusals::no_retry(), out);
             return;
         }
         self.place(now, id, out);
     }
 
-    fn receive(
+    fn handle_message(
         &mut self,
         now: Moment,
         from: &InstanceId,
@@ -248,17 +265,17 @@
         out: &mut Vec<Action>,
     ) {
         match message {
-            Message::Grant(grant) => self.granted(now, from, grant, out),
-            Message::Deny(deny) => self.denied(now, deny, out),
-            Message::Recall(recall) => self.recalled(from, recall, out),
-            Message::Query(query) => self.queried(now, from, query, out),
+            Message::Grant(grant) => self.handle_grant(now, from, grant, out),
+            Message::Deny(deny) => self.handle_deny(now, deny, out),
+            Message::Revoke(recall) => self.handle_revoke(from, recall, out),
+            Message::Query(query) => self.handle_query(now, from, query, out),
             _ => {}
         }
     }
 
     pub(super) fn place_waiting(&mut self, now: Moment, out: &mut Vec<Action>) {
-        let waiting = |p: &&Pending| p.stage == Stage::Waiting && p.pause_until <= now;
-        let mut ready: Vec<&Pending> = self.requests.values().filter(waiting).collect();
+        let waiting = |p: &&PendingRequest| p.stage == Stage::Waiting && p.not_before <= now;
+        let mut ready: Vec<&PendingRequest> = self.requests.values().filter(waiting).collect();
         ready.sort_by_key(|p| (p.request.class, p.request.deadline));
         let ready: Vec<RequestId> = ready.iter().map(|p| p.request.id).collect();
         for id in ready {
@@ -267,21 +284,21 @@
     }
 
     fn tick(&mut self, now: Moment, out: &mut Vec<Action>) {
-        self.refuse_late(now, out);
-        self.repeat_asks(now, out);
+        self.refuse_expired(now, out);
+        self.retry_unanswered(now, out);
         self.place_waiting(now, out);
-        self.move_asks(now, out);
-        self.return_spent(now, out);
+        self.rebalance(now, out);
+        self.return_unneeded_permits(now, out);
         self.refill(now, out);
         self.report_held(now, out);
     }
 
-    pub(super) fn open(&self, target: &str, incarnation: types::Incarnation) -> bool {
+    pub(super) fn accepts_work(&self, target: &str, incarnation: types::Incarnation) -> bool {
         self.view.targets.iter().any(|t| {
             *t.id == *target
                 && t.incarnation == incarnation
-                && t.standing == Standing::Live
-                && !self.view.out.contains(&t.data_centre)
+                && t.state == ServingState::Live
+                && !self.view.data_centres_out.contains(&t.data_centre)
         })
     }
 }
--- a/components/policy/src/entry/permit.rs
+++ b/components/policy/src/entry/permit.rs
@@ -1,4 +1,4 @@
-//! Permits in an entry's hands.
+//! Permits held by an entry.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,62 +12,64 @@
 
 use crate::api::RequestId;
 
-/// A permit is known by its owner's term and its number.
+/// Identifies a permit by its owner's term and its id.
 pub type PermitKey = (Epoch, PermitId);
 
-/// One permit: for a generation it covers one request, for plain calls a few at a time.
+/// A permit that the entry holds. It covers one generation, or a block of several plain calls.
 #[derive(Clone, Debug)]
 pub struct Permit {
-    /// The term and number.
+    /// The term and id.
     pub key: PermitKey,
     /// The shard.
     pub shard: Shard,
-    /// Who granted it.
+    /// The owner that granted it.
     pub owner: InstanceId,
-    /// Where work may go.
+    /// The target that work may be sent to.
     pub target: Target,
-    /// The latest moment to send work.
-    pub until: Moment,
-    /// Concurrent calls it covers.
+    /// Latest time to start sending work.
+    pub valid_until: Moment,
+    /// Number of concurrent calls that it covers.
     pub slots: u32,
     /// Whether the target is in cold start.
     pub cold: bool,
-    /// What the targets are.
+    /// Whether it is for a generation or for plain calls.
     pub kind: ServiceKind,
-    /// Who asked for it.
+    /// The workspace that it was requested for.
     pub workspace: WorkspaceId,
-    /// By which route.
+    /// The route that it was requested for.
     pub route: RouteId,
-    /// Urgency it was asked with.
+    /// Priority class of the permit request.
     pub class: types::Class,
     /// Tokens in the prompt.
-    pub prompt: Tokens,
-    /// The most tokens to produce.
+    pub prompt_tokens: Tokens,
+    /// Upper limit of tokens to generate.
     pub max_output: Tokens,
     /// Requests that use it now.
     pub users: BTreeSet<RequestId>,
-    /// Tokens that the engine has produced.
+    /// Tokens generated so far.
     pub produced: Tokens,
-    /// Whether the caller has seen any of them.
+    /// Whether any of them reached the caller.
     pub seen: bool,
-    /// How calls under it ended so far.
-    pub tally: Tally,
+    /// Outcomes of the calls that have ended.
+    pub tally: OutcomeTally,
 }
 
 impl Permit {
-    /// Whether one more call may use it.
+    /// Returns whether one more call may use it.
     #[must_use]
     pub fn has_room(&self, now: Moment) -> bool {
-        self.until > now && self.users.len() < self.slots as usize
+        self.valid_until > now && self.users.len() < self.slots as usize
     }
 
-    /// Whether it is of no more use.
+    /// Returns whether nothing uses it and nothing may use it any more.
     #[must_use]
-    pub fn spent(&self, now: Moment) -> bool {
-        self.users.is_empty() && (self.until <= now || self.cold || self.kind == ServiceKind::Model)
+    pub fn is_returnable(&self, now: Moment) -> bool {
+        self.users.is_empty()
+            && (self.valid_until <= now || self.cold || self.kind == ServiceKind::Model)
     }
 
-    /// What the owner is told about it. A lapsed block covers only what still runs under it.
+    /// Returns what is reported to the owner. An expired block covers only the calls that still run
+    /// under it.
     #[must_use]
     pub fn held(&self, now: Moment) -> HeldPermit {
         let running = u32::try_from(self.users.len()).unwrap_or(u32::MAX);
@@ -79,33 +81,33 @@
             class: self.class,
             workspace: self.workspace.clone(),
             route: self.route.clone(),
-            prompt: self.prompt,
+            prompt_tokens: self.prompt_tokens,
             max_output: self.max_output,
             produced: self.produced,
-            slots: if self.until > now {
+            slots: if self.valid_until > now {
                 self.slots
             } else {
                 running
             },
-            seen: self.seen,
+            answer_started: self.seen,
         }
     }
 }
 
-/// How the calls under one permit ended.
+/// Outcomes of the calls under one permit.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Tally {
+pub struct OutcomeTally {
     finished: u32,
     produced: Tokens,
-    first: Duration,
-    took: Duration,
+    first_token_time: Duration,
+    duration: Duration,
     cancelled: bool,
     failed: bool,
     overloaded: bool,
 }
 
-impl Tally {
-    /// Takes one call's end into account.
+impl OutcomeTally {
+    /// Adds the outcome of one call.
     pub fn add(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Unsent | Outcome::Unreachable => {}
@@ -116,8 +118,8 @@
             } => {
                 self.finished += 1;
                 self.produced += produced;
-                self.first += first;
-                self.took += took;
+                self.first_token_time += first;
+                self.duration += took;
             }
             Outcome::Cancelled { produced } => {
                 self.cancelled = true;
@@ -128,7 +130,7 @@
         }
     }
 
-    /// One outcome for the permit: the worst, or the mean of what finished.
+    /// Returns one outcome for the permit: the worst, or else the mean of the finished calls.
     #[must_use]
     pub fn outcome(&self) -> Outcome {
         if self.overloaded {
@@ -138,8 +140,8 @@
         } else if self.finished > 0 {
             Outcome::Finished {
                 produced: self.produced / Tokens::from(self.finished),
-                first: self.first / self.finished,
-                took: self.took / self.finished,
+                first: self.first_token_time / self.finished,
+                took: self.duration / self.finished,
             }
         } else if self.cancelled {
             Outcome::Cancelled {
@@ -151,5 +153,5 @@
     }
 }
 
-/// All permits in an entry's hands.
+/// All permits that an entry holds.
 pub type Permits = BTreeMap<PermitKey, Permit>;
--- /dev/null
+++ b/components/policy/src/entry/permit_requests.rs
@@ -0,0 +1,119 @@
+//! Sending and withdrawing permit requests.
+
+use types::{InstanceId, Moment, PermitRequestId, Shard};
+use wire::{PermitRequest, Withdraw};
+
+use crate::{
+    api::{Action, RequestId},
+    entry::{
+        machine::Entry,
+        pending::{OutstandingPermitRequest, PERMIT_REQUEST_TIMEOUT, Stage},
+    },
+};
+
+impl Entry {
+    pub(super) fn request_permit(&mut self, now: Moment, id: RequestId, out: &mut Vec<Action>) {
+        let Some(pending) = self.requests.get(&id) else {
+            return;
+        };
+        let request = &pending.request;
+        if let Some((shard, owner)) = self.shards.choose(&request.service, &request.prefix) {
+            self.request_permit_from(now, id, shard, owner, out);
+        }
+    }
+
+    /// Sends a permit request for a request to the owner of a shard.
+    pub(super) fn request_permit_from(
+        &mut self,
+        now: Moment,
+        id: RequestId,
+        shard: Shard,
+        owner: InstanceId,
+        out: &mut Vec<Action>,
+    ) {
+        let ask = self.next_permit_request();
+        let Some(pending) = self.requests.get_mut(&id) else {
+            return;
+        };
+        pending.stage = Stage::Asked(ask);
+        let request = &pending.request;
+        let known_length = request.true_output.filter(|_| self.known_lengths);
+        let message = PermitRequest {
+            shard: shard.clone(),
+            permit_request: ask,
+            stamp: now,
+            kind: request.kind,
+            class: request.class,
+            workspace: request.workspace.clone(),
+            route: request.route.clone(),
+            deadline_left: request.deadline.saturating_sub(now),
+            waited: now.saturating_sub(pending.arrived_at),
+            prompt_tokens: request.prompt_tokens,
+            max_output: known_length.unwrap_or(request.max_output),
+            slots: self.call_demand.slots(request),
+            prefix: request.prefix.clone(),
+            avoid: pending.avoid.clone(),
+        };
+        self.shards.record_permit_request(&shard, &request.prefix);
+        let outstanding = OutstandingPermitRequest {
+            request: Some(id),
+            shard,
+            owner: owner.clone(),
+            sent_at: now,
+        };
+        self.permit_requests.insert(ask, outstanding);
+        out.push(Action::Send {
+            to: owner,
+            message: message.into(),
+        });
+    }
+
+    pub(super) const fn next_permit_request(&mut self) -> PermitRequestId {
+        self.last_permit_request += 1;
+        self.last_permit_request
+    }
+
+    /// Withdraws a permit request. If it is granted meanwhile, the permit is returned on arrival.
+    pub(super) fn withdraw(&mut self, ask: PermitRequestId, out: &mut Vec<Action>) {
+        let Some(outstanding) = self.permit_requests.remove(&ask) else {
+            return;
+        };
+        let message = Withdraw {
+            shard: outstanding.shard,
+            permit_request: ask,
+        };
+        out.push(Action::Send {
+            to: outstanding.owner,
+            message: message.into(),
+        });
+    }
+
+    /// Repeats permit requests that have not been answered in time.
+    pub(super) fn retry_unanswered(&mut self, now: Moment, out: &mut Vec<Action>) {
+        let unanswered: Vec<(PermitRequestId, Option<RequestId>)> = self
+            .permit_requests
+            .iter()
+            .filter(|(_, outstanding)| {
+                now.saturating_sub(outstanding.sent_at) >= PERMIT_REQUEST_TIMEOUT
+            })
+            .map(|(ask, outstanding)| (*ask, outstanding.request))
+            .collect();
+        for (ask, request) in unanswered {
+            self.withdraw(ask, out);
+            self.retry_request(now, request, out);
+        }
+    }
+
+    pub(super) fn retry_request(
+        &mut self,
+        now: Moment,
+        request: Option<RequestId>,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(id) = request else { return };
+        if let Some(pending) = self.requests.get_mut(&id) {
+            pending.stage = Stage::Waiting;
+            self.place(now, id, out);
+        }
+    }
+}
--- a/components/policy/src/instance.rs
+++ b/components/policy/src/instance.rs
@@ -1,27 +1,27 @@
-//! The product's own decisions: entry and owner of one instance together.
+//! The product's policy: the entry and the owner of one instance.
 
-use types::{AskId, DataCentreId, Incarnation, InstanceId, Moment};
+use types::{DataCentreId, Incarnation, InstanceId, Moment, PermitRequestId};
 use wire::{Message, ShardSummary};
 
 use crate::{
-    api::{Action, Decide, Event, RequestId},
+    api::{Action, Event, Policy, RequestId},
     entry::Entry,
     owner::Owner,
     tuning::Tuning,
 };
 
-/// Who an instance is.
+/// Identity of an instance.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its name.
+    /// The instance's id.
     pub id: InstanceId,
-    /// Its data centre.
+    /// The data centre that the instance runs in.
     pub data_centre: DataCentreId,
-    /// Which life of it this is.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
 }
 
-/// Entry and owner of one instance.
+/// The entry and the owner of one instance.
 pub struct Instance {
     me: Identity,
     entry: Entry,
@@ -29,7 +29,7 @@
 }
 
 impl Instance {
-    /// Starts without requests and shards.
+    /// Creates an instance without requests and shards. `seed` feeds the jitter of retry times.
     #[must_use]
     pub fn new(me: Identity, seed: u64) -> Self {
         let entry = Entry::new(me.id.clone(), me.data_centre.clone());
@@ -37,15 +37,15 @@
         Self { me, entry, owner }
     }
 
-    /// Makes it the oracle baseline: owners are told the true lengths and decide by them.
+    /// Turns it into the oracle baseline, in which owners know the true lengths of generations.
     #[must_use]
-    pub fn with_told_lengths(mut self) -> Self {
-        self.entry = self.entry.with_told_lengths();
-        self.owner = self.owner.with_tuning(Tuning::told());
+    pub fn with_known_lengths(mut self) -> Self {
+        self.entry = self.entry.with_known_lengths();
+        self.owner = self.owner.with_tuning(Tuning::with_known_lengths());
         self
     }
 
-    fn feed(&mut self, now: Moment, event: &Event, out: &mut Vec<Action>) {
+    fn dispatch_event(&mut self, now: Moment, event: &Event, out: &mut Vec<Action>) {
         match event {
             Event::Received { message, .. } if is_for_entry(message) => {
                 self.entry.handle(now, event, out);
@@ -58,36 +58,37 @@
         }
     }
 
-    /// Messages to this instance itself don't go over the network.
-    fn take_own(&self, out: &mut Vec<Action>) -> Vec<Message> {
-        let mut own = Vec::new();
+    /// Removes the messages to this instance itself from `out` and returns them: they are handled
+    /// directly and do not go over the network.
+    fn take_messages_to_self(&self, out: &mut Vec<Action>) -> Vec<Message> {
+        let mut local = Vec::new();
         out.retain(|action| match action {
             Action::Send { to, message } if *to == self.me.id => {
-                own.push(message.clone());
+                local.push(message.clone());
                 false
             }
             _ => true,
         });
-        own
+        local
     }
 }
 
 const fn is_for_entry(message: &Message) -> bool {
     matches!(
         message,
-        Message::Grant(_) | Message::Deny(_) | Message::Recall(_) | Message::Query(_)
+        Message::Grant(_) | Message::Deny(_) | Message::Revoke(_) | Message::Query(_)
     )
 }
 
-impl Decide for Instance {
+impl Policy for Instance {
     fn handle(&mut self, now: Moment, event: Event, out: &mut Vec<Action>) {
-        self.feed(now, &event, out);
+        self.dispatch_event(now, &event, out);
         loop {
-            let own = self.take_own(out);
-            if own.is_empty() {
+            let local = self.take_messages_to_self(out);
+            if local.is_empty() {
                 return;
             }
-            for message in own {
+            for message in local {
                 let from = self.me.id.clone();
                 let incarnation = self.me.incarnation;
                 let event = Event::Received {
@@ -95,7 +96,7 @@
                     incarnation,
                     message,
                 };
-                self.feed(now, &event, out);
+                self.dispatch_event(now, &event, out);
             }
         }
     }
@@ -114,7 +115,7 @@
         lines
     }
 
-    fn last_ask(&self) -> AskId {
-        self.entry.last_ask()
+    fn last_permit_request(&self) -> PermitRequestId {
+        self.entry.last_permit_request()
     }
 }
--- a/components/policy/src/length.rs
+++ b/components/policy/src/length.rs
@@ -1,39 +1,43 @@
-//! How long generations get, learned from what ended and from what still runs.
+//! Estimates the length of generations from those that ended and those that still run.
 //!
-//! Lengths are kept as hazards: of the generations that reached a bucket of lengths, how many
-//! ended in it (Kaplan and Meier). Those that were cancelled or still run count as at risk in
-//! the buckets that they passed; without them long generations would be underestimated, because
-//! it's the long ones that are cut or still running. Route and workspace lean on the service as
-//! a whole until they have seen enough of their own.
+//! Lengths are modelled by hazards: of the generations that reached a length bucket, the share that
+//! ended in it (Kaplan-Meier). Generations that were cancelled or still run count as at risk in the
+//! buckets that they passed. Without them long generations would be underestimated, because it is
+//! the long ones that are cancelled or still running. Estimates of a route or a workspace are drawn
+//! towards those of the service until they have enough observations of their own.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use types::{RouteId, ServiceId, Tokens, WorkspaceId};
 
-/// Number of buckets.
+/// Number of length buckets.
 const BUCKETS: usize = 64;
-/// Longest length of a bucket of its own; longer ones share the last.
+/// Lower edges of the buckets in tokens. Longer generations fall into the last bucket.
 const EDGES: [Tokens; BUCKETS] = edges();
 /// Weight of the prior in a service's hazards, in generations at risk.
 const PRIOR_WEIGHT: f64 = 2.0;
-/// Weight of the service in a route's hazards, and of the route in a workspace's.
+/// Weight of the service's hazards in a route's, and of the route's in a workspace's, in
+/// generations at risk.
 const PARENT_WEIGHT: f64 = 16.0;
-/// Hazard of a bucket before anything is known: lengths spread evenly over their logarithm.
+/// Hazard of a bucket without observations. Equal hazards spread lengths evenly over their
+/// logarithm.
 const PRIOR_HAZARD: f64 = 0.12;
-/// Hazards never get nearer to one, so that a generation that outlives all others has a future.
-const HAZARD_MAX: f64 = 0.98;
-/// Hazards never get nearer to zero, so that the tail ends.
-const HAZARD_MIN: f64 = 1e-4;
-/// Observations between two steps of decay.
-const DECAY_EVERY: u32 = 256;
-/// What counts are multiplied by in a step of decay; about 2,500 observations are remembered.
-const DECAY: f64 = 0.9;
-/// Observations after which a curve is built anew.
-const REBUILD_EVERY: u64 = 8;
-/// Below this many observations of a service every one rebuilds its curves.
-const FEW: u64 = 64;
+/// Upper bound of a hazard, so that a generation longer than all observed ones is still expected to
+/// go on.
+const MAX_HAZARD: f64 = 0.98;
+/// Lower bound of a hazard, so that the tail of the distribution ends.
+const MIN_HAZARD: f64 = 1e-4;
+/// Observations between two decay steps.
+const DECAY_INTERVAL: u32 = 256;
+/// Factor on all counts in a decay step. Together with the interval it makes the estimate remember
+/// about 2,500 observations.
+const DECAY_FACTOR: f64 = 0.9;
+/// Observations of a service after which a cached curve is rebuilt.
+const REBUILD_INTERVAL: u64 = 8;
+/// With up to this many observations of a service, each new one causes its curves to be rebuilt.
+const ALWAYS_REBUILD_BELOW: u64 = 64;
 
-/// Lower edges of the buckets: each a fifth longer than the one before.
+/// Computes the lower edges: each is a fifth larger than the one before.
 const fn edges() -> [Tokens; BUCKETS] {
     let mut edges = [0; BUCKETS];
     let mut at = 1;
@@ -46,30 +50,30 @@
     edges
 }
 
-/// The bucket of a length.
+/// Returns the bucket of a length.
 fn bucket(length: Tokens) -> usize {
     EDGES.partition_point(|&edge| edge <= length) - 1
 }
 
-/// Where a generation comes from.
+/// Where a generation comes from, which its length is estimated by.
 #[derive(Clone, Copy, Debug)]
-pub struct Source<'a> {
+pub struct GenerationSource<'a> {
     /// The service.
     pub service: &'a ServiceId,
     /// The route within the service.
     pub route: &'a RouteId,
-    /// Who asked.
+    /// The workspace that made the request.
     pub workspace: &'a WorkspaceId,
 }
 
-/// Counts of generations at risk and ended, by bucket.
+/// Numbers of generations at risk and of ended ones, by bucket.
 #[derive(Clone, Debug)]
-struct Table {
+struct HazardTable {
     at_risk: [f64; BUCKETS],
     ended: [f64; BUCKETS],
 }
 
-impl Table {
+impl HazardTable {
     const fn new() -> Self {
         Self {
             at_risk: [0.0; BUCKETS],
@@ -77,20 +81,20 @@
         }
     }
 
-    fn pass(&mut self, from: usize, to: usize) {
+    fn add_passed(&mut self, from: usize, to: usize) {
         for count in &mut self.at_risk[from..to.max(from)] {
             *count += 1.0;
         }
     }
 
-    fn end(&mut self, at: usize) {
+    fn add_ended(&mut self, at: usize) {
         self.at_risk[at] += 1.0;
         self.ended[at] += 1.0;
     }
 
     fn decay(&mut self) {
         for count in self.at_risk.iter_mut().chain(&mut self.ended) {
-            *count *= DECAY;
+            *count *= DECAY_FACTOR;
         }
     }
 
@@ -104,21 +108,21 @@
     }
 }
 
-/// Chance to outlive a length.
+/// Probability that a generation exceeds a length.
 #[derive(Clone, Debug)]
-pub struct Curve {
-    /// Cumulative hazard at each edge: minus the logarithm of the chance to get there.
+pub struct SurvivalCurve {
+    /// Cumulative hazard at each edge: the negative logarithm of the probability to reach it.
     cumulative: [f64; BUCKETS],
-    /// Cumulative hazard per token within each bucket.
+    /// Increase of the cumulative hazard per token within each bucket.
     slope: [f64; BUCKETS],
 }
 
-impl Curve {
+impl SurvivalCurve {
     fn new(hazards: &[f64; BUCKETS]) -> Self {
         let mut cumulative = [0.0; BUCKETS];
         let mut slope = [0.0; BUCKETS];
         for at in 0..BUCKETS {
-            let hazard = hazards[at].clamp(HAZARD_MIN, HAZARD_MAX);
+            let hazard = hazards[at].clamp(MIN_HAZARD, MAX_HAZARD);
             let step = -(1.0 - hazard).ln();
             let next = EDGES.get(at + 1).copied().unwrap_or(EDGES[at] * 6 / 5);
             slope[at] = step / (next - EDGES[at]) as f64;
@@ -129,55 +133,56 @@
         Self { cumulative, slope }
     }
 
-    /// Cumulative hazard at a length.
-    fn at(&self, length: Tokens) -> f64 {
+    /// Returns the cumulative hazard at a length.
+    fn cumulative_hazard(&self, length: Tokens) -> f64 {
         let at = bucket(length);
         self.cumulative[at] + self.slope[at] * (length - EDGES[at]) as f64
     }
 
-    /// Chance that a generation that has produced this much runs on for `more` tokens.
+    /// Returns the probability that a generation that has produced `produced` tokens produces at
+    /// least `more` further ones.
     #[must_use]
     pub fn survival(&self, produced: Tokens, more: Tokens) -> f64 {
-        (self.at(produced) - self.at(produced + more)).exp()
+        (self.cumulative_hazard(produced) - self.cumulative_hazard(produced + more)).exp()
     }
 
-    /// Tokens that a generation that has produced this much is expected to produce still, of at
-    /// most `most` in all.
+    /// Returns the expected number of further tokens of a generation that has produced `produced`,
+    /// limited to `most` in all.
     #[must_use]
-    pub fn remaining(&self, produced: Tokens, most: Tokens) -> f64 {
-        let base = self.at(produced);
+    pub fn expected_remaining(&self, produced: Tokens, max_output: Tokens) -> f64 {
+        let base = self.cumulative_hazard(produced);
         let mut from = produced;
         let mut sum = 0.0;
         for edge in &EDGES[bucket(produced) + 1..] {
-            let to = (*edge).min(most);
+            let to = (*edge).min(max_output);
             if to <= from {
                 break;
             }
-            let middle = (base - self.at(from + (to - from) / 2)).exp();
-            sum += middle * (to - from) as f64;
+            let survival = (base - self.cumulative_hazard(from + (to - from) / 2)).exp();
+            sum += survival * (to - from) as f64;
             from = to;
         }
         sum
     }
 }
 
-/// A curve and the number of observations it was built from.
+/// A curve and the number of observations that it was built from.
 #[derive(Debug)]
-struct Built {
-    curve: Arc<Curve>,
-    at: u64,
+struct CachedCurve {
+    curve: Arc<SurvivalCurve>,
+    observations: u64,
 }
 
 #[derive(Debug)]
 struct RouteLengths {
-    table: Table,
-    workspaces: BTreeMap<WorkspaceId, Table>,
-    curves: BTreeMap<WorkspaceId, Built>,
+    table: HazardTable,
+    workspaces: BTreeMap<WorkspaceId, HazardTable>,
+    curves: BTreeMap<WorkspaceId, CachedCurve>,
 }
 
 #[derive(Debug)]
 struct ServiceLengths {
-    table: Table,
+    table: HazardTable,
     observations: u64,
     until_decay: u32,
     routes: BTreeMap<RouteId, RouteLengths>,
@@ -186,9 +191,9 @@
 impl ServiceLengths {
     const fn new() -> Self {
         Self {
-            table: Table::new(),
+            table: HazardTable::new(),
             observations: 0,
-            until_decay: DECAY_EVERY,
+            until_decay: DECAY_INTERVAL,
             routes: BTreeMap::new(),
         }
     }
@@ -197,76 +202,78 @@
         self.routes
             .entry(route.clone())
             .or_insert_with(|| RouteLengths {
-                table: Table::new(),
+                table: HazardTable::new(),
                 workspaces: BTreeMap::new(),
                 curves: BTreeMap::new(),
             })
     }
 
-    fn observed(&mut self) {
+    fn count_observation(&mut self) {
         self.observations += 1;
         self.until_decay -= 1;
         if self.until_decay > 0 {
             return;
         }
-        self.until_decay = DECAY_EVERY;
+        self.until_decay = DECAY_INTERVAL;
         self.table.decay();
         for route in self.routes.values_mut() {
             route.table.decay();
-            route.workspaces.values_mut().for_each(Table::decay);
+            route.workspaces.values_mut().for_each(HazardTable::decay);
         }
     }
 }
 
-/// What is known of lengths, by service, route and workspace.
+/// Length estimates by service, route and workspace.
 #[derive(Debug, Default)]
-pub struct Lengths {
+pub struct LengthEstimator {
     services: BTreeMap<ServiceId, ServiceLengths>,
 }
 
-impl Lengths {
-    /// Starts knowing nothing.
+impl LengthEstimator {
+    /// Creates an estimator without observations.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes note that a generation runs that had produced `from` and now has produced `to`.
-    pub fn passed(&mut self, source: &Source<'_>, from: Tokens, to: Tokens) {
+    /// Records that a generation that had produced `from` tokens when last recorded has now
+    /// produced `to`, and still runs or was cancelled.
+    pub fn record_progress(&mut self, source: &GenerationSource<'_>, from: Tokens, to: Tokens) {
         let (from, to) = (bucket(from), bucket(to));
         if from < to {
-            self.each(source, |table| table.pass(from, to));
+            self.update_tables(source, |table| table.add_passed(from, to));
         }
     }
 
-    /// Takes note that a generation ended by itself; `from` is what `passed` was told last.
-    pub fn ended(&mut self, source: &Source<'_>, from: Tokens, length: Tokens) {
-        self.passed(source, from, length);
+    /// Records that a generation ended by itself with `length` tokens; `from` is its length when
+    /// last recorded.
+    pub fn record_end(&mut self, source: &GenerationSource<'_>, from: Tokens, length: Tokens) {
+        self.record_progress(source, from, length);
         let at = bucket(length);
-        self.each(source, |table| table.end(at));
+        self.update_tables(source, |table| table.add_ended(at));
         if let Some(service) = self.services.get_mut(source.service) {
-            service.observed();
+            service.count_observation();
         }
     }
 
-    /// The curve for generations of one source.
-    pub fn curve(&mut self, source: &Source<'_>) -> Arc<Curve> {
+    /// Returns the survival curve for generations of one source.
+    pub fn curve(&mut self, source: &GenerationSource<'_>) -> Arc<SurvivalCurve> {
         let service = self
             .services
             .entry(source.service.clone())
             .or_insert_with(ServiceLengths::new);
         let observations = service.observations;
         let route = service.route(source.route);
-        if let Some(built) = route.curves.get(source.workspace) {
-            let age = observations - built.at;
-            if age == 0 || (age < REBUILD_EVERY && observations > FEW) {
-                return Arc::clone(&built.curve);
+        if let Some(cached) = route.curves.get(source.workspace) {
+            let age = observations - cached.observations;
+            if age == 0 || (age < REBUILD_INTERVAL && observations > ALWAYS_REBUILD_BELOW) {
+                return Arc::clone(&cached.curve);
             }
         }
         self.rebuild(source, observations)
     }
 
-    fn rebuild(&mut self, source: &Source<'_>, observations: u64) -> Arc<Curve> {
+    fn rebuild(&mut self, source: &GenerationSource<'_>, observations: u64) -> Arc<SurvivalCurve> {
         let prior = [PRIOR_HAZARD; BUCKETS];
         let service = self
             .services
@@ -278,16 +285,20 @@
         if let Some(table) = route.workspaces.get(source.workspace) {
             hazards = table.hazards(&hazards, PARENT_WEIGHT);
         }
-        let curve = Arc::new(Curve::new(&hazards));
-        let built = Built {
+        let curve = Arc::new(SurvivalCurve::new(&hazards));
+        let cached = CachedCurve {
             curve: Arc::clone(&curve),
-            at: observations,
+            observations,
         };
-        route.curves.insert(source.workspace.clone(), built);
+        route.curves.insert(source.workspace.clone(), cached);
         curve
     }
 
-    fn each(&mut self, source: &Source<'_>, mut change: impl FnMut(&mut Table)) {
+    fn update_tables(
+        &mut self,
+        source: &GenerationSource<'_>,
+        mut change: impl FnMut(&mut HazardTable),
+    ) {
         let service = self
             .services
             .entry(source.service.clone())
@@ -298,7 +309,7 @@
         let workspace = route
             .workspaces
             .entry(source.workspace.clone())
-            .or_insert_with(Table::new);
+            .or_insert_with(HazardTable::new);
         change(workspace);
     }
 }
--- a/components/policy/src/outbox.rs
+++ b/components/policy/src/outbox.rs
@@ -1,23 +1,23 @@
-//! Messages that an owner sends.
+//! Actions that send an owner's messages.
 
 use std::time::Duration;
 
-use types::{AskId, InstanceId, Shard};
+use types::{InstanceId, PermitRequestId, Shard};
 use wire::{Deny, Message};
 
 use crate::api::Action;
 
-/// Refuses an ask; `None` tells the entry to ask elsewhere.
+/// Denies a permit request. With `None` for `retry_after` the entry requests a permit elsewhere.
 pub fn deny(
     to: &InstanceId,
     shard: &Shard,
-    ask: AskId,
+    ask: PermitRequestId,
     retry_after: Option<Duration>,
     out: &mut Vec<Action>,
 ) {
     let deny = Deny {
         shard: shard.clone(),
-        ask,
+        permit_request: ask,
         retry_after,
     };
     send(to, deny.into(), out);
