--- a/components/policy/src/owner.rs
+++ b/components/policy/src/owner.rs
@@ -1,44 +1,46 @@
-//! The owner's side: the exact account of all targets of the shards owned here, and who goes
-//! next.
+//! The owner's side of placement: which queued request gets a permit next, and for which target.
+//!
+//! The owner of a shard accounts for all work on the shard's targets; entries send nothing without
+//! a permit from it.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use types::{Incarnation, InstanceId, Moment, Shard, TargetId};
-use wire::{Ask, Done, Held, Message, ShardSummary};
+use wire::{Done, Held, Message, PermitRequest, ShardSummary};
 
 use crate::{
     api::{Action, EngineReport, Event, ShardRole, TargetLimits, View},
     outbox::deny,
+    owner_state::OwnerState,
     shard::ShardState,
-    shared::Shared,
     tuning::Tuning,
 };
 
-/// The decisions of one instance about the shards that it owns.
+/// The shards that one instance owns, and the decisions about them.
 #[derive(Debug)]
 pub struct Owner {
     shards: BTreeMap<Shard, ShardState>,
-    shared: Shared,
+    owner_state: OwnerState,
 }
 
 impl Owner {
-    /// Starts without shards. `seed` feeds the jitter of times to come back.
+    /// Creates an owner without shards. `seed` feeds the jitter of retry times.
     #[must_use]
     pub fn new(me: InstanceId, incarnation: Incarnation, seed: u64) -> Self {
         Self {
             shards: BTreeMap::new(),
-            shared: Shared::new(&me, incarnation, seed, Tuning::default()),
+            owner_state: OwnerState::new(&me, incarnation, seed, Tuning::default()),
         }
     }
 
-    /// Replaces the figures that decisions about memory are tuned by.
+    /// Replaces the parameters of admission by memory.
     #[must_use]
     pub fn with_tuning(mut self, tuning: Tuning) -> Self {
-        self.shared.tuning = tuning;
+        self.owner_state.tuning = tuning;
         self
     }
 
-    /// Takes one event and appends what has to be done to `out`. Events of the entry side are
+    /// Handles one event and appends the resulting actions to `out`. Events for the entry are
     /// ignored.
     pub fn handle(&mut self, now: Moment, event: &Event, out: &mut Vec<Action>) {
         match event {
@@ -46,42 +48,50 @@
                 from,
                 incarnation,
                 message,
-            } => self.received(now, from, *incarnation, message, out),
-            Event::Reported { target, report } => self.reported(now, target, *report, out),
-            Event::Changed(view) => self.changed(now, view, out),
-            Event::Role { shard, role } => self.role(now, shard, role, out),
-            Event::PeerGone { peer } => self.peer_gone(now, peer, out),
-            Event::Exclusive { shard, exclusive } => {
-                self.exclusive(now, shard, *exclusive, out);
+            } => self.handle_message(now, from, *incarnation, message, out),
+            Event::TargetReported { target, report } => {
+                self.record_report(now, target, *report, out)
             }
-            Event::Paused { gap } => self.paused(now, *gap, out),
+            Event::ViewChanged(view) => self.apply_view(now, view, out),
+            Event::RoleChanged { shard, role } => self.apply_role(now, shard, role, out),
+            Event::PeerGone { peer } => self.remove_peer(now, peer, out),
+            Event::ExclusivityChanged { shard, exclusive } => {
+                self.set_exclusive(now, shard, *exclusive, out);
+            }
+            Event::Paused { gap } => self.handle_pause(now, *gap, out),
             Event::Tick => self.tick(now, out),
             _ => {}
         }
     }
 
-    /// Tells what others should know of the shards owned here.
+    /// Returns the load summaries of the shards owned here.
     #[must_use]
     pub fn summaries(&self, now: Moment) -> Vec<ShardSummary> {
         self.shards
             .values()
-            .map(|state| state.summary(now, &self.shared))
+            .map(|state| state.summary(now, &self.owner_state))
             .collect()
     }
 
-    /// Writes the state for a dump.
+    /// Returns the state as lines of text for a dump.
     #[must_use]
     pub fn dump(&self, now: Moment) -> Vec<String> {
         let mut lines = Vec::new();
         for state in self.shards.values() {
-            state.dump(now, &self.shared, &mut lines);
+            state.dump(now, &self.owner_state, &mut lines);
         }
         lines.push("last decisions:".to_owned());
-        lines.extend(self.shared.journal.tail().lines().map(str::to_owned));
+        lines.extend(
+            self.owner_state
+                .decision_log
+                .to_text()
+                .lines()
+                .map(str::to_owned),
+        );
         lines
     }
 
-    fn received(
+    fn handle_message(
         &mut self,
         now: Moment,
         from: &InstanceId,
@@ -90,55 +100,73 @@
         out: &mut Vec<Action>,
     ) {
         match message {
-            Message::Ask(ask) => {
-                self.heard(now, from, incarnation, ask.stamp);
-                self.asked(now, from, ask, out);
+            Message::PermitRequest(ask) => {
+                self.record_contact(now, from, incarnation, ask.stamp);
+                self.handle_permit_request(now, from, ask, out);
             }
             Message::Withdraw(withdraw) => {
                 if let Some(state) = self.shards.get_mut(&withdraw.shard) {
-                    state.withdrawn(from, withdraw);
+                    state.withdraw(from, withdraw);
                 }
             }
-            Message::Done(done) => self.done(now, from, done, out),
+            Message::Done(done) => self.handle_done(now, from, done, out),
             Message::Held(held) => {
-                self.heard(now, from, incarnation, held.stamp);
-                self.held(now, from, incarnation, held, out);
+                self.record_contact(now, from, incarnation, held.stamp);
+                self.handle_held(now, from, incarnation, held, out);
+            }
+            Message::Heartbeat(heartbeat) => {
+                self.record_contact(now, from, incarnation, heartbeat.stamp)
             }
-            Message::Heartbeat(beat) => self.heard(now, from, incarnation, beat.stamp),
             _ => {}
         }
     }
 
-    /// Takes a sign of an entry. The work of its earlier lives is orphaned by a new one.
-    fn heard(&mut self, now: Moment, from: &InstanceId, incarnation: Incarnation, stamp: Moment) {
-        if self.shared.heard(now, from, incarnation, stamp) {
+    /// Records the contact with an entry. If the entry runs in a new incarnation, the work of its
+    /// earlier ones is orphaned.
+    fn record_contact(
+        &mut self,
+        now: Moment,
+        from: &InstanceId,
+        incarnation: Incarnation,
+        stamp: Moment,
+    ) {
+        if self
+            .owner_state
+            .record_contact(now, from, incarnation, stamp)
+        {
             for state in self.shards.values_mut() {
                 state.orphan(now, from, incarnation);
             }
         }
     }
 
-    fn asked(&mut self, now: Moment, from: &InstanceId, ask: &Ask, out: &mut Vec<Action>) {
+    fn handle_permit_request(
+        &mut self,
+        now: Moment,
+        from: &InstanceId,
+        ask: &PermitRequest,
+        out: &mut Vec<Action>,
+    ) {
         let Some(state) = self.shards.get_mut(&ask.shard) else {
-            deny(from, &ask.shard, ask.ask, None, out);
+            deny(from, &ask.shard, ask.permit_request, None, out);
             return;
         };
-        state.asked(now, from, ask, &mut self.shared, out);
-        state.serve(now, &mut self.shared, out);
+        state.enqueue(now, from, ask, &mut self.owner_state, out);
+        state.grant_waiting(now, &mut self.owner_state, out);
     }
 
-    fn done(&mut self, now: Moment, from: &InstanceId, done: &Done, out: &mut Vec<Action>) {
+    fn handle_done(&mut self, now: Moment, from: &InstanceId, done: &Done, out: &mut Vec<Action>) {
         let Some(state) = self.shards.get_mut(&done.shard) else {
             return;
         };
-        let Some(limits) = limits(&self.shared, &done.shard) else {
+        let Some(limits) = limits(&self.owner_state, &done.shard) else {
             return;
         };
-        state.done(now, from, done, &limits, &mut self.shared);
-        state.serve(now, &mut self.shared, out);
+        state.handle_done(now, from, done, &limits, &mut self.owner_state);
+        state.grant_waiting(now, &mut self.owner_state, out);
     }
 
-    fn held(
+    fn handle_held(
         &mut self,
         now: Moment,
         from: &InstanceId,
@@ -149,108 +177,119 @@
         let Some(state) = self.shards.get_mut(&held.shard) else {
             return;
         };
-        let Some(limits) = limits(&self.shared, &held.shard) else {
+        let Some(limits) = limits(&self.owner_state, &held.shard) else {
             return;
         };
-        state.held(now, from, incarnation, held, &limits, &mut self.shared);
-        state.serve(now, &mut self.shared, out);
+        state.handle_held(now, from, incarnation, held, &limits, &mut self.owner_state);
+        state.grant_waiting(now, &mut self.owner_state, out);
     }
 
-    fn reported(
+    fn record_report(
         &mut self,
         now: Moment,
         target: &TargetId,
         report: EngineReport,
         out: &mut Vec<Action>,
     ) {
-        let report = self.shared.reported(now, target, report);
+        let report = self.owner_state.record_report(now, target, report);
         for state in self.shards.values_mut() {
-            let Some(limits) = limits(&self.shared, &state.shard) else {
+            let Some(limits) = limits(&self.owner_state, &state.shard) else {
                 continue;
             };
-            if state.reported(now, target, report, &limits) {
-                state.recall(now, &mut self.shared, out);
-                state.serve(now, &mut self.shared, out);
+            if state.record_report(now, target, report, &limits) {
+                state.revoke_unseen(now, &mut self.owner_state, out);
+                state.grant_waiting(now, &mut self.owner_state, out);
             }
         }
     }
 
-    fn changed(&mut self, now: Moment, view: &View, out: &mut Vec<Action>) {
-        self.shared.changed(now, view);
+    fn apply_view(&mut self, now: Moment, view: &View, out: &mut Vec<Action>) {
+        self.owner_state.apply_view(now, view);
         for state in self.shards.values_mut() {
-            state.refresh(now, &self.shared);
-            state.send_on(&self.shared, out);
-            state.serve(now, &mut self.shared, out);
+            state.apply_view(now, &self.owner_state);
+            state.deny_all_if_no_target(&self.owner_state, out);
+            state.grant_waiting(now, &mut self.owner_state, out);
         }
     }
 
-    fn role(&mut self, now: Moment, shard: &Shard, role: &ShardRole, out: &mut Vec<Action>) {
+    fn apply_role(&mut self, now: Moment, shard: &Shard, role: &ShardRole, out: &mut Vec<Action>) {
         match role {
-            ShardRole::Follow { .. } => self.disown(now, shard, out),
-            ShardRole::Own { epoch, ask } => {
+            ShardRole::Follow { .. } => self.release_shard(now, shard, out),
+            ShardRole::Own {
+                epoch,
+                entries_to_query,
+            } => {
                 if self.shards.get(shard).is_some_and(|s| s.epoch >= *epoch) {
                     return;
                 }
-                self.disown(now, shard, out);
-                let line = format!("owner of {shard} in term {epoch}, asks {ask:?}");
-                self.shared.journal.note(now, line);
-                let state = ShardState::new(now, shard, *epoch, ask, &self.shared, out);
+                self.release_shard(now, shard, out);
+                let line =
+                    format!("owner of {shard} in term {epoch}, queries {entries_to_query:?}");
+                self.owner_state.decision_log.record(now, line);
+                let state =
+                    ShardState::new(now, shard, *epoch, entries_to_query, &self.owner_state, out);
                 self.shards.insert(shard.clone(), state);
             }
         }
     }
 
-    fn disown(&mut self, now: Moment, shard: &Shard, out: &mut Vec<Action>) {
+    fn release_shard(&mut self, now: Moment, shard: &Shard, out: &mut Vec<Action>) {
         let Some(mut state) = self.shards.remove(shard) else {
             return;
         };
         let line = format!("no longer owner of {shard}");
-        self.shared.journal.note(now, line);
+        self.owner_state.decision_log.record(now, line);
         state.deny_all(out);
     }
 
-    fn peer_gone(&mut self, now: Moment, peer: &InstanceId, out: &mut Vec<Action>) {
-        self.shared.peers.remove(peer);
-        let line = format!("entry {peer} is gone");
-        self.shared.journal.note(now, line);
+    fn remove_peer(&mut self, now: Moment, peer: &InstanceId, out: &mut Vec<Action>) {
+        self.owner_state.entries.remove(peer);
+        let line = format!("entry {peer} is lost");
+        self.owner_state.decision_log.record(now, line);
         for state in self.shards.values_mut() {
-            state.peer_gone(peer);
+            state.remove_peer(peer);
             state.orphan(now, peer, Incarnation::MAX);
-            state.serve(now, &mut self.shared, out);
+            state.grant_waiting(now, &mut self.owner_state, out);
         }
     }
 
-    fn exclusive(&mut self, now: Moment, shard: &Shard, exclusive: bool, out: &mut Vec<Action>) {
+    fn set_exclusive(
+        &mut self,
+        now: Moment,
+        shard: &Shard,
+        exclusive: bool,
+        out: &mut Vec<Action>,
+    ) {
         let Some(state) = self.shards.get_mut(shard) else {
             return;
         };
         let line = format!("exclusive owner of {shard}: {exclusive}");
-        self.shared.journal.note(now, line);
+        self.owner_state.decision_log.record(now, line);
         state.exclusive = exclusive;
-        state.serve(now, &mut self.shared, out);
+        state.grant_waiting(now, &mut self.owner_state, out);
     }
 
-    /// A process that did not run may have been replaced as owner. What it grants on waking
-    /// would come on top of what the new owner grants, and a cold target would fall over; so it
-    /// gives up all shards before anything else.
-    fn paused(&mut self, now: Moment, gap: Duration, out: &mut Vec<Action>) {
+    /// Gives up all shards after a pause. While this process did not run, another instance may have
+    /// become owner. Permits granted here would come on top of those of the new owner and overload
+    /// cold targets.
+    fn handle_pause(&mut self, now: Moment, gap: Duration, out: &mut Vec<Action>) {
         let line = format!("paused for {gap:?}");
-        self.shared.journal.note(now, line);
+        self.owner_state.decision_log.record(now, line);
         let shards: Vec<Shard> = self.shards.keys().cloned().collect();
         for shard in shards {
-            self.disown(now, &shard, out);
+            self.release_shard(now, &shard, out);
         }
     }
 
     fn tick(&mut self, now: Moment, out: &mut Vec<Action>) {
         for state in self.shards.values_mut() {
-            state.tick(now, &mut self.shared, out);
-            state.recall(now, &mut self.shared, out);
-            state.serve(now, &mut self.shared, out);
+            state.tick(now, &mut self.owner_state, out);
+            state.revoke_unseen(now, &mut self.owner_state, out);
+            state.grant_waiting(now, &mut self.owner_state, out);
         }
     }
 }
 
-fn limits(shared: &Shared, shard: &Shard) -> Option<Arc<TargetLimits>> {
-    shared.view.limits.get(&shard.service).cloned()
+fn limits(owner_state: &OwnerState, shard: &Shard) -> Option<Arc<TargetLimits>> {
+    owner_state.view.limits.get(&shard.service).cloned()
 }
--- a/components/policy/src/permit.rs
+++ b/components/policy/src/permit.rs
@@ -1,4 +1,4 @@
-//! A permit that occupies a target, as its owner keeps it.
+//! A granted permit, as its owner accounts for it.
 
 use types::{
     Class, Epoch, Incarnation, InstanceId, Moment, PermitId, RouteId, Tokens, WorkspaceId,
@@ -6,69 +6,70 @@
 use wire::HeldPermit;
 
 use crate::{
-    line::TOKENS_MOST,
-    shard::{LAPSE_MARGIN, PERMIT_LIFE},
+    shard::{EXPIRY_MARGIN, PERMIT_LIFETIME},
+    wait_queue::MAX_TOKENS,
 };
 
-/// Calls that one permit may cover; larger figures of a message are cut to this.
-const SLOTS_MOST: u32 = 1 << 16;
+/// Maximum number of calls that one permit covers; larger numbers in a message are capped.
+const MAX_SLOTS: u32 = 1 << 16;
 
-/// Which permit of which entry.
+/// Identifies a permit together with the entry that holds it.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct PermitKey {
-    /// The entry.
+    /// The entry that holds the permit.
     pub entry: InstanceId,
-    /// The permit.
+    /// The permit's id.
     pub permit: PermitId,
 }
 
 /// A permit that occupies a target.
 #[derive(Clone, Debug)]
-pub struct Permit {
-    /// The term it was granted in.
+pub struct GrantedPermit {
+    /// The term in which it was granted.
     pub epoch: Epoch,
-    /// Which life of the target.
+    /// The incarnation of the target.
     pub incarnation: Incarnation,
-    /// Which life of the entry.
+    /// The incarnation of the entry.
     pub entry_incarnation: Incarnation,
-    /// Urgency.
+    /// Priority class.
     pub class: Class,
-    /// Who the work is for.
+    /// The workspace that the work is for.
     pub workspace: WorkspaceId,
-    /// The route.
+    /// The route of the request.
     pub route: RouteId,
     /// Tokens in the prompt.
-    pub prompt: Tokens,
-    /// The most tokens to produce.
+    pub prompt_tokens: Tokens,
+    /// Upper limit of tokens to generate.
     pub max_output: Tokens,
-    /// Tokens produced, as last heard.
+    /// Tokens generated, as last reported.
     pub produced: Tokens,
-    /// When that was heard.
-    pub heard: Moment,
-    /// Concurrent calls it covers.
+    /// When the entry last reported the permit.
+    pub updated_at: Moment,
+    /// Concurrent calls that it covers.
     pub slots: u32,
     /// Whether the caller has seen any of the answer.
     pub seen: bool,
-    /// When it was granted or first heard of.
-    pub since: Moment,
-    /// When it was first heard that it has produced something.
-    pub started: Option<Moment>,
-    /// The entry's clock beyond which it can't be used for new work any more.
-    pub lapses: Moment,
-    /// When the entry was lost, if it was.
-    pub orphaned: Option<Moment>,
-    /// Whether it has been asked back.
-    pub recalled: bool,
-    /// Whether its missing first token has been taken as evidence of a cold target.
-    pub late: bool,
-    /// Tokens that its workspace was charged for it.
-    pub charged: f64,
+    /// When it was granted, or first reported if an earlier owner granted it.
+    pub granted_at: Moment,
+    /// When it was first reported to have generated tokens.
+    pub started_at: Option<Moment>,
+    /// When it expires, on the entry's clock. It can't be used for new work after that.
+    pub expires_at: Moment,
+    /// When its entry, or the entry's connection to the target, was lost; `None` if neither was.
+    pub orphaned_at: Option<Moment>,
+    /// Whether it has been revoked.
+    pub revoked: bool,
+    /// Whether its missing first token has been counted as evidence that the target is cold.
+    pub slow_start_recorded: bool,
+    /// Tokens charged to its workspace.
+    pub charged_tokens: f64,
 }
 
-impl Permit {
-    /// Takes over what an entry says it holds; `stamp` is the entry's clock at saying so.
+impl GrantedPermit {
+    /// Accounts for a permit that an entry reports to hold; `stamp` is the entry's clock when it
+    /// was reported.
     #[must_use]
-    pub fn adopted(
+    pub fn from_held(
         held: &HeldPermit,
         entry_incarnation: Incarnation,
         stamp: Moment,
@@ -81,37 +82,38 @@
             class: held.class,
             workspace: held.workspace.clone(),
             route: held.route.clone(),
-            prompt: held.prompt.min(TOKENS_MOST),
-            max_output: held.max_output.min(TOKENS_MOST),
-            produced: held.produced.min(TOKENS_MOST),
-            heard: now,
-            started: (held.produced > 0).then_some(now),
-            slots: held.slots.min(SLOTS_MOST),
-            seen: held.seen,
-            since: now,
-            lapses: stamp,
-            orphaned: None,
-            recalled: false,
-            late: true,
-            charged: held.prompt as f64 + held.produced as f64,
+            prompt_tokens: held.prompt_tokens.min(MAX_TOKENS),
+            max_output: held.max_output.min(MAX_TOKENS),
+            produced: held.produced.min(MAX_TOKENS),
+            updated_at: now,
+            started_at: (held.produced > 0).then_some(now),
+            slots: held.slots.min(MAX_SLOTS),
+            seen: held.answer_started,
+            granted_at: now,
+            expires_at: stamp,
+            orphaned_at: None,
+            revoked: false,
+            slow_start_recorded: true,
+            charged_tokens: held.prompt_tokens as f64 + held.produced as f64,
         }
     }
 
-    /// Tells whether its work surely ran at a moment, so that a report of then counts it: it was
-    /// heard to have produced something, or it could no longer be used for new work.
+    /// Returns whether its work certainly ran at a moment, and a load report of that moment
+    /// therefore includes it: it had generated tokens, or it could no longer be used for new work.
     #[must_use]
-    pub fn ran_by(&self, at: Moment) -> bool {
-        self.started.is_some_and(|started| started <= at)
-            || self.since + PERMIT_LIFE + LAPSE_MARGIN <= at
+    pub fn was_running_at(&self, at: Moment) -> bool {
+        self.started_at.is_some_and(|started| started <= at)
+            || self.granted_at + PERMIT_LIFETIME + EXPIRY_MARGIN <= at
     }
 
-    /// Tokens produced by now, going by the target's pace since the last news.
+    /// Returns an estimate of the tokens generated by now, from the last report and the target's
+    /// token rate per second.
     #[must_use]
-    pub fn produced_by(&self, now: Moment, rate: f64) -> Tokens {
+    pub fn estimated_tokens(&self, now: Moment, rate: f64) -> Tokens {
         if self.produced == 0 {
             return 0;
         }
-        let since = now.saturating_sub(self.heard).as_secs_f64();
+        let since = now.saturating_sub(self.updated_at).as_secs_f64();
         (self.produced + (since * rate) as Tokens).min(self.max_output.max(self.produced))
     }
 }
--- a/components/policy/src/prefixes.rs
+++ b/components/policy/src/prefixes.rs
@@ -1,12 +1,12 @@
-//! Which prompt prefixes a target has seen lately.
+//! Prompt prefixes that a target has probably cached.
 //!
-//! Engines publish cache events late and with gaps, so this is the owner's own memory of what
-//! it sent where: a hint, bounded, and never a reason to overload a target.
+//! Engines publish cache events late and with gaps, so the owner records which prompts it placed
+//! where. The record is a hint of bounded size and never a reason to overload a target.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Blocks remembered per target.
-const REMEMBERED: usize = 4096;
+/// Maximum number of blocks recorded per target.
+const MAX_BLOCKS: usize = 4096;
 
 /// Recently used prompt blocks of one target.
 #[derive(Debug, Default)]
@@ -23,36 +23,36 @@
 }
 
 impl Prefixes {
-    /// Starts empty.
+    /// Creates an empty record.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes note of a prompt sent to the target.
-    pub fn used(&mut self, prefix: &[u64]) {
+    /// Records the prefix of a prompt that was placed on the target.
+    pub fn record(&mut self, prefix: &[u64]) {
         for &block in prefix {
             self.last_use.insert(block, self.next);
             let number = self.next;
             self.uses.push_back(Use { block, number });
             self.next += 1;
         }
-        while self.uses.len() > REMEMBERED {
+        while self.uses.len() > MAX_BLOCKS {
             self.drop_oldest();
         }
     }
 
-    /// Share of a prompt's blocks that the target has probably cached, 0.0 to 1.0. The hash of
-    /// a block covers all before it, so the longest known one decides.
+    /// Returns the share of a prompt's blocks that the target has probably cached, 0.0 to 1.0. The
+    /// hash of a block covers all blocks before it, so the last known block decides.
     #[must_use]
-    pub fn reuse(&self, prefix: &[u64]) -> f64 {
+    pub fn cached_share(&self, prefix: &[u64]) -> f64 {
         let known = prefix
             .iter()
             .rposition(|block| self.last_use.contains_key(block));
         known.map_or(0.0, |at| (at + 1) as f64 / prefix.len() as f64)
     }
 
-    /// Forgets everything, as the target did.
+    /// Discards all blocks, after the target lost its cache.
     pub fn clear(&mut self) {
         self.last_use.clear();
         self.uses.clear();
--- a/components/rates/src/lib.rs
+++ b/components/rates/src/lib.rs
@@ -1,7 +1,8 @@
-//! Rates that targets name for all instances together. No I/O and no clock.
+//! Rate limits that targets announce for all instances together: which limits are known, and how
+//! one instance allocates a limit among all of them. No I/O and no clock.
 
+pub mod allocator;
 pub mod limits;
-pub mod slots;
 
-pub use limits::{Limits, Rate, Word};
-pub use slots::{Slot, Slots};
+pub use allocator::{RateAllocator, Reservation};
+pub use limits::{Rate, RateLimits, RateReport};
