--- a/components/gateway/src/metrics.rs
+++ b/components/gateway/src/metrics.rs
@@ -30,8 +30,8 @@
 }
 
 impl From<Execution> for Outcome {
-    fn from(run: Execution) -> Self {
-        match run {
+    fn from(execution: Execution) -> Self {
+        match execution {
             Execution::NotRun => Self::NotRun,
             Execution::Unknown => Self::Unknown,
             Execution::Partial => Self::Partial,
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -127,9 +127,9 @@
 
     /// Records how the request ended.
     pub fn record_result(&self, result: &Result<PlainAnswer, Refusal>) {
-        let run = result.as_ref().map_err(|refusal| refusal.execution);
+        let execution = result.as_ref().map_err(|refusal| refusal.execution);
         self.in_flight
-            .set_outcome(run.map_or_else(Into::into, |_| Outcome::Whole));
+            .set_outcome(execution.map_or_else(Into::into, |_| Outcome::Whole));
     }
 
     async fn run_attempts(
--- a/components/gateway/src/refusals.rs
+++ b/components/gateway/src/refusals.rs
@@ -106,14 +106,14 @@
 }
 
 /// The deadline passed before the answer.
-pub fn deadline(run: Execution) -> Refusal {
+pub fn deadline(execution: Execution) -> Refusal {
     Refusal::new(
         504,
         "deadline",
         "The deadline has passed",
         "no answer arrived before the deadline; the work was cancelled",
     )
-    .with_execution(run)
+    .with_execution(execution)
     .with_retry_after(RETRY_AFTER_SHORTAGE)
 }
 
