--- a/components/front/src/callers/call.rs
+++ b/components/front/src/callers/call.rs
@@ -14,7 +14,7 @@
 use quarantine::Fingerprint;
 use timer::boot_time;
 use types::{Moment, WorkspaceId};
-use view::{Kind, Route, Service};
+use view::{Route, RouteKind, Service};
 
 use crate::adapters::CallerRequest;
 
@@ -78,16 +78,16 @@
     /// Time left of the route's objective for the answer, counted from the arrival of this request.
     #[must_use]
     pub fn objective_left(&self) -> Duration {
-        self.route.aim.saturating_sub(self.elapsed())
+        self.route.objective.saturating_sub(self.elapsed())
     }
 
     /// The kind of the route, as used in metrics.
     #[must_use]
     pub fn kind(&self) -> &'static str {
         match self.route.kind {
-            Kind::Idempotent => "idempotent",
-            Kind::NonIdempotent => "non_idempotent",
-            Kind::Generation => "generation",
+            RouteKind::Idempotent => "idempotent",
+            RouteKind::NonIdempotent => "non_idempotent",
+            RouteKind::Generation => "generation",
         }
     }
 }
--- a/components/front/src/callers/handler.rs
+++ b/components/front/src/callers/handler.rs
@@ -16,7 +16,7 @@
 use smol::future;
 use timer::boot_time;
 use types::Moment;
-use view::{Identity, Kind};
+use view::{Identity, RouteKind};
 
 use crate::{
     adapters::CallerRequest,
@@ -109,8 +109,8 @@
         let aborted = self.aborted(&call);
         let served = async {
             match call.route.kind {
-                Kind::Generation => generations::dispatch::serve(front, call).await,
-                Kind::Idempotent | Kind::NonIdempotent => {
+                RouteKind::Generation => generations::dispatch::serve(front, call).await,
+                RouteKind::Idempotent | RouteKind::NonIdempotent => {
                     plain_calls::dispatch::serve(&front, &call).await
                 }
             }
@@ -136,9 +136,13 @@
     }
 
     async fn read_body(&self, body: Incoming) -> Result<BufferedBody, Refusal> {
-        let limits = self.front.view.rules().and_then(|rules| rules.limits);
+        let limits = self
+            .front
+            .view
+            .rules()
+            .and_then(|rules| rules.request_limits);
         let limit = limits.map_or(DEFAULT_BODY_BYTES, |limits| limits.body_bytes);
-        let pause = limits.map_or(DEFAULT_BODY_PAUSE, |limits| limits.header_time);
+        let pause = limits.map_or(DEFAULT_BODY_PAUSE, |limits| limits.header_timeout);
         let mut memory = self.front.body_budget.share();
         let reading = async { Some(read_shared(body, limit, pause, &mut memory).await) };
         let aborted = async {
@@ -180,7 +184,7 @@
             Refusal::not_run(reason, after)
         };
         let rules = rules.ok_or_else(|| not_ready("no configuration is known yet"))?;
-        let read = front.view.rules_read().unwrap_or_default();
+        let read = front.view.rules_read_at().unwrap_or_default();
         let deny = |status: StatusCode, reason: &str| {
             // A wrong denial is final for its caller, so a configuration that may be outdated
             // denies nothing.
@@ -199,11 +203,11 @@
             return Err(not_ready("knowledge of keys is too old"));
         }
         let service = route
-            .pick(fastrand::f64())
+            .pick_service(fastrand::f64())
             .and_then(|name| rules.service(name))
             .ok_or_else(|| not_ready("the route's service is not configured"))?;
         let time_left = request.time_left.unwrap_or(route.timeout);
-        let priority = priority(&identity, route.rank);
+        let priority = priority(&identity, route.priority);
         let workspace = workspace(identity);
         Ok(Call {
             priority,
@@ -245,14 +249,14 @@
 
 fn priority(identity: &Identity, route_priority: u32) -> u32 {
     match identity {
-        Identity::Holder(holder) => holder.rank.unwrap_or(route_priority),
+        Identity::KeyHolder(holder) => holder.priority.unwrap_or(route_priority),
         Identity::Anonymous => route_priority,
     }
 }
 
 fn workspace(identity: Identity) -> Option<Arc<str>> {
     match identity {
-        Identity::Holder(holder) => Some(holder.workspace),
+        Identity::KeyHolder(holder) => Some(holder.workspace),
         Identity::Anonymous => None,
     }
 }
--- a/components/front/src/callers/refusal.rs
+++ b/components/front/src/callers/refusal.rs
@@ -91,7 +91,7 @@
 impl Front {
     /// Builds the response to a refused request, and logs the refusal.
     pub fn refuse(&self, id: Option<&str>, held: Duration, refusal: &Refusal) -> Response<Body> {
-        let read = self.view.rules_read().unwrap_or_default();
+        let read = self.view.rules_read_at().unwrap_or_default();
         emit(&Event::RequestRefused {
             id: id.unwrap_or("-").into(),
             status: refusal.status.as_u16(),
--- a/components/front/src/dump.rs
+++ b/components/front/src/dump.rs
@@ -53,7 +53,7 @@
         let state = |target: &std::sync::Arc<view::Target>| TargetState {
             id: target.id.clone(),
             data_centre: target.data_centre.clone(),
-            takes_work: self.view.takes_work(target),
+            takes_work: self.view.accepts_work(target),
             aside: choice.is_ejected(now, &target.id),
         };
         Dump {
@@ -62,11 +62,11 @@
             rules: self.view.rules().map(|rules| rules.version),
             rules_age_ms: self
                 .view
-                .rules_read()
+                .rules_read_at()
                 .map(|read| millis(elapsed_since(read))),
             targets_age_ms: self
                 .view
-                .targets_read()
+                .targets_read_at()
                 .map(|read| millis(elapsed_since(read))),
             targets: self.view.targets().values().map(state).collect(),
             members: self.peers.ids(),
--- a/components/front/src/generations/dispatch.rs
+++ b/components/front/src/generations/dispatch.rs
@@ -135,7 +135,7 @@
     let mut unusable: Vec<TargetId> = Vec::new();
     let usable = |id: &TargetId| {
         let listed = front.view.target(id);
-        listed.filter(|target| front.view.takes_work(target))
+        listed.filter(|target| front.view.accepts_work(target))
     };
     loop {
         if call.time_left().is_zero() {
--- a/components/front/src/generations/placement.rs
+++ b/components/front/src/generations/placement.rs
@@ -109,7 +109,7 @@
     /// Number of shards into which a service's engines are divided.
     #[must_use]
     pub fn shard_count(&self, service: &ServiceId) -> u32 {
-        let engines = self.view.count_of(service);
+        let engines = self.view.target_count(service);
         let mut counts = self.placement.shard_counts.lock();
         counts.count_for(boot_time(), service, engines)
     }
@@ -153,7 +153,7 @@
             data_centre: Arc::clone(&target.data_centre),
             slots: target.slots,
             memory: kind.memory,
-            token_copy: kind.token_copy(),
+            token_copy_time: kind.token_copy_time(),
         };
         let mut usable = self.usable_targets(&service);
         usable.retain(|target| shard.contains(&target.id));
--- a/components/front/src/generations/probing.rs
+++ b/components/front/src/generations/probing.rs
@@ -67,7 +67,7 @@
 /// it knows is stale. A source that refuses is known to be lost at once, and engines that leave at
 /// that moment are gone before the known state counts as stale.
 fn has_lost_sources(front: &Front) -> bool {
-    let read = front.view.targets_read().unwrap_or_default();
+    let read = front.view.targets_read_at().unwrap_or_default();
     front.targets_lost.load(Ordering::Acquire) || elapsed_since(read) >= STALE_AGE
 }
 
@@ -78,7 +78,7 @@
         .shards_of_all()
         .filter(|shard| front.owners(shard).first() == Some(me));
     let of_shard = |shard: Shard| {
-        let usable = front.view.usable(&shard.service).into_iter();
+        let usable = front.view.usable_targets(&shard.service).into_iter();
         usable.filter(move |target| shard.contains(&target.id))
     };
     owned.flat_map(of_shard).collect()
--- a/components/front/src/generations/recovery.rs
+++ b/components/front/src/generations/recovery.rs
@@ -98,7 +98,7 @@
     generation: &GenerationHandle,
     source: &Target,
 ) -> Option<Arc<Target>> {
-    let mut others = front.view.usable(&generation.service);
+    let mut others = front.view.usable_targets(&generation.service);
     others.retain(|target| target.id != source.id);
     fastrand::choice(others)
 }
--- a/components/front/src/plain_calls/dispatch.rs
+++ b/components/front/src/plain_calls/dispatch.rs
@@ -9,7 +9,7 @@
 use rates::Reservation;
 use timer::boot_time;
 use types::{Moment, TargetId};
-use view::{Kind, Target};
+use view::{RouteKind, Target};
 
 use crate::{
     callers::{
@@ -153,8 +153,8 @@
         return false;
     }
     let has_run_enough = match call.route.kind {
-        Kind::Idempotent => attempts.may_have_run >= call.route.max_targets,
-        Kind::NonIdempotent | Kind::Generation => attempts.may_have_run > 0,
+        RouteKind::Idempotent => attempts.may_have_run >= call.route.max_targets,
+        RouteKind::NonIdempotent | RouteKind::Generation => attempts.may_have_run > 0,
     };
     let retries = front.cfg.decisions.features.retries;
     if !retries || has_run_enough || attempts.tried.len() >= MAX_NOT_RUN {
@@ -188,7 +188,7 @@
 ) -> Result<Arc<Target>, NoTarget> {
     let timeout = call
         .route
-        .aim
+        .objective
         .mul_f64(LOOKUP_FRACTION)
         .min(call.time_left());
     let until = boot_time() + timeout;
@@ -227,7 +227,7 @@
 /// limit are avoided while others have room, except for a few calls that find out whether the limit
 /// still applies.
 fn select(front: &Front, call: &Call, tried: &[TargetId], now: Moment) -> Option<Arc<Target>> {
-    let share = connection_share(call.service.connections, front.instance_count());
+    let share = connection_share(call.service.max_connections, front.instance_count());
     let mut targets = front.usable_targets(&call.service);
     targets.retain(|target| !tried.contains(&target.id));
     let selector = front.selector.lock();
@@ -337,10 +337,11 @@
 /// How long one attempt may take.
 fn attempt_timeout(call: &Call, attempt_number: u32) -> Duration {
     let left = call.time_left();
-    let may_retry = call.route.kind == Kind::Idempotent && attempt_number < call.route.max_targets;
+    let may_retry =
+        call.route.kind == RouteKind::Idempotent && attempt_number < call.route.max_targets;
     if !may_retry {
         return left;
     }
-    let objectives = call.route.aim.mul_f64(ATTEMPT_OBJECTIVES);
+    let objectives = call.route.objective.mul_f64(ATTEMPT_OBJECTIVES);
     objectives.min(left.mul_f64(ATTEMPT_FRACTION))
 }
--- a/components/front/src/quarantine/crash_detection.rs
+++ b/components/front/src/quarantine/crash_detection.rs
@@ -50,7 +50,7 @@
 }
 
 fn key(target: &Target) -> (TargetId, Option<u64>) {
-    (Arc::clone(&target.id), target.born)
+    (Arc::clone(&target.id), target.started_at)
 }
 
 /// State of the listing of a target, compared with the one when the request was sent.
@@ -132,7 +132,7 @@
         });
         let incarnation = TargetIncarnation {
             target: Arc::clone(&target.id),
-            started_at: target.born,
+            started_at: target.started_at,
         };
         let evidence = Evidence {
             fingerprint: self.fingerprint,
@@ -163,8 +163,8 @@
 fn listing_state(front: &Front, target: &Target) -> ListingState {
     match front.view.target(&target.id) {
         None => ListingState::Unlisted,
-        Some(now) if now.born != target.born => ListingState::Restarted,
-        Some(now) if !now.takes_work() => ListingState::Leaving,
+        Some(now) if now.started_at != target.started_at => ListingState::Restarted,
+        Some(now) if !now.accepts_work() => ListingState::Leaving,
         Some(_) => ListingState::Unchanged,
     }
 }
--- a/components/front/src/state.rs
+++ b/components/front/src/state.rs
@@ -109,7 +109,7 @@
     /// The targets of a service that accept work.
     #[must_use]
     pub fn usable_targets(&self, service: &Service) -> Vec<Arc<Target>> {
-        self.view.usable(&service.name)
+        self.view.usable_targets(&service.name)
     }
 
     /// Whether the cached keys are recent enough to be honoured. A key may have been revoked since
@@ -122,7 +122,7 @@
         }
         let max_age = bounds.revocation_limit.mul_f64(KEY_AGE_SHARE);
         self.view
-            .rules_read()
+            .rules_read_at()
             .is_some_and(|read| elapsed_since(read) < max_age)
     }
 
@@ -130,13 +130,13 @@
     /// start if there was none.
     #[must_use]
     pub fn state_age(&self) -> Duration {
-        elapsed_since(self.view.rules_read().unwrap_or(self.started_at))
+        elapsed_since(self.view.rules_read_at().unwrap_or(self.started_at))
     }
 
     /// Whether the instance accepts callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        let known = self.view.rules().is_some() && self.view.targets_read().is_some();
+        let known = self.view.rules().is_some() && self.view.targets_read_at().is_some();
         known && self.shutdown.time_left().is_none() && self.can_honour_keys()
     }
 
@@ -154,10 +154,10 @@
 
     /// Applies the limits on callers' connections from the current configuration.
     pub fn apply_connection_limits(&self) {
-        let Some(limits) = self.view.rules().and_then(|rules| rules.limits) else {
+        let Some(limits) = self.view.rules().and_then(|rules| rules.request_limits) else {
             return;
         };
-        let idle = limits.idle_time.max(limits.header_time) + IDLE_MARGIN;
+        let idle = limits.idle_timeout.max(limits.header_timeout) + IDLE_MARGIN;
         self.terms.set(
             limits.header_bytes.saturating_mul(HEADER_BUFFER_FACTOR),
             idle,
@@ -184,8 +184,8 @@
     /// instance's share of its rate is used up.
     pub fn take_cold_permit(&self, service: &Service, target: &Target) -> bool {
         let bounds = *self.bounds.read();
-        let per_s = if service.cold_per_s > 0.0 {
-            service.cold_per_s * bounds.cold_overage + bounds.cold_slack
+        let per_s = if service.cold_requests_per_s > 0.0 {
+            service.cold_requests_per_s * bounds.cold_overage + bounds.cold_slack
         } else {
             0.0
         };
--- a/components/front/src/store/follow.rs
+++ b/components/front/src/store/follow.rs
@@ -284,14 +284,14 @@
         let view = &self.front.view;
         let change = match self.store.decode(self.topic, row) {
             None => None,
-            Some(Record::Rules(rules)) => view.learn_rules(*rules),
-            Some(Record::Closed(data_centre)) => view.learn_closed(&data_centre, true),
-            Some(Record::Opened(data_centre)) => view.learn_closed(&data_centre, false),
+            Some(Record::Rules(rules)) => view.apply_rules(*rules),
+            Some(Record::Closed(data_centre)) => view.apply_closed(&data_centre, true),
+            Some(Record::Opened(data_centre)) => view.apply_closed(&data_centre, false),
             Some(Record::Listed(target)) => {
                 let mut cold = self.front.cold_targets.lock();
-                cold.mark_cold(now, &target.id, target.cold_left);
+                cold.mark_cold(now, &target.id, target.cold_remaining);
                 drop(cold);
-                view.learn_target(target)
+                view.apply_target(target)
             }
             Some(Record::Unlisted(id)) => view.unlist_target(&id, now, self.outage_end),
             Some(Record::Member(member)) => {
@@ -382,7 +382,7 @@
 
 /// Takes word from somebody else than the store that a target leaves.
 pub fn mark_leaving(front: &Arc<Front>, id: &TargetId) {
-    if let Some(change) = front.view.hear_leaving(id) {
+    if let Some(change) = front.view.mark_leaving(id) {
         act(front, change);
     }
 }
@@ -411,7 +411,7 @@
             .detach();
             workers::spawn(evacuation::evacuate(Arc::clone(front), target)).detach();
         }
-        Change::Reborn(target) => {
+        Change::Restarted(target) => {
             emit(&Event::TargetReborn {
                 target: Arc::clone(&target.id),
             });
--- a/components/front/tests/aims.rs
+++ b/components/front/tests/aims.rs
@@ -5,7 +5,7 @@
 use front::{CallerRequest, callers::call::Call};
 use quarantine::Fingerprint;
 use timer::boot_time;
-use view::{Kind, Route, Service};
+use view::{Route, RouteKind, Service};
 
 /// Callers of one route wait for 33 to 39 seconds. Whoever waits less long has not waited before:
 /// taken for late by what is left of the longest time, most callers would get the place of one
@@ -17,19 +17,19 @@
         name: "drafts".into(),
         host: "host.example".into(),
         prefix: "/drafts/".into(),
-        kind: Kind::Generation,
+        kind: RouteKind::Generation,
         timeout: Duration::from_secs(39),
-        aim,
+        objective: aim,
         max_targets: 1,
-        rank: 0,
-        anonymous: true,
+        priority: 0,
+        allows_anonymous: true,
         shares: Vec::new(),
     };
     let service = Service {
         name: "a-service".into(),
         health_path: "/health".into(),
-        connections: 100,
-        cold_per_s: 0.0,
+        max_connections: 100,
+        cold_requests_per_s: 0.0,
         engine: None,
     };
     let left = Duration::from_secs(33);
--- a/components/front/tests/decisions.rs
+++ b/components/front/tests/decisions.rs
@@ -25,9 +25,9 @@
         addr: SocketAddr::from(([127, 0, 0, 1], 1)),
         data_centre: data_centre.into(),
         slots: 6,
-        standing: ServingState::Live,
-        cold_left: Duration::ZERO,
-        born: None,
+        state: ServingState::Live,
+        cold_remaining: Duration::ZERO,
+        started_at: None,
     })
 }
 
--- a/components/placing/src/account.rs
+++ b/components/placing/src/account.rs
@@ -20,7 +20,7 @@
     /// Its memory.
     pub memory: Tokens,
     /// Time to copy one token's memory over its link, within a data centre.
-    pub token_copy: Duration,
+    pub token_copy_time: Duration,
 }
 
 /// One generation on an engine.
--- a/components/placing/src/migration.rs
+++ b/components/placing/src/migration.rs
@@ -132,7 +132,7 @@
                 continue;
             }
             let tokens = u32::try_from(size).unwrap_or(u32::MAX);
-            let mut copy = engine.token_copy.saturating_mul(tokens);
+            let mut copy = engine.token_copy_time.saturating_mul(tokens);
             if *home != engine.data_centre {
                 copy = copy.saturating_mul(REMOTE_COPY_FACTOR);
             }
--- a/components/placing/tests/support/mod.rs
+++ b/components/placing/tests/support/mod.rs
@@ -18,7 +18,7 @@
         data_centre: data_centre.into(),
         slots: 24,
         memory: MEMORY,
-        token_copy: Duration::from_micros(56),
+        token_copy_time: Duration::from_micros(56),
     }
 }
 
--- a/components/view/src/lib.rs
+++ b/components/view/src/lib.rs
@@ -1,11 +1,12 @@
 //! What an instance believes about the configuration and the targets, and how old that is. No I/O.
 
-pub mod believed;
 pub mod rules;
+pub mod state;
 pub mod target;
 
-pub use believed::{Age, Change, View};
 pub use rules::{
-    Engine, Holder, Identity, Kind, Limits, Route, Rules, Service, Share, Unidentified,
+    Engine, Identity, KeyHolder, RequestLimits, Route, RouteKind, Rules, Service, Share,
+    Unidentified,
 };
+pub use state::{Change, LastRead, View};
 pub use target::{Address, Target};
--- a/components/view/src/rules.rs
+++ b/components/view/src/rules.rs
@@ -6,7 +6,7 @@
 
 /// What may be done with a request.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum Kind {
+pub enum RouteKind {
     /// May run any number of times.
     Idempotent,
     /// May run once at most.
@@ -34,17 +34,17 @@
     /// How the path begins; begins and ends with a slash.
     pub prefix: Arc<str>,
     /// What may be done with its requests.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Longest time that a caller is kept waiting for the end of the answer.
     pub timeout: Duration,
     /// Time to the answer, for generations to the first event, that callers aim at.
-    pub aim: Duration,
+    pub objective: Duration,
     /// Targets that one request may run on.
     pub max_targets: u32,
     /// Rank, the lowest first.
-    pub rank: u32,
+    pub priority: u32,
     /// Whether callers need no key.
-    pub anonymous: bool,
+    pub allows_anonymous: bool,
     /// Where its requests go; never empty.
     pub shares: Vec<Share>,
 }
@@ -52,7 +52,7 @@
 impl Route {
     /// Picks a service by a number from 0 up to, but not including, 1.
     #[must_use]
-    pub fn pick(&self, at: f64) -> Option<&ServiceId> {
+    pub fn pick_service(&self, at: f64) -> Option<&ServiceId> {
         let total: f64 = self.shares.iter().map(|share| share.weight).sum();
         let mut left = at * total;
         for share in &self.shares {
@@ -77,19 +77,19 @@
     /// Speed of an engine's link for memory, in megabits a second.
     pub link_mbps: f64,
     /// Whether a running generation's memory can be copied to another engine.
-    pub moves: bool,
+    pub can_migrate: bool,
     /// Whether a generation's memory can be sent to a second engine as it grows.
-    pub backups: bool,
+    pub can_back_up: bool,
     /// Tokens in one event of a stream.
     pub tokens_per_event: Tokens,
     /// How long a copy is kept that nobody uses.
-    pub copy_life: Duration,
+    pub copy_retention: Duration,
 }
 
 impl Engine {
     /// Time to copy one token's memory over an engine's link.
     #[must_use]
-    pub fn token_copy(&self) -> Duration {
+    pub fn token_copy_time(&self) -> Duration {
         let bits = u32::try_from(self.token_bytes * 8).unwrap_or(u32::MAX);
         // A megabit a second is a bit a microsecond.
         let micros = f64::from(bits) / self.link_mbps.max(1.0);
@@ -105,33 +105,33 @@
     /// Path that answers whether a target is well.
     pub health_path: Arc<str>,
     /// Connections that a target takes from all instances together.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Requests a second that a cold target bears; 0 for a service without cold targets.
-    pub cold_per_s: f64,
+    pub cold_requests_per_s: f64,
     /// Set for model engines.
     pub engine: Option<Engine>,
 }
 
 /// The workspace that a key belongs to.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Holder {
+pub struct KeyHolder {
     /// The workspace.
     pub workspace: WorkspaceId,
     /// Rank of its requests, in place of the route's.
-    pub rank: Option<u32>,
+    pub priority: Option<u32>,
 }
 
 /// Bounds on what a caller may send.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Limits {
+pub struct RequestLimits {
     /// Bytes of a request's headers.
     pub header_bytes: usize,
     /// Bytes of a request's body.
     pub body_bytes: usize,
     /// Time for the headers, and for a pause within a body.
-    pub header_time: Duration,
+    pub header_timeout: Duration,
     /// Time that a connection may be idle.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// Who a caller is.
@@ -140,7 +140,7 @@
     /// The configuration has no workspaces, or the route takes callers without a key.
     Anonymous,
     /// The holder of a key.
-    Holder(Holder),
+    KeyHolder(KeyHolder),
 }
 
 /// The caller has no key that the configuration knows.
@@ -157,9 +157,9 @@
     /// Services by name.
     services: HashMap<ServiceId, Arc<Service>>,
     /// Holders by key; none where the configuration has no workspaces.
-    holders: Option<HashMap<Arc<str>, Holder>>,
+    key_holders: Option<HashMap<Arc<str>, KeyHolder>>,
     /// Bounds on callers, where given.
-    pub limits: Option<Limits>,
+    pub request_limits: Option<RequestLimits>,
 }
 
 impl Rules {
@@ -196,15 +196,15 @@
 
     /// Sets who holds which key.
     #[must_use]
-    pub fn with_holders(mut self, holders: HashMap<Arc<str>, Holder>) -> Self {
-        self.holders = Some(holders);
+    pub fn with_key_holders(mut self, key_holders: HashMap<Arc<str>, KeyHolder>) -> Self {
+        self.key_holders = Some(key_holders);
         self
     }
 
     /// Sets the bounds on callers.
     #[must_use]
-    pub const fn with_limits(mut self, limits: Limits) -> Self {
-        self.limits = Some(limits);
+    pub const fn with_request_limits(mut self, request_limits: RequestLimits) -> Self {
+        self.request_limits = Some(request_limits);
         self
     }
 
@@ -232,14 +232,14 @@
     /// # Errors
     /// The route wants a key, and no workspace holds this one.
     pub fn identify(&self, route: &Route, key: Option<&str>) -> Result<Identity, Unidentified> {
-        let Some(holders) = &self.holders else {
+        let Some(key_holders) = &self.key_holders else {
             return Ok(Identity::Anonymous);
         };
-        let holder = key.and_then(|key| holders.get(key));
-        match holder {
-            Some(holder) => Ok(Identity::Holder(holder.clone())),
+        let key_holder = key.and_then(|key| key_holders.get(key));
+        match key_holder {
+            Some(key_holder) => Ok(Identity::KeyHolder(key_holder.clone())),
             // A wrong key is refused also there: its owner would take it for a good one.
-            None if route.anonymous && key.is_none() => Ok(Identity::Anonymous),
+            None if route.allows_anonymous && key.is_none() => Ok(Identity::Anonymous),
             None => Err(Unidentified),
         }
     }
--- a/components/view/src/target.rs
+++ b/components/view/src/target.rs
@@ -21,18 +21,18 @@
     /// Requests that it works on at once.
     pub slots: u32,
     /// Whether it stays or leaves.
-    pub standing: ServingState,
+    pub state: ServingState,
     /// How much longer it is cold, counted from when this was written.
-    pub cold_left: Duration,
+    pub cold_remaining: Duration,
     /// When this life of it began, in Unix milliseconds, if it told; another life under the same
     /// id has forgotten everything.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
 }
 
 impl Target {
     /// Whether it takes new work as far as its listing tells.
     #[must_use]
-    pub fn takes_work(&self) -> bool {
-        self.standing == ServingState::Live
+    pub fn accepts_work(&self) -> bool {
+        self.state == ServingState::Live
     }
 }
--- a/components/view/tests/believed.rs
+++ b/components/view/tests/view.rs
@@ -3,7 +3,9 @@
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
 use types::ServingState;
-use view::{Change, Holder, Identity, Kind, Route, Rules, Share, Target, Unidentified, View};
+use view::{
+    Change, Identity, KeyHolder, Route, RouteKind, Rules, Share, Target, Unidentified, View,
+};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -12,12 +14,12 @@
         name: name.into(),
         host: host.into(),
         prefix: prefix.into(),
-        kind: Kind::Idempotent,
+        kind: RouteKind::Idempotent,
         timeout: SECOND,
-        aim: SECOND / 10,
+        objective: SECOND / 10,
         max_targets: 1,
-        rank: 0,
-        anonymous: false,
+        priority: 0,
+        allows_anonymous: false,
         shares: vec![Share {
             service: "a-service".into(),
             weight: 1.0,
@@ -25,16 +27,16 @@
     }
 }
 
-fn target(id: &str, standing: ServingState, born: Option<u64>) -> Target {
+fn target(id: &str, state: ServingState, started_at: Option<u64>) -> Target {
     Target {
         id: id.into(),
         service: "a-service".into(),
         addr: SocketAddr::from(([127, 0, 0, 1], 1)),
         data_centre: "dc-1".into(),
         slots: 4,
-        standing,
-        cold_left: Duration::ZERO,
-        born,
+        state,
+        cold_remaining: Duration::ZERO,
+        started_at,
     }
 }
 
@@ -65,7 +67,7 @@
             weight: 1.0,
         },
     ];
-    let picked = |at| route.pick(at).map(|service| service.to_string());
+    let picked = |at| route.pick_service(at).map(|service| service.to_string());
     assert_eq!(picked(0.0).as_deref(), Some("most"));
     assert_eq!(picked(0.89).as_deref(), Some("most"));
     assert_eq!(picked(0.91).as_deref(), Some("few"));
@@ -76,19 +78,20 @@
 /// it for a good key, and notice only elsewhere.
 #[test]
 fn a_wrong_key_is_refused_also_where_none_is_needed() {
-    let holder = Holder {
+    let key_holder = KeyHolder {
         workspace: "editors".into(),
-        rank: None,
+        priority: None,
     };
-    let rules = Rules::new(1).with_holders(HashMap::from([(Arc::from("good"), holder.clone())]));
+    let rules =
+        Rules::new(1).with_key_holders(HashMap::from([(Arc::from("good"), key_holder.clone())]));
     let mut route = route("r", "a.example", "/");
     assert_eq!(
         rules.identify(&route, Some("good")),
-        Ok(Identity::Holder(holder))
+        Ok(Identity::KeyHolder(key_holder))
     );
     assert_eq!(rules.identify(&route, Some("bad")), Err(Unidentified));
     assert_eq!(rules.identify(&route, None), Err(Unidentified));
-    route.anonymous = true;
+    route.allows_anonymous = true;
     assert_eq!(rules.identify(&route, None), Ok(Identity::Anonymous));
     assert_eq!(rules.identify(&route, Some("bad")), Err(Unidentified));
 }
@@ -98,10 +101,10 @@
 #[test]
 fn a_configuration_never_goes_back() {
     let view = View::new();
-    let changed = view.learn_rules(Rules::new(7));
+    let changed = view.apply_rules(Rules::new(7));
     assert_eq!(changed, Some(Change::Rules { from: None, to: 7 }));
-    assert_eq!(view.learn_rules(Rules::new(5)), None);
-    assert_eq!(view.learn_rules(Rules::new(7)), None);
+    assert_eq!(view.apply_rules(Rules::new(5)), None);
+    assert_eq!(view.apply_rules(Rules::new(7)), None);
     assert_eq!(view.rules().map(|rules| rules.version), Some(7));
 }
 
@@ -110,13 +113,13 @@
 #[test]
 fn listings_that_lapsed_in_an_outage_are_believed_for_a_while() {
     let view = View::new();
-    view.learn_target(target("t-1", ServingState::Live, None));
-    view.learn_target(target("t-2", ServingState::Live, None));
+    view.apply_target(target("t-1", ServingState::Live, None));
+    view.apply_target(target("t-2", ServingState::Live, None));
     let back = 100 * SECOND;
     assert_eq!(view.unlist_target(&"t-1".into(), back, Some(back)), None);
     assert_eq!(view.unlist_target(&"t-2".into(), back, Some(back)), None);
     assert!(view.target("t-1").is_some());
-    view.learn_target(target("t-1", ServingState::Live, None));
+    view.apply_target(target("t-1", ServingState::Live, None));
     let later = view.expire_lapsed(back + 3 * SECOND);
     assert!(matches!(&later[..], [Change::Leaving(gone)] if &*gone.id == "t-2"));
     assert!(view.target("t-1").is_some());
@@ -125,7 +128,7 @@
 #[test]
 fn a_listing_dropped_on_a_calm_day_is_gone_at_once() {
     let view = View::new();
-    view.learn_target(target("t-1", ServingState::Live, None));
+    view.apply_target(target("t-1", ServingState::Live, None));
     let change = view.unlist_target(&"t-1".into(), SECOND, None);
     assert!(matches!(change, Some(Change::Leaving(_))));
     assert!(view.target("t-1").is_none());
@@ -136,12 +139,12 @@
 #[test]
 fn word_that_a_target_leaves_counts_before_its_listing_says_so() {
     let view = View::new();
-    view.learn_target(target("t-1", ServingState::Live, None));
-    let change = view.hear_leaving(&"t-1".into());
+    view.apply_target(target("t-1", ServingState::Live, None));
+    let change = view.mark_leaving(&"t-1".into());
     assert!(matches!(change, Some(Change::Leaving(_))));
-    assert_eq!(view.hear_leaving(&"t-1".into()), None);
+    assert_eq!(view.mark_leaving(&"t-1".into()), None);
     let known = view.target("t-1").expect("still listed");
-    assert!(!view.takes_work(&known));
+    assert!(!view.accepts_work(&known));
 }
 
 /// A target starts again under its old id. What ran there is gone, though nothing in the listing
@@ -149,21 +152,21 @@
 #[test]
 fn a_new_life_under_an_old_id_is_noticed() {
     let view = View::new();
-    view.learn_target(target("t-1", ServingState::Live, Some(1)));
-    let change = view.learn_target(target("t-1", ServingState::Live, Some(2)));
-    assert!(matches!(change, Some(Change::Reborn(_))));
-    let again = view.learn_target(target("t-1", ServingState::Live, Some(2)));
+    view.apply_target(target("t-1", ServingState::Live, Some(1)));
+    let change = view.apply_target(target("t-1", ServingState::Live, Some(2)));
+    assert!(matches!(change, Some(Change::Restarted(_))));
+    let again = view.apply_target(target("t-1", ServingState::Live, Some(2)));
     assert_eq!(again, None);
 }
 
 #[test]
 fn a_closed_data_centre_gets_no_work_until_it_is_opened() {
     let view = View::new();
-    view.learn_target(target("t-1", ServingState::Live, None));
+    view.apply_target(target("t-1", ServingState::Live, None));
     let known = view.target("t-1").expect("listed");
-    assert!(view.takes_work(&known));
-    view.learn_closed(&"dc-1".into(), true);
-    assert!(!view.takes_work(&known));
-    view.learn_closed(&"dc-1".into(), false);
-    assert!(view.takes_work(&known));
+    assert!(view.accepts_work(&known));
+    view.apply_closed(&"dc-1".into(), true);
+    assert!(!view.accepts_work(&known));
+    view.apply_closed(&"dc-1".into(), false);
+    assert!(view.accepts_work(&known));
 }
