--- a/components/policy/src/baseline/local.rs
+++ b/components/policy/src/baseline/local.rs
@@ -15,7 +15,7 @@
 
 /// Maximum attempts to send one request.
 const MAX_ATTEMPTS: u32 = 3;
-/// Delay that a refused caller is told to wait before a retry.
+/// Delay that a refused caller is given.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Longer than any run, since a baseline's permits do not expire.
 const PERMIT_LIFETIME: Duration = Duration::from_secs(1 << 30);
--- a/components/policy/src/baseline/pick.rs
+++ b/components/policy/src/baseline/pick.rs
@@ -19,7 +19,7 @@
 
 /// A strategy to pick a target for a request.
 pub trait TargetPicker: Send {
-    /// Picks one of the targets in `open`, all of which may take work. `None` if the request has to
+    /// Picks one of the targets in `available`, all of which may get work. `None` if the request has to
     /// wait.
     fn pick(
         &mut self,
@@ -30,7 +30,7 @@
     ) -> Option<TargetId>;
 }
 
-/// Takes the targets in turn, without a limit on concurrent requests.
+/// Picks the targets in turn, without a limit on concurrent requests.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     next: usize,
--- a/components/policy/src/choose.rs
+++ b/components/policy/src/choose.rs
@@ -14,6 +14,7 @@
 /// It also limits affinity: a target gets work for its cache only while its load is less than this
 /// above that of the least loaded target, so that one popular prefix can't overload it.
 const MAX_CACHE_BONUS: f64 = 0.15;
+
 /// What a permit request requires of a target.
 #[derive(Debug)]
 pub(crate) struct Demand<'a> {
--- a/components/policy/src/entry/owner_messages.rs
+++ b/components/policy/src/entry/owner_messages.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Assigns a request to a permit and asks the driver to send it.
+    /// Assigns a request to a permit and requests the driver to send it.
     pub(super) fn dispatch(&mut self, key: PermitKey, id: RequestId, out: &mut Vec<Action>) {
         let (Some(held), Some(pending)) = (self.permits.get_mut(&key), self.requests.get_mut(&id))
         else {
--- a/components/policy/src/entry/pending.rs
+++ b/components/policy/src/entry/pending.rs
@@ -59,7 +59,7 @@
 /// A request for which no owner could be found is refused after this time. Changes of ownership
 /// normally take less, and the caller can retry sooner than if it were left waiting.
 pub const NO_OWNER_TIMEOUT: Duration = Duration::from_secs(4);
-/// A request whose service has no target that takes work is refused after this time.
+/// A request whose service has no target that accepts work is refused after this time.
 pub const NO_TARGET_TIMEOUT: Duration = Duration::from_millis(500);
 /// A permit request that has waited longer than this may be moved to another shard.
 pub const MOVE_AFTER: Duration = Duration::from_millis(300);
--- a/components/policy/src/entry/plain_calls.rs
+++ b/components/policy/src/entry/plain_calls.rs
@@ -99,7 +99,7 @@
                 && !pending.avoid.contains(&p.target.id)
                 && self.accepts_work(&p.target.id, p.target.incarnation)
         });
-        // The least used block is taken, which spreads calls over targets.
+        // The least used block is chosen, which spreads calls over targets.
         let Some(key) = usable
             .min_by_key(|p| (p.users.len(), p.valid_until))
             .map(|p| p.key)
--- a/components/policy/src/entry/refusals.rs
+++ b/components/policy/src/entry/refusals.rs
@@ -7,7 +7,7 @@
 /// Retry delay for conditions that should soon pass, such as a change of ownership.
 const RETRY_AFTER_TRANSITION: Duration = Duration::from_secs(1);
 
-/// No target of the service takes work.
+/// No target of the service accepts work.
 #[must_use]
 pub fn no_target() -> Refusal {
     let detail = "no target of this service is in service at present";
--- a/components/policy/src/entry/shard_directory.rs
+++ b/components/policy/src/entry/shard_directory.rs
@@ -16,7 +16,7 @@
 const MAX_AFFINITY_LOAD: f32 = 0.85;
 /// Share of the difference between two queues that is moved at a time.
 const REBALANCE_SHARE: f32 = 0.5;
-/// Minimum retry delay that callers are told.
+/// Minimum retry delay that given to callers.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Maximum number of prefixes recorded.
 const MAX_PREFIXES: usize = 4096;
@@ -32,7 +32,7 @@
     pub summary: Option<ShardSummary>,
     /// Permit requests sent since that summary.
     pub requests_since_summary: u32,
-    /// Number of targets that may take work.
+    /// Number of targets that may get work.
     pub targets: u32,
     /// Whether a summary has arrived since requests were last moved away.
     pub is_summary_new: bool,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Returns whether any target of a service may take work.
+    /// Returns whether any target of a service may get work.
     #[must_use]
     pub fn has_targets(&self, service: &ServiceId) -> bool {
         self.shards_of(service).any(|(_, info)| info.targets > 0)
@@ -155,7 +155,7 @@
         Duration::from_millis(u64::from(shortest)).max(MIN_RETRY_AFTER)
     }
 
-    /// Returns how many of the `mine` requests that wait at a shard should move, and where to.
+    /// Returns how many of the `own_requests` requests that wait at a shard should move, and where to.
     ///
     /// All instances see the same summaries. If each moved all its requests to the emptiest shard,
     /// the whole queue would change from shard to shard with every heartbeat, and stand in hundreds
--- a/components/policy/src/entry/view_changes.rs
+++ b/components/policy/src/entry/view_changes.rs
@@ -11,7 +11,7 @@
     pub(super) fn apply_view(&mut self, now: Moment, view: &View, out: &mut Vec<Action>) {
         self.view = view.clone();
         self.shards.update(view);
-        // Requests to shards that no longer take work are placed elsewhere at once.
+        // Requests to shards that no longer accept work are placed elsewhere at once.
         let without_targets: Vec<(PermitRequestId, Option<RequestId>)> = self
             .permit_requests
             .iter()
--- a/components/policy/src/granting.rs
+++ b/components/policy/src/granting.rs
@@ -86,7 +86,7 @@
         false
     }
 
-    /// Records that a request of class `rank` overtakes the ones in `passed`.
+    /// Records that a request of class `class` overtakes the ones in `overtaken`.
     fn record_bypassed(&mut self, overtaken: &[QueuePosition], class: Class) {
         for position in overtaken {
             let less_urgent = self
--- a/components/policy/src/length.rs
+++ b/components/policy/src/length.rs
@@ -147,7 +147,7 @@
     }
 
     /// Returns the expected number of further tokens of a generation that has produced `produced`,
-    /// limited to `most` in all.
+    /// limited to `max_output` in all.
     #[must_use]
     pub fn expected_remaining(&self, produced: Tokens, max_output: Tokens) -> f64 {
         let base = self.cumulative_hazard(produced);
--- a/components/policy/src/limiter.rs
+++ b/components/policy/src/limiter.rs
@@ -115,7 +115,7 @@
         occupied + urgent_slots(slots) >= slots
     }
 
-    /// Records that a request got its first token; `busy` tells whether the limit was used up.
+    /// Records that a request got its first token; `saturated` tells whether the limit was used up.
     pub fn record_first_token(&mut self, limits: &TargetLimits, saturated: bool) {
         if !self.cold && self.probing && saturated {
             self.limit = (self.limit + 1.0).min(f64::from(limits.warm_limit));
@@ -123,7 +123,7 @@
         self.slow_first_tokens = 0;
     }
 
-    /// Records a finished request. `may_warm` is false if the target reports itself as cold.
+    /// Records a finished request. `may_be_warm` is false if the target reports itself as cold.
     /// Returns whether the target is taken to be cold because of this request.
     pub fn record_finished(
         &mut self,
@@ -158,7 +158,7 @@
             && self.record_slow_first_token(now)
     }
 
-    /// Ends cold start if enough requests have finished and `may_warm` holds.
+    /// Ends cold start if enough requests have finished and `may_be_warm` holds.
     pub fn leave_cold_if_proven(&mut self, now: Moment, limits: &TargetLimits, may_be_warm: bool) {
         if self.cold && may_be_warm && self.finished >= limits.warm_after {
             self.warm_up(now, limits);
--- a/components/policy/src/queueing.rs
+++ b/components/policy/src/queueing.rs
@@ -96,7 +96,7 @@
         );
     }
 
-    /// Returns whether no target of the shard will take work, so that requests have to go
+    /// Returns whether no target of the shard accepts work, so that requests have to go
     /// elsewhere.
     fn has_no_target(&self, owner_state: &OwnerState) -> bool {
         !self
--- a/components/policy/src/shard.rs
+++ b/components/policy/src/shard.rs
@@ -52,7 +52,7 @@
 }
 
 impl ShardState {
-    /// Starts a term in which the entries in `ask` have to report the permits that they hold.
+    /// Starts a term in which the entries in `entries_to_query` have to report the permits that they hold.
     pub fn new(
         now: Moment,
         shard: &Shard,
--- a/components/policy/src/wait_queue.rs
+++ b/components/policy/src/wait_queue.rs
@@ -158,7 +158,7 @@
         self.remove_at(position)
     }
 
-    /// Removes and returns all requests for which `gone` holds.
+    /// Removes and returns all requests for which `is_removed` holds.
     pub fn drain_if(
         &mut self,
         mut is_removed: impl FnMut(&QueuedRequest) -> bool,
@@ -176,7 +176,7 @@
     }
 
     /// Removes and returns the requests of a class that won't be served before their deadline,
-    /// assuming that one is served every `between` in order of deadlines. A removed request does
+    /// assuming that one is served every `interval` in order of deadlines. A removed request does
     /// not delay those behind it.
     pub fn drain_unservable(
         &mut self,
