--- a/components/policy/src/api.rs
+++ b/components/policy/src/api.rs
@@ -143,7 +143,7 @@
         request: RequestId,
         /// How it ended.
         outcome: Outcome,
-        /// Whether the driver asks for another permit to retry the same request.
+        /// Whether the driver needs another permit to retry the same request.
         retry: bool,
     },
     /// A message from another instance, or from this one to itself.
--- a/components/policy/src/choose.rs
+++ b/components/policy/src/choose.rs
@@ -18,7 +18,7 @@
 /// What a permit request requires of a target.
 #[derive(Debug)]
 pub(crate) struct Demand<'a> {
-    pub(crate) ask: &'a PermitRequest,
+    pub(crate) request: &'a PermitRequest,
     pub(crate) class: Class,
     /// The generation to be placed; `None` for plain calls.
     pub(crate) generation: Option<RunningGeneration>,
@@ -39,17 +39,17 @@
     ) -> Demand<'a> {
         let source = GenerationSource {
             service: &self.shard.service,
-            route: &queued.ask.route,
-            workspace: &queued.ask.workspace,
+            route: &queued.request.route,
+            workspace: &queued.request.workspace,
         };
         let generation = (limits.kind == ServiceKind::Model).then(|| RunningGeneration {
-            prompt_tokens: queued.ask.prompt_tokens,
+            prompt_tokens: queued.request.prompt_tokens,
             produced: 0,
-            max_output: queued.ask.max_output,
+            max_output: queued.request.max_output,
             curve: owner_state.lengths.curve(&source),
         });
         Demand {
-            ask: &queued.ask,
+            request: &queued.request,
             class: queued.effective_class,
             generation,
         }
@@ -68,13 +68,13 @@
             .iter()
             .filter(|(id, account)| {
                 !reserved.contains(*id)
-                    && !demand.ask.avoid.contains(id)
+                    && !demand.request.avoid.contains(id)
                     && account.accepts_work(&owner_state.view)
                     && self.free_slots(now, account, demand.class, limits) > 0
             })
             .filter_map(|(id, account)| {
                 let load = load_with(now, account, demand, limits, owner_state)?;
-                let cached_share = account.prefixes.cached_share(&demand.ask.prefix);
+                let cached_share = account.prefixes.cached_share(&demand.request.prefix);
                 Some(Candidate {
                     target: id.clone(),
                     score: load - MAX_CACHE_BONUS * cached_share,
@@ -110,7 +110,7 @@
     /// one. At most a quarter of the targets, but at least one, is reserved at a time.
     pub(crate) fn reserve_target(
         &self,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         reserved: &BTreeSet<TargetId>,
         limits: &TargetLimits,
         owner_state: &OwnerState,
@@ -125,7 +125,7 @@
         }
         candidates
             .into_iter()
-            .filter(|(id, _)| !reserved.contains(*id) && !ask.avoid.contains(id))
+            .filter(|(id, _)| !reserved.contains(*id) && !request.avoid.contains(id))
             .min_by(|(_, a), (_, b)| {
                 let load = |account: &TargetAccount| {
                     account.last_projection().peak(&owner_state.tuning)
@@ -151,7 +151,7 @@
         let free = self
             .free_slots(now, account, queued.effective_class, limits)
             .max(1);
-        if queued.ask.slots <= 1 {
+        if queued.request.slots <= 1 {
             return 1;
         }
         let total: u32 = self
@@ -172,7 +172,7 @@
         }
         let share = total / u32::try_from(entries.len().max(1)).unwrap_or(u32::MAX);
         let fair = share.saturating_sub(held).max(1);
-        queued.ask.slots.min(fair).min(free)
+        queued.request.slots.min(fair).min(free)
     }
 }
 
--- a/components/policy/src/entry/machine.rs
+++ b/components/policy/src/entry/machine.rs
@@ -198,7 +198,7 @@
         };
         match pending.stage {
             Stage::Waiting => {}
-            Stage::Asked(ask) => self.withdraw(ask, out),
+            Stage::Asked(permit_request) => self.withdraw(permit_request, out),
             Stage::Placed(key) => self.release(now, key, id, outcome, out),
         }
     }
@@ -267,7 +267,7 @@
         match message {
             Message::Grant(grant) => self.handle_grant(now, from, grant, out),
             Message::Deny(deny) => self.handle_deny(now, deny, out),
-            Message::Revoke(recall) => self.handle_revoke(from, recall, out),
+            Message::Revoke(revoke) => self.handle_revoke(from, revoke, out),
             Message::Query(query) => self.handle_query(now, from, query, out),
             _ => {}
         }
--- a/components/policy/src/entry/permit_requests.rs
+++ b/components/policy/src/entry/permit_requests.rs
@@ -31,16 +31,16 @@
         owner: InstanceId,
         out: &mut Vec<Action>,
     ) {
-        let ask = self.next_permit_request();
+        let permit_request = self.next_permit_request();
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
-        pending.stage = Stage::Asked(ask);
+        pending.stage = Stage::Asked(permit_request);
         let request = &pending.request;
         let known_length = request.true_output.filter(|_| self.known_lengths);
         let message = PermitRequest {
             shard: shard.clone(),
-            permit_request: ask,
+            permit_request,
             stamp: now,
             kind: request.kind,
             class: request.class,
@@ -61,7 +61,7 @@
             owner: owner.clone(),
             sent_at: now,
         };
-        self.permit_requests.insert(ask, outstanding);
+        self.permit_requests.insert(permit_request, outstanding);
         out.push(Action::Send {
             to: owner,
             message: message.into(),
@@ -74,13 +74,13 @@
     }
 
     /// Withdraws a permit request. If it is granted meanwhile, the permit is returned on arrival.
-    pub(super) fn withdraw(&mut self, ask: PermitRequestId, out: &mut Vec<Action>) {
-        let Some(outstanding) = self.permit_requests.remove(&ask) else {
+    pub(super) fn withdraw(&mut self, permit_request: PermitRequestId, out: &mut Vec<Action>) {
+        let Some(outstanding) = self.permit_requests.remove(&permit_request) else {
             return;
         };
         let message = Withdraw {
             shard: outstanding.shard,
-            permit_request: ask,
+            permit_request,
         };
         out.push(Action::Send {
             to: outstanding.owner,
@@ -96,10 +96,10 @@
             .filter(|(_, outstanding)| {
                 now.saturating_sub(outstanding.sent_at) >= PERMIT_REQUEST_TIMEOUT
             })
-            .map(|(ask, outstanding)| (*ask, outstanding.request))
+            .map(|(permit_request, outstanding)| (*permit_request, outstanding.request))
             .collect();
-        for (ask, request) in unanswered {
-            self.withdraw(ask, out);
+        for (permit_request, request) in unanswered {
+            self.withdraw(permit_request, out);
             self.retry_request(now, request, out);
         }
     }
--- a/components/policy/src/entry/plain_calls.rs
+++ b/components/policy/src/entry/plain_calls.rs
@@ -131,8 +131,8 @@
     pub(super) fn fill_block(&mut self, now: Moment, key: PermitKey, out: &mut Vec<Action>) {
         while let Some(id) = self.next_call_for(now, key) {
             let stage = self.requests.get(&id).map(|p| p.stage.clone());
-            if let Some(Stage::Asked(ask)) = stage {
-                self.withdraw(ask, out);
+            if let Some(Stage::Asked(permit_request)) = stage {
+                self.withdraw(permit_request, out);
             }
             self.dispatch(key, id, out);
             self.record_peak(id);
@@ -192,10 +192,10 @@
         let Some((shard, owner)) = self.shards.choose(service, &[]) else {
             return;
         };
-        let ask = self.next_permit_request();
+        let permit_request = self.next_permit_request();
         let message = PermitRequest {
             shard: shard.clone(),
-            permit_request: ask,
+            permit_request,
             stamp: now,
             kind: ServiceKind::Plain,
             class: request.class,
@@ -210,7 +210,7 @@
             avoid: Vec::new(),
         };
         self.permit_requests.insert(
-            ask,
+            permit_request,
             OutstandingPermitRequest {
                 request: None,
                 shard,
--- a/components/policy/src/granting.rs
+++ b/components/policy/src/granting.rs
@@ -75,7 +75,7 @@
             }
             if queued.bypassed >= BYPASS_LIMIT {
                 reserved_targets.extend(self.reserve_target(
-                    &queued.ask,
+                    &queued.request,
                     &reserved_targets,
                     limits,
                     owner_state,
@@ -164,7 +164,7 @@
         let grant = Grant {
             shard: self.shard.clone(),
             epoch: self.epoch,
-            permit_request: queued.ask.permit_request,
+            permit_request: queued.request.permit_request,
             permit: owner_state.next_permit(),
             target: target.id.clone(),
             incarnation: target.incarnation,
@@ -181,7 +181,7 @@
         owner_state.decision_log.record(
             now,
             format!(
-                "permit {} for ask {} of {} on {id}, {slots} slots, cold {}",
+                "permit {} for request {} of {} on {id}, {slots} slots, cold {}",
                 grant.permit, grant.permit_request, queued.entry, grant.cold
             ),
         );
@@ -189,9 +189,9 @@
             entry: queued.entry.clone(),
             permit: grant.permit,
         };
-        let permit = new_permit(now, &queued.ask, &grant, contact.incarnation, tokens);
+        let permit = new_permit(now, &queued.request, &grant, contact.incarnation, tokens);
         let previous = account.insert(key, permit);
-        account.prefixes.record(&queued.ask.prefix);
+        account.prefixes.record(&queued.request.prefix);
         assert!(
             previous.is_none(),
             "permit {} was granted twice; last events:\n{}",
@@ -205,7 +205,7 @@
 
 fn new_permit(
     now: Moment,
-    ask: &PermitRequest,
+    request: &PermitRequest,
     grant: &Grant,
     entry_incarnation: u64,
     charged_tokens: f64,
@@ -214,11 +214,11 @@
         epoch: grant.epoch,
         incarnation: grant.incarnation,
         entry_incarnation,
-        class: ask.class,
-        workspace: Arc::clone(&ask.workspace),
-        route: Arc::clone(&ask.route),
-        prompt_tokens: ask.prompt_tokens,
-        max_output: ask.max_output,
+        class: request.class,
+        workspace: Arc::clone(&request.workspace),
+        route: Arc::clone(&request.route),
+        prompt_tokens: request.prompt_tokens,
+        max_output: request.max_output,
         produced: 0,
         updated_at: now,
         slots: grant.slots,
--- a/components/policy/src/outbox.rs
+++ b/components/policy/src/outbox.rs
@@ -11,13 +11,13 @@
 pub fn deny(
     to: &InstanceId,
     shard: &Shard,
-    ask: PermitRequestId,
+    permit_request: PermitRequestId,
     retry_after: Option<Duration>,
     out: &mut Vec<Action>,
 ) {
     let deny = Deny {
         shard: shard.clone(),
-        permit_request: ask,
+        permit_request,
         retry_after,
     };
     send(to, deny.into(), out);
--- a/components/policy/src/owner.rs
+++ b/components/policy/src/owner.rs
@@ -100,9 +100,9 @@
         out: &mut Vec<Action>,
     ) {
         match message {
-            Message::PermitRequest(ask) => {
-                self.record_contact(now, from, incarnation, ask.stamp);
-                self.handle_permit_request(now, from, ask, out);
+            Message::PermitRequest(request) => {
+                self.record_contact(now, from, incarnation, request.stamp);
+                self.handle_permit_request(now, from, request, out);
             }
             Message::Withdraw(withdraw) => {
                 if let Some(state) = self.shards.get_mut(&withdraw.shard) {
@@ -144,14 +144,14 @@
         &mut self,
         now: Moment,
         from: &InstanceId,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         out: &mut Vec<Action>,
     ) {
-        let Some(state) = self.shards.get_mut(&ask.shard) else {
-            deny(from, &ask.shard, ask.permit_request, None, out);
+        let Some(state) = self.shards.get_mut(&request.shard) else {
+            deny(from, &request.shard, request.permit_request, None, out);
             return;
         };
-        state.enqueue(now, from, ask, &mut self.owner_state, out);
+        state.enqueue(now, from, request, &mut self.owner_state, out);
         state.grant_waiting(now, &mut self.owner_state, out);
     }
 
--- a/components/policy/src/queueing.rs
+++ b/components/policy/src/queueing.rs
@@ -23,30 +23,30 @@
         &mut self,
         now: Moment,
         from: &InstanceId,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         owner_state: &mut OwnerState,
         out: &mut Vec<Action>,
     ) {
-        if ask.class == Class::Urgent {
+        if request.class == Class::Urgent {
             self.last_urgent_at = Some(now);
         }
         if self.has_no_target(owner_state) {
-            deny(from, &self.shard, ask.permit_request, None, out);
+            deny(from, &self.shard, request.permit_request, None, out);
             return;
         }
-        self.queue.remove(from, ask.permit_request);
-        let ahead = self.queue.len_of(ask.class);
+        self.queue.remove(from, request.permit_request);
+        let ahead = self.queue.len_of(request.class);
         let wait = self
             .grant_rate
-            .expected_wait(now, ask.class, ahead)
+            .expected_wait(now, request.class, ahead)
             .unwrap_or_default();
-        if wait > ask.deadline_left || !self.make_room(now, ask.class, owner_state, out) {
+        if wait > request.deadline_left || !self.make_room(now, request.class, owner_state, out) {
             let after = owner_state.with_jitter(wait);
-            deny(from, &self.shard, ask.permit_request, Some(after), out);
+            deny(from, &self.shard, request.permit_request, Some(after), out);
             return;
         }
-        self.grant_rate.record_waiting(now, ask.class);
-        self.queue.push(QueuedRequest::new(from, ask, now));
+        self.grant_rate.record_waiting(now, request.class);
+        self.queue.push(QueuedRequest::new(from, request, now));
     }
 
     /// Makes room in the queue for one more request of a class, if necessary by denying a less
@@ -90,7 +90,7 @@
         deny(
             &queued.entry,
             &self.shard,
-            queued.ask.permit_request,
+            queued.request.permit_request,
             Some(after),
             out,
         );
@@ -120,7 +120,7 @@
             deny(
                 &queued.entry,
                 &self.shard,
-                queued.ask.permit_request,
+                queued.request.permit_request,
                 None,
                 out,
             );
--- a/components/policy/src/revoke.rs
+++ b/components/policy/src/revoke.rs
@@ -54,11 +54,11 @@
             }
             let line = format!("permit {} revoked on {id}", key.permit);
             owner_state.decision_log.record(now, line);
-            let recall = Revoke {
+            let revoke = Revoke {
                 shard: self.shard.clone(),
                 permit: key.permit,
             };
-            send(&key.entry, recall.into(), out);
+            send(&key.entry, revoke.into(), out);
         }
     }
 }
--- a/components/policy/src/wait_queue.rs
+++ b/components/policy/src/wait_queue.rs
@@ -38,7 +38,7 @@
     /// The entry that sent the request.
     pub entry: InstanceId,
     /// The request.
-    pub ask: PermitRequest,
+    pub request: PermitRequest,
     /// When it arrived at this owner.
     pub queued_at: Moment,
     /// The caller's deadline, on this process's clock.
@@ -53,17 +53,17 @@
 impl QueuedRequest {
     /// Creates an entry of the queue for a request that has just arrived.
     #[must_use]
-    pub fn new(entry: &InstanceId, ask: &PermitRequest, now: Moment) -> Self {
-        let mut ask = ask.clone();
-        ask.prompt_tokens = ask.prompt_tokens.min(MAX_TOKENS);
-        ask.max_output = ask.max_output.min(MAX_TOKENS);
+    pub fn new(entry: &InstanceId, request: &PermitRequest, now: Moment) -> Self {
+        let mut request = request.clone();
+        request.prompt_tokens = request.prompt_tokens.min(MAX_TOKENS);
+        request.max_output = request.max_output.min(MAX_TOKENS);
         Self {
             entry: entry.clone(),
             queued_at: now,
-            deadline: now.saturating_add(ask.deadline_left),
+            deadline: now.saturating_add(request.deadline_left),
             bypassed: 0,
-            effective_class: ask.class,
-            ask,
+            effective_class: request.class,
+            request,
         }
     }
 }
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct RequestKey {
     entry: InstanceId,
-    ask: PermitRequestId,
+    permit_request: PermitRequestId,
 }
 
 /// Order among the requests of a workspace and class.
@@ -136,12 +136,12 @@
 
     /// Adds a request, and replaces an earlier one with the same id from the same entry.
     pub fn push(&mut self, queued: QueuedRequest) {
-        self.remove(&queued.entry.clone(), queued.ask.permit_request);
+        self.remove(&queued.entry.clone(), queued.request.permit_request);
         let position = self.next_position;
         self.next_position += 1;
         let key = RequestKey {
             entry: queued.entry.clone(),
-            ask: queued.ask.permit_request,
+            permit_request: queued.request.permit_request,
         };
         self.positions.insert(key, position);
         self.add_to_class(position, &queued);
@@ -149,10 +149,14 @@
     }
 
     /// Removes a request.
-    pub fn remove(&mut self, entry: &InstanceId, ask: PermitRequestId) -> Option<QueuedRequest> {
+    pub fn remove(
+        &mut self,
+        entry: &InstanceId,
+        permit_request: PermitRequestId,
+    ) -> Option<QueuedRequest> {
         let key = RequestKey {
             entry: entry.clone(),
-            ask,
+            permit_request,
         };
         let position = *self.positions.get(&key)?;
         self.remove_at(position)
@@ -223,7 +227,9 @@
             .iter()
             .filter(|(_, w)| w.effective_class == Class::Background)
             .filter(|(_, w)| {
-                w.ask.waited.saturating_add(now.saturating_sub(w.queued_at))
+                w.request
+                    .waited
+                    .saturating_add(now.saturating_sub(w.queued_at))
                     >= BACKGROUND_PROMOTION_AGE
             })
             .map(|(position, _)| *position)
@@ -281,9 +287,9 @@
         tokens: f64,
     ) -> Option<QueuedRequest> {
         let queued = self.remove_at(position)?;
-        let start = self.virtual_start(&queued.ask.workspace);
+        let start = self.virtual_start(&queued.request.workspace);
         self.virtual_time = self.virtual_time.max(start);
-        let workspace = queued.ask.workspace.clone();
+        let workspace = queued.request.workspace.clone();
         self.virtual_finish.insert(workspace, start + tokens);
         self.prune_idle_workspaces();
         Some(queued)
@@ -318,7 +324,7 @@
         let queued = self.queued.remove(&position)?;
         let key = RequestKey {
             entry: queued.entry.clone(),
-            ask: queued.ask.permit_request,
+            permit_request: queued.request.permit_request,
         };
         self.positions.remove(&key);
         self.remove_from_class(position, &queued);
@@ -331,7 +337,7 @@
             position,
         };
         self.classes[queued.effective_class as usize]
-            .entry(queued.ask.workspace.clone())
+            .entry(queued.request.workspace.clone())
             .or_default()
             .insert(order);
         self.class_lengths[queued.effective_class as usize] += 1;
@@ -343,10 +349,10 @@
             position,
         };
         let class = &mut self.classes[queued.effective_class as usize];
-        if let Some(orders) = class.get_mut(&queued.ask.workspace) {
+        if let Some(orders) = class.get_mut(&queued.request.workspace) {
             orders.remove(&order);
             if orders.is_empty() {
-                class.remove(&queued.ask.workspace);
+                class.remove(&queued.request.workspace);
             }
         }
         self.class_lengths[queued.effective_class as usize] -= 1;
--- a/components/policy/tests/order.rs
+++ b/components/policy/tests/order.rs
@@ -43,11 +43,11 @@
 fn modified_request(
     fixture: &Fixture,
     number: u64,
-    modified_request: impl FnOnce(&mut PermitRequest),
+    modify: impl FnOnce(&mut PermitRequest),
 ) -> PermitRequest {
-    let mut ask = permit_request(number, fixture.now);
-    modified_request(&mut ask);
-    ask
+    let mut request = permit_request(number, fixture.now);
+    modify(&mut request);
+    request
 }
 
 /// Ids of the permit requests that are granted as the given permits are returned one by one.
@@ -64,18 +64,18 @@
 fn requests_are_ordered_by_class_then_deadline_then_arrival() {
     let mut fixture = narrow();
     let grants = fill(&mut fixture);
-    let asks = [
+    let requests = [
         (10, Class::Background, 5),
         (11, Class::Normal, 50),
         (12, Class::Normal, 20),
         (13, Class::Urgent, 60),
     ];
-    for (number, class, within) in asks {
-        let ask = modified_request(&fixture, number, |ask| {
-            ask.class = class;
-            ask.deadline_left = Duration::from_secs(within);
+    for (number, class, within) in requests {
+        let request = modified_request(&fixture, number, |request| {
+            request.class = class;
+            request.deadline_left = Duration::from_secs(within);
         });
-        fixture.message("entry", ask);
+        fixture.message("entry", request);
     }
     // One slot is reserved for urgent work now, so the urgent request is granted first.
     assert_eq!(granted_after_each(&mut fixture, &grants), [13, 12, 11]);
@@ -88,14 +88,14 @@
     let mut fixture = narrow();
     let mut grants = fill(&mut fixture);
     for number in 100..120 {
-        let long = modified_request(&fixture, number, |ask| {
-            ask.workspace = "films".into();
-            ask.prompt_tokens = 4000;
+        let long = modified_request(&fixture, number, |request| {
+            request.workspace = "films".into();
+            request.prompt_tokens = 4000;
         });
         fixture.message("entry", long);
     }
     for number in 200..210 {
-        let short = modified_request(&fixture, number, |ask| ask.prompt_tokens = 50);
+        let short = modified_request(&fixture, number, |request| request.prompt_tokens = 50);
         fixture.message("entry", short);
     }
     let mut order = Vec::new();
@@ -116,10 +116,10 @@
 fn background_work_that_has_waited_long_counts_as_normal() {
     let mut fixture = narrow();
     let grants = fill(&mut fixture);
-    let old = modified_request(&fixture, 10, |ask| {
-        ask.class = Class::Background;
-        ask.waited = Duration::from_secs(30);
-        ask.deadline_left = Duration::from_secs(10);
+    let old = modified_request(&fixture, 10, |request| {
+        request.class = Class::Background;
+        request.waited = Duration::from_secs(30);
+        request.deadline_left = Duration::from_secs(10);
     });
     fixture.message("entry", old);
     fixture.advance(10);
@@ -141,15 +141,17 @@
     report.running = 64;
     fixture.report_load("a", report);
     let small = |fixture: &Fixture, number| {
-        modified_request(fixture, number, |ask| ask.workspace = "small".into())
+        modified_request(fixture, number, |request| {
+            request.workspace = "small".into()
+        })
     };
     let mut running = Vec::new();
     for number in 0..40 {
-        let ask = small(&fixture, number);
-        fixture.message("entry", ask);
+        let request = small(&fixture, number);
+        fixture.message("entry", request);
         running.extend(fixture.grants());
     }
-    let big = modified_request(&fixture, 1000, |ask| ask.prompt_tokens = 8000);
+    let big = modified_request(&fixture, 1000, |request| request.prompt_tokens = 8000);
     fixture.message("entry", big);
     let mut next = 2000;
     for _ in 0..400 {
@@ -159,8 +161,8 @@
             running.extend(fixture.grants());
         }
         next += 1;
-        let ask = small(&fixture, next);
-        fixture.message("entry", ask);
+        let request = small(&fixture, next);
+        fixture.message("entry", request);
         running.extend(fixture.grants());
         if running.iter().any(|grant| grant.permit_request == 1000) {
             return;
@@ -197,11 +199,11 @@
     }
     let mut targets = Vec::new();
     for number in 0..24 {
-        let ask = modified_request(&fixture, number, |ask| {
-            ask.prompt_tokens = 300;
-            ask.prefix = vec![1, 2, 3];
+        let request = modified_request(&fixture, number, |request| {
+            request.prompt_tokens = 300;
+            request.prefix = vec![1, 2, 3];
         });
-        fixture.message("entry", ask);
+        fixture.message("entry", request);
         targets.extend(fixture.grants().into_iter().map(|grant| grant.target));
     }
     assert_eq!(targets.len(), 24);
@@ -241,7 +243,7 @@
     let revoked: Vec<u64> = fixture
         .messages()
         .filter_map(|message| match message {
-            Message::Revoke(recall) => Some(recall.permit),
+            Message::Revoke(revoke) => Some(revoke.permit),
             _ => None,
         })
         .collect();
@@ -265,18 +267,18 @@
     report.running = 16;
     fixture.report_load("a", report);
     let block_request = |fixture: &Fixture, number| {
-        modified_request(fixture, number, |ask| {
-            ask.kind = ServiceKind::Plain;
-            ask.slots = 8;
-            ask.prompt_tokens = 0;
-            ask.max_output = 0;
+        modified_request(fixture, number, |request| {
+            request.kind = ServiceKind::Plain;
+            request.slots = 8;
+            request.prompt_tokens = 0;
+            request.max_output = 0;
         })
     };
     let mut slots = std::collections::BTreeMap::new();
     for number in 1..=2 {
         for entry in ["one", "two"] {
-            let ask = block_request(&fixture, number);
-            fixture.message(entry, ask);
+            let request = block_request(&fixture, number);
+            fixture.message(entry, request);
             for grant in fixture.grants() {
                 *slots.entry(entry).or_insert(0) += grant.slots;
             }
@@ -302,8 +304,8 @@
         fixture.return_permit("entry", &grant, finished_outcome(10));
         grants.extend(fixture.grants());
     }
-    let short_deadline = modified_request(&fixture, 90, |ask| {
-        ask.deadline_left = Duration::from_secs(2)
+    let short_deadline = modified_request(&fixture, 90, |request| {
+        request.deadline_left = Duration::from_secs(2)
     });
     fixture.message("entry", short_deadline);
     let denials = fixture.denials();
@@ -314,8 +316,8 @@
         after > Duration::from_secs(4) && after < Duration::from_secs(20),
         "{after:?}"
     );
-    let long_deadline = modified_request(&fixture, 91, |ask| {
-        ask.deadline_left = Duration::from_secs(60)
+    let long_deadline = modified_request(&fixture, 91, |request| {
+        request.deadline_left = Duration::from_secs(60)
     });
     fixture.message("entry", long_deadline);
     assert!(fixture.denials().is_empty());
--- a/components/policy/tests/owner.rs
+++ b/components/policy/tests/owner.rs
@@ -102,8 +102,8 @@
     fixture.request_permit("entry", 1);
     fixture.advance(1200);
     assert!(fixture.grants().is_empty());
-    let ask = permit_request(2, fixture.now);
-    fixture.message("entry", ask);
+    let request = permit_request(2, fixture.now);
+    fixture.message("entry", request);
     fixture.advance(60);
     assert_eq!(fixture.grants().len(), 2);
 }
