--- a/components/front/src/store/counted.rs
+++ b/components/front/src/store/counted.rs
@@ -1,4 +1,5 @@
-//! A store whose calls are counted: each has its price, and all instances share its rates.
+//! Counts the calls to the store. Each call has a cost, and the store limits the rate of calls of
+//! all instances together.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,14 +13,14 @@
     quarantine::record::QuarantineRecord,
 };
 
-/// A store whose calls are counted.
+/// A store that counts the calls to another one.
 pub struct CountedStore {
     inner: Arc<dyn Store>,
     calls: Family<StoreCallLabels, Counter>,
 }
 
 impl CountedStore {
-    /// Counts the calls to a store.
+    /// Counts the calls to `inner` in `calls`.
     #[must_use]
     pub const fn new(inner: Arc<dyn Store>, calls: Family<StoreCallLabels, Counter>) -> Self {
         Self { inner, calls }
@@ -70,14 +71,14 @@
         answer
     }
 
-    async fn put_quarantine_record(&self, kept: &QuarantineRecord) -> Result<(), StoreError> {
-        let answer = self.inner.put_quarantine_record(kept).await;
+    async fn put_quarantine_record(&self, record: &QuarantineRecord) -> Result<(), StoreError> {
+        let answer = self.inner.put_quarantine_record(record).await;
         self.count(Topic::Members, "write", &answer);
         answer
     }
 
-    async fn delete_quarantine_record(&self, kept: &QuarantineRecord) -> Result<(), StoreError> {
-        let answer = self.inner.delete_quarantine_record(kept).await;
+    async fn delete_quarantine_record(&self, record: &QuarantineRecord) -> Result<(), StoreError> {
+        let answer = self.inner.delete_quarantine_record(record).await;
         self.count(Topic::Members, "write", &answer);
         answer
     }
--- a/components/front/src/store/fanout.rs
+++ b/components/front/src/store/fanout.rs
@@ -1,57 +1,58 @@
-//! The tree through which what the store says spreads from instance to instance. No I/O.
+//! The tree through which changes in the store spread from instance to instance. No I/O.
 //!
 //! Two instances, the readers, follow the store. In each data centre two relays follow the readers,
-//! and the rest of the data centre follows its relays. What is new crosses the border of a data
-//! centre once for each relay and not once for each instance. All instances hold their question
-//! open until something is new, so a level adds the time of a message and no waiting.
+//! and the other instances of the data centre follow its relays. So a change enters a data centre
+//! once per relay and not once per instance. All instances use long polling, so each level of the
+//! tree adds the latency of one message and no polling interval.
 
 use types::InstanceId;
 
-/// Instances that read a topic at the store. A second one, so that nobody has to wait when the
-/// first is stopped.
+/// Instances that follow a topic at the store. There are two so that followers need not wait when
+/// one is stopped.
 pub const READERS: usize = 2;
-/// Instances of a data centre that follow the readers for the rest of it.
+/// Instances of a data centre that follow the readers on behalf of the others.
 pub const RELAYS: usize = 2;
-/// Instances up to which a data centre needs no relays: each follows the readers.
+/// A data centre with at most this many instances has no relays: each follows the readers.
 const MAX_WITHOUT_RELAYS: usize = 8;
 
-/// The instances that answer, this one among them, those first that should read or relay.
+/// The responsive instances, including this one, in the order in which they read or relay a topic.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Ranking {
-    /// All of them.
+    /// All instances.
     pub all: Vec<InstanceId>,
-    /// Those of this instance's data centre.
+    /// The instances of this instance's data centre.
     pub same_data_centre: Vec<InstanceId>,
 }
 
-/// What an instance does for others.
+/// An instance's role in the tree.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Role {
-    /// It follows the store.
+    /// Follows the store.
     Reader,
-    /// It follows the readers, and others of its data centre follow it.
+    /// Follows the readers; others of its data centre follow it.
     Relay,
-    /// Nobody needs to follow it.
+    /// No other instance follows it.
     Leaf,
 }
 
-/// An instance's place in the tree.
+/// An instance's position in the tree.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TreePosition {
-    /// What it does for others.
+    /// Its role.
     pub role: Role,
-    /// Whom it follows, the first choice first; for a reader those beside the store.
+    /// The instances that it follows, in order of preference; for a reader, in case the store
+    /// fails.
     pub upstream: Vec<InstanceId>,
 }
 
-/// The place of `me`. `turn` says for a leaf which of two comes first, so that the load is shared.
+/// The position of `me`. `swap` exchanges the two upstream instances of a leaf, to spread the load.
 #[must_use]
-pub fn position(me: &InstanceId, ranking: &Ranking, turn: bool) -> TreePosition {
+pub fn position(me: &InstanceId, ranking: &Ranking, swap: bool) -> TreePosition {
     let readers = head(&ranking.all, READERS);
     let relays = head(&ranking.same_data_centre, RELAYS);
-    let others = |list: &[InstanceId], turn: bool| {
+    let others = |list: &[InstanceId], swap: bool| {
         let mut others: Vec<InstanceId> = list.iter().filter(|id| *id != me).cloned().collect();
-        if turn && others.len() > 1 {
+        if swap && others.len() > 1 {
             others.swap(0, 1);
         }
         others
@@ -65,18 +66,19 @@
     if ranking.same_data_centre.len() <= MAX_WITHOUT_RELAYS {
         return TreePosition {
             role: Role::Leaf,
-            upstream: others(readers, turn),
+            upstream: others(readers, swap),
         };
     }
     match relays.iter().position(|id| id == me) {
-        // Two relays follow different readers, or one that dies would leave a data centre behind.
+        // The two relays follow different readers, so that the failure of one reader does not cut
+        // off a data centre.
         Some(number) => TreePosition {
             role: Role::Relay,
             upstream: others(readers, number == 1),
         },
         None => TreePosition {
             role: Role::Leaf,
-            upstream: others(relays, turn),
+            upstream: others(relays, swap),
         },
     }
 }
--- a/components/front/src/store/follow.rs
+++ b/components/front/src/store/follow.rs
@@ -1,9 +1,9 @@
-//! Follows the store, at the store itself or at instances that follow it, and acts on what is new.
+//! Follows the topics of the store, at the store or at other instances, and acts on the changes.
 //!
-//! Each call to the store has its price, and a store that turns some instances away serves the
-//! others still. So two instances read each topic at the store, and the rest follow it there: an
-//! instance that is cut off from the store learns as early as the others, and as truthfully, for
-//! the age of the knowledge comes along.
+//! Each call to the store has a cost, and the store may refuse some instances while it serves
+//! others. So two instances follow each topic at the store, and the rest follow those two. An
+//! instance that is cut off from the store gets changes as early as the others, and always knows
+//! the age of its state.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -30,58 +30,59 @@
 };
 
 /// How long one call to the store waits for changes. Keys are honoured for less than five seconds
-/// after a read was sent; a follower's knowledge is two such calls old when it comes, and a reader
-/// that falls silent and the turn to the next source must fit into that too. What changes must be
-/// in force everywhere within two seconds: a peer's wait and patience, then a read of the store.
+/// after a read was sent. When a follower gets its state, that is up to two such calls old, and the
+/// rest must suffice for detecting a reader that does not answer and for switching to the next
+/// source. Changes must be in force everywhere within two seconds: the wait and timeout of a call
+/// to a peer, then a read of the store.
 const STORE_WAIT: Duration = Duration::from_millis(800);
-/// How long a peer may wait with its answer, as a part of a reader's own wait. It answers when its
-/// own call ends, which is a little later than its wait.
-const PEER_WAIT_PART: f64 = 1.45;
-/// Time for a peer to answer beyond what it was allowed to wait.
-const PEER_PATIENCE: Duration = Duration::from_millis(250);
-/// Pause after an answer of the store that brought changes. It delays what comes next by as much;
-/// engines that leave have at least 1.5 s.
-const GATHER: Duration = Duration::from_millis(40);
-/// A reader's knowledge is as old as its call to the store when it replies: 0.8 s, and up to 0.4 s
-/// more where the store is slow. Older, and the reader itself has lost the store.
+/// How long a peer may wait for changes, as a multiple of `STORE_WAIT`. The peer answers when its
+/// own call to the store ends, which takes a little longer than that call's wait.
+const PEER_WAIT_FACTOR: f64 = 1.45;
+/// Timeout for a call to a peer, in addition to the wait that it is allowed.
+const PEER_TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
+/// Pause after changes from the store, so that the next call collects several. Changes are delayed
+/// by as much; an engine that is about to stop announces it at least 1.5 s in advance.
+const BATCH_PAUSE: Duration = Duration::from_millis(40);
+/// The greatest age of a peer's state. A reader's state is as old as its call to the store: 0.8 s,
+/// and up to 0.4 s more if the store is slow. If it is older, the reader itself has lost the store.
 pub const MAX_PEER_STATE_AGE: Duration = Duration::from_millis(1_500);
-/// Pause after a failed call, at first.
-const PAUSE: Duration = Duration::from_millis(60);
-/// The longest pause after failed calls in a row.
-const PAUSE_MOST: Duration = Duration::from_millis(600);
-/// How long an instance that has just started waits until it knows the others.
-const INTRODUCTION: Duration = Duration::from_millis(600);
-/// How long after its start an instance asks a peer that does not answer yet.
-const STARTING: Duration = Duration::from_millis(150);
-/// Time for such a peer to answer.
-const STARTING_PATIENCE: Duration = Duration::from_millis(100);
-/// Pause between two questions to it.
-const STARTING_PAUSE: Duration = Duration::from_millis(20);
+/// Mean pause after the first failed round; doubled with each further one.
+const BASE_RETRY_PAUSE: Duration = Duration::from_millis(60);
+/// The longest mean pause after failed rounds.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(600);
+/// How long an instance waits after its start until it knows the others.
+const PEERS_TIMEOUT: Duration = Duration::from_millis(600);
+/// How long after its start an instance retries a peer that does not answer yet.
+const START_TIME: Duration = Duration::from_millis(150);
+/// Timeout for a call to such a peer.
+const START_CALL_TIMEOUT: Duration = Duration::from_millis(100);
+/// Pause between two calls to such a peer.
+const START_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// What a source has told.
-struct Told {
-    news: TopicUpdate,
-    /// When the read was sent that confirmed it.
-    read: Moment,
-    /// The source itself reads the store.
-    fresh: bool,
+/// The answer of a source.
+struct SourceAnswer {
+    update: TopicUpdate,
+    /// When the read that confirmed the update was sent.
+    read_at: Moment,
+    /// Whether the source is up to date with the store.
+    is_fresh: bool,
 }
 
-/// Follows one topic for good.
+/// Follows one topic.
 pub struct Follower {
     front: Arc<Front>,
     store: Arc<dyn Store>,
     topic: Topic,
     cache: Arc<TopicCache>,
     sources: SourceSelector,
-    /// When the first of the failures in a row came.
-    lost: Option<Moment>,
+    /// When the current outage began.
+    outage_start: Option<Moment>,
     /// When the last outage ended.
     outage_end: Option<Moment>,
 }
 
 impl Follower {
-    /// Follows nothing yet.
+    /// A follower that has not started yet.
     #[must_use]
     pub fn new(front: Arc<Front>, store: Arc<dyn Store>, topic: Topic) -> Self {
         Self {
@@ -90,76 +91,80 @@
             front,
             store,
             topic,
-            lost: None,
+            outage_start: None,
             outage_end: None,
         }
     }
 
-    /// Follows.
+    /// Follows the topic; does not return.
     pub async fn run(mut self) {
-        // An instance that knows no other would read the store itself: O(n) calls at a cold start.
+        // An instance that knows no others reads the store itself, which would be O(n) calls when
+        // all instances start together.
         let peers_known = self.front.peers_known.wait();
-        let _ = Timer::new().within(INTRODUCTION, peers_known).await;
-        let parts = self.front.cfg.decisions.features;
+        let _ = Timer::new().within(PEERS_TIMEOUT, peers_known).await;
+        let features = self.front.cfg.decisions.features;
         loop {
             let me = &self.front.cfg.instance;
             let ranking = self.front.peers.ranking(self.topic);
-            let source = if parts.shared_reads {
+            let source = if features.shared_reads {
                 self.sources.next(boot_time(), me, &ranking)
             } else {
                 Source::Store
             };
-            let told = match self.ask(&source).await {
-                Ok(told) => told,
+            let answer = match self.query(&source).await {
+                Ok(answer) => answer,
                 Err(e) => {
-                    self.fail(&source, SourceFailure::NoAnswer, &e).await;
+                    self.record_failure(&source, SourceFailure::NoAnswer, &e)
+                        .await;
                     continue;
                 }
             };
             if source == Source::Store {
                 self.sources.record_store_answer();
             }
-            // Old news is better than none, for one that has just started say; but its source is
-            // not to be relied on.
-            let good = told.fresh && self.is_newer(&source, &told);
-            self.take(&told);
-            if good {
-                self.regain();
-                self.gather(&source, &told.news).await;
+            // A stale update is applied too, since it may be the first one; but its source counts
+            // as failed.
+            let is_current = answer.is_fresh && self.is_newer(&source, &answer);
+            self.apply(&answer);
+            if is_current {
+                self.record_success();
+                self.pause_to_batch(&source, &answer.update).await;
             } else {
-                let error = silent(format!("{source} has lost the store itself"));
-                self.fail(&source, SourceFailure::Stale, &error).await;
+                let error = no_answer(format!("the state of {source} is stale"));
+                self.record_failure(&source, SourceFailure::Stale, &error)
+                    .await;
             }
         }
     }
 
-    /// Lets changes that come together come in one answer. Engines are reclaimed several at a time,
-    /// and each row of theirs would be a call of its own to the store.
-    async fn gather(&self, source: &Source, news: &TopicUpdate) {
-        if *source == Source::Store && !news.is_full && !news.rows.is_empty() {
-            smol::Timer::after(GATHER).await;
+    /// Pauses after changes from the store, so that further ones come in one answer. Several
+    /// engines are often reclaimed at once, and each of their rows would otherwise take a call of
+    /// its own.
+    async fn pause_to_batch(&self, source: &Source, update: &TopicUpdate) {
+        if *source == Source::Store && !update.is_full && !update.rows.is_empty() {
+            smol::Timer::after(BATCH_PAUSE).await;
         }
     }
 
-    /// Whether a source knows more than this instance. Two instances that lost the store might
-    /// follow each other, each content with what the other had from it.
-    fn is_newer(&self, source: &Source, told: &Told) -> bool {
+    /// Whether an answer of a source is newer than the cached state. Otherwise two instances that
+    /// have lost the store could follow each other, each taking its own state back as current.
+    fn is_newer(&self, source: &Source, answer: &SourceAnswer) -> bool {
         *source == Source::Store
-            || Some(told.news.version) > self.cache.version()
+            || Some(answer.update.version) > self.cache.version()
             || self
                 .cache
                 .confirmed_at()
-                .is_none_or(|known| told.read > known)
+                .is_none_or(|cached| answer.read_at > cached)
     }
 
-    /// Asks a source.
-    async fn ask(&self, source: &Source) -> Result<Told, StoreError> {
-        let sent = boot_time();
+    /// Queries a source for changes.
+    async fn query(&self, source: &Source) -> Result<SourceAnswer, StoreError> {
+        let sent_at = boot_time();
         let after = self.cache.version();
         match source {
             Source::Store => {
-                // One that lost the store, or has just started, does not wait for changes.
-                let news = match after {
+                // After a failure, or if nothing is cached yet, the call does not wait for changes.
+                let update = match after {
                     Some(_) if !self.sources.needs_immediate_answer() => {
                         follow(
                             &self.store,
@@ -171,108 +176,115 @@
                         .await
                     }
                     after => {
-                        let patience = if self.front.cfg.decisions.features.adaptive_timeouts {
+                        let timeout = if self.front.cfg.decisions.features.adaptive_timeouts {
                             timeouts::outage_timeout(self.sources.store_failures())
                         } else {
                             timeouts::READ_TIMEOUT
                         };
-                        follow(&self.store, self.topic, after, Duration::ZERO, patience).await
+                        follow(&self.store, self.topic, after, Duration::ZERO, timeout).await
                     }
                 };
-                news.map(|news| Told {
-                    news,
-                    read: sent,
-                    fresh: true,
+                update.map(|update| SourceAnswer {
+                    update,
+                    read_at: sent_at,
+                    is_fresh: true,
                 })
             }
-            Source::Peer(peer) => self.ask_peer(peer, after).await,
+            Source::Peer(peer) => self.query_peer(peer, after).await,
         }
     }
 
-    /// Asks the store for what a peer can tell from a later version on only: a whole topic for each
-    /// follower would fill a peer's link. Where the store does not tell either, or lies behind the peer,
-    /// the peer tells everything: asked again and again, the store would be called without end.
-    async fn catch_up(&self, peer: &InstanceId, from: u64) -> Result<Told, StoreError> {
-        let sent = boot_time();
+    /// Queries the store for changes that a peer no longer has: a full update for each follower
+    /// would saturate the peer's link. If the store does not have them either, or is behind the
+    /// peer, requests a full update from the peer after all, since retrying the store might never
+    /// end.
+    async fn catch_up(&self, peer: &InstanceId, from: u64) -> Result<SourceAnswer, StoreError> {
+        let sent_at = boot_time();
         let after = self.cache.version().unwrap_or_default();
         let wait = Duration::ZERO;
-        let news = self
+        let update = self
             .store
             .follow(self.topic, after, wait, timeouts::FOLLOW_MARGIN);
-        match news.await {
-            Ok(news) if news.version >= from => Ok(Told {
-                news,
-                read: sent,
-                fresh: true,
+        match update.await {
+            Ok(update) if update.version >= from => Ok(SourceAnswer {
+                update,
+                read_at: sent_at,
+                is_fresh: true,
             }),
-            _ => Box::pin(self.ask_peer(peer, None)).await,
+            _ => Box::pin(self.query_peer(peer, None)).await,
         }
     }
 
-    async fn ask_peer(&self, peer: &InstanceId, after: Option<u64>) -> Result<Told, StoreError> {
-        let sent = boot_time();
-        let wait = STORE_WAIT.mul_f64(PEER_WAIT_PART);
+    async fn query_peer(
+        &self,
+        peer: &InstanceId,
+        after: Option<u64>,
+    ) -> Result<SourceAnswer, StoreError> {
+        let sent_at = boot_time();
+        let wait = STORE_WAIT.mul_f64(PEER_WAIT_FACTOR);
         let message = Message::Follow {
             topic: self.topic,
             after,
             wait,
         };
-        let patience = wait + PEER_PATIENCE;
-        let reply =
-            if self.cache.version().is_none() && elapsed_since(self.front.started_at) < STARTING {
-                self.ask_while_starting(peer, &message).await
-            } else {
-                self.front.peers.call(peer, &message, patience).await
-            };
+        let timeout = wait + PEER_TIMEOUT_MARGIN;
+        let reply = if self.cache.version().is_none()
+            && elapsed_since(self.front.started_at) < START_TIME
+        {
+            self.query_while_starting(peer, &message).await
+        } else {
+            self.front.peers.call(peer, &message, timeout).await
+        };
         match reply {
             Some(Reply::Update {
-                update: news,
+                update,
                 before,
                 after,
                 age,
-            }) => Ok(Told {
-                news,
-                read: (sent + after).saturating_sub(before),
-                fresh: age < MAX_PEER_STATE_AGE,
+            }) => Ok(SourceAnswer {
+                update,
+                read_at: (sent_at + after).saturating_sub(before),
+                is_fresh: age < MAX_PEER_STATE_AGE,
             }),
             Some(Reply::HistoryGone { from }) => self.catch_up(peer, from).await,
-            Some(Reply::NoData) => Err(silent(format!("{peer} knows nothing"))),
-            _ => Err(silent(format!("{peer} does not answer"))),
+            Some(Reply::NoData) => Err(no_answer(format!("{peer} has no data yet"))),
+            _ => Err(no_answer(format!("{peer} does not answer"))),
         }
     }
 
-    /// Asks a peer until it knows something, for a short while after the start: it may be up a little
-    /// later. Callers wait meanwhile, so the store comes next soon.
-    async fn ask_while_starting(&self, peer: &InstanceId, message: &Message) -> Option<Reply> {
-        while elapsed_since(self.front.started_at) < STARTING {
+    /// Queries a peer repeatedly for a short time after the start, because the peer may be starting
+    /// too. Callers wait meanwhile, so the store is tried soon.
+    async fn query_while_starting(&self, peer: &InstanceId, message: &Message) -> Option<Reply> {
+        while elapsed_since(self.front.started_at) < START_TIME {
             let peers = &self.front.peers;
-            match peers.try_call(peer, message, STARTING_PATIENCE).await {
+            match peers.try_call(peer, message, START_CALL_TIMEOUT).await {
                 None | Some(Reply::NoData) => {}
                 reply => return reply,
             }
-            smol::Timer::after(STARTING_PAUSE).await;
+            smol::Timer::after(START_RETRY_PAUSE).await;
         }
         None
     }
 
-    fn take(&self, told: &Told) {
-        let mut changed = self.cache.apply(&told.news, told.read);
+    /// Applies an answer to the cache and the view, and acts on the changes.
+    fn apply(&self, answer: &SourceAnswer) {
+        let mut changed = self.cache.apply(&answer.update, answer.read_at);
         let now = boot_time();
-        // A dropped row may stand for a listing that lapsed; take them last, for the same answer
-        // may list others.
+        // Deleted rows last: a listing may have lapsed during an outage, and the same answer may
+        // list other targets.
         changed.sort_by_key(|row| row.value.is_none());
         for row in &changed {
-            self.learn(row, now);
+            self.apply_row(row, now);
         }
         for change in self.front.view.expire_lapsed(now) {
             act(&self.front, change);
         }
-        let Some(read) = self.cache.confirmed_at() else {
+        let Some(confirmed_at) = self.cache.confirmed_at() else {
             return;
         };
         match self.topic {
-            Topic::Operator => self.front.view.confirm_rules(read),
-            Topic::Targets => self.front.view.confirm_targets(read),
+            Topic::Operator => self.front.view.confirm_rules(confirmed_at),
+            Topic::Targets => self.front.view.confirm_targets(confirmed_at),
             Topic::Members => {}
         }
         if self.front.is_ready() {
@@ -280,7 +292,7 @@
         }
     }
 
-    fn learn(&self, row: &Row, now: Moment) {
+    fn apply_row(&self, row: &Row, now: Moment) {
         let view = &self.front.view;
         let change = match self.store.decode(self.topic, row) {
             None => None,
@@ -298,8 +310,8 @@
                 self.front.peers.upsert(member);
                 None
             }
-            Some(Record::Quarantined(kept)) => {
-                record::apply_stored(&self.front, &kept);
+            Some(Record::Quarantined(record)) => {
+                record::apply_stored(&self.front, &record);
                 None
             }
             Some(Record::Unreadable { key, reason }) => {
@@ -309,7 +321,7 @@
                     reason,
                 });
                 match self.topic {
-                    // It names no target to use, whatever it named before.
+                    // The target of this key can no longer be used.
                     Topic::Targets => view.unlist_target(&key, now, None),
                     Topic::Operator | Topic::Members => None,
                 }
@@ -320,74 +332,84 @@
         }
     }
 
-    fn regain(&mut self) {
+    /// Records that a source has supplied current state, and ends an outage.
+    fn record_success(&mut self) {
         self.sources.record_success();
         self.cache.set_source_lost(self.sources.has_no_source());
-        self.set_lost(false);
-        let Some(lost) = self.lost.take() else {
+        self.set_targets_lost(false);
+        let Some(outage_start) = self.outage_start.take() else {
             return;
         };
         let now = boot_time();
         self.outage_end = Some(now);
         emit(&Event::StoreRegained {
             topic: self.topic.to_string().into(),
-            lost_ms: millis(now.saturating_sub(lost)),
+            lost_ms: millis(now.saturating_sub(outage_start)),
         });
     }
 
-    fn set_lost(&self, lost: bool) {
+    fn set_targets_lost(&self, lost: bool) {
         if self.topic == Topic::Targets {
             self.front.targets_lost.store(lost, Ordering::Release);
         }
     }
 
-    /// Turns to the next source; pauses once all have failed.
-    async fn fail(&mut self, source: &Source, how: SourceFailure, error: &StoreError) {
-        let rounds = self.sources.failed_rounds();
-        let round_over = self.sources.record_failure(source, how);
+    /// Records a failure; the next source is selected after it. Once all sources have failed, an
+    /// outage begins, and there is a pause.
+    async fn record_failure(
+        &mut self,
+        source: &Source,
+        failure: SourceFailure,
+        error: &StoreError,
+    ) {
+        let failed_rounds = self.sources.failed_rounds();
+        let is_round_over = self.sources.record_failure(source, failure);
         self.cache.set_source_lost(self.sources.has_no_source());
-        if !round_over {
+        if !is_round_over {
             return;
         }
-        self.set_lost(true);
-        if self.lost.is_none() {
-            self.lost = Some(boot_time());
+        self.set_targets_lost(true);
+        if self.outage_start.is_none() {
+            self.outage_start = Some(boot_time());
             emit(&Event::StoreLost {
                 topic: self.topic.to_string().into(),
                 reason: error.to_string().into(),
             });
         }
-        let pause = PAUSE.saturating_mul(1 << rounds.min(4)).min(PAUSE_MOST);
-        // All instances lose the store at once; they should not come back all at once.
+        let pause = BASE_RETRY_PAUSE
+            .saturating_mul(1 << failed_rounds.min(4))
+            .min(MAX_RETRY_PAUSE);
+        // All instances lose the store at the same time; their retries are spread.
         smol::Timer::after(pause.mul_f64(0.5 + fastrand::f64())).await;
     }
 }
 
-/// What is new on a topic of the store, or all of it where its history does not reach back.
+/// The changes of a topic since version `after`; all rows if there is none or the store no longer
+/// has the changes.
 async fn follow(
     store: &Arc<dyn Store>,
     topic: Topic,
     after: Option<u64>,
     wait: Duration,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<TopicUpdate, StoreError> {
     let Some(after) = after else {
-        return store.read(topic, patience).await;
+        return store.read(topic, timeout).await;
     };
-    match store.follow(topic, after, wait, wait + patience).await {
+    match store.follow(topic, after, wait, wait + timeout).await {
         Err(StoreError::HistoryGone) => store.read(topic, timeouts::READ_TIMEOUT).await,
-        news => news,
+        update => update,
     }
 }
 
-/// Takes word from somebody else than the store that a target leaves.
+/// Marks a target as about to stop, on a report from another source than the store.
 pub fn mark_leaving(front: &Arc<Front>, id: &TargetId) {
     if let Some(change) = front.view.mark_leaving(id) {
         act(front, change);
     }
 }
 
-/// Acts on what has changed.
+/// Acts on a change of the view.
 fn act(front: &Arc<Front>, change: Change) {
     match change {
         Change::Rules { from, to } => {
@@ -418,17 +440,17 @@
             front.client.forget(target.addr);
             front.placement.owner.lock().remove_engine(&target.id);
         }
-        Change::Closed(data_centre) => switched(data_centre, true),
-        Change::Opened(data_centre) => switched(data_centre, false),
+        Change::Closed(data_centre) => log_switch(data_centre, true),
+        Change::Opened(data_centre) => log_switch(data_centre, false),
     }
 }
 
-fn silent(reason: String) -> StoreError {
+fn no_answer(reason: String) -> StoreError {
     StoreError::NoAnswer {
         reason: reason.into(),
     }
 }
 
-fn switched(data_centre: DataCentreId, out: bool) {
+fn log_switch(data_centre: DataCentreId, out: bool) {
     emit(&Event::DataCentreSwitched { data_centre, out });
 }
--- a/components/front/src/store/sources.rs
+++ b/components/front/src/store/sources.rs
@@ -1,7 +1,9 @@
-//! Where an instance follows a topic of the store: at the store, or at another instance. No I/O.
+//! Selects the source from which an instance follows a topic: the store or another instance. No
+//! I/O.
 //!
-//! Who follows whom while all goes well is the tree of [`crate::store::fanout`]. Which source comes next
-//! when one fails decides how soon all know again, and how many calls to the store that costs.
+//! Without failures the sources form the tree of [`crate::store::fanout`]. The order in which other
+//! sources are tried after a failure determines how soon all instances are up to date again, and
+//! how many calls to the store that takes.
 
 use std::time::Duration;
 
@@ -11,27 +13,27 @@
 
 use crate::store::fanout::{Ranking, Role, TreePosition, position};
 
-/// Failures of the store in a row after which a follower takes it for lost to all. One alone may be
-/// a connection that was cut.
-const STORE_FAILURES: u32 = 3;
-/// Rounds of failures between two in which a follower then asks the store itself.
-const STORE_EVERY: u32 = 2;
-/// Leaves that ask the store in one round where the readers answer and have lost it: enough that
-/// one gets through where it turns a third of all away, and few where it is away for all. Relays
-/// always ask, for whole data centres follow them.
-const LEAVES_ASK: f64 = 8.0;
-/// Times that the store is asked in one round.
-const STORE_TRIES: usize = 2;
-/// Failures in a row after which an instance takes itself for one that has no source. One alone may
-/// be a connection that was cut.
-const FAILURES: u32 = 2;
-/// How long another source than the first choice is kept before the first is tried again.
-const KEEP_SOURCE: Duration = Duration::from_millis(1_500);
-
-/// Where a topic is followed.
+/// Failed calls to the store in a row after which it is considered unavailable to all instances. A
+/// single one may be a broken connection.
+const STORE_FAILURE_THRESHOLD: u32 = 3;
+/// While the store is considered unavailable, it is tried only in every so many rounds.
+const STORE_RETRY_ROUNDS: u32 = 2;
+/// Mean number of leaves that try the store in one round if the readers respond but have lost it:
+/// enough for one to succeed if the store refuses a third of all instances, and few if it is
+/// unavailable to all. Relays always try it, because whole data centres follow them.
+const LEAVES_AT_STORE: f64 = 8.0;
+/// Attempts at the store in one round.
+const MAX_STORE_ATTEMPTS: usize = 2;
+/// Failures in a row after which an instance considers itself without a source. A single one may be
+/// a broken connection.
+const FAILURE_THRESHOLD: u32 = 2;
+/// How long a fallback source is used before the preferred one is tried again.
+const FALLBACK_TIME: Duration = Duration::from_millis(1_500);
+
+/// The source from which a topic is followed.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum Source {
-    /// The store itself.
+    /// The store.
     #[display("the store")]
     Store,
     /// Another instance.
@@ -42,211 +44,214 @@
 /// How a source failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SourceFailure {
-    /// It did not answer, or refused.
+    /// The source did not answer or refused.
     NoAnswer,
-    /// It answered, and knows nothing new itself.
+    /// The source answered, but its own state is stale.
     Stale,
 }
 
-/// Chooses among sources.
+/// Selects sources. A round tries each eligible source until one succeeds or all have failed.
 #[derive(Debug)]
 pub struct SourceSelector {
     rng: Rng,
-    /// Which of two instances a leaf follows first; leaves spread over both.
-    turn: bool,
-    /// This instance's place in the tree, as it was last asked for.
+    /// Whether a leaf prefers the second of its two upstream instances; spreads the load.
+    prefers_second: bool,
+    /// This instance's position in the tree at the last selection.
     position: TreePosition,
-    /// A peer beside those upstream, for this round.
-    third: Option<InstanceId>,
-    /// In this round the store may be asked although peers answer.
-    asks_store: bool,
-    /// The source that served last, and when it became the one.
-    current: Option<(Source, Moment)>,
-    /// Sources that have failed in this round.
-    tried: Vec<(Source, SourceFailure)>,
-    /// Failures in a row, of whatever source.
+    /// One more peer besides those upstream, for this round.
+    extra_peer: Option<InstanceId>,
+    /// Whether the store may be tried in this round although peers respond.
+    tries_store: bool,
+    /// The fallback source in use, and since when.
+    fallback: Option<(Source, Moment)>,
+    /// The sources that have failed in this round, and how.
+    failed: Vec<(Source, SourceFailure)>,
+    /// Failures of any source in a row.
     failures: u32,
     /// Rounds in a row in which all sources failed.
-    rounds: u32,
-    /// Failures of the store itself in a row.
+    failed_rounds: u32,
+    /// Failed calls to the store in a row.
     store_failures: u32,
 }
 
 impl SourceSelector {
-    /// Nothing has failed yet.
+    /// A selector without any failure.
     #[must_use]
     pub fn new(mut rng: Rng) -> Self {
         Self {
-            turn: rng.bool(),
+            prefers_second: rng.bool(),
             rng,
             position: TreePosition {
                 role: Role::Leaf,
                 upstream: Vec::new(),
             },
-            third: None,
-            asks_store: true,
-            current: None,
-            tried: Vec::new(),
+            extra_peer: None,
+            tries_store: true,
+            fallback: None,
+            failed: Vec::new(),
             failures: 0,
-            rounds: 0,
+            failed_rounds: 0,
             store_failures: 0,
         }
     }
 
-    /// The source to ask now.
+    /// The source to use now.
     pub fn next(&mut self, now: Moment, me: &InstanceId, ranking: &Ranking) -> Source {
-        self.position = position(me, ranking, self.turn);
-        if self.tried.is_empty() {
-            self.asks_store = self.draw_store(ranking.all.len());
+        self.position = position(me, ranking, self.prefers_second);
+        if self.failed.is_empty() {
+            self.tries_store = self.draw_store_attempt(ranking.all.len());
         }
-        if let Some((source, since)) = &self.current {
-            let stays = since.saturating_add(KEEP_SOURCE) >= now && self.is_there(source, ranking);
-            if stays {
+        if let Some((source, since)) = &self.fallback {
+            let is_valid =
+                since.saturating_add(FALLBACK_TIME) >= now && self.is_responsive(source, ranking);
+            if is_valid {
                 return source.clone();
             }
-            self.current = None;
+            self.fallback = None;
         }
-        self.draw_third(me, &ranking.all);
+        self.draw_extra_peer(me, &ranking.all);
         let source = self.untried().unwrap_or(Source::Store);
-        // Where a peer was silent it is left out from now on, and the next one is as good as it was.
-        // One that answers and has lost the store would be asked in vain again and again.
-        let stale = self
-            .tried
+        // A peer that did not answer is left out of the ranking anyway, and the next one replaces
+        // it. One that answers with stale state would be selected again and again, so its
+        // replacement is kept for a while.
+        let has_stale = self
+            .failed
             .iter()
-            .any(|(_, how)| *how == SourceFailure::Stale);
-        self.current = stale.then(|| (source.clone(), now));
+            .any(|(_, failure)| *failure == SourceFailure::Stale);
+        self.fallback = has_stale.then(|| (source.clone(), now));
         source
     }
 
-    /// Whether something has failed since a source served last. A call to the store should then be
-    /// answered at once, and not when something changes: knowledge is old already.
+    /// Whether a source has failed since the last success. A call to the store should then be
+    /// answered at once and not wait for changes, since the cached state is already old.
     #[must_use]
     pub const fn needs_immediate_answer(&self) -> bool {
         self.failures > 0
     }
 
-    /// Whether those that follow this instance should not wait for it: several sources in a row have
-    /// failed. A reader without the store counts as such also while another instance tells it,
-    /// which may follow this one.
+    /// Whether this instance has no source, so that its followers should not wait for it: several
+    /// sources in a row have failed. For a reader only failures of the store count, because its
+    /// other sources may be following it.
     #[must_use]
     pub fn has_no_source(&self) -> bool {
         let failures = match self.position.role {
             Role::Reader => self.store_failures,
             Role::Relay | Role::Leaf => self.failures,
         };
-        failures >= FAILURES
+        failures >= FAILURE_THRESHOLD
     }
 
     /// Rounds in a row in which all sources failed.
     #[must_use]
     pub const fn failed_rounds(&self) -> u32 {
-        self.rounds
+        self.failed_rounds
     }
 
-    /// Calls to the store in a row that failed.
+    /// Failed calls to the store in a row.
     #[must_use]
     pub const fn store_failures(&self) -> u32 {
         self.store_failures
     }
 
-    /// Notes that the store answered, whatever it said.
+    /// Records that the store has answered, whatever the answer.
     pub const fn record_store_answer(&mut self) {
         self.store_failures = 0;
     }
 
-    /// Notes that a source served.
+    /// Records that a source has supplied current state.
     pub fn record_success(&mut self) {
         self.failures = 0;
-        self.rounds = 0;
-        self.tried.clear();
+        self.failed_rounds = 0;
+        self.failed.clear();
     }
 
-    /// Notes that a source failed; tells whether all have failed by now.
-    pub fn record_failure(&mut self, source: &Source, how: SourceFailure) -> bool {
+    /// Records the failure of a source. Returns whether all sources of the round have failed.
+    pub fn record_failure(&mut self, source: &Source, failure: SourceFailure) -> bool {
         if *source == Source::Store {
             self.store_failures = self.store_failures.saturating_add(1);
         }
         self.failures = self.failures.saturating_add(1);
-        self.current = None;
-        self.tried.push((source.clone(), how));
+        self.fallback = None;
+        self.failed.push((source.clone(), failure));
         if self.untried().is_some() {
             return false;
         }
-        self.tried.clear();
-        self.third = None;
-        self.rounds = self.rounds.saturating_add(1);
+        self.failed.clear();
+        self.extra_peer = None;
+        self.failed_rounds = self.failed_rounds.saturating_add(1);
         true
     }
 
-    /// The next source of this round.
+    /// The next source of this round that has not failed.
     fn untried(&self) -> Option<Source> {
         if self.position.role == Role::Reader {
             let store = self.untried_store();
             return store.or_else(|| self.untried_peer());
         }
-        let silent = self.tried.iter().any(|(source, how)| {
-            matches!(source, Source::Peer(_)) && *how == SourceFailure::NoAnswer
+        let has_silent_peer = self.failed.iter().any(|(source, failure)| {
+            matches!(source, Source::Peer(_)) && *failure == SourceFailure::NoAnswer
         });
-        // The next peer may have failed together with one that is silent, and two waits would be too
-        // long.
-        if silent && self.may_ask_store() {
+        // The next peer may have failed together with the one that did not answer, and two timeouts
+        // in a row would take too long.
+        if has_silent_peer && self.may_try_store() {
             let store = self.untried_store();
             return store.or_else(|| self.untried_peer());
         }
         self.untried_peer().or_else(|| {
-            let asks = self.asks_store || self.position.upstream.is_empty();
-            asks.then(|| self.untried_store()).flatten()
+            let tries_store = self.tries_store || self.position.upstream.is_empty();
+            tries_store.then(|| self.untried_store()).flatten()
         })
     }
 
-    /// The store, twice in a round: a connection that the store cut says nothing about the store.
+    /// The store, at most twice in a round: a broken connection does not mean that the store is
+    /// unavailable.
     fn untried_store(&self) -> Option<Source> {
-        let tries = self.tried.iter().filter(|(s, _)| *s == Source::Store);
-        (tries.count() < STORE_TRIES).then_some(Source::Store)
+        let attempts = self.failed.iter().filter(|(s, _)| *s == Source::Store);
+        (attempts.count() < MAX_STORE_ATTEMPTS).then_some(Source::Store)
     }
 
-    /// Those upstream, and one peer more where these answer and have lost the store: it may get
-    /// through, and costs nothing.
+    /// The upstream instances; after a failure also one more peer, which may still have access to
+    /// the store and takes no call to it.
     fn untried_peer(&self) -> Option<Source> {
-        let third = self.third.iter().filter(|_| !self.tried.is_empty());
-        let all = self.position.upstream.iter().chain(third);
+        let extra = self.extra_peer.iter().filter(|_| !self.failed.is_empty());
+        let all = self.position.upstream.iter().chain(extra);
         let mut peers = all.cloned().map(Source::Peer);
-        peers.find(|peer| self.tried.iter().all(|(tried, _)| tried != peer))
+        peers.find(|peer| self.failed.iter().all(|(failed, _)| failed != peer))
     }
 
-    fn may_ask_store(&self) -> bool {
-        let lost_to_all = self.store_failures >= STORE_FAILURES;
-        !lost_to_all || self.rounds.is_multiple_of(STORE_EVERY)
+    fn may_try_store(&self) -> bool {
+        let is_unavailable = self.store_failures >= STORE_FAILURE_THRESHOLD;
+        !is_unavailable || self.failed_rounds.is_multiple_of(STORE_RETRY_ROUNDS)
     }
 
-    /// Whether a source is the store or an instance that answers.
-    fn is_there(&self, source: &Source, ranking: &Ranking) -> bool {
+    /// Whether a source is the store or a responsive instance.
+    fn is_responsive(&self, source: &Source, ranking: &Ranking) -> bool {
         match source {
             Source::Store => true,
             Source::Peer(id) => ranking.all.contains(id),
         }
     }
 
-    fn draw_third(&mut self, me: &InstanceId, all: &[InstanceId]) {
-        if self.third.is_none() {
+    fn draw_extra_peer(&mut self, me: &InstanceId, all: &[InstanceId]) {
+        if self.extra_peer.is_none() {
             let upstream = &self.position.upstream;
             let rest = all.iter().filter(|id| *id != me && !upstream.contains(id));
             let rest: Vec<&InstanceId> = rest.collect();
-            self.third = self.rng.choice(rest).cloned();
+            self.extra_peer = self.rng.choice(rest).cloned();
         }
     }
 
-    /// Whether this instance is one of the few that ask the store in this round although peers
-    /// answer.
-    fn draw_store(&mut self, instances: usize) -> bool {
-        if !self.may_ask_store() {
+    /// Whether this instance is one of the few that try the store in this round although peers
+    /// respond.
+    fn draw_store_attempt(&mut self, instances: usize) -> bool {
+        if !self.may_try_store() {
             return false;
         }
         if self.position.role == Role::Relay {
             return true;
         }
         let count = u32::try_from(instances).unwrap_or(u32::MAX);
-        let chance = LEAVES_ASK / f64::from(count.max(1));
-        self.rng.f64() < chance
+        let probability = LEAVES_AT_STORE / f64::from(count.max(1));
+        self.rng.f64() < probability
     }
 }
--- a/components/front/src/store/timeouts.rs
+++ b/components/front/src/store/timeouts.rs
@@ -1,20 +1,20 @@
-//! How long an unanswered call to the store is waited for. No I/O.
+//! Timeouts for calls to the store. No I/O.
 //!
-//! A store that was silent for a while answers new calls at once when it is back, and the old ones
-//! never: one who waits long for an old call goes on refusing callers for want of knowledge though
-//! the store is there. One who never waits long gets nothing from a slow store. And what arrives
-//! slowly has been answered: calls that are given up in the middle of a large answer, and made
-//! again, keep a narrow link full for nothing. So this is the time to an answer's head only.
+//! After an outage the store answers new calls at once, and never those made before: with a long
+//! timeout an instance would go on refusing callers although the store is back. With only short
+//! timeouts it would get nothing from a slow store. The timeouts cover the time until the head of
+//! an answer: abandoning and repeating calls in the middle of a large answer would saturate a
+//! narrow link.
 
 use std::time::Duration;
 
-/// Time for a call that is expected to be answered at once. A store answers within 5 ms as a rule,
-/// and one that is slow within 0.4 s.
+/// Timeout for a call that the store should answer at once. It usually takes 5 ms, and 0.4 s when
+/// it is slow.
 pub const READ_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Time for an answer beyond the time that it may wait for changes.
+/// Timeout for a call that may wait for changes, in addition to that wait.
 pub const FOLLOW_MARGIN: Duration = Duration::from_millis(700);
-/// Times for calls in a row to a store that was lost, again and again. One in four is long, for a
-/// store that is slower than any that was seen.
+/// Timeouts for successive calls during an outage, repeated in a cycle. One in four is long, in
+/// case the store is slower than ever observed.
 const OUTAGE_TIMEOUTS: [Duration; 4] = [
     Duration::from_millis(400),
     Duration::from_millis(600),
@@ -22,9 +22,9 @@
     Duration::from_millis(2_000),
 ];
 
-/// Time for a call to a store that has failed so many times in a row.
+/// The timeout for a call after this many failed calls in a row.
 #[must_use]
 pub fn outage_timeout(failures: u32) -> Duration {
-    let at = usize::try_from(failures).unwrap_or(usize::MAX) % OUTAGE_TIMEOUTS.len();
-    OUTAGE_TIMEOUTS[at]
+    let index = usize::try_from(failures).unwrap_or(usize::MAX) % OUTAGE_TIMEOUTS.len();
+    OUTAGE_TIMEOUTS[index]
 }
--- a/components/front/src/store/topic_cache.rs
+++ b/components/front/src/store/topic_cache.rs
@@ -1,5 +1,8 @@
-//! The rows of one topic of the store, as this instance knows them: for itself, and for other
-//! instances that follow the topic here in place of the store.
+//! A cache of one topic of the store, for this instance and for those that follow the topic here
+//! instead of at the store.
+//!
+//! The cache always holds the state of the topic at some version of the store, and never goes back
+//! to an earlier version.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -10,76 +13,78 @@
 
 use crate::instances::wire::{Row, TopicUpdate};
 
-/// How long it is remembered that a row was dropped. One who follows from further back is told
-/// everything anew.
-const DROPPED_FOR: Duration = Duration::from_secs(30);
+/// How long deleted rows are remembered. A follower that is further behind gets a full update.
+const TOMBSTONE_RETENTION: Duration = Duration::from_secs(30);
 
+/// The cached state.
 #[derive(Debug, Default)]
 struct Rows {
+    /// All rows, including those remembered as deleted.
     rows: BTreeMap<Arc<str>, Row>,
-    /// When dropped rows were dropped.
-    dropped: BTreeMap<Arc<str>, Moment>,
-    /// Changes up to here are in.
+    /// When each deleted row was deleted.
+    deleted_at: BTreeMap<Arc<str>, Moment>,
+    /// The store version of this state.
     version: u64,
-    /// Drops up to here may have been forgotten.
-    forgotten: u64,
-    /// When the read was sent that confirmed it last.
-    read: Option<Moment>,
+    /// The version after which all deletions are remembered.
+    history_start: u64,
+    /// When the last read that confirmed this state was sent.
+    confirmed_at: Option<Moment>,
     /// This instance has no source at present.
-    lost: bool,
-    waiting: Vec<Sender<()>>,
+    source_lost: bool,
+    /// Woken by any change or confirmation.
+    waiters: Vec<Sender<()>>,
 }
 
-/// The rows of one topic.
+/// The cached rows of one topic.
 #[derive(Debug, Default)]
 pub struct TopicCache {
     rows: Mutex<Rows>,
 }
 
 impl TopicCache {
-    /// Knows nothing.
+    /// An empty cache.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Where to go on following, if anything is known.
+    /// The cached version, if there is one.
     #[must_use]
     pub fn version(&self) -> Option<u64> {
         let rows = self.rows.lock();
-        rows.read.map(|_| rows.version)
+        rows.confirmed_at.map(|_| rows.version)
     }
 
-    /// When the read was sent that confirmed it last.
+    /// When the last read that confirmed the cached version was sent.
     #[must_use]
     pub fn confirmed_at(&self) -> Option<Moment> {
-        self.rows.lock().read
+        self.rows.lock().confirmed_at
     }
 
-    /// Takes news that was true at `read`; tells which rows it changed. Older news changes
-    /// nothing, whoever brings it: knowledge never goes back.
-    pub fn apply(&self, news: &TopicUpdate, read: Moment) -> Vec<Row> {
+    /// Applies an update from a read that was sent at `read_at`, and returns the rows that it
+    /// changed. An update to an older version is ignored, whatever its source.
+    pub fn apply(&self, update: &TopicUpdate, read_at: Moment) -> Vec<Row> {
         let mut rows = self.rows.lock();
-        let changed = if news.is_full {
-            take_whole(&mut rows, news)
+        let changed = if update.is_full {
+            apply_full(&mut rows, update)
         } else {
-            take_changes(&mut rows, news)
+            apply_changes(&mut rows, update)
         };
-        let fits = rows.version == news.version;
-        if fits {
-            rows.read = rows.read.max(Some(read));
+        let is_current = rows.version == update.version;
+        if is_current {
+            rows.confirmed_at = rows.confirmed_at.max(Some(read_at));
         }
-        forget_dropped(&mut rows);
+        expire_tombstones(&mut rows);
         wake(rows);
         changed
     }
 
-    /// Notes whether this instance has no source. Nobody is kept waiting for news that it would be
-    /// the last to hear.
-    pub fn set_source_lost(&self, lost: bool) {
+    /// Records whether this instance has no source, and wakes all that wait: an instance without a
+    /// source should not keep its followers waiting.
+    pub fn set_source_lost(&self, source_lost: bool) {
         let mut rows = self.rows.lock();
-        if rows.lost != lost {
-            rows.lost = lost;
+        if rows.source_lost != source_lost {
+            rows.source_lost = source_lost;
             wake(rows);
         }
     }
@@ -87,129 +92,130 @@
     /// Whether this instance has no source.
     #[must_use]
     pub fn is_source_lost(&self) -> bool {
-        self.rows.lock().lost
+        self.rows.lock().source_lost
     }
 
-    /// The version since which all changes can be told from here; to one who asks from further back
-    /// everything would have to be told.
+    /// The version from which on all changes are cached. A follower that is further behind would
+    /// need a full update.
     #[must_use]
     pub fn history_start(&self) -> u64 {
-        self.rows.lock().forgotten
+        self.rows.lock().history_start
     }
 
-    /// What has changed since a version, or everything; and when the read was sent that
-    /// confirmed it.
+    /// The changes since version `after`, or a full update if they are not cached; and when the
+    /// read that confirmed them was sent. None if the cache is empty.
     #[must_use]
     pub fn update_since(&self, after: Option<u64>) -> Option<(TopicUpdate, Moment)> {
         let rows = self.rows.lock();
-        let read = rows.read?;
-        let since = after.filter(|after| *after >= rows.forgotten && *after <= rows.version);
-        let list = rows.rows.values();
-        let chosen: Vec<Row> = match since {
-            Some(after) => list.filter(|row| row.version > after).cloned().collect(),
-            None => list.filter(|row| row.value.is_some()).cloned().collect(),
+        let confirmed_at = rows.confirmed_at?;
+        let since = after.filter(|after| *after >= rows.history_start && *after <= rows.version);
+        let all = rows.rows.values();
+        let selected: Vec<Row> = match since {
+            Some(after) => all.filter(|row| row.version > after).cloned().collect(),
+            None => all.filter(|row| row.value.is_some()).cloned().collect(),
         };
-        let news = TopicUpdate {
-            rows: chosen,
+        let update = TopicUpdate {
+            rows: selected,
             version: rows.version,
             after: since.unwrap_or_default(),
             is_full: since.is_none(),
         };
-        Some((news, read))
+        Some((update, confirmed_at))
     }
 
-    /// Waits until the cache was confirmed or changed, or lost its source, at most this long.
-    pub async fn wait_for_change(&self, limit: Duration) {
+    /// Waits until the cache is changed or confirmed, or its source is lost or back, for at most
+    /// `timeout`.
+    pub async fn wait_for_change(&self, timeout: Duration) {
         let rx = self.waiter();
-        // Whether it was confirmed or not, the one who waits gets what there is.
-        let _ = Timer::new().within(limit, rx.recv()).await;
+        // After a timeout the caller uses the cache as it is.
+        let _ = Timer::new().within(timeout, rx.recv()).await;
     }
 
     fn waiter(&self) -> Receiver<()> {
         let (tx, rx) = bounded(1);
-        self.rows.lock().waiting.push(tx);
+        self.rows.lock().waiters.push(tx);
         rx
     }
 }
 
 fn wake(mut rows: MutexGuard<'_, Rows>) {
-    let waiting = std::mem::take(&mut rows.waiting);
+    let waiters = std::mem::take(&mut rows.waiters);
     drop(rows);
-    for waiter in waiting {
-        // Fails only where the one who waited has gone.
+    for waiter in waiters {
+        // Fails only if the waiting task was dropped.
         let _ = waiter.try_send(());
     }
 }
 
-fn take_whole(rows: &mut Rows, news: &TopicUpdate) -> Vec<Row> {
-    if news.version < rows.version {
+fn apply_full(rows: &mut Rows, update: &TopicUpdate) -> Vec<Row> {
+    if update.version < rows.version {
         return Vec::new();
     }
-    let named: BTreeMap<&str, &Row> = news.rows.iter().map(|row| (&*row.key, row)).collect();
+    let listed: BTreeMap<&str, &Row> = update.rows.iter().map(|row| (&*row.key, row)).collect();
     let mut changed: Vec<Row> = Vec::new();
     for row in rows.rows.values() {
-        if row.value.is_some() && !named.contains_key(&*row.key) {
+        if row.value.is_some() && !listed.contains_key(&*row.key) {
             changed.push(Row {
                 value: None,
-                version: news.version,
+                version: update.version,
                 key: Arc::clone(&row.key),
             });
         }
     }
-    changed.extend(news.rows.iter().filter(|row| is_new(rows, row)).cloned());
-    put(rows, &changed);
-    rows.version = news.version;
-    // A whole read does not tell what was dropped before it. One who follows from further back
-    // would never hear of those drops, and must be told everything.
-    rows.forgotten = news.version;
+    changed.extend(update.rows.iter().filter(|row| is_new(rows, row)).cloned());
+    insert(rows, &changed);
+    rows.version = update.version;
+    // A full update does not contain earlier deletions. A follower that is further behind would
+    // never get those, so it needs a full update.
+    rows.history_start = update.version;
     changed
 }
 
-fn take_changes(rows: &mut Rows, news: &TopicUpdate) -> Vec<Row> {
-    // From further on than what is known: something between would be missed.
-    if news.after > rows.version || news.version < rows.version {
+fn apply_changes(rows: &mut Rows, update: &TopicUpdate) -> Vec<Row> {
+    // Changes that begin after the cached version would leave a gap.
+    if update.after > rows.version || update.version < rows.version {
         return Vec::new();
     }
-    let changed: Vec<Row> = news
+    let changed: Vec<Row> = update
         .rows
         .iter()
         .filter(|row| is_new(rows, row))
         .cloned()
         .collect();
-    put(rows, &changed);
-    rows.version = news.version;
+    insert(rows, &changed);
+    rows.version = update.version;
     changed
 }
 
 fn is_new(rows: &Rows, row: &Row) -> bool {
-    let known = rows.rows.get(&row.key);
-    known.is_none_or(|known| known.version < row.version && *known != *row)
+    let cached = rows.rows.get(&row.key);
+    cached.is_none_or(|cached| cached.version < row.version && *cached != *row)
 }
 
-fn put(rows: &mut Rows, changed: &[Row]) {
+fn insert(rows: &mut Rows, changed: &[Row]) {
     let now = boot_time();
     for row in changed {
         if row.value.is_none() {
-            rows.dropped.insert(Arc::clone(&row.key), now);
+            rows.deleted_at.insert(Arc::clone(&row.key), now);
         } else {
-            rows.dropped.remove(&row.key);
+            rows.deleted_at.remove(&row.key);
         }
         rows.rows.insert(Arc::clone(&row.key), row.clone());
     }
 }
 
-fn forget_dropped(rows: &mut Rows) {
-    let oldest = boot_time().saturating_sub(DROPPED_FOR);
-    let due: Vec<Arc<str>> = rows
-        .dropped
+fn expire_tombstones(rows: &mut Rows) {
+    let oldest = boot_time().saturating_sub(TOMBSTONE_RETENTION);
+    let expired: Vec<Arc<str>> = rows
+        .deleted_at
         .iter()
         .filter(|(_, at)| **at < oldest)
         .map(|(key, _)| Arc::clone(key))
         .collect();
-    for key in due {
-        rows.dropped.remove(&key);
+    for key in expired {
+        rows.deleted_at.remove(&key);
         if let Some(row) = rows.rows.remove(&key) {
-            rows.forgotten = rows.forgotten.max(row.version);
+            rows.history_start = rows.history_start.max(row.version);
         }
     }
 }
