--- a/components/front/src/callers/retry_after.rs
+++ b/components/front/src/callers/retry_after.rs
@@ -20,8 +20,8 @@
 /// all retry at the moment when the store is back.
 const SPREAD: f64 = 0.4;
 
-/// When a caller may retry that waits for `time_left`, if the state has been incomplete for `outage`.
-/// `random` is a random number in `0.0..1.0` that spreads the retries.
+/// When a caller may retry that waits for `time_left`, if the state has been incomplete for
+/// `outage`. `random` is a random number in `0.0..1.0` that spreads the retries.
 #[must_use]
 pub fn retry_after(outage: Duration, time_left: Option<Duration>, random: f64) -> Duration {
     let mean = outage
--- a/components/front/src/generations/active.rs
+++ b/components/front/src/generations/active.rs
@@ -19,8 +19,8 @@
 /// A command to the task that relays a generation.
 #[derive(Debug)]
 pub enum RelayCommand {
-    /// The engine is about to stop the generation for a migration; the end of its stream is then not
-    /// an error.
+    /// The engine is about to stop the generation for a migration; the end of its stream is then
+    /// no error.
     MigrationStarted,
     /// The migration was given up; the generation stays on its engine.
     MigrationCancelled,
--- a/components/front/src/quarantine/crash_detection.rs
+++ b/components/front/src/quarantine/crash_detection.rs
@@ -62,8 +62,8 @@
 }
 
 /// Finds out in the background whether a target has crashed whose connection was lost while it was
-/// running a request, and reports that. The request was sent at `sent_at`, and `events` events of its
-/// answer had been received.
+/// running a request, and reports that. The request was sent at `sent_at`, and `events` events of
+/// its answer had been received.
 pub fn investigate(
     front: &Arc<Front>,
     call: &Call,
--- a/components/front/tests/decisions.rs
+++ b/components/front/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! The small decisions of the front: budgets, cold targets, the selector among plain targets.
+//! Decisions without I/O: retry budget, slow start, selection of targets and splitting of event
+//! streams.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -31,10 +32,10 @@
     })
 }
 
-/// All targets of a service fail. Each request that is tried twice doubles the load on them, and
-/// they stay down for longer.
+/// Guards against retries that keep failing targets overloaded: if every request were retried once,
+/// the load on them would double.
 #[test]
-fn second_sendings_stay_within_a_part_of_the_requests() {
+fn retries_are_bounded_by_a_fraction_of_the_requests() {
     let service: ServiceId = "a-service".into();
     let mut budget = RetryBudget::new(10 * SECOND, 0.2, 9.0);
     let now = 100 * SECOND;
@@ -49,10 +50,10 @@
     assert!(!budget.try_take(later, &service, 9) || granted > 0);
 }
 
-/// Nine instances share what a cold target bears. If each took it for its own, the target would
-/// get nine times that and crash.
+/// Guards against overloading a cold target: if each of nine instances used the whole rate that it
+/// bears, the target would get nine times as much and crash.
 #[test]
-fn instances_share_what_a_cold_target_bears() {
+fn instances_share_the_rate_of_a_cold_target() {
     let mut cold = ColdTargets::default();
     let start = 100 * SECOND;
     cold.mark_cold(start, &"t-1".into(), 10 * SECOND);
@@ -69,58 +70,57 @@
 }
 
 #[test]
-fn the_nearest_target_goes_first_until_it_is_busier() {
+fn a_local_target_is_preferred_until_it_is_busier() {
     let mut selector = TargetSelector::default();
-    let all = [target("far", "dc-2"), target("near", "dc-1")];
-    let near = "dc-1".into();
+    let all = [target("remote", "dc-2"), target("local", "dc-1")];
+    let local = "dc-1".into();
     let now = 100 * SECOND;
     let pick = |selector: &TargetSelector| {
         selector
-            .select(now, &all, &[], &near, 0.5)
+            .select(now, &all, &[], &local, 0.5)
             .map(|t| t.id.to_string())
     };
-    assert_eq!(pick(&selector).as_deref(), Some("near"));
+    assert_eq!(pick(&selector).as_deref(), Some("local"));
     let load = ReportedLoad {
         running: 6,
         waiting: 2,
     };
-    selector.record_load(now, &"near".into(), load);
-    assert_eq!(pick(&selector).as_deref(), Some("far"));
+    selector.record_load(now, &"local".into(), load);
+    assert_eq!(pick(&selector).as_deref(), Some("remote"));
 }
 
-/// A target answers its health question and fails its calls. Callers see errors for as long as
-/// calls go there, so a few failures in a row put it aside.
+/// Guards against errors from a target that passes its health checks but fails its calls.
 #[test]
-fn a_target_that_fails_in_a_row_is_put_aside_and_tried_again() {
+fn a_target_that_fails_repeatedly_is_ejected_for_a_while() {
     let mut selector = TargetSelector::default();
     let all = [
         target("bad", "dc-1"),
         target("good", "dc-2"),
         target("other", "dc-2"),
     ];
-    let near = "dc-1".into();
+    let local = "dc-1".into();
     let now = 100 * SECOND;
     selector.record_failure(now, &"bad".into());
     selector.record_failure(now, &"bad".into());
     let picked = selector
-        .select(now, &all, &[], &near, 0.5)
+        .select(now, &all, &[], &local, 0.5)
         .expect("a target");
     assert_ne!(&*picked.id, "bad");
     let later = now + 5 * SECOND;
     let picked = selector
-        .select(later, &all, &[], &near, 0.5)
+        .select(later, &all, &[], &local, 0.5)
         .expect("a target");
     assert_eq!(&*picked.id, "bad");
 }
 
-/// Nine instances call a target that takes 45 connections from all of them. If each opened as many
-/// as it liked, the target would reset some, and calls that must not repeat would be lost.
+/// Guards against exceeding the connection limit of a target, here 45 for nine instances. The
+/// target would reset the connections beyond it, and calls that must not be repeated would be lost.
 #[test]
-fn instances_share_the_connections_that_a_target_takes() {
+fn instances_share_the_connection_limit_of_a_target() {
     let share = connection_share(45, 9);
     assert_eq!(share, 4);
     assert!(share * 9 <= 45);
-    assert_eq!(connection_share(2, 83), 1, "each may call at all");
+    assert_eq!(connection_share(2, 83), 1, "at least one connection each");
     let mut selector = TargetSelector::default();
     let id = "t-1".into();
     for _ in 0..share {
@@ -131,13 +131,13 @@
     assert_eq!(selector.in_flight(&id), share - 1);
 }
 
-/// Every target fails: it may be the callers' requests, or our own link. Putting all aside would
-/// turn a bad moment into an outage.
+/// Guards against an outage that ejection itself would cause. If every target fails, the cause may
+/// be the callers' requests or this instance's link.
 #[test]
-fn where_all_targets_fail_none_is_put_aside() {
+fn no_target_is_ejected_if_all_fail() {
     let mut selector = TargetSelector::default();
     let all = [target("a", "dc-1"), target("b", "dc-2")];
-    let near = "dc-1".into();
+    let local = "dc-1".into();
     let now = 100 * SECOND;
     for id in ["a", "b"] {
         for _ in 0..3 {
@@ -145,32 +145,32 @@
         }
     }
     let picked = selector
-        .select(now, &all, &[], &near, 0.5)
+        .select(now, &all, &[], &local, 0.5)
         .expect("a target");
     assert_eq!(&*picked.id, "a");
     let tried = ["a".into()];
     let picked = selector
-        .select(now, &all, &tried, &near, 0.5)
+        .select(now, &all, &tried, &local, 0.5)
         .expect("a target");
     assert_eq!(&*picked.id, "b");
 }
 
 fn events(parts: &[&[u8]]) -> (Vec<StreamEvent>, Vec<u8>) {
-    let mut split = EventSplitter::new();
+    let mut splitter = EventSplitter::new();
     let mut all = Vec::new();
     for part in parts {
-        split.push(part).expect("short events");
-        while let Some(event) = split.next_event() {
+        splitter.push(part).expect("short events");
+        while let Some(event) = splitter.next_event() {
             all.push(event);
         }
     }
-    (all, split.take_rest().to_vec())
+    (all, splitter.take_rest().to_vec())
 }
 
-/// A target breaks off in the middle of an event. The part that came must not reach the caller:
-/// the event comes again whole from the next engine.
+/// Guards against forwarding an incomplete event of a stream that breaks off: the next engine sends
+/// the event again completely.
 #[test]
-fn a_part_of_an_event_does_not_pass() {
+fn an_incomplete_event_is_not_forwarded() {
     let (all, rest) = events(&[b"id: 1\ndata: a\n\nid: 2\nda"]);
     assert_eq!(all.len(), 1);
     assert_eq!(all[0].id, Some(1));
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn ids_are_read_and_other_lines_kept() {
+fn ids_are_parsed_and_all_lines_are_retained() {
     let (all, _) = events(&[b"weight-versions: 3\r\nid:7\r\ndata: x\r\n\r\n: comment\n\n"]);
     assert_eq!(all[0].id, Some(7));
     assert_eq!(
@@ -189,15 +189,15 @@
 }
 
 proptest! {
-    /// However the network cuts a stream into parts, the same events come out, and no byte is
-    /// lost, added or moved.
+    /// Guards against events that depend on how the network splits a stream into packets, and
+    /// against bytes that are lost, added or reordered.
     #[test]
-    fn events_do_not_depend_on_how_bytes_arrive(
+    fn events_do_not_depend_on_the_chunks_of_a_stream(
         text in "(id: [0-9]{1,3}\r?\n|data: [a-z]{0,5}\r?\n|\r?\n){0,30}",
         cuts in prop::collection::vec(1..9_usize, 0..60),
     ) {
         let bytes = text.as_bytes();
-        let (whole, whole_rest) = events(&[bytes]);
+        let (expected, expected_rest) = events(&[bytes]);
         let mut parts = Vec::new();
         let mut at = 0;
         for cut in cuts {
@@ -207,8 +207,8 @@
         }
         parts.push(&bytes[at..]);
         let (all, rest) = events(&parts);
-        prop_assert_eq!(&all, &whole);
-        prop_assert_eq!(&rest, &whole_rest);
+        prop_assert_eq!(&all, &expected);
+        prop_assert_eq!(&rest, &expected_rest);
         let mut joined: Vec<u8> = all.iter().flat_map(|event| event.bytes.to_vec()).collect();
         joined.extend(rest);
         prop_assert_eq!(joined, bytes);
--- a/components/front/tests/idle.rs
+++ b/components/front/tests/idle.rs
@@ -1,4 +1,4 @@
-//! What is made of a stream that has fallen silent.
+//! Diagnosis of streams without events.
 
 use std::time::Duration;
 
@@ -25,73 +25,86 @@
 fn observe(
     monitor: &mut IdleMonitor,
     listed: bool,
-    said: Option<&EngineReport>,
+    report: Option<&EngineReport>,
     events_received: u64,
 ) -> Diagnosis {
     let observation = Observation {
         listed,
-        report: said,
+        report,
         events_received,
     };
     monitor.observe(NOW, "g-1", &observation)
 }
 
-/// Our own link is cut, and no engine answers. Given up on that ground alone, generations would be
-/// lost that go on as soon as the link is back.
+/// Guards against giving up generations because this instance's own link is down and no engine
+/// answers: their streams continue as soon as the link is back.
 #[test]
-fn an_engine_that_is_listed_and_does_not_answer_is_waited_for() {
+fn a_listed_engine_that_does_not_answer_is_waited_for() {
     let mut monitor = IdleMonitor::new(NOW);
     for _ in 0..20 {
         assert_eq!(observe(&mut monitor, true, None, 7), Diagnosis::Wait);
     }
 }
 
-/// An engine died without a word. Once its listing is gone too, its callers wait in vain.
+/// Guards against callers that wait until their time-outs for an engine that has crashed.
 #[test]
-fn an_engine_that_is_neither_listed_nor_answers_is_gone() {
+fn an_engine_that_is_not_listed_and_does_not_answer_is_gone() {
     let mut monitor = IdleMonitor::new(NOW);
     assert_eq!(observe(&mut monitor, false, None, 7), Diagnosis::Wait);
     assert_eq!(observe(&mut monitor, false, None, 7), Diagnosis::EngineGone);
-    // One that has left the list and serves on is not.
-    let said = report(7);
+    // An engine that is no longer listed but answers is still running.
+    let answer = report(7);
     assert_eq!(
-        observe(&mut monitor, false, Some(&said), 7),
+        observe(&mut monitor, false, Some(&answer), 7),
         Diagnosis::Wait
     );
 }
 
-/// A connection fell silent while its engine goes on. One report alone may be a moment's delay.
+/// Guards against waiting for events that a dead connection will never deliver while the engine
+/// continues. A single report with more events may only reflect a short delay.
 #[test]
-fn events_that_were_made_and_do_not_arrive_are_fetched() {
+fn events_that_do_not_arrive_are_a_lost_connection() {
     let mut monitor = IdleMonitor::new(NOW);
-    let said = report(30);
-    assert_eq!(observe(&mut monitor, true, Some(&said), 7), Diagnosis::Wait);
+    let answer = report(30);
     assert_eq!(
-        observe(&mut monitor, true, Some(&said), 7),
+        observe(&mut monitor, true, Some(&answer), 7),
+        Diagnosis::Wait
+    );
+    assert_eq!(
+        observe(&mut monitor, true, Some(&answer), 7),
         Diagnosis::ConnectionLost
     );
 }
 
-/// An engine reads a prompt anew, or is slow: it has made what has arrived.
+/// Guards against giving up an engine that is slow or prefills a prompt again: it has generated no
+/// more events than have been received.
 #[test]
-fn an_engine_that_makes_nothing_is_waited_for() {
+fn an_engine_without_new_events_is_waited_for() {
     let mut monitor = IdleMonitor::new(NOW);
-    let said = report(7);
+    let answer = report(7);
     for _ in 0..20 {
-        assert_eq!(observe(&mut monitor, true, Some(&said), 7), Diagnosis::Wait);
+        assert_eq!(
+            observe(&mut monitor, true, Some(&answer), 7),
+            Diagnosis::Wait
+        );
     }
 }
 
 proptest! {
-    /// Whatever came before, a stream that is heard again is not judged by its former silence.
+    /// Guards against a diagnosis that counts observations from before the last bytes arrived.
     #[test]
-    fn what_is_heard_begins_anew(made in prop::collection::vec(0..50_u64, 0..6), received in 0..50_u64) {
+    fn bytes_that_arrive_reset_the_monitor(
+        reported in prop::collection::vec(0..50_u64, 0..6), received in 0..50_u64,
+    ) {
         let mut monitor = IdleMonitor::new(NOW);
-        for events in made {
+        for events in reported {
             let _ = observe(&mut monitor, true, Some(&report(events)), received);
         }
         monitor.reset(NOW);
         prop_assert_eq!(monitor.next_report_at(), NOW + IDLE_TIMEOUT);
-        prop_assert_eq!(observe(&mut monitor, true, Some(&report(received + 1)), received), Diagnosis::Wait);
+        prop_assert_eq!(
+            observe(&mut monitor, true, Some(&report(received + 1)), received),
+            Diagnosis::Wait
+        );
     }
 }
