--- a/components/placing/src/demand.rs
+++ b/components/placing/src/demand.rs
@@ -1,9 +1,10 @@
-//! What is asked for on a route: how large its prompts get, and how many are refused.
+//! Demand by route: the size of large prompts, and the share of requests that is rejected.
 //!
-//! Under more load than engines can take each gap goes to whom it fits, and a large prompt fits
-//! hardly any: small ones that come later pass it, and callers with large prompts are refused many
-//! times as often. So the more of a route is refused, the more a small prompt must wait for the
-//! room that a large one needs.
+//! Under overload each piece of memory that comes free goes to the first request that fits, and a
+//! large prompt fits in hardly any. Small requests that arrive later overtake it, and callers with
+//! large prompts are rejected many times as often. Therefore, the larger the rejected share of a
+//! route, the closer the room that a small prompt must find comes to the room that a large one
+//! needs.
 
 use std::collections::HashMap;
 
@@ -11,21 +12,22 @@
 
 use crate::tuning::{as_f64, round_tokens};
 
-/// How far up the estimate of a large prompt goes where one is larger than it, and down where one
-/// is smaller, as parts of the estimate. They balance where one prompt in twenty is larger.
+/// Factor by which the estimate of a large prompt rises when a prompt exceeds it. Together with
+/// `QUANTILE_STEP_DOWN` it settles at the 95th percentile: 0.095 * 0.05 = 0.005 * 0.95.
 const QUANTILE_STEP_UP: f64 = 0.095;
-/// See [`UP`].
+/// Factor by which the estimate falls when a prompt does not exceed it.
 const QUANTILE_STEP_DOWN: f64 = 0.005;
-/// What one ask counts in the part that is refused: some fifty asks are remembered.
+/// Weight of one request in the moving average of the rejected share, which thus covers about fifty
+/// requests.
 const REJECTION_WEIGHT: f64 = 0.02;
-/// A route is as short of engines as it can be where this part is refused.
+/// Rejected share from which on a route counts as fully short of engines.
 const FULL_SHORTAGE_AT: f64 = 0.5;
 
 #[derive(Clone, Copy, Debug)]
 struct RouteDemand {
-    /// Tokens that nineteen of twenty prompts stay below.
+    /// 95th percentile of the prompt length in tokens.
     large_prompt: f64,
-    /// Part of the asks that was refused lately.
+    /// Share of recent requests that was rejected, from 0 to 1.
     rejected_share: f64,
 }
 
@@ -35,45 +37,46 @@
     }
 }
 
-/// What is asked for on each route.
+/// Demand on each route.
 #[derive(Debug, Default)]
 pub(crate) struct Demand {
     routes: HashMap<RouteId, RouteDemand>,
 }
 
 impl Demand {
-    /// Learns from a prompt that is asked for.
+    /// Records the prompt length of a new request.
     pub fn record_request(&mut self, route: &RouteId, prompt_tokens: Tokens) {
         let size = as_f64(prompt_tokens);
-        let known = self.routes.entry(route.clone()).or_insert(RouteDemand {
+        let demand = self.routes.entry(route.clone()).or_insert(RouteDemand {
             large_prompt: size,
             rejected_share: 0.0,
         });
-        known.large_prompt *= if size > known.large_prompt {
+        demand.large_prompt *= if size > demand.large_prompt {
             1.0 + QUANTILE_STEP_UP
         } else {
             1.0 - QUANTILE_STEP_DOWN
         };
     }
 
-    /// Learns how an ask was answered in the end.
+    /// Records whether a request was rejected or assigned an engine.
     pub fn record_outcome(&mut self, route: &RouteId, rejected: bool) {
-        if let Some(known) = self.routes.get_mut(route) {
-            let seen = if rejected { 1.0 } else { 0.0 };
-            known.rejected_share += REJECTION_WEIGHT * (seen - known.rejected_share);
+        if let Some(demand) = self.routes.get_mut(route) {
+            let sample = if rejected { 1.0 } else { 0.0 };
+            demand.rejected_share += REJECTION_WEIGHT * (sample - demand.rejected_share);
         }
     }
 
-    /// Tokens by which room is looked for, for a prompt of a route.
+    /// Prompt length in tokens for which a request must find room: its own, raised towards that of
+    /// a large prompt by the shortage on its route.
     pub fn effective_prompt_tokens(&self, route: &str, prompt_tokens: Tokens) -> Tokens {
-        let Some(known) = self.routes.get(route) else {
+        let Some(demand) = self.routes.get(route) else {
             return prompt_tokens;
         };
-        let more = (known.large_prompt - as_f64(prompt_tokens)).max(0.0);
-        prompt_tokens + round_tokens(more * known.shortage())
+        let excess = (demand.large_prompt - as_f64(prompt_tokens)).max(0.0);
+        prompt_tokens + round_tokens(excess * demand.shortage())
     }
 
-    /// How short a route is of engines, from 0, where nobody is refused, up to 1.
+    /// Shortage of engines on a route, from 0 (no rejections) to 1.
     pub fn shortage(&self, route: &str) -> f64 {
         self.routes.get(route).map_or(0.0, RouteDemand::shortage)
     }
--- a/components/placing/src/length.rs
+++ b/components/placing/src/length.rs
@@ -1,8 +1,8 @@
-//! How long generations get: learned from those that ended, and from callers' estimates.
+//! Estimates how long answers will be, from finished generations and from callers' length hints.
 //!
-//! Lengths of a route spread like a lognormal. Callers' estimates are right at the median and spread
-//! more widely than the lengths themselves, so an estimate moves the expectation by a part of its
-//! distance only.
+//! The lengths of a route follow a log-normal distribution. Callers' hints are unbiased in the
+//! median but vary more widely than the lengths themselves, so a hint shifts the estimate only part
+//! of the way.
 
 use std::collections::HashMap;
 
@@ -10,47 +10,50 @@
 
 use crate::tuning::{as_f64, round_tokens};
 
-/// Spread of callers' estimates: standard deviation of their logarithm.
+/// Standard deviation of the logarithm of callers' hints.
 const HINT_LOG_STD_DEV: f64 = 1.2;
-/// Spread of lengths before any has ended.
+/// Standard deviation of the logarithm of lengths before any generation of a route has finished.
 const PRIOR_LOG_STD_DEV: f64 = 0.8;
-/// Median length before any has ended, as a part of the longest allowed.
+/// Median length before any generation has finished, as a share of the maximum length.
 const PRIOR_MEDIAN_SHARE: f64 = 0.3;
-/// How many ended generations the prior is worth.
+/// Weight of the prior, in finished generations.
 const PRIOR_WEIGHT: f64 = 5.0;
-/// Ended generations that are remembered, about; older ones fade.
+/// Approximate number of finished generations that an estimate covers; older ones lose weight.
 const MAX_WEIGHT: f64 = 500.0;
-/// The narrowest spread; with less, one odd generation would seem impossible.
+/// Lower bound of the standard deviation. Below it a single outlier would have a probability of
+/// practically zero.
 const MIN_LOG_STD_DEV: f64 = 0.1;
-/// Steps in which the rest of a generation is summed up.
+/// Number of steps in the numeric integration of the remaining length.
 const INTEGRATION_STEPS: u32 = 24;
 
-/// What is expected of one generation's length.
+/// Estimated distribution of the length of one generation: log-normal, cut off at the maximum
+/// length.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LengthEstimate {
-    /// Mean of the logarithm of its tokens.
+    /// Mean of the logarithm of the length in tokens.
     log_mean: f64,
-    /// Standard deviation of that.
+    /// Standard deviation of the logarithm of the length.
     log_std_dev: f64,
     max_tokens: Tokens,
 }
 
 impl LengthEstimate {
-    /// The chance that one that has made `made` tokens makes `more` at least.
+    /// Probability that a generation with `tokens_generated` tokens generates at least `more`
+    /// further tokens.
     #[must_use]
     pub fn survival_probability(&self, tokens_generated: Tokens, more: Tokens) -> f64 {
         if tokens_generated + more >= self.max_tokens {
             return 0.0;
         }
-        let now = self.tail_probability(tokens_generated);
-        if now <= f64::EPSILON {
-            // It outlived all expectation, and may end any moment.
+        let current = self.tail_probability(tokens_generated);
+        if current <= f64::EPSILON {
+            // Longer than the distribution allows for: it may end at any moment.
             return 0.5;
         }
-        (self.tail_probability(tokens_generated + more) / now).clamp(0.0, 1.0)
+        (self.tail_probability(tokens_generated + more) / current).clamp(0.0, 1.0)
     }
 
-    /// Tokens that one that has made `made` still makes on average.
+    /// Expected number of further tokens of a generation that has `tokens_generated` tokens.
     #[must_use]
     pub fn expected_remaining(&self, tokens_generated: Tokens) -> Tokens {
         let remaining = self.max_tokens.saturating_sub(tokens_generated);
@@ -58,14 +61,14 @@
         let mut sum = 0.0;
         let mut at = 0;
         while at < remaining {
-            let wide = step.min(remaining - at);
-            sum += self.survival_probability(tokens_generated, at + wide / 2) * as_f64(wide);
+            let width = step.min(remaining - at);
+            sum += self.survival_probability(tokens_generated, at + width / 2) * as_f64(width);
             at += step;
         }
         round_tokens(sum)
     }
 
-    /// The chance to get longer than so many tokens.
+    /// Probability of more than `tokens` tokens.
     fn tail_probability(&self, tokens: Tokens) -> f64 {
         if tokens == 0 {
             return 1.0;
@@ -79,18 +82,18 @@
 struct LogNormalFit {
     weight: f64,
     log_mean: f64,
-    /// Sum of squared distances from the mean.
+    /// Sum of the squared deviations from the mean.
     squared_distances: f64,
 }
 
-/// What was learned of each route's lengths.
+/// Length distributions of all routes, updated with each finished generation.
 #[derive(Debug, Default)]
 pub struct LengthEstimator {
     routes: HashMap<RouteId, LogNormalFit>,
 }
 
 impl LengthEstimator {
-    /// Learns from a generation that came to its end.
+    /// Records the length of a finished generation.
     pub fn record(&mut self, route: &RouteId, max_tokens: Tokens, tokens_generated: Tokens) {
         if tokens_generated == 0 {
             return;
@@ -103,14 +106,14 @@
             fit.weight /= 2.0;
             fit.squared_distances /= 2.0;
         }
-        let seen = as_f64(tokens_generated).ln();
-        let before = seen - fit.log_mean;
+        let log_length = as_f64(tokens_generated).ln();
+        let deviation = log_length - fit.log_mean;
         fit.weight += 1.0;
-        fit.log_mean += before / fit.weight;
-        fit.squared_distances += before * (seen - fit.log_mean);
+        fit.log_mean += deviation / fit.weight;
+        fit.squared_distances += deviation * (log_length - fit.log_mean);
     }
 
-    /// What is expected of a new generation.
+    /// Length estimate for a new generation.
     #[must_use]
     pub fn estimate(
         &self,
--- a/components/placing/src/lib.rs
+++ b/components/placing/src/lib.rs
@@ -1,7 +1,9 @@
-//! Decides on which engine a generation runs, and where it goes on when its engine leaves.
+//! Decides which engine runs a generation, and where a generation migrates when its engine shuts
+//! down.
 //!
-//! For each service one instance, its owner, keeps the account of what runs on which engine. The
-//! decisions take the time and what happened as arguments; there is no I/O and no clock in here.
+//! The engines of a service are divided into shards. Each shard has one owner instance, which
+//! accounts for the generations on its engines. Decisions depend only on their arguments, which
+//! include the time; this crate does no I/O and reads no clock.
 
 pub mod account;
 mod demand;
--- a/components/placing/src/memory.rs
+++ b/components/placing/src/memory.rs
@@ -1,32 +1,33 @@
-//! How much of an engine's memory its generations will take at the worst moment to come.
+//! Projects the peak memory use of the generations on an engine.
 //!
-//! Promising each generation the memory of its end wastes most of it, for they don't end together:
-//! when one is at its longest, others have gone. So the sum is looked at over the coming tokens:
-//! at each point what those that still run hold then, weighed by the chance that they do, and a
-//! margin for the spread of that sum.
+//! Reserving the final size of every generation wastes most of the memory, because generations do
+//! not end together: by the time one is at its longest, others have finished. The projection
+//! therefore looks at several points ahead. At each point it sums the memory of all generations,
+//! weighted by the probability that they still run then, and adds a margin for the variance of the
+//! sum.
 
 use types::Tokens;
 
 use crate::{length::LengthEstimate, tuning::as_f64};
 
-/// Points ahead, in tokens of each generation, at which the sum is looked at.
+/// Points of the projection, in tokens that each generation has generated from now on.
 const LOOKAHEAD_TOKENS: [Tokens; 9] = [0, 60, 120, 240, 480, 800, 1_200, 1_500, 1_900];
-/// Standard deviations of the sum that are added. With none, one engine in two would be fuller
-/// than promised at its worst moment.
+/// Margin in standard deviations of the sum. Without a margin, one engine in two would exceed the
+/// projection at its peak.
 const MARGIN_STD_DEVS: f64 = 1.0;
 
-/// One generation or copy in an engine's memory.
+/// Memory of one generation, or of the copy of one, on an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Allocation {
-    /// Tokens of its prompt.
+    /// Length of the prompt.
     pub prompt_tokens: Tokens,
-    /// Tokens made so far.
+    /// Tokens generated so far.
     pub tokens_generated: Tokens,
-    /// What is expected of its length.
+    /// Estimate of the answer's length.
     pub length: LengthEstimate,
 }
 
-/// Tokens held at the worst moment to come.
+/// Projected peak of the tokens in memory.
 #[must_use]
 pub fn peak_tokens(allocations: &[Allocation]) -> f64 {
     LOOKAHEAD_TOKENS
@@ -35,10 +36,10 @@
         .fold(0.0, f64::max)
 }
 
-/// Tokens held if each generation kept its memory to the end of all.
+/// Tokens in memory if every generation kept its memory until all have ended.
 #[must_use]
 pub fn sum_of_final_tokens(allocations: &[Allocation]) -> f64 {
-    let end = |allocation: &Allocation| {
+    let final_tokens = |allocation: &Allocation| {
         let tokens_generated = allocation.tokens_generated;
         as_f64(
             allocation.prompt_tokens
@@ -46,7 +47,7 @@
                 + allocation.length.expected_remaining(tokens_generated),
         )
     };
-    allocations.iter().map(end).sum()
+    allocations.iter().map(final_tokens).sum()
 }
 
 fn expected_tokens(allocations: &[Allocation], ahead: Tokens) -> f64 {
--- a/components/placing/src/message.rs
+++ b/components/placing/src/message.rs
@@ -1,4 +1,4 @@
-//! What instances tell one another about generations.
+//! Messages that instances exchange about the placement of generations.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,175 +7,177 @@
 
 use crate::shard::Shard;
 
-/// Id of one generation: that of its request.
+/// Id of a generation; the same as the id of its request.
 pub type GenerationId = Arc<str>;
 
-/// What stays the same of a request when its caller sends it again under another id.
+/// Hash of the request's content. It stays the same when the caller retries under another request
+/// id.
 pub type RequestDigest = u64;
 
-/// An entry asks for an engine.
+/// Request of an entry for an engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PlacementRequest {
-    /// The generation.
+    /// Generation to place.
     #[serde(rename = "run")]
     pub generation: GenerationId,
-    /// The request, whatever its id.
+    /// Hash of the request's content.
     pub digest: RequestDigest,
-    /// Who asks.
+    /// Entry that sends this.
     pub entry: InstanceId,
-    /// The entry's data centre.
+    /// Data centre of the entry.
     pub data_centre: DataCentreId,
-    /// The part of the service's engines that is asked for.
+    /// Shard whose engines are considered.
     pub shard: Shard,
-    /// The route, by which lengths are learned.
+    /// Route of the request; lengths are estimated by route.
     pub route: RouteId,
-    /// Tokens of the prompt.
+    /// Length of the prompt.
     #[serde(rename = "prompt")]
     pub prompt_tokens: Tokens,
-    /// Tokens of the longest answer allowed.
+    /// Maximum length of the answer.
     #[serde(rename = "longest")]
     pub max_tokens: Tokens,
-    /// The caller's estimate of the answer's tokens.
+    /// The caller's estimate of the answer's length in tokens.
     #[serde(rename = "hint")]
     pub length_hint: Option<Tokens>,
-    /// Rank, the lowest first.
+    /// Priority; lower values go first.
     #[serde(rename = "rank")]
     pub priority: u32,
-    /// Time left until the first event should be out, counted from this request's arrival.
+    /// Time left until the first event is due, counted from the arrival of this request.
     #[serde(rename = "aim_left")]
     pub objective_left: Duration,
-    /// Time that the caller still waits.
+    /// Time left until the caller gives up.
     #[serde(rename = "left")]
     pub deadline_left: Duration,
-    /// How long it has waited already.
+    /// Time since the arrival of this request.
     pub waited: Duration,
-    /// Engines that have refused or failed it.
+    /// Engines that have rejected or failed this request.
     pub avoid: Vec<TargetId>,
 }
 
-/// The owner's answer.
+/// Answer of the owner to a placement request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PlacementAnswer {
-    /// Send it there.
+    /// An engine was assigned.
     #[serde(rename = "Go")]
     Assigned {
-        /// The engine.
+        /// Engine to send the request to.
         target: TargetId,
     },
-    /// No room now; ask again.
+    /// No engine has room now; the entry asks again later.
     Wait {
-        /// When.
+        /// Time after which to ask again.
         after: Duration,
     },
-    /// No room in time; the caller should come back.
+    /// No engine will have room in time; the caller is told to retry.
     #[serde(rename = "Full")]
     Rejected {
-        /// When.
+        /// Time after which the caller should retry.
         after: Duration,
     },
 }
 
-/// What happened to a generation.
+/// Change in the state of a generation, sent by its entry to the owner.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum GenerationUpdate {
-    /// Its first event has come.
+    /// The first event has arrived.
     Started {
-        /// The generation.
+        /// Generation that started.
         #[serde(rename = "run")]
         generation: GenerationId,
     },
-    /// It holds nothing any more.
+    /// The generation no longer occupies its engine.
     Ended {
-        /// The generation.
+        /// Generation that ended.
         #[serde(rename = "run")]
         generation: GenerationId,
-        /// The engine refused or failed it.
+        /// Whether the engine rejected or failed it.
         #[serde(rename = "doubt")]
         target_failed: bool,
-        /// Tokens that it made, if it came to its end.
+        /// Length of the answer; `None` if the generation did not finish.
         #[serde(rename = "made")]
         tokens_generated: Option<Tokens>,
     },
 }
 
-/// A generation that an entry holds.
+/// A generation as its entry reports it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ActiveGeneration {
-    /// The generation.
+    /// Id of the generation.
     #[serde(rename = "run")]
     pub generation: GenerationId,
-    /// Its service.
+    /// Service that the generation belongs to.
     pub service: ServiceId,
-    /// The engine.
+    /// Engine that runs the generation.
     pub target: TargetId,
-    /// Tokens of the prompt.
+    /// Length of the prompt.
     #[serde(rename = "prompt")]
     pub prompt_tokens: Tokens,
-    /// Tokens made so far.
+    /// Tokens generated so far.
     #[serde(rename = "made")]
     pub tokens_generated: Tokens,
-    /// Its route.
+    /// Route of the request.
     pub route: RouteId,
-    /// Tokens of the longest answer allowed.
+    /// Maximum length of the answer.
     #[serde(rename = "longest")]
     pub max_tokens: Tokens,
-    /// The caller's estimate of the answer's tokens.
+    /// The caller's estimate of the answer's length in tokens.
     #[serde(rename = "hint")]
     pub length_hint: Option<Tokens>,
-    /// Rank, the lowest first.
+    /// Priority; lower values go first.
     #[serde(rename = "rank")]
     pub priority: u32,
-    /// Whether its first event has come.
+    /// Whether the first event has arrived.
     pub started: bool,
 }
 
-/// All that an entry holds on engines of one account, sent to the owner from time to time: what single notes lost on their
-/// way, and what a new owner must learn.
+/// All generations of one entry on the engines of one shard. Entries send it to the owner
+/// periodically: it makes up for lost updates and rebuilds the state of a new owner.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct StateSync {
-    /// The entry.
+    /// Entry that sends this.
     pub entry: InstanceId,
-    /// The part of a service's engines that this is about.
+    /// Shard that this covers.
     pub shard: Shard,
-    /// What it holds there.
+    /// The entry's generations there.
     #[serde(rename = "runs")]
     pub generations: Vec<ActiveGeneration>,
 }
 
-/// How full an engine is.
+/// Load of one engine as its owner accounts for it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct EngineLoad {
-    /// The engine.
+    /// Id of the engine.
     pub target: TargetId,
-    /// Time until it has read the prompts that it was given.
+    /// Time until the engine has processed all prompts assigned to it.
     #[serde(rename = "busy")]
     pub prefill_backlog: Duration,
-    /// Generations there.
+    /// Number of generations on the engine.
     #[serde(rename = "runs")]
     pub generations: u32,
 }
 
-/// An order to an entry: carry a generation over to another engine.
+/// Order from an owner to an entry to migrate a generation to another engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Migration {
-    /// The generation.
+    /// Generation to migrate.
     #[serde(rename = "run")]
     pub generation: GenerationId,
-    /// Where it runs.
+    /// Engine that runs the generation.
     pub from: TargetId,
-    /// Where it is to go on.
+    /// Destination.
     pub to: TargetId,
 }
 
-/// How carrying over ended.
+/// Result of a migration.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum MigrationOutcome {
-    /// It goes on at the other engine.
+    /// The generation continues on the destination.
     Done,
-    /// The other engine has no room, or can't be reached; the generation still runs.
+    /// The destination has no room or cannot be reached; the generation still runs on its engine.
     NoRoom,
-    /// There is nothing to move: not begun, ended, or held by somebody else.
+    /// There is nothing to migrate: the generation has not started, has ended, or is not held by
+    /// this entry.
     Nothing,
-    /// It was lost on the way.
+    /// The generation was lost during the migration.
     Lost,
 }
--- a/components/placing/src/migration.rs
+++ b/components/placing/src/migration.rs
@@ -1,10 +1,10 @@
-//! Carrying generations over from an engine that leaves.
+//! Migration of generations off an engine that shuts down.
 //!
-//! An engine that is reclaimed is gone within about two seconds of its notice, and all links copy
-//! one generation after the other. Where each instance moves its own generations, a short final
-//! copy queues behind somebody's long first one, and the caller sees a pause of up to a second.
-//! So the owner plans for all of them: one generation at a time off each engine, the long first
-//! copy and the short final one, then the next.
+//! An engine that is reclaimed stops about two seconds after its notice, and every link copies one
+//! generation at a time. If each instance migrated its own generations independently, a short final
+//! copy would queue behind the long first copy of another generation, and the caller would see a
+//! pause of up to a second. So the owner plans all migrations: one generation at a time off each
+//! engine, with its long first copy and its short final copy, before the next one begins.
 
 use std::{cmp::Reverse, sync::Arc, time::Duration};
 
@@ -16,23 +16,27 @@
     owner::Owner,
 };
 
-/// Between data centres a copy takes this many times as long.
+/// Factor by which a copy between data centres is slower.
 const REMOTE_COPY_FACTOR: u32 = 2;
-/// Part of the time in which a destination reads prompts that delays what goes on there: each
-/// step of the batch waits for a chunk of a prompt.
+/// Share of the destination's prefill backlog that delays a migrated generation: every step of the
+/// batch waits for a chunk of a prompt.
 const PREFILL_DELAY_SHARE: f64 = 0.3;
-/// What each generation at a destination adds in the same sense: steps grow with the batch, and
-/// more is at stake on one engine.
+/// Penalty for each generation on the destination: steps take longer with a larger batch, and more
+/// streams break if that engine fails.
 const DELAY_PER_GENERATION: Duration = Duration::from_millis(12);
 
 impl Owner {
-    /// The next generation to carry over from an engine that leaves, given its data centre, the
-    /// engines that may get work, and which pairs not to try. `None` if none can be moved now; one that has not begun may be later.
+    /// Plans the next migration off the engine `from`, which shuts down.
+    ///
+    /// `home` is the data centre of `from`, `engines` are the candidates for the destination, and
+    /// `is_excluded` tells which pairs must not be tried. Returns `None` if nothing can be migrated
+    /// now; a generation that has not started may become eligible later. The planned generation
+    /// occupies a slot and memory on the destination until `finish_migration`.
     pub fn next_migration(
         &mut self,
         now: Moment,
         from: &TargetId,
-        home: &DataCentreId,
+        data_centre: &DataCentreId,
         engines: &[Engine],
         is_excluded: &dyn Fn(&GenerationId, &TargetId) -> bool,
     ) -> Option<Migration> {
@@ -41,8 +45,9 @@
             let Some(generation) = self.generations.get(&id).cloned() else {
                 continue;
             };
-            let refused = |to: &TargetId| is_excluded(&id, to);
-            let Some(to) = self.destination(now, &generation, home, engines, &refused) else {
+            let excluded = |to: &TargetId| is_excluded(&id, to);
+            let Some(to) = self.destination(now, &generation, data_centre, engines, &excluded)
+            else {
                 continue;
             };
             self.reserve(&id, &to);
@@ -55,7 +60,7 @@
         None
     }
 
-    /// Notes how carrying over ended.
+    /// Records the result of a migration.
     pub fn finish_migration(&mut self, migration: &Migration, outcome: MigrationOutcome) {
         if let Some(account) = self.accounts.get_mut(&migration.to) {
             account.incoming_copies.remove(&migration.generation);
@@ -77,7 +82,7 @@
             .insert(Arc::clone(&migration.generation));
     }
 
-    /// Whether anything in the account runs on an engine.
+    /// Whether any known generation runs on an engine.
     #[must_use]
     pub fn has_generations_on(&self, target: &TargetId) -> bool {
         self.accounts
@@ -85,8 +90,9 @@
             .is_some_and(|account| !account.generations.is_empty())
     }
 
-    /// Generations that have begun and that the engine's end would cut, the longest rest first:
-    /// those with little left may end by themselves.
+    /// Generations on an engine that have started and are not being migrated. Those with the
+    /// longest expected remaining time come first, because the others may finish before the engine
+    /// stops.
     fn migratable(&self, now: Moment, from: &TargetId) -> Vec<GenerationId> {
         let Some(account) = self.accounts.get(from) else {
             return Vec::new();
@@ -111,41 +117,41 @@
             .collect()
     }
 
-    /// The engine that gives a generation the shortest pause: near, with few copies coming in,
-    /// few prompts to read and free memory.
+    /// Selects the engine with the shortest expected pause for a generation: in the same data
+    /// centre, with few incoming copies, a short prefill backlog and few generations.
     fn destination(
         &mut self,
         now: Moment,
         generation: &Generation,
-        home: &DataCentreId,
+        data_centre: &DataCentreId,
         engines: &[Engine],
-        refused: &dyn Fn(&TargetId) -> bool,
+        excluded: &dyn Fn(&TargetId) -> bool,
     ) -> Option<TargetId> {
         let allocation = generation.allocation(now, self.throughput(&generation.service));
-        let size = allocation.prompt_tokens + allocation.tokens_generated;
+        let tokens_held = allocation.prompt_tokens + allocation.tokens_generated;
         let mut best = None;
         for engine in engines {
-            if engine.id == generation.target || refused(&engine.id) {
+            if engine.id == generation.target || excluded(&engine.id) {
                 continue;
             }
             if !self.has_room(now, engine, allocation, self.tuning.memory_share) {
                 continue;
             }
-            let tokens = u32::try_from(size).unwrap_or(u32::MAX);
-            let mut copy = engine.token_copy_time.saturating_mul(tokens);
-            if *home != engine.data_centre {
-                copy = copy.saturating_mul(REMOTE_COPY_FACTOR);
+            let tokens = u32::try_from(tokens_held).unwrap_or(u32::MAX);
+            let mut copy_time = engine.token_copy_time.saturating_mul(tokens);
+            if *data_centre != engine.data_centre {
+                copy_time = copy_time.saturating_mul(REMOTE_COPY_FACTOR);
             }
             let account = self.account(&engine.id);
             let incoming = u32::try_from(account.incoming_copies.len()).unwrap_or(u32::MAX);
-            let queued = copy.saturating_mul(incoming);
-            let reading = account
+            let copy_queue = copy_time.saturating_mul(incoming);
+            let prefill_delay = account
                 .prefill_until
                 .saturating_sub(now)
                 .mul_f64(PREFILL_DELAY_SHARE);
-            let crowd = DELAY_PER_GENERATION
+            let batch_delay = DELAY_PER_GENERATION
                 .saturating_mul(u32::try_from(account.generations.len()).unwrap_or(0));
-            let cost = copy + queued + reading + crowd;
+            let cost = copy_time + copy_queue + prefill_delay + batch_delay;
             if best.as_ref().is_none_or(|(least, _)| cost < *least) {
                 best = Some((cost, Arc::clone(&engine.id)));
             }
--- a/components/placing/src/owner.rs
+++ b/components/placing/src/owner.rs
@@ -1,4 +1,4 @@
-//! The account of a service's engines, and the choice among them.
+//! State of the generations on the engines of a service, and the choice of an engine for a request.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -23,31 +23,31 @@
     tuning::{Tuning, as_f64},
 };
 
-/// Tokens that each generation in an engine's queue stands for.
+/// Assumed prompt length of each generation in an engine's reported queue.
 const QUEUED_PROMPT_TOKENS: Tokens = 2_700;
 
-/// The account of all generations that this instance has granted or was told of.
+/// State of all generations that this instance has assigned to engines or learned of.
 ///
-/// It is soft state: a new owner learns it from the entries' syncs, and one that is wrong costs
-/// waiting or preemption, never a wrong answer.
+/// The state is soft: a new owner rebuilds it from the entries' syncs, and errors in it cost
+/// waiting or preemption but never a wrong answer.
 #[derive(Debug, Default)]
 pub struct Owner {
     pub(crate) tuning: Tuning,
     pub(crate) accounts: BTreeMap<TargetId, EngineAccount>,
     pub(crate) generations: HashMap<GenerationId, Generation>,
     pub(crate) lengths: LengthEstimator,
-    /// How fast each service's engines work.
+    /// Measured speed of each service's engines.
     pub(crate) throughputs: HashMap<ServiceId, ThroughputEstimator>,
-    /// What is asked for, by route.
+    /// Demand by route.
     pub(crate) demand: Demand,
-    /// Callers that were told to come back.
+    /// Rejected callers that are expected to retry.
     pub(crate) retries: RetrySchedule,
-    /// Asks that were told to wait.
+    /// Requests that were told to wait.
     pub(crate) waiting: HashMap<GenerationId, WaitingRequest>,
 }
 
 impl Owner {
-    /// Starts with an empty account.
+    /// Creates an owner that knows of no generations.
     #[must_use]
     pub fn new(tuning: Tuning) -> Self {
         Self {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Answers an ask, given the engines of its service that may get work.
+    /// Answers a placement request, given the engines of its shard that may be given work.
     pub fn place(
         &mut self,
         now: Moment,
@@ -64,7 +64,8 @@
         engines: &[Engine],
     ) -> PlacementAnswer {
         self.remove_stale(now);
-        // Asked again after an answer that got lost: the grant before holds nothing.
+        // A repeated request means that the previous answer was lost: an engine assigned then is
+        // not used.
         self.release(&request.generation);
         if !self.waiting.contains_key(&request.generation) {
             self.demand
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Tokens by which room is looked for: between an ask's own and those of a large prompt of its
-    /// route.
+    /// Prompt length for which the request must find room: between its own and that of a large
+    /// prompt of its route.
     fn effective_prompt_tokens(&self, request: &PlacementRequest) -> Tokens {
         if self.tuning.levels_prompt_sizes {
             self.demand
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Whether the first event comes in time, or on an engine that would idle otherwise.
+    /// Whether the first event arrives within the objective, or the engine would be idle otherwise.
     fn can_meet_objective(
         &self,
         evaluated: &EvaluatedRequest<'_>,
@@ -130,7 +131,7 @@
         idle || (!evaluated.is_late() && large <= evaluated.objective_left)
     }
 
-    /// Notes what happened to a generation.
+    /// Applies an entry's update about a generation.
     pub fn apply_update(&mut self, now: Moment, update: &GenerationUpdate) {
         match update {
             GenerationUpdate::Started { generation } => self.mark_started(now, generation),
@@ -148,13 +149,13 @@
         }
     }
 
-    /// Takes what an engine says of itself. An instance that reaches nobody else knows only its own
-    /// generations; without reports it would take engines for empty that others have filled.
+    /// Records an engine's own load report. An instance that cannot reach any other instance knows
+    /// only its own generations; without reports, engines filled by others would look empty to it.
     pub fn record_report(&mut self, now: Moment, target: &TargetId, report: LoadReport) {
         self.account(target).report = Some((now, report));
     }
 
-    /// How full the engines are.
+    /// Load of all known engines.
     #[must_use]
     pub fn loads(&self, now: Moment) -> Vec<EngineLoad> {
         let load = |(target, account): (&TargetId, &EngineAccount)| EngineLoad {
@@ -165,26 +166,26 @@
         self.accounts.iter().map(load).collect()
     }
 
-    /// A generation in the account.
+    /// Returns a known generation.
     #[must_use]
     pub fn generation(&self, id: &str) -> Option<&Generation> {
         self.generations.get(id)
     }
 
-    /// Puts an engine aside for a while.
+    /// Assigns no new work to an engine for the length of the failure cooldown.
     pub fn mark_uncertain(&mut self, now: Moment, target: &TargetId) {
         let until = now + self.tuning.failure_cooldown;
         self.account(target).uncertain_until = until;
     }
 
-    /// Forgets engines that hold nothing and are no longer listed.
+    /// Drops engines that have no generations and are no longer listed.
     pub fn retain_engines(&mut self, listed: impl Fn(&TargetId) -> bool) {
         self.accounts.retain(|id, account| {
             !account.generations.is_empty() || !account.incoming_copies.is_empty() || listed(id)
         });
     }
 
-    /// Forgets an engine that is gone, or began a new life.
+    /// Drops an engine that is gone or has restarted, with its generations.
     pub fn remove_engine(&mut self, target: &TargetId) {
         let Some(account) = self.accounts.remove(target) else {
             return;
@@ -216,7 +217,7 @@
         best.map(|(_, time_to_first_event, engine)| (time_to_first_event, Arc::clone(&engine.id)))
     }
 
-    /// Time until the first event of a prompt given to an engine now.
+    /// Time until the first event of a request that is sent to an engine now.
     fn time_to_first_event(
         &mut self,
         now: Moment,
@@ -233,9 +234,9 @@
         known.max(reported_prefill) + evaluated.prefill_time
     }
 
-    /// How late an engine is with the first event that it owes for longest. One that has gone dark
-    /// is listed for seconds still, and would look emptier from moment to moment: each prompt that
-    /// goes there meanwhile is lost.
+    /// The longest time by which a first event from an engine is overdue. An engine that has failed
+    /// silently stays listed for some seconds, and its expected prefill backlog keeps shrinking, so
+    /// it would attract every new request until then.
     fn first_event_delay(&self, now: Moment, target: &TargetId) -> Duration {
         let Some(account) = self.accounts.get(target) else {
             return Duration::ZERO;
@@ -255,16 +256,16 @@
         (now.saturating_sub(at) < self.tuning.report_max_age).then_some(report)
     }
 
-    /// Tokens that others hold on an engine, as far as its own report tells.
-    fn tokens_of_others(&self, now: Moment, target: &TargetId, mine: &[Allocation]) -> f64 {
+    /// Tokens that other instances' generations hold on an engine, according to its last report.
+    fn foreign_tokens(&self, now: Moment, target: &TargetId, own: &[Allocation]) -> f64 {
         let Some(report) = self.fresh_report(now, target) else {
             return 0.0;
         };
-        let mine: Tokens = mine
+        let own: Tokens = own
             .iter()
             .map(|allocation| allocation.prompt_tokens + allocation.tokens_generated)
             .sum();
-        as_f64(report.tokens_held.saturating_sub(mine))
+        as_f64(report.tokens_held.saturating_sub(own))
     }
 
     fn placement_penalty(
@@ -274,23 +275,24 @@
         engine: &Engine,
     ) -> Duration {
         let tuning = self.tuning;
-        let filled = self.projected_tokens(&self.allocations(now, &engine.id))
+        let memory_used = self.projected_tokens(&self.allocations(now, &engine.id))
             / as_f64(engine.memory.max(1));
-        let mut extra = tuning
+        let mut penalty = tuning
             .memory_pressure_penalty
-            .mul_f64(filled.clamp(0.0, 1.0));
+            .mul_f64(memory_used.clamp(0.0, 1.0));
         if engine.data_centre != request.data_centre {
-            extra += tuning.remote_penalty;
+            penalty += tuning.remote_penalty;
         }
-        extra
+        penalty
     }
 
-    /// Whether an engine has a place for one more generation, and a share of its memory.
+    /// Whether an engine has a free slot, and room for one more generation within a share of its
+    /// memory.
     pub(crate) fn has_room(
         &mut self,
         now: Moment,
         engine: &Engine,
-        more: Allocation,
+        added: Allocation,
         share: f64,
     ) -> bool {
         let account = self.account(&engine.id);
@@ -302,12 +304,12 @@
             return false;
         }
         let mut allocations = self.allocations(now, &engine.id);
-        let others = self.tokens_of_others(now, &engine.id, &allocations);
-        allocations.push(more);
-        self.projected_tokens(&allocations) + others <= as_f64(engine.memory) * share
+        let others_tokens = self.foreign_tokens(now, &engine.id, &allocations);
+        allocations.push(added);
+        self.projected_tokens(&allocations) + others_tokens <= as_f64(engine.memory) * share
     }
 
-    /// Memory that is promised to generations on one engine.
+    /// Tokens that count as reserved for the generations on an engine.
     fn projected_tokens(&self, allocations: &[Allocation]) -> f64 {
         if self.tuning.uses_peak_memory {
             peak_tokens(allocations)
@@ -316,7 +318,7 @@
         }
     }
 
-    /// All that holds memory on an engine: its generations, and copies that come in.
+    /// Allocations on an engine: those of its generations and of incoming copies.
     fn allocations(&self, now: Moment, target: &TargetId) -> Vec<Allocation> {
         let Some(account) = self.accounts.get(target) else {
             return Vec::new();
@@ -327,16 +329,16 @@
             .collect()
     }
 
-    /// The chance that a generation which is begun now has ended within a time.
+    /// Probability that a generation that starts now ends within `time`.
     #[must_use]
     pub fn completion_probability(&self, request: &PlacementRequest, time: Duration) -> f64 {
         let length = self.estimate_length(&request.route, request.max_tokens, request.length_hint);
         let throughput = self.throughput(&request.shard.service);
-        let writing = time.saturating_sub(throughput.prefill_time(request.prompt_tokens));
-        1.0 - length.survival_probability(0, throughput.tokens_in(writing))
+        let decode_budget = time.saturating_sub(throughput.prefill_time(request.prompt_tokens));
+        1.0 - length.survival_probability(0, throughput.tokens_in(decode_budget))
     }
 
-    /// What is expected of a generation's length.
+    /// Estimates the length of an answer.
     pub(crate) fn estimate_length(
         &self,
         route: &str,
@@ -347,7 +349,7 @@
         self.lengths.estimate(route, max_tokens, length_hint)
     }
 
-    /// How fast a service's engines work, as far as they have shown it.
+    /// Speed of a service's engines: measured, or configured while nothing was measured.
     pub(crate) fn throughput(&self, service: &ServiceId) -> Throughput {
         let estimator = self
             .throughputs
@@ -363,34 +365,35 @@
             .or_insert_with(|| ThroughputEstimator::new(prior))
     }
 
-    /// Learns from a first event. An engine reads one prompt after the other, so this one's turn
-    /// came when the one before it had been read.
+    /// Records the prefill time that a first event shows. An engine processes one prompt after the
+    /// other, so prefill began at the previous first event or at the assignment, whichever came
+    /// later.
     fn record_prefill(&mut self, now: Moment, generation: &Generation) {
         let account = self.account(&generation.target);
-        let from = account.last_first_event.max(generation.granted_at);
+        let from = account.last_first_event.max(generation.assigned_at);
         account.last_first_event = now;
         let time = now.saturating_sub(from);
         self.estimator(&generation.service)
             .record_prefill(generation.prompt_tokens, time);
     }
 
-    /// Learns from how far a generation has come since its entry last told.
-    pub(crate) fn record_decode(&mut self, now: Moment, running: &ActiveGeneration) {
-        let known = self.generations.get(&running.generation);
+    /// Records the generation speed since the entry's previous sync.
+    pub(crate) fn record_decode(&mut self, now: Moment, reported: &ActiveGeneration) {
+        let known = self.generations.get(&reported.generation);
         let Some(generation) = known.filter(|generation| {
             generation.started_at.is_some() && generation.tokens_generated > 0
         }) else {
             return;
         };
-        let tokens_generated = running
+        let tokens_generated = reported
             .tokens_generated
             .saturating_sub(generation.tokens_generated);
         let time = now.saturating_sub(generation.counted_at);
-        self.estimator(&running.service)
+        self.estimator(&reported.service)
             .record_decode(tokens_generated, time);
     }
 
-    /// Learns from a generation that came to its end.
+    /// Records the length of a finished generation.
     fn record_length(&mut self, id: &GenerationId, tokens_generated: Option<Tokens>) {
         if !self.tuning.learns_lengths {
             return;
@@ -415,7 +418,7 @@
             max_tokens: request.max_tokens,
             length: evaluated.length,
             priority: request.priority,
-            granted_at: now,
+            assigned_at: now,
             first_event_due,
             started_at: None,
             tokens_generated: 0,
@@ -441,7 +444,7 @@
         self.trim_prefill_backlog(now, &generation.target);
     }
 
-    /// Sets an engine free whose prompts are all read.
+    /// Shortens the prefill backlog of an engine to the prompts that have no first event yet.
     fn trim_prefill_backlog(&mut self, now: Moment, target: &TargetId) {
         let Some(account) = self.accounts.get(target) else {
             return;
@@ -456,12 +459,12 @@
                     .prefill_time(generation.prompt_tokens)
             })
             .sum();
-        let most = now + unread;
+        let latest = now + unread;
         let account = self.account(target);
-        account.prefill_until = account.prefill_until.min(most);
+        account.prefill_until = account.prefill_until.min(latest);
     }
 
-    /// Takes a generation out of the account; tells where it ran.
+    /// Removes a generation; returns the engine that it ran on.
     pub(crate) fn release(&mut self, id: &GenerationId) -> Option<TargetId> {
         let generation = self.generations.remove(id)?;
         if let Some(account) = self.accounts.get_mut(&generation.target) {
--- a/components/placing/src/ownership.rs
+++ b/components/placing/src/ownership.rs
@@ -1,22 +1,22 @@
-//! Which instance owns a service's account.
+//! Selects the instance that owns a shard.
 
 use types::InstanceId;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// An instance that may own.
+/// An instance that may own shards.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OwnerCandidate {
-    /// The instance.
+    /// Id of the instance.
     pub id: InstanceId,
-    /// Its share of processors, in thousandths of a core.
+    /// Processor share of the instance in thousandths of a core.
     pub capacity: u32,
 }
 
-/// Instances in the order in which they should own `service`: the strongest first, and among
-/// equals rendezvous hashing, so that a member that comes or goes moves only what it owns.
+/// Orders instances by their precedence as owner of `service`: by capacity, and among equals by
+/// rendezvous hashing, so that only the shards of an instance that joins or leaves change owners.
 ///
-/// An owner answers every entry's asks. One with a small part of a core answers late, and entries then
-/// take it for dead, decide for themselves and overfill engines.
+/// An owner answers the requests of all entries. With a small share of a core it answers late; the
+/// entries then consider it dead, place generations on their own and overfill engines.
 #[must_use]
 pub fn rank_owners(
     service: &str,
--- a/components/placing/src/queue.rs
+++ b/components/placing/src/queue.rs
@@ -1,4 +1,4 @@
-//! Who waits, who is refused, and whose turn it is.
+//! Decides which requests wait for an engine, in which order, and which are rejected.
 
 use std::{cmp::Reverse, sync::Arc, time::Duration};
 
@@ -15,30 +15,31 @@
     tuning::as_f64,
 };
 
-/// An ask as the account sees it.
+/// A placement request with the figures that the decision needs.
 pub(crate) struct EvaluatedRequest<'a> {
-    /// The ask itself.
+    /// The request as the entry sent it.
     pub request: &'a PlacementRequest,
-    /// Time until its first event should be out, counted from its caller's first request.
+    /// Time left until the first event is due, counted from the caller's first attempt.
     pub objective_left: Duration,
-    /// The pace of its service's engines.
+    /// Speed of the service's engines.
     pub throughput: Throughput,
-    /// Time to read its prompt.
+    /// Time to process the prompt.
     pub prefill_time: Duration,
-    /// Tokens by which room is looked for: more than its own where its prompt is small. Judged by
-    /// their own, large prompts would be refused while small ones that come later take each gap.
+    /// Prompt length for which the request must find room; larger than its own where its prompt is
+    /// small. If each request were judged by its own size, later small ones would take every gap,
+    /// and large ones would be rejected.
     pub effective_prompt_tokens: Tokens,
-    /// What is expected of its length.
+    /// Estimate of the answer's length.
     pub length: LengthEstimate,
 }
 
 impl EvaluatedRequest<'_> {
-    /// Whether even an idle engine could not serve it in time.
+    /// Whether even an idle engine could not meet the objective.
     pub fn is_late(&self) -> bool {
         self.objective_left < self.prefill_time
     }
 
-    /// What it is judged to hold.
+    /// Memory for which the request must find room.
     pub fn effective_allocation(&self) -> Allocation {
         Allocation {
             prompt_tokens: self.effective_prompt_tokens,
@@ -48,27 +49,28 @@
     }
 }
 
-/// An ask that was told to wait.
+/// A request that was told to wait.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingRequest {
-    /// The account that it waits for; others' engines are none of its concern.
+    /// Shard whose engines it waits for; requests for other shards do not compete with it.
     shard: Shard,
     late: bool,
     priority: u32,
-    /// How long it had waited when it last asked.
+    /// Time since its arrival, as of `last_asked_at`.
     waited: Duration,
-    /// When it last asked.
+    /// Time at which the entry last asked.
     last_asked_at: Moment,
 }
 
-/// The turn of a waiting ask. The lowest goes first: what can still be in time, then by rank, then
-/// by how long it has waited.
+/// Position of a waiting request; the lowest goes first. Requests that can still meet their
+/// objective come before late ones, then the order is by priority and by waiting time.
 type WaitOrder = (bool, u32, Reverse<Duration>, GenerationId);
 
 impl Owner {
-    /// Memory comes free when generations end, so waiting helps as long as the prompt can still
-    /// be read in time after it. Where more wait for it already than will probably end until
-    /// then, the caller would only wait to be refused.
+    /// Decides on a request that fits on no engine. Memory comes free as generations end, so
+    /// waiting helps while the prompt can still be processed in time afterwards. If more requests
+    /// already wait than generations are expected to end by then, the caller would only wait to be
+    /// rejected.
     pub(crate) fn wait_for_memory(
         &mut self,
         now: Moment,
@@ -81,23 +83,23 @@
             }
             return self.reject(now, evaluated, evaluated.prefill_time);
         }
-        let usable = evaluated
+        let time_for_waiting = evaluated
             .objective_left
             .saturating_sub(evaluated.prefill_time);
-        // Where there is no engine at all, any that comes has room.
+        // Without any engine there is nothing to forecast: an engine that joins will have room.
         if self.tuning.rejects_by_forecast && !engines.is_empty() {
-            let open = as_f64_count(self.engines_with_room(now, evaluated, engines));
-            let before = as_f64_count(self.waiting_ahead(now, evaluated));
-            let ends = self.expected_completions(now, evaluated, usable, engines);
-            if before + 1.0 > open + ends {
-                return self.reject(now, evaluated, usable);
+            let available = as_f64_count(self.engines_with_room(now, evaluated, engines));
+            let ahead = as_f64_count(self.waiting_ahead(now, evaluated));
+            let completions = self.expected_completions(now, evaluated, time_for_waiting, engines);
+            if ahead + 1.0 > available + completions {
+                return self.reject(now, evaluated, time_for_waiting);
             }
         }
         self.wait(now, evaluated)
     }
 
-    /// Generations that will probably have ended within a time: a standard deviation fewer than on
-    /// average.
+    /// Conservative estimate of how many generations end within `time`: the mean less one standard
+    /// deviation.
     fn expected_completions(
         &self,
         now: Moment,
@@ -121,10 +123,11 @@
         mean - variance.sqrt()
     }
 
-    /// Prompts are read at a fixed speed: one that can't be read in time now can't be later
-    /// either, for what is left of its time shrinks as fast as the queue. A caller that is late
-    /// already waits a little for an idle engine; others are told at once, and work that can
-    /// still be in time is not held up by theirs.
+    /// Decides on a request whose prompt cannot be processed in time. Prefill speed is constant, so
+    /// the time left shrinks as fast as the backlog: a prompt that is too late now stays too late.
+    /// A request that is late already waits a short time for an idle engine. All others are
+    /// rejected at once, and late requests do not hold up those that can still meet their
+    /// objective.
     pub(crate) fn wait_for_prefill(
         &mut self,
         now: Moment,
@@ -175,16 +178,18 @@
         };
         self.waiting
             .insert(Arc::clone(&request.generation), waiting);
-        // Each that waits asks again and again; together they must leave the owner its time.
-        let many =
+        // Every waiting entry asks again periodically; the interval grows with their number, so
+        // that the requests do not take all of the owner's time.
+        let steps =
             u32::try_from(self.waiting.len()).unwrap_or(u32::MAX) / self.tuning.waiting_per_step;
-        let after = self.tuning.wait_interval.saturating_mul(many + 1);
+        let after = self.tuning.wait_interval.saturating_mul(steps + 1);
         PlacementAnswer::Wait {
             after: after.min(self.tuning.max_wait_interval),
         }
     }
 
-    /// Engines that have room for an ask. Those that wait before it may take one each.
+    /// Number of engines that the request could use. Requests that wait ahead of it may take one
+    /// each.
     pub(crate) fn available_engines(
         &mut self,
         now: Moment,
@@ -197,48 +202,48 @@
         self.engines_with_room(now, evaluated, engines)
     }
 
-    /// Engines that have room for an ask.
+    /// Number of engines that have room for the request.
     fn engines_with_room(
         &mut self,
         now: Moment,
         evaluated: &EvaluatedRequest<'_>,
         engines: &[Engine],
     ) -> usize {
-        let open = |engine: &&Engine| self.can_admit(now, engine, evaluated);
-        engines.iter().filter(open).count()
+        let available = |engine: &&Engine| self.can_admit(now, engine, evaluated);
+        engines.iter().filter(available).count()
     }
 
-    /// How many wait whose turn comes before this one.
+    /// Number of waiting requests that go before this one.
     pub(crate) fn waiting_ahead(&mut self, now: Moment, evaluated: &EvaluatedRequest<'_>) -> usize {
         if !self.tuning.orders_waiting {
             return 0;
         }
-        let life = self.tuning.waiting_expiry;
+        let expiry = self.tuning.waiting_expiry;
         self.waiting
-            .retain(|_, waiting| now.saturating_sub(waiting.last_asked_at) < life);
+            .retain(|_, waiting| now.saturating_sub(waiting.last_asked_at) < expiry);
         let request = evaluated.request;
-        let mine: WaitOrder = (
+        let own: WaitOrder = (
             evaluated.is_late(),
             request.priority,
             Reverse(request.waited),
             Arc::clone(&request.generation),
         );
-        let before = |(generation, other): &(&GenerationId, &WaitingRequest)| {
+        let ahead = |(generation, other): &(&GenerationId, &WaitingRequest)| {
             let waited = other.waited + now.saturating_sub(other.last_asked_at);
-            let turn: WaitOrder = (
+            let other_order: WaitOrder = (
                 other.late,
                 other.priority,
                 Reverse(waited),
                 Arc::clone(generation),
             );
-            other.shard == request.shard && **generation != request.generation && turn < mine
+            other.shard == request.shard && **generation != request.generation && other_order < own
         };
-        self.waiting.iter().filter(before).count()
+        self.waiting.iter().filter(ahead).count()
     }
 
-    /// Whether an engine may take an ask, as far as its memory goes. Late work leaves more of it
-    /// free where many are refused, for what comes next and can be in time; and long work does, for the generations that
-    /// move when another engine leaves.
+    /// Whether the memory of an engine admits the request. Late requests must leave more memory
+    /// free where many are rejected, for the next ones that can meet their objective. Long ones
+    /// must leave room for generations that migrate when another engine shuts down.
     pub(crate) fn can_admit(
         &mut self,
         now: Moment,
@@ -258,27 +263,28 @@
         self.has_room(now, engine, evaluated.effective_allocation(), share)
     }
 
-    /// How long a caller that is late already waits: longer where few are refused, since it will
-    /// probably find room, and does not come back another time.
+    /// Maximum waiting time of a late request. It is longer where few are rejected, because the
+    /// request will probably find room, and the caller need not retry.
     fn max_late_wait(&self, evaluated: &EvaluatedRequest<'_>) -> Duration {
-        let (calm, short) = (
+        let (uncontended, contended) = (
             self.tuning.late_wait_uncontended,
             self.tuning.late_wait_contended,
         );
         let wait = interpolate(
-            calm.as_secs_f64(),
-            short.as_secs_f64(),
+            uncontended.as_secs_f64(),
+            contended.as_secs_f64(),
             self.shortage(evaluated),
         );
         Duration::from_secs_f64(wait)
     }
 
-    /// How short the route of an ask is of engines, from 0 up to 1.
+    /// Shortage of engines on the request's route, from 0 to 1.
     fn shortage(&self, evaluated: &EvaluatedRequest<'_>) -> f64 {
         self.demand.shortage(&evaluated.request.route)
     }
 
-    /// Whether a generation probably outlives the notice of an engine that is reclaimed.
+    /// Whether a generation will probably run for longer than a reclaimed engine does after its
+    /// notice.
     pub(crate) fn is_long(&self, evaluated: &EvaluatedRequest<'_>) -> bool {
         evaluated
             .throughput
@@ -287,12 +293,12 @@
     }
 }
 
-/// The value that lies a part of the way from one to another.
+/// Linear interpolation: `from` at a `part` of 0, `to` at 1.
 fn interpolate(from: f64, to: f64, part: f64) -> f64 {
     from + (to - from) * part
 }
 
-/// A count of engines or asks; far below the 52 bits that are exact.
+/// Converts a count of engines or requests; these are far below the 52 bits that are exact.
 fn as_f64_count(count: usize) -> f64 {
     as_f64(u64::try_from(count).unwrap_or(u64::MAX))
 }
--- a/components/placing/src/retry_schedule.rs
+++ b/components/placing/src/retry_schedule.rs
@@ -1,12 +1,11 @@
-//! Callers that were told to come back: known again when they do, and told times at which they do
-//! not all come together.
+//! Recognizes callers that retry after a rejection, and spreads their retries over time.
 //!
-//! A request that comes back has another id and may reach another instance. The time that its
-//! caller still waits does not tell how long it has waited, for callers differ in patience by
-//! seconds: taken for late by that, most callers got the place of one that is late, and most that
-//! were late the place of one that could still be in time. What stays the same is the request
-//! itself and the moment at which its caller gives up, so each refusal is remembered by both: two
-//! callers may ask for the very same.
+//! A retry has another request id and may reach another instance. The time left until the caller's
+//! deadline does not show how long it has waited, because callers' timeouts differ by seconds. When
+//! lateness was derived from it, most new requests were treated as late, and most late ones as if
+//! they could still meet their objective. What stays the same across retries is the content of the
+//! request and the moment of the caller's deadline. Each rejection is stored with both, because two
+//! callers may send identical requests.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -17,62 +16,63 @@
 
 use crate::message::{PlacementRequest, RequestDigest};
 
-/// Refusals that are remembered at most; the oldest is forgotten first. Two hundred refusals a
-/// second for the longest time after which callers come back are fewer.
+/// Maximum number of rejections that are stored; the oldest is dropped first. It exceeds 200
+/// rejections a second over the longest delay until a retry.
 const MAX_REMEMBERED: usize = 8_192;
-/// How far two such moments may lie apart for the same caller: the time that is left is told by the
-/// caller, and passes through an entry.
+/// Maximum difference between the deadlines of two requests of the same caller. The time left is
+/// measured by the caller and passes through an entry.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(250);
-/// Part of the time that a caller still waits after which it comes back at the latest; what is
-/// left must do for the whole answer.
+/// Maximum delay until a retry, as a share of the time left until the caller's deadline; the rest
+/// must do for the whole answer.
 const MAX_DELAY_SHARE: f64 = 1.0 / 3.0;
 
-/// Part of that time over which those are spread for whom there is no place before its end.
+/// Retries that find no slot before that maximum are spread over this share of it.
 const LATE_SPREAD_SHARE: f64 = 0.5;
-/// Multiples of it, less their whole parts, spread evenly however many there are.
+/// Fractional part of the golden ratio. The fractional parts of its multiples are spread evenly for
+/// any number of them.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_75;
 
-/// A refused request.
+/// A rejected request.
 #[derive(Clone, Copy, Debug)]
 struct RejectedRequest {
-    /// When it arrived for the first time.
+    /// Arrival of the caller's first attempt.
     first_arrival: Moment,
-    /// Its caller gives up then.
+    /// Moment at which the caller gives up.
     deadline: Moment,
 }
 
 impl RejectedRequest {
-    /// Whether an ask comes from the same caller.
+    /// Whether a request comes from the same caller.
     fn is_same_caller(&self, now: Moment, request: &PlacementRequest) -> bool {
         self.deadline.abs_diff(now + request.deadline_left) < DEADLINE_TOLERANCE
     }
 }
 
-/// Callers that were told to come back.
+/// Rejected requests, and the time slots that are assigned to their retries.
 #[derive(Debug, Default)]
 pub(crate) struct RetrySchedule {
     rejected: HashMap<RequestDigest, RejectedRequest>,
-    /// In the order in which they were first refused.
+    /// Digests in the order of their first rejection.
     order: VecDeque<RequestDigest>,
-    /// The next caller is told to come back then, or later.
+    /// Earliest slot for the next retry.
     next_slot: Moment,
-    /// Where in their spread the last caller came for whom that was too late, from 0 up to 1.
+    /// Position of the last retry without a slot within its spread, from 0 to 1.
     late_phase: f64,
 }
 
 impl RetrySchedule {
-    /// Time until the first event of an ask should be out, counted from its caller's first request.
+    /// Time left until the first event is due, counted from the caller's first attempt.
     pub fn objective_left(&self, now: Moment, request: &PlacementRequest) -> Duration {
         let known = self.rejected.get(&request.digest);
         let Some(rejected) = known.filter(|rejected| rejected.is_same_caller(now, request)) else {
             return request.objective_left;
         };
         let arrived = now.saturating_sub(request.waited);
-        let before = arrived.saturating_sub(rejected.first_arrival);
-        request.objective_left.saturating_sub(before)
+        let elapsed = arrived.saturating_sub(rejected.first_arrival);
+        request.objective_left.saturating_sub(elapsed)
     }
 
-    /// Notes that an ask is refused.
+    /// Records that a request is rejected.
     pub fn record_rejection(&mut self, now: Moment, request: &PlacementRequest) {
         let known = self.rejected.get(&request.digest);
         if known.is_some_and(|rejected| rejected.is_same_caller(now, request)) {
@@ -92,9 +92,10 @@
         }
     }
 
-    /// When a refused caller should come back: not before `earliest`, and each `spacing` after the
-    /// one before, as long as that leaves it time enough; else spread over the time that it has. A
-    /// crowd that is told the same moment is refused again as a crowd.
+    /// Delay after which a rejected caller should retry: at least `earliest`, and each retry
+    /// `spacing` after the one before, as long as this leaves the caller enough time; otherwise
+    /// spread over the time that it has. Callers that retry at the same moment would be rejected
+    /// together again.
     pub fn schedule_retry(
         &mut self,
         now: Moment,
--- a/components/placing/src/sync.rs
+++ b/components/placing/src/sync.rs
@@ -1,4 +1,4 @@
-//! What entries hold, as they tell from time to time.
+//! Reconciliation of the owner's state with the generations that entries report periodically.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -11,14 +11,15 @@
 };
 
 impl Owner {
-    /// Takes all that an entry holds on the engines of one account.
+    /// Applies the list of all generations that an entry holds on the engines of a shard.
     pub fn apply_sync(&mut self, now: Moment, sync: &StateSync) {
         let held: BTreeSet<&GenerationId> = sync
             .generations
             .iter()
-            .map(|running| &running.generation)
+            .map(|reported| &reported.generation)
             .collect();
-        // A grant may be on its way still; what is older and unknown to the entry has ended.
+        // An assignment may still be on its way to the entry. Older generations that the entry does
+        // not list have ended.
         let settled = now.saturating_sub(self.tuning.waiting_expiry);
         let gone: Vec<GenerationId> = self
             .generations
@@ -27,7 +28,7 @@
                 generation.entry == sync.entry
                     && generation.service == sync.shard.service
                     && sync.shard.contains(&generation.target)
-                    && generation.granted_at <= settled
+                    && generation.assigned_at <= settled
                     && !held.contains(*id)
             })
             .map(|(id, _)| Arc::clone(id))
@@ -35,40 +36,41 @@
         for generation in gone {
             self.release(&generation);
         }
-        for running in &sync.generations {
-            self.confirm(now, &sync.entry, running);
+        for reported in &sync.generations {
+            self.confirm(now, &sync.entry, reported);
         }
     }
 
-    fn confirm(&mut self, now: Moment, entry: &InstanceId, running: &ActiveGeneration) {
-        let known = self.generations.get(&running.generation);
-        let moved = known.is_some_and(|generation| generation.target != running.target);
+    fn confirm(&mut self, now: Moment, entry: &InstanceId, reported: &ActiveGeneration) {
+        let known = self.generations.get(&reported.generation);
+        let moved = known.is_some_and(|generation| generation.target != reported.target);
         let copying = known.is_some_and(|generation| generation.copying_to.is_some());
         if moved && copying {
             return;
         }
         if moved {
-            self.release(&running.generation);
+            self.release(&reported.generation);
         }
-        let account = self.account(&running.target);
-        account.generations.insert(Arc::clone(&running.generation));
-        self.record_decode(now, running);
-        let throughput = self.throughput(&running.service);
-        let first_event_due = now + throughput.prefill_time(running.prompt_tokens);
-        let length = self.estimate_length(&running.route, running.max_tokens, running.length_hint);
+        let account = self.account(&reported.target);
+        account.generations.insert(Arc::clone(&reported.generation));
+        self.record_decode(now, reported);
+        let throughput = self.throughput(&reported.service);
+        let first_event_due = now + throughput.prefill_time(reported.prompt_tokens);
+        let length =
+            self.estimate_length(&reported.route, reported.max_tokens, reported.length_hint);
         let generation = self
             .generations
-            .entry(Arc::clone(&running.generation))
+            .entry(Arc::clone(&reported.generation))
             .or_insert_with(|| Generation {
                 entry: Arc::clone(entry),
-                service: Arc::clone(&running.service),
-                target: Arc::clone(&running.target),
-                prompt_tokens: running.prompt_tokens,
-                route: Arc::clone(&running.route),
-                max_tokens: running.max_tokens,
+                service: Arc::clone(&reported.service),
+                target: Arc::clone(&reported.target),
+                prompt_tokens: reported.prompt_tokens,
+                route: Arc::clone(&reported.route),
+                max_tokens: reported.max_tokens,
                 length,
-                priority: running.priority,
-                granted_at: now,
+                priority: reported.priority,
+                assigned_at: now,
                 first_event_due,
                 started_at: None,
                 tokens_generated: 0,
@@ -77,14 +79,15 @@
                 copying_to: None,
             });
         generation.confirmed_at = now;
-        generation.tokens_generated = running.tokens_generated;
+        generation.tokens_generated = reported.tokens_generated;
         generation.counted_at = now;
-        if running.started && generation.started_at.is_none() {
+        if reported.started && generation.started_at.is_none() {
             generation.started_at = Some(now);
         }
     }
 
-    /// Forgets what its entry has not confirmed for long: the entry is gone.
+    /// Removes generations that their entry has not confirmed for a long time; the entry has
+    /// failed.
     pub(crate) fn remove_stale(&mut self, now: Moment) {
         let oldest = now.saturating_sub(self.tuning.generation_expiry);
         let stale: Vec<GenerationId> = self
--- a/components/placing/src/throughput.rs
+++ b/components/placing/src/throughput.rs
@@ -1,8 +1,8 @@
-//! How fast a service's engines read prompts and make tokens: learned from what they show.
+//! Measures how fast the engines of a service process prompts and generate tokens.
 //!
-//! Engines of another make read three times as slowly. Whoever goes on counting with the speed of
-//! those before lets everybody in a little too late: half of the first events came late, though
-//! the order was right.
+//! Engine models differ in prefill speed by a factor of three. An owner that went on with the speed
+//! of the previous model admitted slightly too many requests, and half of the first events were
+//! late although the order of requests was right.
 
 use std::time::Duration;
 
@@ -10,29 +10,29 @@
 
 use crate::tuning::as_f64;
 
-/// Prompt tokens that the speed before any was seen is worth.
+/// Weight of the configured prefill speed, in prompt tokens.
 const PRIOR_PREFILL_TOKENS: f64 = 20_000.0;
-/// Made tokens that the token time before any was seen is worth.
+/// Weight of the configured token time, in generated tokens.
 const PRIOR_DECODE_TOKENS: f64 = 20_000.0;
-/// Tokens that are remembered, about; older ones fade.
+/// Approximate number of tokens that a measurement covers; older ones lose weight.
 const WINDOW_TOKENS: f64 = 200_000.0;
-/// How far what is learned may lie from what was expected, as a factor either way. What is seen
-/// goes through entries that may be frozen or slow.
+/// Maximum factor between a sample and the configured value. Samples pass through entries that may
+/// be frozen or slow.
 const MAX_DEVIATION: f64 = 6.0;
-/// Prompts below this are mostly the fixed part of a first event.
+/// Shorter prompts are ignored: most of their time to the first event is fixed overhead.
 const MIN_PREFILL_TOKENS: Tokens = 400;
 
-/// How fast a service's engines work.
+/// Speed of a service's engines.
 #[derive(Clone, Copy, Debug)]
 pub struct Throughput {
-    /// Prompt tokens read in a millisecond beside a running batch.
+    /// Prompt tokens processed per millisecond while a batch is running.
     prompt_tokens_per_ms: f64,
     /// Time between two tokens of a generation.
     token_time: Duration,
 }
 
 impl Throughput {
-    /// A pace.
+    /// Creates a throughput from both speeds.
     #[must_use]
     pub const fn new(prompt_tokens_per_ms: f64, token_time: Duration) -> Self {
         Self {
@@ -41,20 +41,20 @@
         }
     }
 
-    /// Time to read a prompt.
+    /// Time to process a prompt.
     #[must_use]
     pub fn prefill_time(&self, prompt_tokens: Tokens) -> Duration {
         Duration::from_secs_f64(as_f64(prompt_tokens) / self.prompt_tokens_per_ms / 1_000.0)
     }
 
-    /// Tokens made in a time.
+    /// Number of tokens that one generation generates in `time`.
     #[must_use]
     pub fn tokens_in(&self, time: Duration) -> Tokens {
         let tokens_generated = time.as_micros() / self.token_time.as_micros().max(1);
         Tokens::try_from(tokens_generated).unwrap_or(Tokens::MAX)
     }
 
-    /// Time to make tokens.
+    /// Time to generate `tokens` tokens.
     #[must_use]
     pub fn decode_time(&self, tokens: Tokens) -> Duration {
         let count = u32::try_from(tokens).unwrap_or(u32::MAX);
@@ -62,11 +62,11 @@
     }
 }
 
-/// Tokens, and the time that they took.
+/// Tokens and the time that they took, with exponential decay.
 #[derive(Clone, Copy, Debug)]
 struct RateTotals {
     tokens: f64,
-    /// In milliseconds.
+    /// Time in milliseconds.
     time_ms: f64,
 }
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// What engines of one service have shown.
+/// Throughput of one service's engines, measured on top of a configured prior.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ThroughputEstimator {
     prior: Throughput,
@@ -94,7 +94,7 @@
 }
 
 impl ThroughputEstimator {
-    /// Knows nothing but what is expected.
+    /// Starts with the configured throughput and no samples.
     pub fn new(prior: Throughput) -> Self {
         let token_ms = prior.token_time.as_secs_f64() * 1_000.0;
         Self {
@@ -110,31 +110,31 @@
         }
     }
 
-    /// An engine has read a prompt in a time.
+    /// Records the time that an engine took for a prompt.
     pub fn record_prefill(&mut self, prompt_tokens: Tokens, time: Duration) {
-        let least = self
+        let min = self
             .prior
             .prefill_time(prompt_tokens)
             .div_f64(MAX_DEVIATION);
-        let most = self
+        let max = self
             .prior
             .prefill_time(prompt_tokens)
             .mul_f64(MAX_DEVIATION);
         if prompt_tokens >= MIN_PREFILL_TOKENS {
-            self.prefill.add(prompt_tokens, time.clamp(least, most));
+            self.prefill.add(prompt_tokens, time.clamp(min, max));
         }
     }
 
-    /// An engine has made tokens of a generation in a time.
+    /// Records the time that an engine took for some tokens of a generation.
     pub fn record_decode(&mut self, tokens: Tokens, time: Duration) {
-        let least = self.prior.decode_time(tokens).div_f64(MAX_DEVIATION);
-        let most = self.prior.decode_time(tokens).mul_f64(MAX_DEVIATION);
+        let min = self.prior.decode_time(tokens).div_f64(MAX_DEVIATION);
+        let max = self.prior.decode_time(tokens).mul_f64(MAX_DEVIATION);
         if tokens > 0 {
-            self.decode.add(tokens, time.clamp(least, most));
+            self.decode.add(tokens, time.clamp(min, max));
         }
     }
 
-    /// The pace that is to be counted with.
+    /// Current estimate of the throughput.
     pub fn throughput(&self) -> Throughput {
         let token_time = Duration::from_secs_f64(1.0 / self.decode.per_ms() / 1_000.0);
         Throughput::new(self.prefill.per_ms(), token_time)
--- a/components/placing/src/tuning.rs
+++ b/components/placing/src/tuning.rs
@@ -1,4 +1,4 @@
-//! Figures that the decisions rest on, and which of their parts are in use.
+//! Parameters of the placement decisions.
 
 use std::time::Duration;
 
@@ -7,98 +7,100 @@
 
 use crate::throughput::Throughput;
 
-/// Figures that the decisions rest on, and which of their parts are in use. Operators can set each
-/// of them; times are in milliseconds there.
+/// Parameters of the placement decisions, and switches for single parts of them. Operators can set
+/// each of them; durations are given in milliseconds there.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tuning {
-    /// Prompt tokens that an engine reads in a millisecond beside a running batch, until it has
-    /// shown its own speed.
+    /// Prompt tokens that an engine processes per millisecond while a batch is running; used until
+    /// its speed is measured.
     pub prompt_tokens_per_ms: f64,
-    /// Time between two tokens of a generation, until engines have shown theirs.
+    /// Time between two tokens of a generation; used until it is measured.
     #[serde(rename = "token_time_ms", deserialize_with = "millis")]
     pub token_time: Duration,
-    /// Part of an engine's memory that may be taken at the worst moment to come. The rest is for
-    /// generations that get longer than expected; without it the engine preempts, and reads
-    /// prompts anew.
+    /// Share of an engine's memory that the projected peak may take. The rest is for generations
+    /// that become longer than expected; without it engines preempt, and process prompts again.
     pub memory_share: f64,
-    /// The same for generations that run longer than `short_for`: when an engine leaves, the
-    /// others must have room for what runs there.
+    /// The same share for generations that run longer than `short_generation`. When an engine shuts
+    /// down, the others need room for the generations that migrate.
     pub long_share: f64,
-    /// The same for work that can't be in time any more, where many of its route are refused: what
-    /// comes next and can be in time goes first. Where nobody is refused it is as for long ones.
+    /// The same share for requests that can no longer meet their objective, where many requests of
+    /// the route are rejected: those that still can go first. Without rejections it is
+    /// `long_share`.
     pub late_share: f64,
-    /// A generation that is expected to end within this time is over before an engine that is
-    /// reclaimed is gone.
+    /// A generation that is expected to end within this time ends before a reclaimed engine stops.
     #[serde(rename = "short_for_ms", deserialize_with = "millis")]
     pub short_generation: Duration,
-    /// Part of the engines' reading time that callers get who were told to come back.
+    /// Share of the engines' prefill capacity that is available to callers that retry.
     #[serde(rename = "return_share")]
     pub retry_share: f64,
-    /// What an engine in another data centre costs, as if its first event came so much later:
-    /// bytes between data centres are priced, and moves take twice as long.
+    /// Penalty for an engine in another data centre, as additional time to the first event: traffic
+    /// between data centres has a price, and migrations take twice as long.
     #[serde(rename = "distance_ms", deserialize_with = "millis")]
     pub remote_penalty: Duration,
-    /// What an engine costs whose memory is full, in the same sense; less where it is emptier.
-    /// An engine that is reclaimed can hand over only so many generations before it is gone, so
-    /// they are spread, also where that costs a little of a first event's time.
+    /// Penalty for an engine with full memory, proportionally less where it is emptier. A reclaimed
+    /// engine can hand over only so many generations before it stops, so generations are spread
+    /// over engines even where this delays a first event a little.
     #[serde(rename = "crowding_ms", deserialize_with = "millis")]
     pub memory_pressure_penalty: Duration,
-    /// How long an engine gets nothing after it refused or failed a request.
+    /// How long an engine is given no work after it rejected or failed a request.
     #[serde(rename = "doubt_ms", deserialize_with = "millis")]
     pub failure_cooldown: Duration,
-    /// How long an engine's own report counts.
+    /// Maximum age of an engine's load report.
     #[serde(rename = "report_life_ms", deserialize_with = "millis")]
     pub report_max_age: Duration,
-    /// How soon an entry asks again that was told to wait.
+    /// Interval at which a waiting entry asks again.
     #[serde(rename = "wait_ms", deserialize_with = "millis")]
     pub wait_interval: Duration,
-    /// Asks that wait before each is told to wait twice as long; with twice as many, three times.
+    /// Number of waiting requests for each further increase of the interval: it doubles from this
+    /// number on, triples from twice the number, and so on.
     #[serde(rename = "wait_crowd")]
     pub waiting_per_step: u32,
-    /// The longest time that an entry is told to wait before it asks again.
+    /// Maximum interval at which a waiting entry asks again.
     #[serde(rename = "wait_most_ms", deserialize_with = "millis")]
     pub max_wait_interval: Duration,
-    /// How long a caller that is late already waits for an engine where nobody is refused.
+    /// How long a late request waits for an engine where no requests are rejected.
     #[serde(rename = "late_wait_calm_ms", deserialize_with = "millis")]
     pub late_wait_uncontended: Duration,
-    /// The same where many are refused. Longer, and the caller is better off knowing.
+    /// The same where many are rejected. With a longer wait the caller would be better off with an
+    /// early rejection.
     #[serde(rename = "late_wait_ms", deserialize_with = "millis")]
     pub late_wait_contended: Duration,
-    /// An engine counts as idle whose queue of prompts is shorter than this.
+    /// An engine counts as idle while its prefill backlog is shorter than this.
     #[serde(rename = "idle_slack_ms", deserialize_with = "millis")]
     pub idle_slack: Duration,
-    /// A waiting ask that was not repeated for so long is forgotten.
+    /// A waiting request is dropped if it was not repeated for this long.
     #[serde(rename = "wait_life_ms", deserialize_with = "millis")]
     pub waiting_expiry: Duration,
-    /// A run that its entry did not confirm for so long is forgotten.
+    /// A generation is dropped if its entry did not confirm it for this long.
     #[serde(rename = "run_life_ms", deserialize_with = "millis")]
     pub generation_expiry: Duration,
-    /// Whether callers that come back are known again, and count as late from their first request.
+    /// Whether retries are recognized, and count as late from the caller's first attempt.
     #[serde(rename = "knows_returning")]
     pub recognizes_retries: bool,
-    /// Whether a small prompt must find more room than its own where many of its route are refused.
+    /// Whether a small prompt must find more room than it needs where many requests of its route
+    /// are rejected.
     #[serde(rename = "levels_sizes")]
     pub levels_prompt_sizes: bool,
-    /// Whether the engines' pace is learned.
+    /// Whether the engines' throughput is measured.
     #[serde(rename = "learns_pace")]
     pub learns_throughput: bool,
-    /// Whether lengths are learned from generations that ended.
+    /// Whether lengths are estimated from finished generations.
     pub learns_lengths: bool,
-    /// Whether callers' estimates of lengths count.
+    /// Whether callers' length hints are used.
     #[serde(rename = "takes_hints")]
     pub uses_length_hints: bool,
-    /// Whether memory is promised for the worst moment to come, not for the sum of all ends.
+    /// Whether memory is reserved by the projected peak; otherwise by the sum of all final sizes.
     #[serde(rename = "sums_by_moment")]
     pub uses_peak_memory: bool,
-    /// Whether those that wait have turns, by rank and waiting time.
+    /// Whether waiting requests are served in order of priority and waiting time.
     #[serde(rename = "takes_turns")]
     pub orders_waiting: bool,
-    /// Whether a prompt is refused at once that can't be read in time.
+    /// Whether a request is rejected at once if its prompt cannot be processed in time.
     #[serde(rename = "refuses_by_forecast")]
     pub rejects_by_forecast: bool,
-    /// Whether generations are moved off engines that leave the longest rest first; else as they
-    /// come.
+    /// Whether generations with the longest remaining time migrate first; otherwise the order is
+    /// arbitrary.
     #[serde(rename = "moves_longest_first")]
     pub migrates_longest_first: bool,
 }
@@ -139,7 +141,7 @@
 }
 
 impl Tuning {
-    /// What is wrong with its figures, one text a fault.
+    /// Reasons why the values are invalid; empty if they are valid.
     #[must_use]
     pub fn faults(&self) -> Vec<String> {
         let mut faults = Vec::new();
@@ -148,9 +150,9 @@
                 faults.push(what.to_owned());
             }
         };
-        let speed = self.prompt_tokens_per_ms;
+        let prefill_speed = self.prompt_tokens_per_ms;
         must(
-            speed.is_finite() && speed > 0.0,
+            prefill_speed.is_finite() && prefill_speed > 0.0,
             "prompt_tokens_per_ms must be more than 0",
         );
         must(
@@ -178,19 +180,19 @@
         faults
     }
 
-    /// The pace that is expected of engines that have shown nothing yet.
+    /// Throughput that is assumed of engines before any was measured.
     #[must_use]
     pub const fn throughput(&self) -> Throughput {
         Throughput::new(self.prompt_tokens_per_ms, self.token_time)
     }
 }
 
-/// A time that is written in milliseconds.
+/// Deserializes a duration given in milliseconds.
 fn millis<'de, D: Deserializer<'de>>(source: D) -> Result<Duration, D::Error> {
     u64::deserialize(source).map(Duration::from_millis)
 }
 
-/// A sum of tokens as a count.
+/// Rounds a sum of tokens to a count.
 #[must_use]
 pub(crate) fn round_tokens(sum: f64) -> Tokens {
     #[expect(
@@ -202,7 +204,7 @@
     tokens
 }
 
-/// A count as a fraction's part; counts of tokens are far below the 52 bits that are exact.
+/// Converts a count of tokens; these are far below the 52 bits that are exact.
 #[must_use]
 pub(crate) fn as_f64(tokens: Tokens) -> f64 {
     #[expect(clippy::cast_precision_loss, reason = "far below 52 bits")]
--- a/components/types/src/class.rs
+++ b/components/types/src/class.rs
@@ -1,9 +1,9 @@
-//! Urgency of a request.
+//! Urgency of requests.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Urgency of a request; a smaller value goes first.
+/// Urgency of a request; lower values go first.
 #[derive(
     Clone,
     Copy,
@@ -20,19 +20,19 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// A person waits for it right now, for instance a viewer pressing play.
+    /// A person is waiting for the answer, for instance a viewer who has pressed play.
     #[display("urgent")]
     Urgent,
-    /// The ordinary case.
+    /// Default.
     #[default]
     #[display("normal")]
     Normal,
-    /// May wait; it ages so that it ends.
+    /// May wait. Its urgency rises with its age, so that it is not starved.
     #[display("background")]
     Background,
 }
 
 impl Class {
-    /// All classes, most urgent first.
+    /// All classes, the most urgent first.
     pub const ALL: [Self; 3] = [Self::Urgent, Self::Normal, Self::Background];
 }
--- a/components/types/src/ids.rs
+++ b/components/types/src/ids.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-/// Name of one celerystand instance, unique in the deployment.
+/// Name of a celerystand instance, unique in the deployment.
 pub type InstanceId = Arc<str>;
 /// Name of a data centre.
 pub type DataCentreId = Arc<str>;
@@ -12,19 +12,19 @@
 pub type ServiceId = Arc<str>;
 /// Name of a route within a service.
 pub type RouteId = Arc<str>;
-/// Name of one target: an engine or a plain service process.
+/// Name of a target: an engine or a plain service process.
 pub type TargetId = Arc<str>;
-/// Number of one life of a process; a restart gives a larger one.
+/// Incarnation of a process: it grows with each restart.
 pub type Incarnation = u64;
 /// Version of the configuration tree; it only grows.
 pub type ConfigVersion = u64;
-/// Number of one term of ownership over a shard; a later owner has a larger one.
+/// Epoch of the ownership of a shard: it grows with each change of owner.
 pub type Epoch = u64;
-/// Number of a permit, unique per owner instance and its incarnation.
+/// Id of a permit, unique within an incarnation of the owner instance.
 pub type PermitId = u64;
-/// Number of an ask, unique per entry instance and its incarnation.
+/// Id of a permit request, unique within an incarnation of the entry instance.
 pub type PermitRequestId = u64;
-/// A count of tokens.
+/// Number of tokens.
 pub type Tokens = u64;
-/// A point in time on one process's own steady clock, as time since that process started.
+/// Point in time on the monotonic clock of one process, as the time since its start.
 pub type Moment = Duration;
--- a/components/types/src/lib.rs
+++ b/components/types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Ids and small values that every part of celerystand shares.
+//! Ids and small values that all parts of celerystand share.
 
 pub mod class;
 pub mod ids;
--- a/components/types/src/target.rs
+++ b/components/types/src/target.rs
@@ -1,4 +1,4 @@
-//! Instances, targets and the shards that targets are grouped into.
+//! Instances, targets, and the shards that group targets.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -7,7 +7,7 @@
 
 use crate::ids::{DataCentreId, Incarnation, InstanceId, ServiceId, TargetId};
 
-/// What a service's targets are.
+/// Kind of a service's targets.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Display, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceKind {
@@ -20,7 +20,7 @@
     Plain,
 }
 
-/// Whether the platform's list names a process as staying or going.
+/// Whether a listed process is in service or shutting down.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Display, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServingState {
@@ -28,67 +28,67 @@
     #[default]
     #[display("live")]
     Live,
-    /// Told to leave: it finishes what runs and gets nothing new.
+    /// Shutting down: it finishes its current work and gets no new work.
     #[display("leaving")]
     Leaving,
 }
 
-/// One engine or plain service process.
+/// An engine or a plain service process.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Target {
-    /// Its name.
+    /// Name of the target.
     pub id: TargetId,
-    /// The service whose calls it answers.
+    /// Service that the target belongs to.
     pub service: ServiceId,
-    /// Where it runs.
+    /// Data centre that the target runs in.
     pub data_centre: DataCentreId,
-    /// Where it listens.
+    /// Address that the target listens on.
     pub addr: SocketAddr,
-    /// Which life of the process this is.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Whether it stays or goes.
+    /// Whether the target is in service or shutting down.
     #[serde(rename = "standing")]
     pub state: ServingState,
 }
 
-/// One celerystand instance as the platform lists it.
+/// A celerystand instance as the platform lists it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Member {
-    /// Its name.
+    /// Name of the instance.
     pub id: InstanceId,
-    /// Where it runs.
+    /// Data centre that the instance runs in.
     pub data_centre: DataCentreId,
-    /// Where it listens for other instances.
+    /// Address that the instance listens on for other instances.
     pub addr: SocketAddr,
-    /// Whether it stays or goes.
+    /// Whether the instance is in service or shutting down.
     #[serde(rename = "standing")]
     pub state: ServingState,
 }
 
-/// The platform's list of instances and targets; it lags behind the truth.
+/// The platform's list of instances and targets, which lags behind the actual state.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Listing {
-    /// The celerystand instances.
+    /// All celerystand instances.
     pub members: Vec<Member>,
     /// All engines and plain services.
     pub targets: Vec<Target>,
 }
 
-/// A group of targets with one owner: one service's targets in one data centre, or a slice of
+/// A group of targets with one owner: the targets of one service in one data centre, or a slice of
 /// them where there are many.
 #[derive(Clone, Debug, Deserialize, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[display("{service}@{data_centre}/{slice}")]
 pub struct Shard {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceId,
-    /// The data centre.
+    /// Name of the data centre.
     pub data_centre: DataCentreId,
     /// Number of the slice.
     pub slice: u16,
 }
 
 impl Shard {
-    /// Names the first slice of a service in a data centre.
+    /// First slice of a service in a data centre.
     #[must_use]
     pub fn new(service: &ServiceId, data_centre: &DataCentreId) -> Self {
         Self {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Tells whether a target belongs to this shard.
+    /// Whether a target belongs to this shard.
     #[must_use]
     pub fn contains(&self, target: &Target) -> bool {
         target.service == self.service && target.data_centre == self.data_centre
--- a/components/view/src/lib.rs
+++ b/components/view/src/lib.rs
@@ -1,4 +1,5 @@
-//! What an instance believes about the configuration and the targets, and how old that is. No I/O.
+//! The configuration and the targets as one instance knows them, with the age of that knowledge. No
+//! I/O.
 
 pub mod rules;
 pub mod state;
--- a/components/view/src/rules.rs
+++ b/components/view/src/rules.rs
@@ -1,63 +1,63 @@
-//! One version of the configuration, indexed for look-ups.
+//! One version of the configuration, indexed for lookups.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
 use types::{ConfigVersion, RouteId, ServiceId, Tokens, WorkspaceId};
 
-/// What may be done with a request.
+/// How often a request may be executed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum RouteKind {
-    /// May run any number of times.
+    /// Any number of times.
     Idempotent,
-    /// May run once at most.
+    /// At most once.
     NonIdempotent,
-    /// A generation: events with growing ids; may run once at most.
+    /// A generation, which streams events with ascending ids; at most once.
     Generation,
 }
 
-/// A service that a route sends a part of its requests to.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Share {
-    /// The service.
+    /// Name of the service.
     pub service: ServiceId,
-    /// Its part, relative to the other shares of the route.
+    /// Weight relative to the other shares of the route.
     pub weight: f64,
 }
 
-/// Which requests belong together, and their terms.
+/// Requests with a common host and path prefix, and how they are handled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: RouteId,
-    /// Host that the caller addresses, in lower case.
+    /// Host that callers address, in lower case.
     pub host: Arc<str>,
-    /// How the path begins; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be done with its requests.
+    /// How often a request may be executed.
     pub kind: RouteKind,
-    /// Longest time that a caller is kept waiting for the end of the answer.
+    /// Maximum time until the end of the answer.
     pub timeout: Duration,
-    /// Time to the answer, for generations to the first event, that callers aim at.
+    /// Objective for the time until the answer, or until the first event of a generation.
     pub objective: Duration,
-    /// Targets that one request may run on.
+    /// Maximum number of targets that one request may be executed on.
     pub max_targets: u32,
-    /// Rank, the lowest first.
+    /// Priority; lower values go first.
     pub priority: u32,
-    /// Whether callers need no key.
+    /// Whether requests without a key are accepted.
     pub allows_anonymous: bool,
-    /// Where its requests go; never empty.
+    /// Services that receive the requests; never empty.
     pub shares: Vec<Share>,
 }
 
 impl Route {
-    /// Picks a service by a number from 0 up to, but not including, 1.
+    /// Picks a service for a random number from 0 up to, but not including, 1.
     #[must_use]
-    pub fn pick_service(&self, at: f64) -> Option<&ServiceId> {
+    pub fn pick_service(&self, fraction: f64) -> Option<&ServiceId> {
         let total: f64 = self.shares.iter().map(|share| share.weight).sum();
-        let mut left = at * total;
+        let mut remaining = fraction * total;
         for share in &self.shares {
-            left -= share.weight;
-            if left < 0.0 {
+            remaining -= share.weight;
+            if remaining < 0.0 {
                 return Some(&share.service);
             }
         }
@@ -65,105 +65,106 @@
     }
 }
 
-/// What the engines of a service can do.
+/// Properties of the engines of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Generations that run at once.
+    /// Maximum number of concurrent generations.
     pub slots: u32,
-    /// Memory for running and cached tokens.
+    /// KV cache capacity in tokens, for running generations and for cached prefixes.
     pub memory: Tokens,
-    /// Bytes of memory that one token takes.
+    /// Bytes of KV cache per token.
     pub token_bytes: u64,
-    /// Speed of an engine's link for memory, in megabits a second.
+    /// Bandwidth of an engine's link for KV cache transfers, in megabits per second.
     pub link_mbps: f64,
-    /// Whether a running generation's memory can be copied to another engine.
+    /// Whether the KV cache of a running generation can be copied to another engine.
     pub can_migrate: bool,
-    /// Whether a generation's memory can be sent to a second engine as it grows.
+    /// Whether the KV cache of a generation can be replicated to a second engine as it grows.
     pub can_back_up: bool,
     /// Tokens in one event of a stream.
     pub tokens_per_event: Tokens,
-    /// How long a copy is kept that nobody uses.
+    /// How long an engine keeps an unused copy.
     pub copy_retention: Duration,
 }
 
 impl Engine {
-    /// Time to copy one token's memory over an engine's link.
+    /// Time to copy the KV cache of one token over an engine's link.
     #[must_use]
     pub fn token_copy_time(&self) -> Duration {
         let bits = u32::try_from(self.token_bytes * 8).unwrap_or(u32::MAX);
-        // A megabit a second is a bit a microsecond.
+        // 1 Mbit/s is one bit per microsecond.
         let micros = f64::from(bits) / self.link_mbps.max(1.0);
         Duration::from_secs_f64(micros / 1e6)
     }
 }
 
-/// What all targets of a service have in common.
+/// Settings that all targets of a service share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceId,
-    /// Path that answers whether a target is well.
+    /// Path of the targets' health check.
     pub health_path: Arc<str>,
-    /// Connections that a target takes from all instances together.
+    /// Maximum number of connections to one target from all instances together.
     pub max_connections: u32,
-    /// Requests a second that a cold target bears; 0 for a service without cold targets.
+    /// Requests per second that a target can take during its cold start; 0 if the service has no
+    /// cold start.
     pub cold_requests_per_s: f64,
-    /// Set for model engines.
+    /// Present for services whose targets are model engines.
     pub engine: Option<Engine>,
 }
 
-/// The workspace that a key belongs to.
+/// Workspace that a key belongs to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KeyHolder {
-    /// The workspace.
+    /// Name of the workspace.
     pub workspace: WorkspaceId,
-    /// Rank of its requests, in place of the route's.
+    /// Priority that replaces the route's.
     pub priority: Option<u32>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RequestLimits {
-    /// Bytes of a request's headers.
+    /// Maximum size of the headers in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of the body in bytes.
     pub body_bytes: usize,
-    /// Time for the headers, and for a pause within a body.
+    /// Maximum time until the headers are complete, and for a pause within the body.
     pub header_timeout: Duration,
-    /// Time that a connection may be idle.
+    /// Maximum time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
-/// Who a caller is.
+/// Identity of a caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Identity {
-    /// The configuration has no workspaces, or the route takes callers without a key.
+    /// The configuration has no workspaces, or the route accepts requests without a key.
     Anonymous,
-    /// The holder of a key.
+    /// The caller has presented a valid key.
     KeyHolder(KeyHolder),
 }
 
-/// The caller has no key that the configuration knows.
+/// The caller has presented no key, or an unknown one, where a key is required.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Unidentified;
 
 /// One version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules {
-    /// Its version; a newer one is larger.
+    /// Version number; it grows with each version.
     pub version: ConfigVersion,
     /// Routes by host, the longest prefix first.
     routes: HashMap<Arc<str>, Vec<Arc<Route>>>,
     /// Services by name.
     services: HashMap<ServiceId, Arc<Service>>,
-    /// Holders by key; none where the configuration has no workspaces.
+    /// Workspaces by key; `None` if the configuration has no workspaces.
     key_holders: Option<HashMap<Arc<str>, KeyHolder>>,
-    /// Bounds on callers, where given.
+    /// Limits on callers, if configured.
     pub request_limits: Option<RequestLimits>,
 }
 
 impl Rules {
-    /// An empty configuration of a version.
+    /// Creates an empty configuration.
     #[must_use]
     pub fn new(version: ConfigVersion) -> Self {
         Self {
@@ -180,8 +181,8 @@
             let host = Arc::clone(&route.host);
             self.routes.entry(host).or_default().push(Arc::new(route));
         }
-        for list in self.routes.values_mut() {
-            list.sort_by_key(|route| usize::MAX - route.prefix.len());
+        for host_routes in self.routes.values_mut() {
+            host_routes.sort_by_key(|route| usize::MAX - route.prefix.len());
         }
         self
     }
@@ -194,21 +195,21 @@
         self
     }
 
-    /// Sets who holds which key.
+    /// Sets the workspaces by key.
     #[must_use]
     pub fn with_key_holders(mut self, key_holders: HashMap<Arc<str>, KeyHolder>) -> Self {
         self.key_holders = Some(key_holders);
         self
     }
 
-    /// Sets the bounds on callers.
+    /// Sets the limits on callers.
     #[must_use]
     pub const fn with_request_limits(mut self, request_limits: RequestLimits) -> Self {
         self.request_limits = Some(request_limits);
         self
     }
 
-    /// The route of a request: the longest prefix of its host that begins the path.
+    /// Route of a request: the one with the longest matching path prefix on its host.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
@@ -216,7 +217,7 @@
         routes.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// A service.
+    /// Service of the given name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(name)
@@ -227,10 +228,10 @@
         self.services.values()
     }
 
-    /// Who a caller on a route is.
+    /// Identifies a caller on a route.
     ///
     /// # Errors
-    /// The route wants a key, and no workspace holds this one.
+    /// The route requires a key, and no workspace has this one.
     pub fn identify(&self, route: &Route, key: Option<&str>) -> Result<Identity, Unidentified> {
         let Some(key_holders) = &self.key_holders else {
             return Ok(Identity::Anonymous);
@@ -238,7 +239,8 @@
         let key_holder = key.and_then(|key| key_holders.get(key));
         match key_holder {
             Some(key_holder) => Ok(Identity::KeyHolder(key_holder.clone())),
-            // A wrong key is refused also there: its owner would take it for a good one.
+            // An unknown key is rejected here too: otherwise its owner would take it for a valid
+            // one.
             None if route.allows_anonymous && key.is_none() => Ok(Identity::Anonymous),
             None => Err(Unidentified),
         }
--- a/components/view/src/state.rs
+++ b/components/view/src/state.rs
@@ -1,4 +1,5 @@
-//! The beliefs of one instance: newest configuration, targets, evacuated data centres.
+//! State of the system as one instance knows it: the newest configuration, the targets and the data
+//! centres that are closed.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -11,33 +12,33 @@
 
 use crate::{rules::Rules, target::Target};
 
-/// How long after an outage of the store a listing that lapsed meanwhile is still believed.
-/// Targets list themselves again within about two seconds of the store's return; one that is
-/// still missing then is gone.
+/// How long after an outage of the store a listing that expired meanwhile is retained. Targets
+/// renew their listings within about two seconds of the store's return; one that has not by then is
+/// gone.
 const LAPSE_GRACE: Duration = Duration::from_millis(2200);
 
-/// Age of a belief: when the read that confirmed it last was sent.
+/// Time at which the read that last confirmed the state was sent; `None` before the first.
 pub type LastRead = Option<Moment>;
 
-/// What a new belief changed.
+/// A change of the known state.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Change {
     /// Another version of the configuration is in force.
     Rules {
-        /// The version before, if there was one.
+        /// Previous version, if there was one.
         from: Option<ConfigVersion>,
-        /// The version in force now.
+        /// Version in force now.
         to: ConfigVersion,
     },
-    /// A target is listed that takes work.
+    /// A target that accepts work was listed.
     Joined(Arc<Target>),
-    /// A target has begun to leave, or is no longer listed.
+    /// A target is shutting down, or is no longer listed.
     Leaving(Arc<Target>),
-    /// A target began a new life under its old id.
+    /// A target restarted under the same id.
     Restarted(Arc<Target>),
-    /// A data centre gets no more work.
+    /// A data centre was closed and gets no new work.
     Closed(DataCentreId),
-    /// A data centre gets work again.
+    /// A data centre was opened again.
     Opened(DataCentreId),
 }
 
@@ -46,103 +47,106 @@
     rules: Option<Arc<Rules>>,
     rules_read_at: LastRead,
     targets: Arc<BTreeMap<TargetId, Arc<Target>>>,
-    /// The same by service: each request looks at the targets of its own only.
+    /// The same targets by service, because each request considers those of one service only.
     by_service: HashMap<ServiceId, BTreeMap<TargetId, Arc<Target>>>,
     targets_read_at: LastRead,
-    /// Listings that lapsed while the store was away, and until when they are believed.
+    /// Listings that expired during an outage of the store, and how long they are retained.
     lapsed: BTreeMap<TargetId, Moment>,
     closed: BTreeSet<DataCentreId>,
 }
 
-/// The beliefs of one instance. Its one lock is held for look-ups and updates only.
+/// State of the system as one instance knows it. The lock is held for lookups and updates only.
 #[derive(Debug, Default)]
 pub struct View {
     inner: RwLock<ViewState>,
 }
 
 impl View {
-    /// Believes nothing yet.
+    /// Creates an empty view.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The configuration in force.
+    /// Configuration in force.
     #[must_use]
     pub fn rules(&self) -> Option<Arc<Rules>> {
         self.inner.read().rules.clone()
     }
 
-    /// When the read was sent that last confirmed the configuration.
+    /// Time at which the read that last confirmed the configuration was sent.
     #[must_use]
     pub fn rules_read_at(&self) -> LastRead {
         self.inner.read().rules_read_at
     }
 
-    /// When the read was sent that last confirmed the targets.
+    /// Time at which the read that last confirmed the targets was sent.
     #[must_use]
     pub fn targets_read_at(&self) -> LastRead {
         self.inner.read().targets_read_at
     }
 
-    /// All targets that are listed, those that leave among them.
+    /// All listed targets, including those that are shutting down.
     #[must_use]
     pub fn targets(&self) -> Arc<BTreeMap<TargetId, Arc<Target>>> {
         Arc::clone(&self.inner.read().targets)
     }
 
-    /// Targets of a service that may get new work, as far as listings and the operator tell.
+    /// Targets of a service that may be given new work, according to their listings and to the
+    /// closed data centres.
     #[must_use]
     pub fn usable_targets(&self, service: &str) -> Vec<Arc<Target>> {
         let state = self.inner.read();
         let Some(targets) = state.by_service.get(service) else {
             return Vec::new();
         };
-        let fits = |target: &&Arc<Target>| {
+        let is_usable = |target: &&Arc<Target>| {
             target.accepts_work() && !state.closed.contains(&target.data_centre)
         };
-        targets.values().filter(fits).cloned().collect()
+        targets.values().filter(is_usable).cloned().collect()
     }
 
-    /// Targets of a service that are listed, those that leave among them.
+    /// Number of listed targets of a service, including those that are shutting down.
     #[must_use]
     pub fn target_count(&self, service: &str) -> usize {
         let state = self.inner.read();
         state.by_service.get(service).map_or(0, BTreeMap::len)
     }
 
-    /// A listed target.
+    /// Listed target of the given id.
     #[must_use]
     pub fn target(&self, id: &str) -> Option<Arc<Target>> {
         self.inner.read().targets.get(id).cloned()
     }
 
-    /// Whether a target may get new work, as far as listings and the operator tell.
+    /// Whether a target may be given new work, according to its listing and to the closed data
+    /// centres.
     #[must_use]
     pub fn accepts_work(&self, target: &Target) -> bool {
         target.accepts_work() && !self.inner.read().closed.contains(&target.data_centre)
     }
 
-    /// Whether an operator has taken a data centre out.
+    /// Whether an operator has closed a data centre.
     #[must_use]
     pub fn is_closed(&self, data_centre: &str) -> bool {
         self.inner.read().closed.contains(data_centre)
     }
 
-    /// Notes that configuration and evacuations were confirmed by a read sent at `read`.
+    /// Records that the configuration and the closed data centres were confirmed by a read sent at
+    /// `read`.
     pub fn confirm_rules(&self, read: Moment) {
         let mut state = self.inner.write();
         state.rules_read_at = state.rules_read_at.max(Some(read));
     }
 
-    /// Notes that the targets were confirmed by a read sent at `read`.
+    /// Records that the targets were confirmed by a read sent at `read`.
     pub fn confirm_targets(&self, read: Moment) {
         let mut state = self.inner.write();
         state.targets_read_at = state.targets_read_at.max(Some(read));
     }
 
-    /// Takes a configuration, unless one as new is in force already: a configuration never goes
-    /// back, whoever tells it.
+    /// Applies a configuration unless its version is in force already, or a newer one is. The
+    /// version never decreases, whatever the source.
     pub fn apply_rules(&self, rules: Rules) -> Option<Change> {
         let mut state = self.inner.write();
         let from = state.rules.as_ref().map(|rules| rules.version);
@@ -154,42 +158,42 @@
         Some(Change::Rules { from, to })
     }
 
-    /// Takes word on whether a data centre is taken out.
+    /// Records whether a data centre is closed.
     pub fn apply_closed(&self, data_centre: &DataCentreId, closed: bool) -> Option<Change> {
         let mut state = self.inner.write();
         if closed {
             let new = state.closed.insert(Arc::clone(data_centre));
             return new.then(|| Change::Closed(Arc::clone(data_centre)));
         }
-        let was = state.closed.remove(data_centre);
-        was.then(|| Change::Opened(Arc::clone(data_centre)))
+        let removed = state.closed.remove(data_centre);
+        removed.then(|| Change::Opened(Arc::clone(data_centre)))
     }
 
-    /// Takes the listing of a target.
+    /// Applies the listing of a target.
     pub fn apply_target(&self, target: Target) -> Option<Change> {
         let mut state = self.inner.write();
         let id = Arc::clone(&target.id);
         state.lapsed.remove(&id);
-        let now = Arc::new(target);
-        let before = state.insert(&now);
-        let Some(before) = before else {
-            return now.accepts_work().then_some(Change::Joined(now));
+        let updated = Arc::new(target);
+        let previous = state.insert(&updated);
+        let Some(previous) = previous else {
+            return updated.accepts_work().then_some(Change::Joined(updated));
         };
-        let restarted = now.started_at.is_some()
-            && before.started_at.is_some()
-            && now.started_at != before.started_at;
+        let restarted = updated.started_at.is_some()
+            && previous.started_at.is_some()
+            && updated.started_at != previous.started_at;
         if restarted {
-            return Some(Change::Restarted(now));
+            return Some(Change::Restarted(updated));
         }
-        match (before.accepts_work(), now.accepts_work()) {
-            (true, false) => Some(Change::Leaving(now)),
-            (false, true) => Some(Change::Joined(now)),
+        match (previous.accepts_work(), updated.accepts_work()) {
+            (true, false) => Some(Change::Leaving(updated)),
+            (false, true) => Some(Change::Joined(updated)),
             _ => None,
         }
     }
 
-    /// Takes word from somebody else than the store that a target leaves. Its listing, which may be
-    /// older than that word, says nothing against it until it changes.
+    /// Marks a target as shutting down on a report from a source other than the store. Its known
+    /// listing may be older than the report, so it has no effect until the listing changes.
     pub fn mark_leaving(&self, id: &TargetId) -> Option<Change> {
         let mut state = self.inner.write();
         let target = state.targets.get(id).filter(|t| t.accepts_work())?;
@@ -201,9 +205,9 @@
         Some(Change::Leaving(leaving))
     }
 
-    /// Takes word that a target is no longer listed. `outage_end` tells when the store came back
-    /// from an outage that may have let the listing lapse: the target itself may be well, and
-    /// all targets at once would be lost if each lapse were believed.
+    /// Removes the listing of a target. `outage_end` is the end of the store's last outage, in
+    /// which the listing may have expired although the target is healthy. Such listings are
+    /// retained for a while; otherwise all targets would be lost at once.
     pub fn unlist_target(
         &self,
         id: &TargetId,
@@ -222,7 +226,7 @@
         remove(&mut state, id)
     }
 
-    /// Forgets lapsed listings that nobody renewed in time.
+    /// Removes the expired listings that were not renewed in time.
     pub fn expire_lapsed(&self, now: Moment) -> Vec<Change> {
         let mut state = self.inner.write();
         let due: Vec<TargetId> = state
@@ -241,24 +245,24 @@
 }
 
 impl ViewState {
-    /// Puts a target in; tells what was known of it.
+    /// Inserts or replaces a target; returns the previous listing.
     fn insert(&mut self, target: &Arc<Target>) -> Option<Arc<Target>> {
         let targets = Arc::make_mut(&mut self.targets);
         let before = targets.insert(Arc::clone(&target.id), Arc::clone(target));
-        // An id may come back as another service's.
+        // An id may be reused by another service.
         if let Some(before) = before.as_ref().filter(|b| b.service != target.service) {
             self.remove_from_service(before);
         }
-        let same = self.by_service.entry(Arc::clone(&target.service));
-        let same = same.or_default();
-        same.insert(Arc::clone(&target.id), Arc::clone(target));
+        let service_targets = self.by_service.entry(Arc::clone(&target.service));
+        let service_targets = service_targets.or_default();
+        service_targets.insert(Arc::clone(&target.id), Arc::clone(target));
         before
     }
 
     fn remove_from_service(&mut self, target: &Target) {
-        if let Some(same) = self.by_service.get_mut(&target.service) {
-            same.remove(&target.id);
-            if same.is_empty() {
+        if let Some(service_targets) = self.by_service.get_mut(&target.service) {
+            service_targets.remove(&target.id);
+            if service_targets.is_empty() {
                 self.by_service.remove(&target.service);
             }
         }
@@ -267,7 +271,7 @@
 
 fn remove(state: &mut ViewState, id: &TargetId) -> Option<Change> {
     let targets = Arc::make_mut(&mut state.targets);
-    let was = targets.remove(id)?;
-    state.remove_from_service(&was);
-    was.accepts_work().then_some(Change::Leaving(was))
+    let removed = targets.remove(id)?;
+    state.remove_from_service(&removed);
+    removed.accepts_work().then_some(Change::Leaving(removed))
 }
--- a/components/view/src/target.rs
+++ b/components/view/src/target.rs
@@ -1,36 +1,36 @@
-//! One target as it is listed.
+//! Targets as the store lists them.
 
 use std::{net::SocketAddr, time::Duration};
 
 use types::{DataCentreId, ServiceId, ServingState, TargetId};
 
-/// Where a target listens.
+/// Address that a target listens on.
 pub type Address = SocketAddr;
 
-/// A target as it is listed.
+/// A target as the store lists it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
-    /// Its id.
+    /// Id of the target.
     pub id: TargetId,
-    /// Its service.
+    /// Service that the target belongs to.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Address that the target listens on.
     pub addr: Address,
-    /// Its data centre.
+    /// Data centre that the target runs in.
     pub data_centre: DataCentreId,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it stays or leaves.
+    /// Whether the target is in service or shutting down.
     pub state: ServingState,
-    /// How much longer it is cold, counted from when this was written.
+    /// Time left of its cold start when the listing was written.
     pub cold_remaining: Duration,
-    /// When this life of it began, in Unix milliseconds, if it told; another life under the same
-    /// id has forgotten everything.
+    /// Start of the target's process in Unix milliseconds, if listed. A restart under the same id
+    /// has lost all state.
     pub started_at: Option<u64>,
 }
 
 impl Target {
-    /// Whether it takes new work as far as its listing tells.
+    /// Whether the target accepts new work according to its listing.
     #[must_use]
     pub fn accepts_work(&self) -> bool {
         self.state == ServingState::Live
--- a/components/wire/src/codec.rs
+++ b/components/wire/src/codec.rs
@@ -1,6 +1,6 @@
 //! Encoding and authentication of envelopes.
 //!
-//! Shape on the wire: 32 bytes HMAC-SHA256 over the rest, then the envelope in MessagePack.
+//! Format: 32 bytes of HMAC-SHA256 over the rest, followed by the envelope in MessagePack.
 
 use derive_more::{Display, Error};
 use hmac::{Hmac, Mac};
@@ -9,56 +9,56 @@
 
 use crate::message::Envelope;
 
-/// The longest envelope that is taken, in bytes.
+/// Maximum size of an envelope in bytes.
 pub const MAX_ENVELOPE_BYTES: usize = 4 * 1024 * 1024;
 
 const TAG_BYTES: usize = 32;
 
-/// Why bytes are not an envelope for us.
+/// Why bytes were not accepted as an envelope.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum WireError {
-    /// Longer than `SIZE_LIMIT`.
+    /// Longer than `MAX_ENVELOPE_BYTES`.
     #[display("the envelope is larger than {MAX_ENVELOPE_BYTES} bytes")]
     TooLarge,
-    /// Too short, or made with another key.
+    /// Too short, or authenticated with another key.
     #[display("the envelope is not authentic")]
     NotAuthentic,
-    /// Authentic, yet not an envelope.
+    /// Authentic, but not a valid envelope.
     #[display("the envelope can't be decoded")]
     Garbled,
-    /// Made by another version of celerystand.
+    /// Sent by another version of celerystand.
     #[display(
         "the envelope has format {format}, this instance speaks {}",
         Envelope::FORMAT
     )]
     OtherFormat {
-        /// Its format.
+        /// Format of the envelope.
         format: u16,
     },
-    /// Meant for another instance.
+    /// Addressed to another instance.
     #[display("the envelope is meant for another instance")]
     OtherReceiver,
 }
 
-/// The key that instances share.
+/// Key that all instances share.
 #[derive(Clone)]
 pub struct Key {
     mac: Hmac<Sha256>,
 }
 
 impl Key {
-    /// Makes a key from the settings' text.
+    /// Creates a key from its text in the settings.
     #[must_use]
     pub fn new(text: &str) -> Self {
-        // HMAC takes keys of any length.
+        // HMAC accepts keys of any length.
         let mac = Hmac::new_from_slice(text.as_bytes()).expect("HMAC takes any key");
         Self { mac }
     }
 
-    /// Encodes and authenticates anything that instances exchange.
+    /// Encodes and authenticates content for another instance.
     #[must_use]
     pub fn seal<T: serde::Serialize>(&self, content: &T) -> Vec<u8> {
-        // Our message types hold nothing that MessagePack can't express.
+        // The message types contain nothing that MessagePack cannot express.
         let body = rmp_serde::to_vec(content).expect("messages are encodable");
         let mut mac = self.mac.clone();
         mac.update(&body);
@@ -67,10 +67,10 @@
         sealed
     }
 
-    /// Checks and decodes what `seal` made.
+    /// Verifies and decodes bytes made by `seal`.
     ///
     /// # Errors
-    /// Tells what is wrong with the bytes.
+    /// The bytes are too long, not authentic or not decodable.
     pub fn open<T: serde::de::DeserializeOwned>(&self, sealed: &[u8]) -> Result<T, WireError> {
         if sealed.len() > MAX_ENVELOPE_BYTES {
             return Err(WireError::TooLarge);
@@ -85,10 +85,10 @@
         rmp_serde::from_slice(body).map_err(|_| WireError::Garbled)
     }
 
-    /// Checks and decodes an envelope meant for `me`.
+    /// Verifies and decodes an envelope addressed to `me`.
     ///
     /// # Errors
-    /// Tells what is wrong with the bytes.
+    /// As for `open`; also if the envelope has another format or another receiver.
     pub fn open_envelope(&self, sealed: &[u8], me: &InstanceId) -> Result<Envelope, WireError> {
         let envelope: Envelope = self.open(sealed)?;
         if envelope.format != Envelope::FORMAT {
--- a/components/wire/src/heartbeat.rs
+++ b/components/wire/src/heartbeat.rs
@@ -1,56 +1,56 @@
-//! Signs of life between instances.
+//! Heartbeats between instances.
 
 use serde::{Deserialize, Serialize};
 use types::{ConfigVersion, DataCentreId, Epoch, InstanceId, Moment, Shard};
 
-/// What an instance knows about the ownership of a shard.
+/// Ownership of a shard as an instance knows it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct KnownOwner {
-    /// The shard.
+    /// Id of the shard.
     pub shard: Shard,
-    /// The term of ownership.
+    /// Epoch of the ownership.
     pub epoch: Epoch,
-    /// The owner that is followed; `None` if it is lost.
+    /// Owner that the instance follows; `None` if it was lost.
     pub owner: Option<InstanceId>,
 }
 
-/// What an owner tells entries about a shard, so that they can choose between shards.
+/// State of a shard that its owner publishes, so that entries can choose between shards.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ShardSummary {
-    /// The shard.
+    /// Id of the shard.
     pub shard: Shard,
-    /// The term of ownership.
+    /// Epoch of the ownership.
     pub epoch: Epoch,
-    /// Whether the owner grants permits yet.
+    /// Whether the owner already grants permits.
     pub granting: bool,
-    /// Share of the shard's capacity in use, 0.0 to 1.0 and above when overbooked.
+    /// Used share of the shard's capacity; above 1.0 if overbooked.
     pub load: f32,
-    /// Asks waiting at the owner.
+    /// Number of permit requests that wait at the owner.
     pub queued: u32,
-    /// Expected wait of a new normal ask, in milliseconds.
+    /// Expected wait of a new permit request of class `Normal`, in milliseconds.
     pub wait_ms: u32,
-    /// Targets that can take work.
+    /// Number of targets that accept work.
     pub targets: u32,
 }
 
-/// Periodic sign of life, sent to every peer.
+/// Heartbeat, sent to every peer periodically.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Heartbeat {
-    /// The sender's own clock at sending.
+    /// Sender's clock at the time of sending.
     pub stamp: Moment,
-    /// The last stamp of the receiver that the sender has seen; `None` before the first.
+    /// Latest `stamp` that the sender has received from the receiver; `None` before the first.
     pub echo: Option<Moment>,
-    /// Where the sender runs.
+    /// Data centre of the sender.
     pub data_centre: DataCentreId,
-    /// Newest configuration the sender has in force.
+    /// Version of the configuration that the sender has in force.
     pub config_version: ConfigVersion,
-    /// Set once the sender is shutting down; it gives up its shards.
+    /// Whether the sender is shutting down and gives up its shards.
     pub draining: bool,
-    /// Shards that the sender owns, with what entries need to choose among them.
+    /// Shards that the sender owns.
     pub owned: Vec<ShardSummary>,
-    /// For shards owned by the receiver: the ownership that the sender follows. For shards that
-    /// the receiver claims in an outdated term: the newest term that the sender knows.
+    /// For shards that the receiver owns: the ownership that the sender follows. For shards that
+    /// the receiver claims with an outdated epoch: the latest epoch that the sender knows.
     pub follows: Vec<KnownOwner>,
-    /// A digest of what the sender knows of requests that crash targets.
+    /// Digest of the sender's quarantine state, which covers requests that crash targets.
     pub quarantine: u64,
 }
--- a/components/wire/src/lib.rs
+++ b/components/wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! Messages between instances, their encoding and their authentication.
+//! Messages between instances, with their encoding and authentication.
 
 pub mod codec;
 pub mod heartbeat;
--- a/components/wire/src/message.rs
+++ b/components/wire/src/message.rs
@@ -1,4 +1,4 @@
-//! The envelope that instances exchange.
+//! Messages between instances and the envelope that carries them.
 
 use derive_more::From;
 use quarantine::{Evidence, Verdict};
@@ -10,58 +10,58 @@
     permit::{Deny, Done, Grant, Held, PermitRequest, Query, Revoke, Withdraw},
 };
 
-/// One message from one instance to another. Delivery is at most once and in order per pair;
-/// a lost message is made good by the periodic `Held` and `Heartbeat`.
+/// One message between instances. Messages between a pair are delivered in order and at most once;
+/// the periodic `Held` and `Heartbeat` make up for lost ones.
 #[derive(Clone, Debug, Deserialize, From, PartialEq, Serialize)]
 pub enum Message {
-    /// An entry asks an owner for a permit.
+    /// An entry requests a permit from an owner.
     #[serde(rename = "Ask")]
     PermitRequest(PermitRequest),
-    /// An entry takes an ask back.
+    /// An entry withdraws a permit request.
     Withdraw(Withdraw),
     /// An owner grants a permit.
     Grant(Grant),
-    /// An owner refuses an ask.
+    /// An owner denies a permit request.
     Deny(Deny),
-    /// An entry gives a permit back.
+    /// An entry returns a permit.
     Done(Done),
-    /// An owner asks for a permit back whose caller has seen nothing yet.
+    /// An owner revokes a permit whose caller has received nothing yet.
     #[serde(rename = "Recall")]
     Revoke(Revoke),
-    /// A new owner asks what an entry holds on a shard.
+    /// A new owner asks an entry for its permits on a shard.
     Query(Query),
-    /// An entry tells what it holds on a shard.
+    /// An entry reports its permits on a shard.
     Held(Held),
-    /// Periodic sign of life.
+    /// Periodic heartbeat.
     Heartbeat(Heartbeat),
-    /// A target ended while it ran a request for the sender; the receiver sums such evidence up.
+    /// A target crashed while it ran a request of the sender. The receiver aggregates the evidence.
     #[serde(rename = "Ended")]
     TargetCrashed(Evidence),
-    /// How requests are taken under which targets ended.
+    /// Verdicts on requests that were running when targets crashed.
     #[serde(rename = "Words")]
     Verdicts(Vec<Verdict>),
 }
 
-/// A batch of messages from one instance to one other.
+/// A batch of messages from one instance to another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Envelope {
-    /// Version of this format; another version is refused.
+    /// Version of the format; other versions are rejected.
     pub format: u16,
-    /// The sender.
+    /// Sender.
     pub from: InstanceId,
-    /// Which life of the sender this is.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// The receiver, so that a message can't be replayed to somebody else.
+    /// Receiver, so that an envelope cannot be replayed to another instance.
     pub to: InstanceId,
-    /// Grows with each envelope of this life of the sender to this receiver; one that does not
-    /// grow was delayed or sent again by somebody else and is dropped.
+    /// Sequence number, which grows with each envelope from this incarnation of the sender to this
+    /// receiver. An envelope whose number does not grow was delayed or replayed, and is dropped.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// The messages, in order.
+    /// Messages in order.
     pub messages: Vec<Message>,
 }
 
 impl Envelope {
-    /// The format this code speaks.
+    /// Version that this code sends and accepts.
     pub const FORMAT: u16 = 2;
 }
--- a/components/wire/src/permit.rs
+++ b/components/wire/src/permit.rs
@@ -1,4 +1,5 @@
-//! Messages about permits: the right to send one request, or a few plain calls, to one target.
+//! Messages about permits. A permit is the right to send one request, or a few plain calls, to one
+//! target.
 
 use std::time::Duration;
 
@@ -8,198 +9,198 @@
     TargetId, Tokens, WorkspaceId,
 };
 
-/// How long a permit may be used, counted from the entry's clock stamp that it answers.
+/// Lifetime of a permit, counted from the stamp of the entry's clock that the grant returns.
 pub const PERMIT_LIFETIME: Duration = Duration::from_millis(1000);
 
-/// An entry asks a shard's owner for a permit.
+/// Request of an entry for a permit, sent to the owner of a shard.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PermitRequest {
-    /// Which shard.
+    /// Shard that the permit is for.
     pub shard: Shard,
-    /// The entry's number for this ask.
+    /// Id that the entry gave to the request.
     #[serde(rename = "ask")]
     pub permit_request: PermitRequestId,
-    /// The entry's own clock at sending; the grant carries it back.
+    /// Entry's clock at the time of sending; the grant returns it.
     pub stamp: Moment,
-    /// What the shard's targets are.
+    /// Kind of the shard's targets.
     pub kind: ServiceKind,
-    /// Urgency.
+    /// Urgency of the request.
     pub class: Class,
-    /// Who the request is for; fairness is between workspaces.
+    /// Workspace of the caller; capacity is shared fairly between workspaces.
     pub workspace: WorkspaceId,
-    /// The request's route; lengths are learned by it.
+    /// Route of the request; lengths are estimated by route.
     pub route: RouteId,
     /// Time left until the caller's deadline.
     #[serde(rename = "within")]
     pub deadline_left: Duration,
-    /// Time the request has waited already, at this or another owner.
+    /// Time that the request has waited so far, at this owner and others.
     pub waited: Duration,
-    /// Tokens in the prompt.
+    /// Length of the prompt.
     #[serde(rename = "prompt")]
     pub prompt_tokens: Tokens,
-    /// The most tokens the caller lets the engine produce.
+    /// Maximum number of tokens that the engine may generate.
     pub max_output: Tokens,
-    /// How many concurrent calls the permit should cover; 1 for generations.
+    /// Number of concurrent calls that the permit should cover; 1 for generations.
     pub slots: u32,
-    /// Hashes of the prompt's leading blocks, longest last; empty for plain calls.
+    /// Hashes of the prompt's leading blocks, the longest last; empty for plain calls.
     pub prefix: Vec<u64>,
     /// Targets that have just failed this request.
     pub avoid: Vec<TargetId>,
 }
 
-/// An entry takes an ask back.
+/// Withdrawal of a permit request by its entry.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Withdraw {
-    /// Which shard.
+    /// Shard that the request was for.
     pub shard: Shard,
-    /// The ask.
+    /// Id of the withdrawn request.
     #[serde(rename = "ask")]
     pub permit_request: PermitRequestId,
 }
 
-/// An owner grants a permit.
+/// Grant of a permit by the owner of a shard.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Grant {
-    /// Which shard.
+    /// Shard that the permit belongs to.
     pub shard: Shard,
-    /// The owner's term.
+    /// Epoch of the owner.
     pub epoch: Epoch,
-    /// The ask it answers.
+    /// Id of the granted request.
     #[serde(rename = "ask")]
     pub permit_request: PermitRequestId,
-    /// The permit's number.
+    /// Id of the permit.
     pub permit: PermitId,
-    /// Where the work may go.
+    /// Target that the permit is for.
     pub target: TargetId,
-    /// Which life of the target.
+    /// Incarnation of the target.
     pub incarnation: Incarnation,
-    /// Tokens of engine memory set aside.
+    /// Tokens of engine memory that are reserved.
     pub reserved: Tokens,
-    /// How many concurrent calls it covers.
+    /// Number of concurrent calls that the permit covers.
     pub slots: u32,
-    /// The newest stamp of the entry's clock that the owner had seen. The permit may be used
-    /// until `stamp + life` on the entry's clock, so a grant of a frozen owner is void.
+    /// Latest stamp of the entry's clock that the owner had received. The permit expires at `stamp
+    /// + lifetime` on the entry's clock, so grants from an owner that was frozen are void.
     pub stamp: Moment,
     /// How long after `stamp` work may be sent.
     #[serde(rename = "life")]
     pub lifetime: Duration,
-    /// Whether the target is in cold start.
+    /// Whether the target is in its cold start.
     pub cold: bool,
 }
 
-/// An owner refuses an ask for good.
+/// Final denial of a permit request by the owner of a shard.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Deny {
-    /// Which shard.
+    /// Shard that the request was for.
     pub shard: Shard,
-    /// The ask.
+    /// Id of the denied request.
     #[serde(rename = "ask")]
     pub permit_request: PermitRequestId,
-    /// When to come back; `None` if this owner no longer serves the shard and the entry should
-    /// ask elsewhere.
+    /// When to retry; `None` if this owner no longer owns the shard, and the entry should ask
+    /// another one.
     pub retry_after: Option<Duration>,
 }
 
 /// How the work under a permit ended.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Outcome {
-    /// No byte was sent.
+    /// Nothing was sent.
     Unsent,
-    /// It finished.
+    /// The work finished.
     Finished {
-        /// Tokens produced, 0 for a plain call.
+        /// Tokens generated; 0 for a plain call.
         produced: Tokens,
         /// Time to the first token or byte of the answer.
         first: Duration,
         /// Time from sending to the end.
         took: Duration,
     },
-    /// The caller went away or the work was pulled back, after this many tokens.
+    /// The caller disconnected, or the permit was revoked.
     Cancelled {
-        /// Tokens produced until then.
+        /// Tokens generated until then.
         produced: Tokens,
     },
-    /// The target refused it as too much.
+    /// The target rejected the request because of overload.
     Overloaded,
-    /// The target could not be reached: no byte was sent.
+    /// The target could not be reached; nothing was sent.
     Unreachable,
-    /// The link to the target was lost: the work may still run there.
+    /// The connection to the target was lost; the work may still run there.
     Failed,
 }
 
-/// An entry gives a permit back.
+/// Return of a permit by its entry.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Done {
-    /// Which shard.
+    /// Shard that the permit belongs to.
     pub shard: Shard,
-    /// The permit.
+    /// Id of the permit.
     pub permit: PermitId,
-    /// The target it named.
+    /// Target that the permit was for.
     pub target: TargetId,
-    /// How it ended.
+    /// How the work ended.
     pub outcome: Outcome,
 }
 
-/// An owner asks for a permit back whose caller has seen nothing yet.
+/// Revocation of a permit whose caller has received nothing yet.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Revoke {
-    /// Which shard.
+    /// Shard that the permit belongs to.
     pub shard: Shard,
-    /// The permit.
+    /// Id of the permit.
     pub permit: PermitId,
 }
 
-/// A new owner asks what an entry holds on a shard. From its answer on the entry takes permits
-/// for the shard from this term or a later one only.
+/// Request of a new owner for an entry's permits on a shard. Once it has answered, the entry
+/// accepts permits for the shard from this epoch or later ones only.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Query {
-    /// Which shard.
+    /// Shard that the permits belong to.
     pub shard: Shard,
-    /// The new owner's term.
+    /// Epoch of the new owner.
     pub epoch: Epoch,
 }
 
 /// One permit that an entry holds.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct HeldPermit {
-    /// The permit.
+    /// Id of the permit.
     pub permit: PermitId,
-    /// The term it was granted in.
+    /// Epoch in which it was granted.
     pub epoch: Epoch,
-    /// Where the work goes.
+    /// Target that the permit is for.
     pub target: TargetId,
-    /// Which life of the target.
+    /// Incarnation of the target.
     pub incarnation: Incarnation,
-    /// Urgency.
+    /// Urgency of the request.
     pub class: Class,
-    /// Who the work is for.
+    /// Workspace of the caller.
     pub workspace: WorkspaceId,
-    /// The route.
+    /// Route of the request.
     pub route: RouteId,
-    /// Tokens in the prompt.
+    /// Length of the prompt.
     #[serde(rename = "prompt")]
     pub prompt_tokens: Tokens,
-    /// The most tokens the caller lets the engine produce.
+    /// Maximum number of tokens that the engine may generate.
     pub max_output: Tokens,
-    /// Tokens produced so far.
+    /// Tokens generated so far.
     pub produced: Tokens,
-    /// Concurrent calls it covers.
+    /// Number of concurrent calls that the permit covers.
     pub slots: u32,
-    /// Whether the caller has seen any of the answer.
+    /// Whether the caller has received any part of the answer.
     #[serde(rename = "seen")]
     pub answer_started: bool,
 }
 
-/// An entry tells an owner all that it holds on a shard: the answer to a `Query`, and otherwise
-/// sent every so often so that lost messages don't leave memory reserved for good.
+/// All permits that an entry holds on a shard: the answer to a `Query`. It is also sent
+/// periodically, so that memory does not stay reserved when messages are lost.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Held {
-    /// Which shard.
+    /// Shard that the permits belong to.
     pub shard: Shard,
-    /// The term that the entry follows.
+    /// Epoch of the owner that the entry follows.
     pub epoch: Epoch,
-    /// The entry's own clock at sending.
+    /// Entry's clock at the time of sending.
     pub stamp: Moment,
-    /// What it holds.
+    /// Permits that the entry holds.
     pub permits: Vec<HeldPermit>,
 }
