--- a/components/node/src/admitted.rs
+++ b/components/node/src/admitted.rs
@@ -119,7 +119,7 @@
         self.core.decide(Event::Progress {
             request: self.id,
             produced,
-            seen: true,
+            answer_started: true,
         });
     }
 
@@ -127,7 +127,7 @@
         self.core.decide(Event::Progress {
             request: self.id,
             produced,
-            seen: false,
+            answer_started: false,
         });
     }
 
--- a/components/policy/src/account.rs
+++ b/components/policy/src/account.rs
@@ -244,7 +244,7 @@
         }
         permit.produced = permit.produced.max(held.produced.min(MAX_TOKENS));
         permit.updated_at = now;
-        permit.seen |= held.answer_started;
+        permit.answer_started |= held.answer_started;
         if stamp > permit.expires_at {
             permit.slots = permit.slots.min(held.slots);
         }
--- a/components/policy/src/api.rs
+++ b/components/policy/src/api.rs
@@ -135,7 +135,7 @@
         /// Total tokens generated so far.
         produced: Tokens,
         /// Whether any of them reached the caller.
-        seen: bool,
+        answer_started: bool,
     },
     /// Work under a permit ended.
     Ended {
--- a/components/policy/src/baseline/local.rs
+++ b/components/policy/src/baseline/local.rs
@@ -15,7 +15,7 @@
 
 /// Maximum attempts to send one request.
 const MAX_ATTEMPTS: u32 = 3;
-/// Delay that a refused caller is given.
+/// Retry delay given to refused callers.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Longer than any run, since a baseline's permits do not expire.
 const PERMIT_LIFETIME: Duration = Duration::from_secs(1 << 30);
@@ -111,12 +111,12 @@
         for target in &view.targets {
             let before = self.targets.remove(&target.id);
             let (report, running) = before.map_or_else(Default::default, |k| (k.report, k.running));
-            let entry = LocalTarget {
+            let local = LocalTarget {
                 target: target.clone(),
                 report,
                 running,
             };
-            targets.insert(target.id.clone(), entry);
+            targets.insert(target.id.clone(), local);
         }
         self.targets = targets;
         self.view = view;
--- a/components/policy/src/baseline/pick.rs
+++ b/components/policy/src/baseline/pick.rs
@@ -19,8 +19,8 @@
 
 /// A strategy to pick a target for a request.
 pub trait TargetPicker: Send {
-    /// Picks one of the targets in `available`, all of which may get work. `None` if the request has to
-    /// wait.
+    /// Picks one of the targets in `available`, all of which may get work. `None` if the request
+    /// has to wait.
     fn pick(
         &mut self,
         request: &Request,
--- a/components/policy/src/entry/machine.rs
+++ b/components/policy/src/entry/machine.rs
@@ -80,8 +80,8 @@
             Event::Progress {
                 request,
                 produced,
-                seen,
-            } => self.record_progress(*request, *produced, *seen),
+                answer_started,
+            } => self.record_progress(*request, *produced, *answer_started),
             Event::Ended {
                 request,
                 outcome,
@@ -148,7 +148,7 @@
             stage: Stage::Waiting,
             arrived_at: now,
             avoid: Vec::new(),
-            seen: false,
+            answer_started: false,
             not_before: Moment::ZERO,
         };
         let before = self.requests.insert(request.id, pending);
@@ -203,16 +203,16 @@
         }
     }
 
-    fn record_progress(&mut self, id: RequestId, produced: types::Tokens, seen: bool) {
+    fn record_progress(&mut self, id: RequestId, produced: types::Tokens, answer_started: bool) {
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
-        pending.seen |= seen;
+        pending.answer_started |= answer_started;
         if let Stage::Placed(key) = pending.stage
             && let Some(permit) = self.permits.get_mut(&key)
         {
             permit.produced = permit.produced.max(produced);
-            permit.seen |= seen;
+            permit.answer_started |= answer_started;
         }
     }
 
@@ -232,7 +232,7 @@
             return;
         };
         assert!(
-            !pending.seen,
+            !pending.answer_started,
             "request {id} is to be retried although its caller has seen tokens"
         );
         let Stage::Placed(key) = std::mem::replace(&mut pending.stage, Stage::Waiting) else {
--- a/components/policy/src/entry/owner_messages.rs
+++ b/components/policy/src/entry/owner_messages.rs
@@ -95,7 +95,7 @@
             max_output: requester.map_or(0, |r| r.max_output),
             users: BTreeSet::new(),
             produced: 0,
-            seen: false,
+            answer_started: false,
             tally: OutcomeTally::default(),
         }
     }
@@ -157,7 +157,7 @@
             return;
         }
         for id in &permit.users {
-            if self.requests.get(id).is_some_and(|p| !p.seen) {
+            if self.requests.get(id).is_some_and(|p| !p.answer_started) {
                 out.push(Action::Revoke { request: *id });
             }
         }
--- a/components/policy/src/entry/pending.rs
+++ b/components/policy/src/entry/pending.rs
@@ -32,7 +32,7 @@
     /// Targets on which it has failed.
     pub avoid: Vec<TargetId>,
     /// Whether the caller has seen any of the answer.
-    pub seen: bool,
+    pub answer_started: bool,
     /// No permit is requested before this moment.
     pub not_before: Moment,
 }
@@ -43,7 +43,7 @@
 pub struct OutstandingPermitRequest {
     /// The caller's request that it is for.
     pub request: Option<RequestId>,
-    /// Which shard.
+    /// The shard of the owner.
     pub shard: Shard,
     /// The owner that it was sent to.
     pub owner: InstanceId,
--- a/components/policy/src/entry/permit.rs
+++ b/components/policy/src/entry/permit.rs
@@ -49,7 +49,7 @@
     /// Tokens generated so far.
     pub produced: Tokens,
     /// Whether any of them reached the caller.
-    pub seen: bool,
+    pub answer_started: bool,
     /// Outcomes of the calls that have ended.
     pub tally: OutcomeTally,
 }
@@ -89,7 +89,7 @@
             } else {
                 running
             },
-            answer_started: self.seen,
+            answer_started: self.answer_started,
         }
     }
 }
--- a/components/policy/src/entry/shard_directory.rs
+++ b/components/policy/src/entry/shard_directory.rs
@@ -16,7 +16,7 @@
 const MAX_AFFINITY_LOAD: f32 = 0.85;
 /// Share of the difference between two queues that is moved at a time.
 const REBALANCE_SHARE: f32 = 0.5;
-/// Minimum retry delay that given to callers.
+/// Minimum retry delay given to callers.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Maximum number of prefixes recorded.
 const MAX_PREFIXES: usize = 4096;
@@ -155,12 +155,13 @@
         Duration::from_millis(u64::from(shortest)).max(MIN_RETRY_AFTER)
     }
 
-    /// Returns how many of the `own_requests` requests that wait at a shard should move, and where to.
+    /// Returns how many of the `own_requests` permit requests that wait at a shard should move, and
+    /// where to.
     ///
     /// All instances see the same summaries. If each moved all its requests to the emptiest shard,
-    /// the whole queue would change from shard to shard with every heartbeat, and stand in hundreds
-    /// beside empty ones. Each instance therefore moves its part of half the difference, and only
-    /// once per summary.
+    /// the whole queue would move from shard to shard with every heartbeat, hundreds of requests
+    /// beside empty queues. Each instance therefore moves its part of half the difference, and
+    /// only once per summary.
     pub fn plan_rebalance(&mut self, from: &Shard, own_requests: usize) -> Option<Rebalance> {
         let here = self.shards.get_mut(from)?;
         if !std::mem::take(&mut here.is_summary_new) {
--- a/components/policy/src/granting.rs
+++ b/components/policy/src/granting.rs
@@ -121,7 +121,7 @@
         }
     }
 
-    #[allow(clippy::too_many_arguments)] // one decision's parts
+    #[allow(clippy::too_many_arguments)] // the parts of one decision
     fn grant(
         &mut self,
         now: Moment,
@@ -135,7 +135,7 @@
         let can_grant = self.can_grant(now);
         assert!(
             can_grant,
-            "granted a permit on {} before all entries had reported the permits they hold; last events:\n{}",
+            "granted a permit on {} before all entries reported their permits; last events:\n{}",
             self.shard,
             owner_state.decision_log.to_text()
         );
@@ -222,7 +222,7 @@
         produced: 0,
         updated_at: now,
         slots: grant.slots,
-        seen: false,
+        answer_started: false,
         granted_at: now,
         expires_at: grant.stamp.saturating_add(grant.lifetime),
         started_at: None,
--- a/components/policy/src/limiter.rs
+++ b/components/policy/src/limiter.rs
@@ -11,15 +11,15 @@
 const WINDOW_SAMPLES: usize = 8;
 /// Median first-token time, as a multiple of the baseline, above which a target counts as
 /// overloaded.
-const CROWDED_FACTOR: f64 = 2.0;
+const OVERLOADED_LATENCY_FACTOR: f64 = 2.0;
 /// First-token time, as a multiple of the baseline, that suggests that a target is cold.
 const COLD_FACTOR: f64 = 5.0;
 /// Shorter first-token times, in seconds, never suggest that a target is cold.
 const MIN_COLD_FIRST_TOKEN_SECONDS: f64 = 0.5;
 /// Number of consecutive slow first tokens after which a target is taken to be cold.
 const COLD_SAMPLES: u32 = 2;
-/// Factor on the limit when first-token times rise above `CROWDED_FACTOR`.
-const CROWDED_BACKOFF: f64 = 0.85;
+/// Factor on the limit when the first-token time shows that a target is overloaded.
+const LATENCY_BACKOFF: f64 = 0.85;
 /// Factor on the limit when a target refused work as overloaded.
 const OVERLOAD_BACKOFF: f64 = 0.5;
 /// Weight of a new window's median in the baseline.
@@ -73,7 +73,7 @@
         self.cold
     }
 
-    /// When the target last became cold or warm.
+    /// Returns when the target last became cold or warm.
     #[must_use]
     pub const fn state_changed_at(&self) -> Moment {
         self.state_changed_at
@@ -199,9 +199,9 @@
         let median = self.first_token_times[self.first_token_times.len() / 2];
         self.first_token_times.clear();
         let baseline = *self.baseline.get_or_insert(median);
-        if median > baseline * CROWDED_FACTOR {
+        if median > baseline * OVERLOADED_LATENCY_FACTOR {
             self.probing = false;
-            self.limit = (self.limit * CROWDED_BACKOFF).max(1.0);
+            self.limit = (self.limit * LATENCY_BACKOFF).max(1.0);
         } else if saturated {
             self.limit = (self.limit + self.limit.sqrt()).min(f64::from(limits.warm_limit));
         }
--- a/components/policy/src/load_reports.rs
+++ b/components/policy/src/load_reports.rs
@@ -86,14 +86,14 @@
             self.expire_orphans(now);
             return;
         };
-        let taken = report.taken_at;
+        let taken_at = report.taken_at;
         let mut orphans: Vec<PermitKey> = Vec::new();
         let mut running = 0;
         for (key, permit) in &self.permits {
-            let listed_after = permit.updated_at >= taken + EXPIRY_MARGIN;
+            let listed_after = permit.updated_at >= taken_at + EXPIRY_MARGIN;
             match permit.orphaned_at {
-                Some(since) if since < taken => orphans.push(key.clone()),
-                None if listed_after && permit.started_at.is_some_and(|at| at <= taken) => {
+                Some(since) if since < taken_at => orphans.push(key.clone()),
+                None if listed_after && permit.started_at.is_some_and(|at| at <= taken_at) => {
                     running += permit.slots;
                 }
                 _ => {}
--- a/components/policy/src/owner.rs
+++ b/components/policy/src/owner.rs
@@ -197,7 +197,7 @@
                 continue;
             };
             if state.record_report(now, target, report, &limits) {
-                state.revoke_unseen(now, &mut self.owner_state, out);
+                state.revoke_on_low_memory(now, &mut self.owner_state, out);
                 state.grant_waiting(now, &mut self.owner_state, out);
             }
         }
@@ -284,7 +284,7 @@
     fn tick(&mut self, now: Moment, out: &mut Vec<Action>) {
         for state in self.shards.values_mut() {
             state.tick(now, &mut self.owner_state, out);
-            state.revoke_unseen(now, &mut self.owner_state, out);
+            state.revoke_on_low_memory(now, &mut self.owner_state, out);
             state.grant_waiting(now, &mut self.owner_state, out);
         }
     }
--- a/components/policy/src/permit.rs
+++ b/components/policy/src/permit.rs
@@ -48,7 +48,7 @@
     /// Concurrent calls that it covers.
     pub slots: u32,
     /// Whether the caller has seen any of the answer.
-    pub seen: bool,
+    pub answer_started: bool,
     /// When it was granted, or first reported if an earlier owner granted it.
     pub granted_at: Moment,
     /// When it was first reported to have generated tokens.
@@ -88,7 +88,7 @@
             updated_at: now,
             started_at: (held.produced > 0).then_some(now),
             slots: held.slots.min(MAX_SLOTS),
-            seen: held.answer_started,
+            answer_started: held.answer_started,
             granted_at: now,
             expires_at: stamp,
             orphaned_at: None,
--- a/components/policy/src/permit_updates.rs
+++ b/components/policy/src/permit_updates.rs
@@ -135,7 +135,7 @@
         }
     }
 
-    #[allow(clippy::too_many_arguments)] // the message's parts
+    #[allow(clippy::too_many_arguments)] // the parts of the message
     fn handle_held_permit(
         &mut self,
         now: Moment,
@@ -159,9 +159,9 @@
             account.insert(key, permit);
             return;
         };
-        let (before, since, slow_start_recorded) =
+        let (produced_before, granted_at, slow_start_recorded) =
             (known.produced, known.granted_at, known.slow_start_recorded);
-        if before == 0 && held.produced > 0 {
+        if produced_before == 0 && held.produced > 0 {
             let saturated = account
                 .limiter
                 .is_saturated(limits, account.occupied_slots());
@@ -178,11 +178,11 @@
         };
         owner_state
             .lengths
-            .record_progress(&source, before, held.produced);
+            .record_progress(&source, produced_before, held.produced);
         if held.produced == 0 && !slow_start_recorded {
             let turned_cold = account
                 .limiter
-                .record_missing_first_token(now, now.saturating_sub(since));
+                .record_missing_first_token(now, now.saturating_sub(granted_at));
             if let Some(permit) = account.permits.get_mut(&key) {
                 permit.slow_start_recorded = turned_cold;
             }
--- a/components/policy/src/revoke.rs
+++ b/components/policy/src/revoke.rs
@@ -22,8 +22,9 @@
 const MIN_REVOKE_INTERVAL: Duration = Duration::from_millis(250);
 
 impl ShardState {
-    /// Revokes the cheapest unseen permit of each target that is about to run out of memory.
-    pub fn revoke_unseen(
+    /// Revokes a permit of each target that is about to run out of memory: the one that costs
+    /// least to run again.
+    pub fn revoke_on_low_memory(
         &mut self,
         now: Moment,
         owner_state: &mut OwnerState,
@@ -77,14 +78,15 @@
     account.used_share(now) >= revoke_share || near_term >= revoke_share
 }
 
-/// Returns the unseen permit that costs least to run again: background work first, then the one
-/// with the fewest tokens to recompute. Urgent work is never revoked.
+/// Returns the permit that costs least to run again, among those of which the caller has seen
+/// nothing: background work first, then the one with the fewest tokens to recompute. Urgent work is
+/// never revoked.
 fn cheapest_to_revoke(account: &TargetAccount) -> Option<PermitKey> {
     account
         .permits
         .iter()
         .filter(|(_, permit)| {
-            !permit.seen
+            !permit.answer_started
                 && !permit.revoked
                 && permit.orphaned_at.is_none()
                 && permit.class != Class::Urgent
--- a/components/policy/src/shard.rs
+++ b/components/policy/src/shard.rs
@@ -46,13 +46,14 @@
     pub grant_rate: GrantRate,
     pub(crate) unanswered_queries: BTreeSet<InstanceId>,
     queried_at: Moment,
-    started_at: Moment,
+    term_started_at: Moment,
     pub(crate) deadlines_checked_at: Moment,
     pub(crate) last_urgent_at: Option<Moment>,
 }
 
 impl ShardState {
-    /// Starts a term in which the entries in `entries_to_query` have to report the permits that they hold.
+    /// Starts a term in which the entries in `entries_to_query` have to report the permits that
+    /// they hold.
     pub fn new(
         now: Moment,
         shard: &Shard,
@@ -70,7 +71,7 @@
             grant_rate: GrantRate::new(),
             unanswered_queries: entries_to_query.iter().cloned().collect(),
             queried_at: now,
-            started_at: now,
+            term_started_at: now,
             deadlines_checked_at: now,
             last_urgent_at: None,
         };
@@ -100,7 +101,7 @@
     #[must_use]
     pub fn can_grant(&self, now: Moment) -> bool {
         self.unanswered_queries.is_empty()
-            || now >= self.started_at + PERMIT_LIFETIME + EXPIRY_MARGIN
+            || now >= self.term_started_at + PERMIT_LIFETIME + EXPIRY_MARGIN
     }
 
     /// Returns whether a cold target may get work: this is the only owner, it knows all work that
@@ -111,13 +112,13 @@
     pub fn can_grant_cold(&self, now: Moment, account: &TargetAccount) -> bool {
         let reported = account
             .report
-            .is_some_and(|report| report.taken_at >= self.started_at);
+            .is_some_and(|report| report.taken_at >= self.term_started_at);
         self.exclusive
             && self.unanswered_queries.is_empty()
-            && (reported || now >= self.started_at + COLD_REPORT_TIMEOUT)
+            && (reported || now >= self.term_started_at + COLD_REPORT_TIMEOUT)
     }
 
-    /// Number of a target's slots that only urgent work may take.
+    /// Returns how many of a target's slots are reserved for urgent work at present.
     #[must_use]
     pub fn urgent_reserve(&self, now: Moment, slots: u32) -> u32 {
         let expected = self
--- a/components/policy/src/tuning.rs
+++ b/components/policy/src/tuning.rs
@@ -24,7 +24,7 @@
     pub margin_deviations: f64,
     /// Share of memory in use above which nothing is admitted, whatever the projection says.
     pub stop_share: f64,
-    /// Share of memory, in use or projected shortly ahead, from which unseen work is revoked.
+    /// Share of memory, in use or projected shortly ahead, from which on permits are revoked.
     pub revoke_share: f64,
 }
 
--- a/components/policy/src/wait_queue.rs
+++ b/components/policy/src/wait_queue.rs
@@ -51,7 +51,7 @@
 }
 
 impl QueuedRequest {
-    /// Creates an entry of the queue for a request that has just arrived.
+    /// Wraps a request that has just arrived.
     #[must_use]
     pub fn new(entry: &InstanceId, request: &PermitRequest, now: Moment) -> Self {
         let mut request = request.clone();
--- a/components/policy/tests/faults.rs
+++ b/components/policy/tests/faults.rs
@@ -543,7 +543,8 @@
         }
     }
 
-    /// A dead entry is reported as gone after `ENTRY_LOSS_TIMEOUT`, and returns in a new incarnation later.
+    /// A dead entry is reported as gone after `ENTRY_LOSS_TIMEOUT`, and returns in a new
+    /// incarnation later.
     fn restart_dead_entries(&mut self) {
         for entry in 0..ENTRIES {
             let Some(since) = self.entries[entry].dead_since else {
--- a/components/policy/tests/limits.rs
+++ b/components/policy/tests/limits.rs
@@ -97,7 +97,7 @@
 }
 
 // When the owner changes, targets have long been warm. A new owner that treated them as cold would
-// lose most of the capacity for minutes.
+// lose others of the capacity for minutes.
 #[test]
 fn a_new_owner_trusts_a_target_that_reports_itself_warm() {
     let mut fixture = Fixture::new(view(vec![target("a", 1)], large_limits()));
@@ -165,12 +165,12 @@
     let rest = grants.split_off(2);
     fixture.advance(100);
     assert!(finish(&mut fixture, grants, 3000).len() <= 1);
-    let (last, most) = rest.split_at(rest.len() - 2);
+    let (last, others) = rest.split_at(rest.len() - 2);
     assert!(
         finish(&mut fixture, last.to_vec(), 50).is_empty(),
         "still over the limit"
     );
-    let next = finish(&mut fixture, most.to_vec(), 50);
+    let next = finish(&mut fixture, others.to_vec(), 50);
     assert!(next.len() <= 2 && next.iter().all(|grant| grant.cold));
 }
 
--- a/components/policy/tests/lost_connections.rs
+++ b/components/policy/tests/lost_connections.rs
@@ -121,8 +121,8 @@
     assert_eq!(fixture.grants().len(), 1);
 }
 
-// The same for work that has begun: the listing lags, so it may have begun on the new incarnation.
-// Only its entry knows whether it was lost.
+// As in the test above, but the work has begun: the listing lags, so it may have begun on the new
+// incarnation. Only its entry knows whether it was lost.
 #[test]
 fn work_under_a_permit_of_an_earlier_incarnation_counts_until_its_entry_returns_it() {
     let mut fixture = Fixture::owning(view(vec![target("a", 1)], limits()));
@@ -138,7 +138,8 @@
     assert_eq!(fixture.grants().len(), 1);
 }
 
-// The same after a change of ownership: the new owner learns of the permits only from the entry.
+// As in the test above, but the owner has changed: the new owner learns of the permits only from
+// the entry.
 #[test]
 fn a_new_owner_counts_reported_permits_of_an_earlier_incarnation() {
     let mut fixture = Fixture::new(view(vec![target("a", 2)], limits()));
--- a/components/policy/tests/order.rs
+++ b/components/policy/tests/order.rs
@@ -12,7 +12,7 @@
 use wire::{Grant, Message, PermitRequest};
 
 /// One warm target with four slots.
-fn narrow() -> Fixture {
+fn warm_target_with_four_slots() -> Fixture {
     let limits = TargetLimits {
         warm_limit: 4,
         queue_limit: 100,
@@ -29,7 +29,7 @@
     fixture
 }
 
-/// Fills all slots of `narrow` and returns the grants.
+/// Fills all slots of the only target and returns the grants.
 fn fill(fixture: &mut Fixture) -> Vec<Grant> {
     let mut grants = Vec::new();
     for number in 1..=4 {
@@ -62,7 +62,7 @@
 
 #[test]
 fn requests_are_ordered_by_class_then_deadline_then_arrival() {
-    let mut fixture = narrow();
+    let mut fixture = warm_target_with_four_slots();
     let grants = fill(&mut fixture);
     let requests = [
         (10, Class::Background, 5),
@@ -81,11 +81,11 @@
     assert_eq!(granted_after_each(&mut fixture, &grants), [13, 12, 11]);
 }
 
-// If requests were ordered by number or by arrival, a hundred long drafts sent at once by one
+// If requests were ordered by count or by arrival, a hundred long drafts sent at once by one
 // workspace would delay the short questions of all others.
 #[test]
 fn workspaces_share_by_tokens_and_not_by_count() {
-    let mut fixture = narrow();
+    let mut fixture = warm_target_with_four_slots();
     let mut grants = fill(&mut fixture);
     for number in 100..120 {
         let long = modified_request(&fixture, number, |request| {
@@ -114,7 +114,7 @@
 // Background work that is always served last never finishes while other work keeps arriving.
 #[test]
 fn background_work_that_has_waited_long_counts_as_normal() {
-    let mut fixture = narrow();
+    let mut fixture = warm_target_with_four_slots();
     let grants = fill(&mut fixture);
     let old = modified_request(&fixture, 10, |request| {
         request.class = Class::Background;
@@ -175,7 +175,7 @@
 // long as there is urgent work.
 #[test]
 fn the_last_slots_are_reserved_for_urgent_work() {
-    let mut fixture = narrow();
+    let mut fixture = warm_target_with_four_slots();
     fixture.request_permit_of_class(Class::Urgent, 1);
     for number in 2..=9 {
         fixture.request_permit_of_class(Class::Background, number);
@@ -216,13 +216,13 @@
 // Work of which the caller has seen no token is revoked first, background before normal.
 #[test]
 fn unseen_background_work_is_revoked_at_a_target_that_runs_out_of_memory() {
-    let mut fixture = narrow();
+    let mut fixture = warm_target_with_four_slots();
     fixture.request_permit("entry", 1);
     let normal = fixture.grants().remove(0);
     fixture.request_permit_of_class(Class::Background, 2);
     let background = fixture.grants().remove(0);
     fixture.request_permit_of_class(Class::Background, 3);
-    let seen = fixture.grants().remove(0);
+    let answering = fixture.grants().remove(0);
     fixture.advance(300);
     let background_held = |grant: &Grant, produced| wire::HeldPermit {
         class: Class::Background,
@@ -231,7 +231,7 @@
     let permits = vec![
         held_permit(normal.permit, "a", 0),
         background_held(&background, 0),
-        background_held(&seen, 9),
+        background_held(&answering, 9),
     ];
     fixture.report_held("entry", 1, permits);
     let full = EngineReport {
@@ -292,7 +292,7 @@
 // of at the end of its deadline.
 #[test]
 fn a_permit_request_that_cannot_be_served_in_time_is_denied_at_once() {
-    let mut fixture = narrow();
+    let mut fixture = warm_target_with_four_slots();
     let mut grants = fill(&mut fixture);
     for number in 10..40 {
         fixture.request_permit("entry", number);
@@ -327,7 +327,7 @@
 // their deadline, they would have waited for nothing.
 #[test]
 fn a_queued_request_is_denied_as_soon_as_it_cannot_be_served_in_time() {
-    let mut fixture = narrow();
+    let mut fixture = warm_target_with_four_slots();
     let mut grants = fill(&mut fixture);
     for number in 10..40 {
         fixture.request_permit("entry", number);
--- a/components/policy/tests/owner.rs
+++ b/components/policy/tests/owner.rs
@@ -94,7 +94,7 @@
 // An entry that died can't answer. Waiting for it for ever would leave the shard without service,
 // so the wait ends once all permits that it could still use have expired.
 #[test]
-fn a_new_owner_waits_no_longer_than_a_permit_lives() {
+fn a_new_owner_waits_no_longer_than_a_permits_lifetime() {
     let mut fixture = Fixture::new(view(vec![target("a", 1)], limits()));
     fixture.report_load("a", warm_report());
     fixture.become_owner(2, &["dead"]);
