--- a/components/front/src/instances/message_handler.rs
+++ b/components/front/src/instances/message_handler.rs
@@ -168,7 +168,7 @@
             return HttpReply::new(400).done();
         };
         let Ok(message) = rmp_serde::from_slice(&body) else {
-            return HttpReply::text(400, "the body is not a valid message").done();
+            return HttpReply::text(400, "not a message").done();
         };
         let reply = self.process(message).await;
         match rmp_serde::to_vec(&reply) {
--- a/components/gateway/src/buffered.rs
+++ b/components/gateway/src/buffered.rs
@@ -145,7 +145,7 @@
     if partial_data.is_empty() {
         return Err(refusal);
     }
-    let mut partial = refusals::partial(&format!("no further attempt was possible: {refusal}"));
+    let mut partial = refusals::partial(&format!("no further try was possible: {refusal}"));
     partial.retry_after = refusal.retry_after;
     generation.core.metrics.record_refusal(&partial.code);
     generation.in_flight.set_outcome(Outcome::Partial);
@@ -219,9 +219,8 @@
     fn of(data: &[Bytes]) -> Result<Self, Refusal> {
         let mut joined = Self::default();
         for event in data {
-            let chunk: Chunk = serde_json::from_slice(event).map_err(|e| {
-                refusals::partial(&format!("the engine sent an invalid event: {e}"))
-            })?;
+            let chunk: Chunk = serde_json::from_slice(event)
+                .map_err(|e| refusals::partial(&format!("the engine sent no valid event: {e}")))?;
             joined.add(chunk);
         }
         Ok(joined)
--- a/components/gateway/src/completion_request.rs
+++ b/components/gateway/src/completion_request.rs
@@ -123,7 +123,7 @@
         match body.get(field) {
             None | Some(Value::Null) => {}
             Some(value) if value.as_u64() == Some(1) => {}
-            Some(_) => return Err(invalid(&format!("`{field}`"), "1: one answer per request")),
+            Some(_) => return Err(invalid(&format!("`{field}`"), "1: one answer a request")),
         }
     }
     Ok(())
--- a/components/gateway/src/forward.rs
+++ b/components/gateway/src/forward.rs
@@ -71,7 +71,7 @@
     if uri.path().split('/').any(is_dot_segment) {
         return Err(refusals::bad_request(
             "bad-path",
-            "the path must not contain `.` or `..` as a segment",
+            "the path must not hold `.` or `..` as a part",
         ));
     }
     Ok(uri
--- a/components/gateway/src/refusals.rs
+++ b/components/gateway/src/refusals.rs
@@ -32,19 +32,19 @@
 /// The workspace has no such model.
 pub fn no_model(model: &str, route: &str) -> Refusal {
     let detail = format!("there is no model `{model}` with route `{route}` for this workspace");
-    Refusal::new(404, "unknown-model", "Unknown model", &detail)
+    Refusal::new(404, "unknown-model", "No such model", &detail)
 }
 
 /// The path exists, but does not support the method.
 pub fn bad_method(allowed: &str) -> Refusal {
-    let detail = format!("this path allows only {allowed}");
-    Refusal::new(405, "method-not-allowed", "Method not allowed", &detail)
+    let detail = format!("this path takes {allowed} only");
+    Refusal::new(405, "method-not-allowed", "Wrong method", &detail)
 }
 
 /// The body is larger than the limit, which is in bytes.
 pub fn body_too_large(limit: usize) -> Refusal {
-    let detail = format!("the body may have at most {limit} bytes");
-    Refusal::new(413, "body-too-large", "The body is too large", &detail)
+    let detail = format!("the body may have {limit} bytes");
+    Refusal::new(413, "body-too-large", "The body is too long", &detail)
 }
 
 /// The body did not arrive in time.
@@ -62,8 +62,8 @@
     Refusal::new(
         503,
         "crowded",
-        "Too many request bodies at this instance",
-        "retry a little later; nothing was sent",
+        "This instance holds too many bodies",
+        "ask again a little later; nothing was sent",
     )
     .with_retry_after(RETRY_AFTER_SHORTAGE)
 }
@@ -72,7 +72,7 @@
 pub fn incomplete_body() -> Refusal {
     bad_request(
         "body-incomplete",
-        "the connection closed before the end of the body",
+        "the connection broke before the end of the body",
     )
 }
 
@@ -81,16 +81,15 @@
     Refusal::new(
         503,
         "not-ready",
-        "This instance is not accepting requests",
-        "retry; another instance may answer",
+        "This instance takes no requests now",
+        "ask again; another instance may answer",
     )
     .with_retry_after(RETRY_AFTER_SHORTAGE)
 }
 
 /// The workspace has too many requests in flight at this instance.
 pub fn in_flight(limit: u32) -> Refusal {
-    let detail =
-        format!("the workspace may have at most {limit} requests in flight at one instance");
+    let detail = format!("the workspace may have {limit} requests in flight at one instance");
     Refusal::new(429, "in-flight", "Too many requests in flight", &detail)
         .with_retry_after(RETRY_AFTER_SHORTAGE)
 }
@@ -100,7 +99,7 @@
     Refusal::new(
         499,
         "caller-left",
-        "The caller disconnected",
+        "The caller went away",
         "nothing was sent",
     )
 }
@@ -111,7 +110,7 @@
         504,
         "deadline",
         "The deadline has passed",
-        "no answer arrived before the deadline; the work was cancelled",
+        "no answer came before the deadline; the work was cancelled",
     )
     .with_execution(execution)
     .with_retry_after(RETRY_AFTER_SHORTAGE)
@@ -134,8 +133,8 @@
     Refusal::new(
         502,
         "answer-too-large",
-        "The answer is too large to be buffered",
-        "use `stream: true`, or request fewer tokens",
+        "The answer is too long to be sent whole",
+        "ask for it with `stream: true`, or for fewer tokens",
     )
     .with_execution(Execution::Partial)
 }
@@ -145,8 +144,8 @@
     Refusal::new(
         502,
         "answers-crowded",
-        "Too many buffered answers at this instance",
-        "retry a little later, or use `stream: true`; the generation was cancelled",
+        "This instance holds too many answers",
+        "ask again a little later, or with `stream: true`; the generation was cancelled",
     )
     .with_execution(Execution::Partial)
     .with_retry_after(RETRY_AFTER_SHORTAGE)
@@ -165,8 +164,8 @@
     Refusal::new(
         410,
         "stream-gone",
-        "The stream no longer exists",
-        "its engine is gone, or it was cancelled; no more of the answer is available",
+        "The stream is no longer there",
+        "its engine is gone, or it was cancelled; what has arrived is all there is",
     )
     .with_execution(Execution::Partial)
 }
@@ -198,7 +197,7 @@
         409,
         "still-running",
         "The call is still running under this key",
-        "retry with the same key to get its answer",
+        "ask again with the same key for its answer",
     )
     .with_execution(Execution::Unknown)
     .with_retry_after(RETRY_AFTER_SHORTAGE)
@@ -209,8 +208,8 @@
     Refusal::new(
         422,
         "quarantined",
-        "The request crashes the targets that run it",
-        "several targets crashed while they ran this request; it is not sent again",
+        "The request crashes what runs it",
+        "several targets ended while they ran this request; it is not sent again",
     )
 }
 
@@ -219,7 +218,7 @@
     Refusal::new(
         504,
         "outcome-unknown",
-        "The outcome is unknown",
+        "The outcome is not known",
         "the call was sent once under this key; it will not be sent again",
     )
     .with_execution(Execution::Unknown)
--- a/components/relay/src/sink.rs
+++ b/components/relay/src/sink.rs
@@ -15,20 +15,20 @@
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum StreamError {
     /// The engine does not know the stream any more.
-    #[display("the engine no longer knows the generation")]
+    #[display("the engine lost the generation")]
     Gone,
     /// The engine refuses connections.
-    #[display("can't connect to the engine: {reason}")]
+    #[display("the engine can't be reached: {reason}")]
     Unreachable {
         /// Text of the last connection error.
         #[error(not(source))]
         reason: Arc<str>,
     },
     /// The connection was lost while resuming was disabled.
-    #[display("the connection to the engine was lost")]
+    #[display("the link broke")]
     ConnectionLost,
     /// The engine produced no token within [`STALL_TIMEOUT`].
-    #[display("the engine produced no token for {STALL_TIMEOUT:?}")]
+    #[display("no token came for {STALL_TIMEOUT:?}")]
     Stalled,
 }
 
