--- a/components/front/src/callers/call.rs
+++ b/components/front/src/callers/call.rs
@@ -43,7 +43,7 @@
     pub arrived: Moment,
     /// Until when the caller waits.
     pub caller_deadline: Moment,
-    /// Until when the request must be answered: at most the route's time-out after its arrival.
+    /// Until when the request must be answered: at most the route's timeout after its arrival.
     pub answer_deadline: Moment,
     /// Version of the configuration by which the request is served.
     pub config_version: u64,
--- a/components/front/src/callers/handler.rs
+++ b/components/front/src/callers/handler.rs
@@ -22,7 +22,7 @@
     adapters::CallerRequest,
     callers::{
         call::Call,
-        refusal::{ELSEWHERE_RETRY, Refusal},
+        refusal::{ELSEWHERE_RETRY_AFTER, Refusal},
         retry_after::retry_after,
     },
     generations, plain_calls,
@@ -30,15 +30,15 @@
 };
 
 /// `Retry-After` of a request whose body does not fit into the memory budget.
-const MEMORY_RETRY: Duration = Duration::from_millis(300);
-/// Age at which the known configuration may lack a route or a key, so that no request is denied on
-/// its ground any more.
+const MEMORY_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Maximum age of a configuration by which requests are denied; an older one may lack a route or a
+/// key.
 const MAX_DENY_AGE: Duration = Duration::from_millis(4_500);
 /// Maximum body size in bytes if the configuration sets none.
 const DEFAULT_BODY_BYTES: usize = 4 * 1_024 * 1_024;
 /// Longest pause within a body if the configuration sets none.
 const DEFAULT_BODY_PAUSE: Duration = Duration::from_secs(3);
-/// Time for an answer if neither the caller nor the route sets one.
+/// Time for an answer if the route sets no timeout.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Reason of the refusal of requests that outlast the instance.
@@ -106,7 +106,7 @@
             front.metrics.quarantined.inc();
             return front.refuse_call(&call, &Refusal::quarantined());
         }
-        let aborted = self.aborted(&call);
+        let abort_response = self.abort_response(&call);
         let served = async {
             match call.route.kind {
                 RouteKind::Generation => generations::dispatch::serve(front, call).await,
@@ -115,21 +115,21 @@
                 }
             }
         };
-        future::or(aborted, served).await
+        future::or(abort_response, served).await
     }
 
     /// Waits for the abort at shutdown, and builds the answer to a call in place of its target.
     /// Without an answer the caller could not tell whether its request has run.
-    fn aborted(&self, call: &Call) -> impl Future<Output = Response<Body>> + use<> {
+    fn abort_response(&self, call: &Call) -> impl Future<Output = Response<Body>> + use<> {
         let front = Arc::clone(&self.front);
         let (id, kind, arrived) = (Arc::clone(&call.request.id), call.kind(), call.arrived);
         let sent = Arc::clone(&call.sent);
         async move {
             front.shutdown.aborted().await;
             let refusal = if sent.load(Ordering::Acquire) {
-                Refusal::late(SHUTDOWN_REASON)
+                Refusal::timed_out(SHUTDOWN_REASON)
             } else {
-                Refusal::not_run(SHUTDOWN_REASON, ELSEWHERE_RETRY)
+                Refusal::not_run(SHUTDOWN_REASON, ELSEWHERE_RETRY_AFTER)
             };
             front.refuse_kind(kind, &id, elapsed_since(arrived), &refusal)
         }
@@ -150,7 +150,7 @@
             None
         };
         let Some(read) = future::or(aborted, reading).await else {
-            return Err(Refusal::not_run(SHUTDOWN_REASON, ELSEWHERE_RETRY));
+            return Err(Refusal::not_run(SHUTDOWN_REASON, ELSEWHERE_RETRY_AFTER));
         };
         let read = read.map_err(|e| match e {
             SharedError::Body(BodyError::TooLarge) => {
@@ -162,7 +162,7 @@
             SharedError::Body(BodyError::Broken) => {
                 Refusal::new(StatusCode::BAD_REQUEST, e.to_string())
             }
-            SharedError::Crowded => Refusal::not_run(e.to_string(), MEMORY_RETRY),
+            SharedError::Crowded => Refusal::not_run(e.to_string(), MEMORY_RETRY_AFTER),
         });
         Ok(BufferedBody {
             bytes: read?,
--- a/components/front/src/callers/refusal.rs
+++ b/components/front/src/callers/refusal.rs
@@ -13,7 +13,7 @@
 use crate::{callers::call::Call, state::Front};
 
 /// `Retry-After` of a request that another instance would serve: at once, on a new connection.
-pub const ELSEWHERE_RETRY: Duration = Duration::from_millis(10);
+pub const ELSEWHERE_RETRY_AFTER: Duration = Duration::from_millis(10);
 
 /// Reason of the refusal of a quarantined request.
 pub const QUARANTINED: &str = "targets ended while they ran this request";
@@ -26,7 +26,7 @@
     /// The reason, for the log and the caller.
     pub reason: Arc<str>,
     /// When the caller may retry; set only if the request has not run.
-    pub retry: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 /// The JSON body of an error response.
@@ -45,14 +45,14 @@
         Self {
             status,
             reason: reason.into(),
-            retry: None,
+            retry_after: None,
         }
     }
 
     /// The request has not run and will not run; the caller may retry.
     #[must_use]
-    pub fn not_run(reason: impl Into<Arc<str>>, retry: Duration) -> Self {
-        Self::new(StatusCode::SERVICE_UNAVAILABLE, reason).with_retry(retry)
+    pub fn not_run(reason: impl Into<Arc<str>>, retry_after: Duration) -> Self {
+        Self::new(StatusCode::SERVICE_UNAVAILABLE, reason).with_retry_after(retry_after)
     }
 
     /// The request may have run.
@@ -63,7 +63,7 @@
 
     /// No answer arrived in time; the request may have run.
     #[must_use]
-    pub fn late(reason: impl Into<Arc<str>>) -> Self {
+    pub fn timed_out(reason: impl Into<Arc<str>>) -> Self {
         Self::new(StatusCode::GATEWAY_TIMEOUT, reason)
     }
 
@@ -75,12 +75,12 @@
 
     /// Sets when the caller may retry.
     #[must_use]
-    pub const fn with_retry(mut self, after: Duration) -> Self {
-        self.retry = Some(after);
+    pub const fn with_retry_after(mut self, after: Duration) -> Self {
+        self.retry_after = Some(after);
         self
     }
 
-    fn run(&self) -> &'static str {
+    fn execution(&self) -> &'static str {
         match self.status {
             StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT => "unknown",
             _ => "not-run",
@@ -96,7 +96,7 @@
             id: id.unwrap_or("-").into(),
             status: refusal.status.as_u16(),
             reason: Arc::clone(&refusal.reason),
-            retry_ms: refusal.retry.map_or(0, millis),
+            retry_ms: refusal.retry_after.map_or(0, millis),
             held_ms: millis(held),
             rules: self.view.rules().map_or(0, |rules| rules.version),
             age_ms: millis(timer::boot_time().saturating_sub(read)),
@@ -104,7 +104,7 @@
         let problem = Problem {
             title: &refusal.reason,
             status: refusal.status.as_u16(),
-            run: refusal.run(),
+            run: refusal.execution(),
         };
         // Serialization fails only for maps with keys that are not strings; there are none.
         let text = serde_json::to_vec(&problem).unwrap_or_default();
@@ -113,7 +113,7 @@
         *resp.headers_mut() = self.adapter.own_headers(id);
         let kind = HeaderValue::from_static("application/problem+json");
         resp.headers_mut().insert(CONTENT_TYPE, kind);
-        if let Some(after) = refusal.retry {
+        if let Some(after) = refusal.retry_after {
             let seconds = format!("{:.3}", after.as_secs_f64());
             if let Ok(value) = HeaderValue::from_str(&seconds) {
                 resp.headers_mut().insert(RETRY_AFTER, value);
@@ -135,7 +135,7 @@
         held: Duration,
         refusal: &Refusal,
     ) -> Response<Body> {
-        let outcome = if refusal.retry.is_some() {
+        let outcome = if refusal.retry_after.is_some() {
             "refused"
         } else {
             "failed"
--- a/components/front/src/callers/retry_after.rs
+++ b/components/front/src/callers/retry_after.rs
@@ -1,6 +1,6 @@
 //! `Retry-After` of instances whose state is too incomplete to serve callers.
 //!
-//! An instance that has outage the store, or has started while the store is unavailable, can't tell
+//! An instance that has lost the store, or has started while the store is unavailable, can't tell
 //! how long that lasts. With a short `Retry-After` each time, a caller that retries only once would
 //! be refused twice and give up although it could have waited longer. An outage that has lasted for
 //! some time usually lasts about half as long again, so the time grows with the outage.
--- a/components/front/src/generations/dispatch.rs
+++ b/components/front/src/generations/dispatch.rs
@@ -17,7 +17,7 @@
     adapters::GenerationSizes,
     callers::{
         call::Call,
-        refusal::{ELSEWHERE_RETRY, Refusal, millis},
+        refusal::{ELSEWHERE_RETRY_AFTER, Refusal, millis},
     },
     generations::{
         active::GenerationHandle,
@@ -31,9 +31,9 @@
 };
 
 /// `Retry-After` of a generation for which no engine was found.
-const NO_TARGET_RETRY: Duration = Duration::from_millis(1_000);
-/// Shards of a service's engines that are asked before a generation is refused. With two or more at
-/// random of many, one full shard hardly ever decides while others have room.
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(1_000);
+/// Shards of a service's engines that are asked before a generation is refused. Even with two of
+/// many, a full shard hardly ever decides while others have room.
 const MAX_SHARDS_ASKED: u32 = 3;
 /// Engines in a row that may report that they did not run a generation before it is refused.
 const MAX_NOT_RUN: usize = 4;
@@ -87,7 +87,7 @@
         self.released = true;
         self.generation.close();
         self.front.generations.remove(&self.generation.id);
-        let note = GenerationUpdate::Ended {
+        let update = GenerationUpdate::Ended {
             generation: Arc::clone(&self.generation.id),
             target_failed: self.target_failed,
             tokens_generated: self.completed.then(|| self.generation.tokens_generated()),
@@ -95,7 +95,7 @@
         let shard = self
             .front
             .shard_of(&self.generation.service, &self.generation.target().id);
-        Front::notify_owner(&self.front, &shard, note)
+        Front::notify_owner(&self.front, &shard, update)
     }
 }
 
@@ -141,34 +141,34 @@
         if call.time_left().is_zero() {
             return Err(Refusal::not_run(
                 "no engine came free in time",
-                NO_TARGET_RETRY,
+                NO_TARGET_RETRY_AFTER,
             ));
         }
         unusable.retain(|id| usable(id).is_none());
         let avoid = [avoid, &unusable].concat();
-        let ask = ask(front, call, shard.clone(), &avoid);
-        if !front.can_complete(&ask) {
+        let request = placement_request(front, call, shard.clone(), &avoid);
+        if !front.can_complete(&request) {
             return Err(Refusal::not_run(
                 "this instance stops before it would end",
-                ELSEWHERE_RETRY,
+                ELSEWHERE_RETRY_AFTER,
             ));
         }
-        let after = match front.place(&ask).await {
+        let after = match front.place(&request).await {
             PlacementAnswer::Assigned { target: id } => match usable(&id) {
                 Some(target) => return Ok(target),
                 None => {
                     // The owner and this instance know different listings of the engine: it has
                     // just joined or is about to leave.
                     unusable.push(id);
-                    let run = Arc::clone(&call.request.id);
-                    let note = GenerationUpdate::Ended {
-                        generation: run,
+                    let generation = Arc::clone(&call.request.id);
+                    let update = GenerationUpdate::Ended {
+                        generation,
                         target_failed: false,
                         tokens_generated: None,
                     };
                     // Awaited, because the owner would take a late update for the end of its next
                     // assignment.
-                    let _ = Front::notify_owner(front, &shard, note).recv().await;
+                    let _ = Front::notify_owner(front, &shard, update).recv().await;
                     LISTING_DELAY
                 }
             },
@@ -203,7 +203,7 @@
 }
 
 /// Builds the placement request for a call.
-pub(crate) fn ask(
+pub(crate) fn placement_request(
     front: &Front,
     call: &Call,
     shard: Shard,
@@ -250,7 +250,7 @@
         }
         return Attempt::Refuse(Refusal::not_run("engines in need take no more", after));
     }
-    let sending = u32::try_from(avoid.len() + 1).unwrap_or(u32::MAX);
+    let attempt_number = u32::try_from(avoid.len() + 1).unwrap_or(u32::MAX);
     if !front.take_cold_permit(&call.service, &target) {
         avoid.push(Arc::clone(&target.id));
         return retry_or_refuse("every engine is cold", assignment, call, avoid).await;
@@ -259,7 +259,7 @@
         id: Arc::clone(&call.request.id),
         target: Arc::clone(&target.id),
         fingerprint: call.fingerprint.to_string().into(),
-        sending,
+        sending: attempt_number,
         held_ms: millis(call.elapsed()),
         left_ms: millis(call.caller_time_left()),
     });
@@ -293,7 +293,7 @@
         SendOutcome::Unknown { reason, timed_out } => {
             assignment.target_failed = !timed_out;
             let refusal = if timed_out {
-                Refusal::late
+                Refusal::timed_out
             } else {
                 Refusal::unknown
             };
@@ -312,8 +312,8 @@
     reservation
 }
 
-/// Waits until an engine that still owes the first event is found to be gone. Without this check
-/// the caller would wait for its whole timeout.
+/// Waits until an engine that has not yet sent the first event is found to be gone. Without this
+/// check the caller would wait for its whole timeout.
 async fn wait_until_gone(
     front: &Arc<Front>,
     call: &Call,
@@ -359,7 +359,7 @@
             .lock()
             .try_take(boot_time(), service, instances);
     if !granted {
-        return Attempt::Refuse(Refusal::not_run(reason, NO_TARGET_RETRY));
+        return Attempt::Refuse(Refusal::not_run(reason, NO_TARGET_RETRY_AFTER));
     }
     front.metrics.retries.inc();
     assignment.release().await;
@@ -373,9 +373,9 @@
         .engine
         .as_ref()
         .map_or(1, |engine| engine.tokens_per_event);
-    let run = Arc::clone(&call.request.id);
+    let id = Arc::clone(&call.request.id);
     let service = Arc::clone(&call.service.name);
-    GenerationHandle::new(run, service, Arc::clone(target))
+    GenerationHandle::new(id, service, Arc::clone(target))
         .with_sizes(sizes, tokens_per_event)
         .with_route(Arc::clone(&call.route.name), call.priority)
 }
--- a/components/front/src/generations/evacuation.rs
+++ b/components/front/src/generations/evacuation.rs
@@ -41,9 +41,9 @@
             continue;
         }
         let engines = front.engines_of(&shard);
-        let is_excluded = |run: &GenerationId, to: &TargetId| {
-            excluded.contains(&(Arc::clone(run), None))
-                || excluded.contains(&(Arc::clone(run), Some(Arc::clone(to))))
+        let is_excluded = |generation: &GenerationId, to: &TargetId| {
+            excluded.contains(&(Arc::clone(generation), None))
+                || excluded.contains(&(Arc::clone(generation), Some(Arc::clone(to))))
         };
         let next = front.placement.owner.lock().next_migration(
             boot_time(),
@@ -80,7 +80,10 @@
 /// later: too late to migrate much.
 pub async fn notify_owner(front: Arc<Front>, target: Arc<Target>) {
     let active = front.generations.snapshots();
-    if !active.iter().any(|run| run.target == target.id) {
+    if !active
+        .iter()
+        .any(|generation| generation.target == target.id)
+    {
         return;
     }
     let shard = front.shard_of(&target.service, &target.id);
--- a/components/front/src/generations/idle.rs
+++ b/components/front/src/generations/idle.rs
@@ -92,9 +92,9 @@
         // A report is older than what has been received since it was requested, so events that it
         // counts beyond that are lost and not merely delayed.
         let ahead = reported.is_some_and(|it| it.events > observation.events_received);
-        let gone = observation.report.is_none() && !observation.listed;
+        let may_be_gone = observation.report.is_none() && !observation.listed;
         self.reports_ahead = if ahead { self.reports_ahead + 1 } else { 0 };
-        self.unanswered = if gone { self.unanswered + 1 } else { 0 };
+        self.unanswered = if may_be_gone { self.unanswered + 1 } else { 0 };
         if self.reports_ahead >= CONFIRMATIONS {
             return Diagnosis::ConnectionLost;
         }
--- a/components/front/src/generations/placement.rs
+++ b/components/front/src/generations/placement.rs
@@ -49,39 +49,41 @@
 
     /// The entry that relays a generation to its caller.
     #[must_use]
-    pub fn entry_of(&self, run: &str) -> Option<InstanceId> {
+    pub fn entry_of(&self, generation: &str) -> Option<InstanceId> {
         let owner = self.owner.lock();
-        owner.generation(run).map(|run| Arc::clone(&run.entry))
+        owner
+            .generation(generation)
+            .map(|generation| Arc::clone(&generation.entry))
     }
 }
 
 impl Front {
     /// Requests an engine for a generation.
-    pub async fn place(&self, ask: &PlacementRequest) -> PlacementAnswer {
+    pub async fn place(&self, request: &PlacementRequest) -> PlacementAnswer {
         let max_asked = if self.cfg.decisions.features.owner_placement {
             MAX_OWNERS_ASKED
         } else {
             0
         };
-        for owner in self.owners(&ask.shard).into_iter().take(max_asked) {
+        for owner in self.owners(&request.shard).into_iter().take(max_asked) {
             if owner == self.cfg.instance {
                 break;
             }
-            let message = Message::Place(ask.clone());
+            let message = Message::Place(request.clone());
             if let Some(Reply::Placement(answer)) =
                 self.peers.call(&owner, &message, PLACE_TIMEOUT).await
             {
                 return answer;
             }
         }
-        self.place_locally(ask)
+        self.place_locally(request)
     }
 
     /// Whether a generation will probably complete before this instance stops. Otherwise it would
     /// be cut in the middle, and the caller can't ask for the rest; refused at once, it gets a
     /// complete answer from another instance.
     #[must_use]
-    pub fn can_complete(&self, ask: &PlacementRequest) -> bool {
+    pub fn can_complete(&self, request: &PlacementRequest) -> bool {
         let Some(left) = self
             .shutdown
             .time_left()
@@ -92,18 +94,18 @@
         self.placement
             .owner
             .lock()
-            .completion_probability(ask, left)
+            .completion_probability(request, left)
             >= MIN_COMPLETION_PROBABILITY
     }
 
     /// Answers a placement request from this instance's own account.
     #[must_use]
-    pub fn place_locally(&self, ask: &PlacementRequest) -> PlacementAnswer {
-        let engines = self.engines_of(&ask.shard);
+    pub fn place_locally(&self, request: &PlacementRequest) -> PlacementAnswer {
+        let engines = self.engines_of(&request.shard);
         self.placement
             .owner
             .lock()
-            .place(boot_time(), ask, &engines)
+            .place(boot_time(), request, &engines)
     }
 
     /// Number of shards into which a service's engines are divided.
@@ -167,29 +169,33 @@
     /// Notifies the owner of an engine of what happened to a generation there. If the message is
     /// lost, the next sync makes up for it. The returned channel is closed once the owner has been
     /// notified or can't be.
-    pub fn notify_owner(front: &Arc<Self>, shard: &Shard, note: GenerationUpdate) -> Receiver<()> {
+    pub fn notify_owner(
+        front: &Arc<Self>,
+        shard: &Shard,
+        update: GenerationUpdate,
+    ) -> Receiver<()> {
         let (pending, done) = bounded(1);
         // This instance may have placed the generation itself, so its own account is updated too.
         front
             .placement
             .owner
             .lock()
-            .apply_update(boot_time(), &note);
+            .apply_update(boot_time(), &update);
         let owner = front.owners(shard).into_iter().next();
         let Some(owner) = owner.filter(|id| *id != front.cfg.instance) else {
             return done;
         };
         let front = Arc::clone(front);
         let sending = async move {
-            front.send_update(&owner, note).await;
+            front.send_update(&owner, update).await;
             drop(pending);
         };
         workers::spawn(sending).detach();
         done
     }
 
-    async fn send_update(&self, owner: &InstanceId, note: GenerationUpdate) {
-        let message = Message::GenerationUpdates(vec![note]);
+    async fn send_update(&self, owner: &InstanceId, update: GenerationUpdate) {
+        let message = Message::GenerationUpdates(vec![update]);
         // The reply carries no information.
         let _ = self.peers.call(owner, &message, UPDATE_TIMEOUT).await;
     }
--- a/components/front/src/generations/recovery.rs
+++ b/components/front/src/generations/recovery.rs
@@ -23,8 +23,9 @@
 /// Stops a generation at its engine and copies its KV cache to another one. Returns the engine and
 /// the copy from which it can be resumed.
 ///
-/// # Errors The reason why the generation can't be recovered: it has ended, its engine does not
-/// answer, or no copy could be made.
+/// # Errors
+/// The reason why the generation can't be recovered: it has ended, its engine does not answer, or
+/// no copy could be made.
 pub async fn recover(
     front: &Arc<Front>,
     call: &Call,
@@ -77,11 +78,11 @@
     source: &Target,
 ) -> Result<Arc<Target>, Arc<str>> {
     let shard = dispatch::first_shard(front, call);
-    let mut ask = dispatch::ask(front, call, shard, &[Arc::clone(&source.id)]);
-    ask.prompt_tokens += generation.tokens_generated();
+    let mut request = dispatch::placement_request(front, call, shard, &[Arc::clone(&source.id)]);
+    request.prompt_tokens += generation.tokens_generated();
     // The first event is already late, so any engine will do.
-    ask.objective_left = call.time_left();
-    match front.place(&ask).await {
+    request.objective_left = call.time_left();
+    match front.place(&request).await {
         PlacementAnswer::Assigned { target } => front
             .view
             .target(&target)
--- a/components/front/src/generations/relay.rs
+++ b/components/front/src/generations/relay.rs
@@ -231,7 +231,10 @@
     async fn recover(&mut self, reason: Arc<str>) -> Option<RelayEnd> {
         let generation = Arc::clone(&self.assignment.generation);
         let resumed = match recovery::recover(&self.front, &self.call, &generation).await {
-            Ok((target, resume)) => self.resume_at(&target, resume).await.map_err(|f| f.reason),
+            Ok((target, resume)) => self
+                .resume_at(&target, resume)
+                .await
+                .map_err(|failure| failure.reason),
             Err(why) => Err(why),
         };
         generation.end_migration();
@@ -275,14 +278,16 @@
             target: Arc::clone(&generation.target().id),
             took_ms: millis(self.call.elapsed()),
         });
-        let run = Arc::clone(&generation.id);
+        let generation_id = Arc::clone(&generation.id);
         let shard = self
             .front
             .shard_of(&generation.service, &generation.target().id);
         Front::notify_owner(
             &self.front,
             &shard,
-            GenerationUpdate::Started { generation: run },
+            GenerationUpdate::Started {
+                generation: generation_id,
+            },
         );
     }
 
@@ -316,8 +321,8 @@
         // stream.
         let addr = self.assignment.generation.target().addr;
         let report = self.front.engines.report(addr, REPORT_TIMEOUT).await;
-        let gone = "the stream ended and the engine does not answer";
-        report.err().map(|_| gone)
+        let reason = "the stream ended and the engine does not answer";
+        report.err().map(|_| reason)
     }
 
     /// Forwards the rest of a complete stream.
--- a/components/front/src/generations/splitter.rs
+++ b/components/front/src/generations/splitter.rs
@@ -39,7 +39,8 @@
 
     /// Appends bytes of the stream.
     ///
-    /// # Errors The buffered event exceeds the maximum size.
+    /// # Errors
+    /// The buffered event exceeds the maximum size.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLong> {
         self.buf.extend_from_slice(bytes);
         if self.buf.len() > MAX_EVENT_BYTES {
--- a/components/front/src/plain_calls/dispatch.rs
+++ b/components/front/src/plain_calls/dispatch.rs
@@ -30,7 +30,7 @@
 /// Fraction of the time left that one attempt may take if another one could follow.
 const ATTEMPT_FRACTION: f64 = 0.5;
 /// `Retry-After` of a call for which no target was found.
-const NO_TARGET_RETRY: Duration = Duration::from_millis(400);
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// Pause before targets are looked up again while none is usable.
 const LOOKUP_PAUSE: Duration = Duration::from_millis(40);
 /// How long a call waits for a usable target, as a fraction of the route's objective.
@@ -97,8 +97,8 @@
         }
         let reason = self.reason.unwrap_or_else(|| "no target takes it".into());
         let refusal = match (self.may_have_run, self.timed_out) {
-            (0, _) => Refusal::not_run(reason, self.retry_after.unwrap_or(NO_TARGET_RETRY)),
-            (_, true) => Refusal::late(reason),
+            (0, _) => Refusal::not_run(reason, self.retry_after.unwrap_or(NO_TARGET_RETRY_AFTER)),
+            (_, true) => Refusal::timed_out(reason),
             (_, false) => Refusal::unknown(reason),
         };
         front.refuse_call(call, &refusal)
--- a/components/front/src/plain_calls/selection.rs
+++ b/components/front/src/plain_calls/selection.rs
@@ -39,7 +39,7 @@
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "a part of a limit that fits"
+        reason = "a fraction of a limit that fits"
     )]
     let shared = (f64::from(limit) * SHARED_FRACTION) as u32;
     (shared / count).max(1)
--- a/components/front/src/quarantine/aggregation.rs
+++ b/components/front/src/quarantine/aggregation.rs
@@ -102,15 +102,15 @@
 /// sends it the local ones if its state differs.
 pub async fn reconcile(front: &Front, owner: &InstanceId, reply: Option<&Reply>) {
     let Some(Reply::Members {
-        verdicts: words,
-        quarantine_digest: quarantine,
+        verdicts,
+        quarantine_digest,
         ..
     }) = reply
     else {
         return;
     };
-    apply_verdicts(front, words);
-    let local = verdicts_unless_known(front, *quarantine);
+    apply_verdicts(front, verdicts);
+    let local = verdicts_unless_known(front, *quarantine_digest);
     if !local.is_empty() {
         // If this is lost, the next sync makes up for it.
         let _ = front
--- a/components/front/tests/idle.rs
+++ b/components/front/tests/idle.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Guards against callers that wait until their time-outs for an engine that has crashed.
+/// Guards against callers that wait until their timeouts for an engine that has crashed.
 #[test]
 fn an_engine_that_is_not_listed_and_does_not_answer_is_gone() {
     let mut monitor = IdleMonitor::new(NOW);
