--- a/components/bench/src/slopes/heartbeats.rs
+++ b/components/bench/src/slopes/heartbeats.rs
@@ -4,7 +4,7 @@
 
 use members::{
     Identity, Input, Membership,
-    rendezvous::{Candidate, pick},
+    rendezvous::{Candidate, pick_owner},
 };
 use types::{InstanceId, Member, Moment, ServingState, Shard};
 use wire::{Envelope, Heartbeat, Key, ShardSummary};
@@ -42,7 +42,7 @@
         let shards: BTreeSet<Shard> = (0..shards).map(world::shard).collect();
         let mut owned: BTreeMap<InstanceId, Vec<ShardSummary>> = BTreeMap::new();
         for shard in &shards {
-            if let Some(owner) = pick(shard, &candidates) {
+            if let Some(owner) = pick_owner(shard, &candidates) {
                 let summaries = owned.entry(owner.clone()).or_default();
                 summaries.push(world::summary(shard.clone()));
             }
--- a/components/members/src/api.rs
+++ b/components/members/src/api.rs
@@ -29,7 +29,7 @@
         epoch: Epoch,
     },
     /// A peer's address refused a connection: its process is gone.
-    Refused {
+    ConnectionRefused {
         /// The peer.
         peer: InstanceId,
     },
@@ -68,24 +68,24 @@
         epoch: Epoch,
     },
     /// Whether this instance's ownership is certainly the only one.
-    Exclusive {
+    ExclusivityChanged {
         /// The shard.
         shard: Shard,
         /// The answer.
         exclusive: bool,
     },
     /// A peer is heard for the first time, or again.
-    Heard {
+    PeerAlive {
         /// The peer.
         peer: InstanceId,
     },
     /// A peer is no longer heard.
-    Silent {
+    PeerUnresponsive {
         /// The peer.
         peer: InstanceId,
     },
     /// A peer is gone for good, its permits have lapsed.
-    Gone {
+    PeerGone {
         /// The peer.
         peer: InstanceId,
     },
@@ -97,7 +97,7 @@
         shards: Vec<ShardSummary>,
     },
     /// A peer has this configuration in force.
-    Config {
+    PeerConfig {
         /// The peer.
         peer: InstanceId,
         /// The version.
--- a/components/members/src/exclusive.rs
+++ b/components/members/src/exclusive.rs
@@ -7,7 +7,7 @@
 //!
 //! Why this prevents it: an owner counts as exclusive only while a majority of all listed
 //! instances says that it follows this owner and no other, in answer to a heartbeat of at most
-//! `FOLLOW_FRESH` ago on the owner's own clock. Two majorities share an instance, and an
+//! `FOLLOW_TIMEOUT` ago on the owner's own clock. Two majorities share an instance, and an
 //! instance follows one owner at a time. A new owner whose followers are a majority, but not
 //! all, waits until what the former owner believed or granted has lapsed.
 
@@ -17,39 +17,39 @@
 use wire::PERMIT_LIFETIME;
 
 use crate::{
-    peer::{Following, Peer},
-    times::{FOLLOW_FRESH, MARGIN},
+    peer::{FollowStatement, Peer},
+    timeouts::{FOLLOW_TIMEOUT, SAFETY_MARGIN},
 };
 
 /// Tells whether a peer's statement still counts.
 #[must_use]
-pub fn follows(peer: Option<&Peer>, shard: &Shard, epoch: Epoch, now: Moment) -> bool {
+pub fn is_follower(peer: Option<&Peer>, shard: &Shard, epoch: Epoch, now: Moment) -> bool {
     let statement = peer.and_then(|p| p.follows.get(shard));
-    statement.is_some_and(|Following { epoch: at, echo }| {
+    statement.is_some_and(|FollowStatement { epoch: at, echo }| {
         // An echo ahead of our clock answers a former life of this process.
-        *at == epoch && *echo <= now && now - *echo < FOLLOW_FRESH
+        *at == epoch && *echo <= now && now - *echo < FOLLOW_TIMEOUT
     })
 }
 
 /// How many instances follow an owner.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Count {
+pub struct FollowerCount {
     /// Instances that follow, the owner included.
     pub following: usize,
     /// Instances listed, the owner included.
     pub listed: usize,
 }
 
-impl Count {
+impl FollowerCount {
     /// More than half.
     #[must_use]
-    pub const fn majority(self) -> bool {
+    pub const fn is_majority(self) -> bool {
         self.following * 2 > self.listed
     }
 
     /// Every one.
     #[must_use]
-    pub const fn all(self) -> bool {
+    pub const fn is_all(self) -> bool {
         self.following >= self.listed
     }
 }
@@ -64,18 +64,18 @@
 
 impl Exclusivity {
     /// Until a former owner's belief and the permits it gave have lapsed.
-    pub const WAIT: Duration = FOLLOW_FRESH
+    pub const FORMER_OWNER_TIMEOUT: Duration = FOLLOW_TIMEOUT
         .saturating_add(PERMIT_LIFETIME)
-        .saturating_add(MARGIN);
+        .saturating_add(SAFETY_MARGIN);
 
     /// Takes the present count into account.
-    pub fn update(&mut self, now: Moment, count: Count) {
-        if !count.majority() {
+    pub fn update(&mut self, now: Moment, count: FollowerCount) {
+        if !count.is_majority() {
             *self = Self::default();
             return;
         }
         let since = *self.majority_since.get_or_insert(now);
-        let lapsed = now.saturating_sub(since) >= Self::WAIT;
-        self.exclusive = self.exclusive || count.all() || lapsed;
+        let lapsed = now.saturating_sub(since) >= Self::FORMER_OWNER_TIMEOUT;
+        self.exclusive = self.exclusive || count.is_all() || lapsed;
     }
 }
--- a/components/members/src/follow.rs
+++ b/components/members/src/followed_owners.rs
@@ -7,7 +7,7 @@
 
 /// The owner that an instance follows for a shard.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Followed {
+pub struct FollowedOwner {
     /// The owner; `None` once it is lost.
     pub owner: Option<InstanceId>,
     /// The newest term seen; permits of earlier ones are void.
@@ -16,16 +16,16 @@
 
 /// All owners followed. A term never goes back.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Follows {
-    by_shard: BTreeMap<Shard, Followed>,
+pub struct FollowedOwners {
+    by_shard: BTreeMap<Shard, FollowedOwner>,
 }
 
-impl Follows {
+impl FollowedOwners {
     /// Follows an owner if its term is newer; tells whether anything changed.
     pub fn follow(&mut self, shard: &Shard, owner: &InstanceId, epoch: Epoch) -> bool {
         let newer = self.by_shard.get(shard).is_none_or(|f| epoch > f.epoch);
         if newer {
-            let followed = Followed {
+            let followed = FollowedOwner {
                 owner: Some(owner.clone()),
                 epoch,
             };
@@ -47,7 +47,7 @@
     }
 
     /// Forgets an owner, everywhere; tells which shards have none now.
-    pub fn lose(&mut self, owner: &InstanceId) -> Vec<(Shard, Epoch)> {
+    pub fn remove_owner(&mut self, owner: &InstanceId) -> Vec<(Shard, Epoch)> {
         let mut lost = Vec::new();
         for (shard, followed) in &mut self.by_shard {
             if followed.owner.as_ref() == Some(owner) {
@@ -74,11 +74,11 @@
 
     /// What this instance tells an owner that it follows.
     #[must_use]
-    pub fn claims_of(&self, owner: &InstanceId) -> Vec<KnownOwner> {
+    pub fn known_owners_for(&self, owner: &InstanceId) -> Vec<KnownOwner> {
         let mut claims = Vec::new();
         for (shard, followed) in &self.by_shard {
             if followed.owner.as_ref() == Some(owner) {
-                claims.push(claim(shard, followed));
+                claims.push(known_owner(shard, followed));
             }
         }
         claims
@@ -87,34 +87,34 @@
     /// Tells a peer that claims a shard in an outdated term which term is the newest; it would
     /// otherwise believe for good to own what nobody follows it for.
     #[must_use]
-    pub fn newer_than(&self, claimed: &BTreeMap<Shard, Epoch>) -> Vec<KnownOwner> {
+    pub fn newer_terms(&self, claimed: &BTreeMap<Shard, Epoch>) -> Vec<KnownOwner> {
         let mut claims = Vec::new();
         for (shard, followed) in &self.by_shard {
             if claimed
                 .get(shard)
                 .is_some_and(|epoch| *epoch < followed.epoch)
             {
-                claims.push(claim(shard, followed));
+                claims.push(known_owner(shard, followed));
             }
         }
         claims
     }
 
     /// Takes note of a newer term whose owner is unknown.
-    pub fn note(&mut self, shard: &Shard, epoch: Epoch) {
+    pub fn record_epoch(&mut self, shard: &Shard, epoch: Epoch) {
         if epoch > self.epoch(shard) {
             self.by_shard
-                .insert(shard.clone(), Followed { owner: None, epoch });
+                .insert(shard.clone(), FollowedOwner { owner: None, epoch });
         }
     }
 
     /// All of it.
-    pub fn iter(&self) -> impl Iterator<Item = (&Shard, &Followed)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Shard, &FollowedOwner)> {
         self.by_shard.iter()
     }
 }
 
-fn claim(shard: &Shard, followed: &Followed) -> KnownOwner {
+fn known_owner(shard: &Shard, followed: &FollowedOwner) -> KnownOwner {
     KnownOwner {
         shard: shard.clone(),
         epoch: followed.epoch,
--- a/components/members/src/lib.rs
+++ b/components/members/src/lib.rs
@@ -6,13 +6,13 @@
 
 pub mod api;
 pub mod exclusive;
-pub mod follow;
+pub mod followed_owners;
 pub mod membership;
 mod ownership;
 pub mod peer;
-mod reading;
+mod queries;
 pub mod rendezvous;
-pub mod times;
+pub mod timeouts;
 
 pub use api::{Change, Identity, Input};
 pub use membership::Membership;
--- a/components/members/src/membership.rs
+++ b/components/members/src/membership.rs
@@ -8,10 +8,10 @@
 use crate::{
     api::{Change, Identity, Input},
     exclusive::Exclusivity,
-    follow::Follows,
-    peer::{Following, Peer},
+    followed_owners::FollowedOwners,
+    peer::{FollowStatement, Peer},
     rendezvous::Candidate,
-    times::START_WAIT,
+    timeouts::STARTUP_DELAY,
 };
 
 /// A shard that this instance owns.
@@ -30,11 +30,11 @@
     pub(crate) listed: BTreeMap<InstanceId, Member>,
     pub(crate) peers: BTreeMap<InstanceId, Peer>,
     pub(crate) shards: BTreeSet<Shard>,
-    pub(crate) follows: Follows,
-    pub(crate) changed: BTreeMap<Shard, Moment>,
+    pub(crate) followed_owners: FollowedOwners,
+    pub(crate) owner_changed_at: BTreeMap<Shard, Moment>,
     pub(crate) terms: BTreeMap<Shard, Term>,
     /// Shards that should be owned here, going by these candidates.
-    pub(crate) mine: BTreeSet<Shard>,
+    pub(crate) assigned: BTreeSet<Shard>,
     pub(crate) candidates: Vec<Candidate>,
 }
 
@@ -44,15 +44,15 @@
     pub fn new(now: Moment, me: Identity) -> Self {
         Self {
             me,
-            ready_at: now + START_WAIT,
+            ready_at: now + STARTUP_DELAY,
             draining: false,
             listed: BTreeMap::new(),
             peers: BTreeMap::new(),
             shards: BTreeSet::new(),
-            follows: Follows::default(),
-            changed: BTreeMap::new(),
+            followed_owners: FollowedOwners::default(),
+            owner_changed_at: BTreeMap::new(),
             terms: BTreeMap::new(),
-            mine: BTreeSet::new(),
+            assigned: BTreeSet::new(),
             candidates: Vec::new(),
         }
     }
@@ -64,42 +64,42 @@
         // heartbeat lapses by the clock alone.
         let heard = matches!(input, Input::Heartbeat { .. });
         match input {
-            Input::Listed(members) => self.list(members),
+            Input::Listed(members) => self.set_listed(members),
             Input::Heartbeat {
                 from,
                 incarnation,
                 heartbeat,
             } => {
-                self.hear(now, &from, incarnation, heartbeat, out);
+                self.receive_heartbeat(now, &from, incarnation, heartbeat, out);
             }
             Input::Queried { from, shard, epoch } => self.follow(now, &from, &shard, epoch, out),
-            Input::Refused { peer } => {
+            Input::ConnectionRefused { peer } => {
                 if let Some(peer) = self.peers.get_mut(&peer) {
-                    peer.refused = true;
+                    peer.connection_refused = true;
                 }
             }
             Input::Shards(shards) => self.set_shards(shards, out),
-            Input::Paused { .. } => self.pause(now, out),
+            Input::Paused { .. } => self.handle_pause(now, out),
             Input::Drain => self.drain(out),
             Input::Tick => {}
         }
         if !heard {
-            self.judge(now, out);
-            self.claim(now, out);
-            self.update_exclusive(now, out);
+            self.detect_lost_peers(now, out);
+            self.acquire_shards(now, out);
+            self.update_exclusivity(now, out);
         }
         self.assert_invariants();
     }
 
-    fn list(&mut self, members: Vec<Member>) {
+    fn set_listed(&mut self, members: Vec<Member>) {
         self.listed = members.into_iter().map(|m| (m.id.clone(), m)).collect();
         // An instance that is no longer listed and no longer heard is history.
         let listed = &self.listed;
         self.peers
-            .retain(|id, p| listed.contains_key(id) || !p.told_gone);
+            .retain(|id, p| listed.contains_key(id) || !p.gone_reported);
     }
 
-    fn hear(
+    fn receive_heartbeat(
         &mut self,
         now: Moment,
         from: &InstanceId,
@@ -114,20 +114,20 @@
         if known.is_some_and(|p| p.incarnation > incarnation) {
             return;
         }
-        if known.is_some_and(|p| p.incarnation < incarnation && !p.told_gone) {
+        if known.is_some_and(|p| p.incarnation < incarnation && !p.gone_reported) {
             // A restart: whatever the former life held is gone with it.
-            self.lose(now, from, out);
-            out.push(Change::Gone { peer: from.clone() });
+            self.remove_owner(now, from, out);
+            out.push(Change::PeerGone { peer: from.clone() });
         }
-        if self.peers.get(from).is_none_or(|p| !p.alive(now)) {
-            out.push(Change::Heard { peer: from.clone() });
+        if self.peers.get(from).is_none_or(|p| !p.is_alive(now)) {
+            out.push(Change::PeerAlive { peer: from.clone() });
         }
         self.peers.insert(
             from.clone(),
-            heard_peer(now, &self.me.id, incarnation, &heartbeat),
+            peer_from_heartbeat(now, &self.me.id, incarnation, &heartbeat),
         );
         for claim in &heartbeat.follows {
-            self.yield_to_newer(&claim.shard, claim.epoch, out);
+            self.yield_to_newer_term(&claim.shard, claim.epoch, out);
         }
         for summary in &heartbeat.owned {
             self.follow(now, from, &summary.shard, summary.epoch, out);
@@ -136,7 +136,7 @@
             owner: from.clone(),
             shards: heartbeat.owned,
         });
-        out.push(Change::Config {
+        out.push(Change::PeerConfig {
             peer: from.clone(),
             version: heartbeat.config_version,
         });
@@ -153,14 +153,15 @@
         if *owner == self.me.id {
             return;
         }
-        let back = self.follows.epoch(shard) == epoch && self.follows.owner(shard).is_none();
+        let back = self.followed_owners.epoch(shard) == epoch
+            && self.followed_owners.owner(shard).is_none();
         if back {
-            self.follows.restore(shard, owner);
-        } else if !self.follows.follow(shard, owner, epoch) {
+            self.followed_owners.restore(shard, owner);
+        } else if !self.followed_owners.follow(shard, owner, epoch) {
             return;
         }
         self.terms.remove(shard);
-        self.changed.insert(shard.clone(), now);
+        self.owner_changed_at.insert(shard.clone(), now);
         let owner = Some(owner.clone());
         out.push(Change::Follow {
             shard: shard.clone(),
@@ -171,10 +172,10 @@
 
     /// A peer knows a newer term than ours, of an owner that may be lost: ours counts nowhere
     /// any more. `claim` starts a newer one if the shard should be ours.
-    fn yield_to_newer(&mut self, shard: &Shard, epoch: Epoch, out: &mut Vec<Change>) {
+    fn yield_to_newer_term(&mut self, shard: &Shard, epoch: Epoch, out: &mut Vec<Change>) {
         if self.terms.get(shard).is_some_and(|t| t.epoch < epoch) {
-            self.follows.note(shard, epoch);
-            self.give_up(shard, out);
+            self.followed_owners.record_epoch(shard, epoch);
+            self.release(shard, out);
         }
     }
 
@@ -186,7 +187,7 @@
             .cloned()
             .collect();
         for shard in ended {
-            self.give_up(&shard, out);
+            self.release(&shard, out);
         }
         if self.shards != shards {
             self.shards = shards;
@@ -196,31 +197,31 @@
 
     /// A process that was frozen believes what it knew before. It owns nothing until it has
     /// heard its peers again.
-    fn pause(&mut self, now: Moment, out: &mut Vec<Change>) {
-        self.give_up_all(out);
-        self.ready_at = now + START_WAIT;
+    fn handle_pause(&mut self, now: Moment, out: &mut Vec<Change>) {
+        self.release_all(out);
+        self.ready_at = now + STARTUP_DELAY;
         for peer in self.peers.values_mut() {
-            peer.heard = now;
+            peer.last_seen = now;
             peer.follows.clear();
         }
     }
 
     fn drain(&mut self, out: &mut Vec<Change>) {
         self.draining = true;
-        self.give_up_all(out);
+        self.release_all(out);
     }
 
-    fn give_up_all(&mut self, out: &mut Vec<Change>) {
+    fn release_all(&mut self, out: &mut Vec<Change>) {
         let owned: Vec<Shard> = self.terms.keys().cloned().collect();
         for shard in owned {
-            self.give_up(&shard, out);
+            self.release(&shard, out);
         }
     }
 
-    fn give_up(&mut self, shard: &Shard, out: &mut Vec<Change>) {
+    fn release(&mut self, shard: &Shard, out: &mut Vec<Change>) {
         self.terms.remove(shard);
-        self.follows.release(shard);
-        let epoch = self.follows.epoch(shard);
+        self.followed_owners.release(shard);
+        let epoch = self.followed_owners.epoch(shard);
         out.push(Change::Follow {
             shard: shard.clone(),
             owner: None,
@@ -228,9 +229,9 @@
         });
     }
 
-    fn lose(&mut self, now: Moment, owner: &InstanceId, out: &mut Vec<Change>) {
-        for (shard, epoch) in self.follows.lose(owner) {
-            self.changed.insert(shard.clone(), now);
+    fn remove_owner(&mut self, now: Moment, owner: &InstanceId, out: &mut Vec<Change>) {
+        for (shard, epoch) in self.followed_owners.remove_owner(owner) {
+            self.owner_changed_at.insert(shard.clone(), now);
             out.push(Change::Follow {
                 shard,
                 owner: None,
@@ -240,39 +241,39 @@
     }
 
     /// Tells who fell silent and who is gone, and gives up everything when hearing nobody.
-    fn judge(&mut self, now: Moment, out: &mut Vec<Change>) {
+    fn detect_lost_peers(&mut self, now: Moment, out: &mut Vec<Change>) {
         let mut silent = Vec::new();
         let mut gone = Vec::new();
         for (id, peer) in &mut self.peers {
-            if !peer.alive(now) && !peer.told_silent {
-                peer.told_silent = true;
+            if !peer.is_alive(now) && !peer.unresponsive_reported {
+                peer.unresponsive_reported = true;
                 silent.push(id.clone());
             }
-            if peer.gone(now) && !peer.told_gone {
-                peer.told_gone = true;
+            if peer.is_gone(now) && !peer.gone_reported {
+                peer.gone_reported = true;
                 gone.push(id.clone());
             }
         }
         for peer in silent {
-            self.lose(now, &peer, out);
-            out.push(Change::Silent { peer });
+            self.remove_owner(now, &peer, out);
+            out.push(Change::PeerUnresponsive { peer });
         }
-        out.extend(gone.into_iter().map(|peer| Change::Gone { peer }));
-        if self.isolated(now) {
-            self.give_up_all(out);
+        out.extend(gone.into_iter().map(|peer| Change::PeerGone { peer }));
+        if self.is_isolated(now) {
+            self.release_all(out);
         }
     }
 
     fn assert_invariants(&self) {
         for (shard, term) in &self.terms {
             assert!(
-                self.follows.owner(shard) == Some(&self.me.id)
-                    && self.follows.epoch(shard) == term.epoch,
+                self.followed_owners.owner(shard) == Some(&self.me.id)
+                    && self.followed_owners.epoch(shard) == term.epoch,
                 "{} owns {shard} in term {} but follows {:?} in term {}",
                 self.me.id,
                 term.epoch,
-                self.follows.owner(shard),
-                self.follows.epoch(shard)
+                self.followed_owners.owner(shard),
+                self.followed_owners.epoch(shard)
             );
         }
         assert!(
@@ -282,7 +283,7 @@
     }
 }
 
-fn heard_peer(
+fn peer_from_heartbeat(
     now: Moment,
     me: &InstanceId,
     incarnation: Incarnation,
@@ -296,14 +297,14 @@
     Peer {
         incarnation,
         data_centre: heartbeat.data_centre.clone(),
-        heard: now,
+        last_seen: now,
         stamp: heartbeat.stamp,
         draining: heartbeat.draining,
-        refused: false,
-        told_silent: false,
-        told_gone: false,
+        connection_refused: false,
+        unresponsive_reported: false,
+        gone_reported: false,
         config_version: heartbeat.config_version,
-        claims: heartbeat
+        owned_shards: heartbeat
             .owned
             .iter()
             .map(|s| (s.shard.clone(), s.epoch))
@@ -312,7 +313,7 @@
             .map(|c| {
                 (
                     c.shard.clone(),
-                    Following {
+                    FollowStatement {
                         epoch: c.epoch,
                         echo,
                     },
--- a/components/members/src/ownership.rs
+++ b/components/members/src/ownership.rs
@@ -6,30 +6,30 @@
 
 use crate::{
     api::Change,
-    exclusive::{self, Count, Exclusivity},
+    exclusive::{self, Exclusivity, FollowerCount},
     membership::{Membership, Term},
-    rendezvous::{Candidate, next_epoch, pick},
+    rendezvous::{Candidate, next_epoch, pick_owner},
 };
 
 /// After a shard changed hands it stays there for this long, unless its owner is lost. Instances
 /// that see different peers would otherwise take it from each other with every heartbeat.
-const SETTLE: Duration = Duration::from_millis(500);
+const OWNER_CHANGE_COOLDOWN: Duration = Duration::from_millis(500);
 
 impl Membership {
-    pub(crate) fn claim(&mut self, now: Moment, out: &mut Vec<Change>) {
-        if now < self.ready_at || self.draining || self.listed.is_empty() || self.isolated(now) {
+    pub(crate) fn acquire_shards(&mut self, now: Moment, out: &mut Vec<Change>) {
+        if now < self.ready_at || self.draining || self.listed.is_empty() || self.is_isolated(now) {
             return;
         }
         let candidates = self.candidates(now);
         if candidates != self.candidates {
-            let mine = |s: &&Shard| pick(s, &candidates) == Some(&self.me.id);
-            self.mine = self.shards.iter().filter(mine).cloned().collect();
+            let is_assigned = |s: &&Shard| pick_owner(s, &candidates) == Some(&self.me.id);
+            self.assigned = self.shards.iter().filter(is_assigned).cloned().collect();
             self.candidates = candidates;
         }
         let wanted: Vec<Shard> = self
-            .mine
+            .assigned
             .iter()
-            .filter(|s| self.should_claim(now, s))
+            .filter(|s| self.should_acquire(now, s))
             .cloned()
             .collect();
         for shard in wanted {
@@ -37,24 +37,31 @@
         }
     }
 
-    fn should_claim(&self, now: Moment, shard: &Shard) -> bool {
+    fn should_acquire(&self, now: Moment, shard: &Shard) -> bool {
         if self.terms.contains_key(shard) {
             return false;
         }
-        let owner = self.follows.owner(shard).and_then(|id| self.peers.get(id));
-        let lost = owner.is_none_or(|p| !p.alive(now) || p.draining);
+        let owner = self
+            .followed_owners
+            .owner(shard)
+            .and_then(|id| self.peers.get(id));
+        let lost = owner.is_none_or(|p| !p.is_alive(now) || p.draining);
         let settled = self
-            .changed
+            .owner_changed_at
             .get(shard)
-            .is_none_or(|at| now.saturating_sub(*at) >= SETTLE);
+            .is_none_or(|at| now.saturating_sub(*at) >= OWNER_CHANGE_COOLDOWN);
         lost || settled
     }
 
     fn start_term(&mut self, now: Moment, shard: Shard, out: &mut Vec<Change>) {
-        let epoch = next_epoch(self.follows.epoch(&shard), &self.me.id, self.me.incarnation);
-        self.follows.follow(&shard, &self.me.id, epoch);
-        self.changed.insert(shard.clone(), now);
-        let mut entries_to_query = self.alive(now);
+        let epoch = next_epoch(
+            self.followed_owners.epoch(&shard),
+            &self.me.id,
+            self.me.incarnation,
+        );
+        self.followed_owners.follow(&shard, &self.me.id, epoch);
+        self.owner_changed_at.insert(shard.clone(), now);
+        let mut entries_to_query = self.alive_peers(now);
         entries_to_query.push(self.me.id.clone());
         let term = Term {
             epoch,
@@ -75,7 +82,7 @@
         };
         let mut candidates = vec![me];
         for (id, peer) in &self.peers {
-            if peer.alive(now) && !peer.draining && self.listed.contains_key(id) {
+            if peer.is_alive(now) && !peer.draining && self.listed.contains_key(id) {
                 let data_centre = peer.data_centre.clone();
                 candidates.push(Candidate {
                     id: id.clone(),
@@ -86,7 +93,7 @@
         candidates
     }
 
-    pub(crate) fn update_exclusive(&mut self, now: Moment, out: &mut Vec<Change>) {
+    pub(crate) fn update_exclusivity(&mut self, now: Moment, out: &mut Vec<Change>) {
         if self.terms.is_empty() {
             return;
         }
@@ -95,27 +102,27 @@
         everyone.extend(
             self.peers
                 .iter()
-                .filter(|(_, p)| p.alive(now))
+                .filter(|(_, p)| p.is_alive(now))
                 .map(|(id, _)| id),
         );
         everyone.insert(&self.me.id);
         for (shard, term) in &mut self.terms {
             let follows = |id: &&&InstanceId| {
                 **id == &self.me.id
-                    || exclusive::follows(self.peers.get(**id), shard, term.epoch, now)
+                    || exclusive::is_follower(self.peers.get(**id), shard, term.epoch, now)
             };
             let following = everyone.iter().filter(follows).count();
             let before = term.exclusivity.exclusive;
             term.exclusivity.update(
                 now,
-                Count {
+                FollowerCount {
                     following,
                     listed: everyone.len(),
                 },
             );
             let exclusive = term.exclusivity.exclusive;
             if exclusive != before {
-                out.push(Change::Exclusive {
+                out.push(Change::ExclusivityChanged {
                     shard: shard.clone(),
                     exclusive,
                 });
--- a/components/members/src/peer.rs
+++ b/components/members/src/peer.rs
@@ -4,11 +4,11 @@
 
 use types::{ConfigVersion, DataCentreId, Epoch, Incarnation, Moment, Shard};
 
-use crate::times::{GONE, SILENT};
+use crate::timeouts::{GONE_TIMEOUT, HEARTBEAT_TIMEOUT};
 
 /// A peer's statement that it follows this instance for a shard.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Following {
+pub struct FollowStatement {
     /// The term it follows.
     pub epoch: Epoch,
     /// Our own clock at the heartbeat that the statement answers.
@@ -23,35 +23,35 @@
     /// Its data centre.
     pub data_centre: DataCentreId,
     /// When it was heard last, on our clock.
-    pub heard: Moment,
+    pub last_seen: Moment,
     /// Its clock at its last heartbeat, to be echoed.
     pub stamp: Moment,
     /// Whether it shuts down.
     pub draining: bool,
     /// Whether its address refuses connections since it was heard last.
-    pub refused: bool,
+    pub connection_refused: bool,
     /// Whether `Silent` was told.
-    pub told_silent: bool,
+    pub unresponsive_reported: bool,
     /// Whether `Gone` was told.
-    pub told_gone: bool,
+    pub gone_reported: bool,
     /// The configuration it has in force.
     pub config_version: ConfigVersion,
     /// Shards that it claims to own, with its term.
-    pub claims: BTreeMap<Shard, Epoch>,
+    pub owned_shards: BTreeMap<Shard, Epoch>,
     /// Shards of ours that it follows.
-    pub follows: BTreeMap<Shard, Following>,
+    pub follows: BTreeMap<Shard, FollowStatement>,
 }
 
 impl Peer {
     /// Whether it counts as alive.
     #[must_use]
-    pub fn alive(&self, now: Moment) -> bool {
-        !self.refused && now.saturating_sub(self.heard) < SILENT
+    pub fn is_alive(&self, now: Moment) -> bool {
+        !self.connection_refused && now.saturating_sub(self.last_seen) < HEARTBEAT_TIMEOUT
     }
 
     /// Whether no permit in its hands can be usable any more.
     #[must_use]
-    pub fn gone(&self, now: Moment) -> bool {
-        now.saturating_sub(self.heard) >= GONE
+    pub fn is_gone(&self, now: Moment) -> bool {
+        now.saturating_sub(self.last_seen) >= GONE_TIMEOUT
     }
 }
--- a/components/members/src/reading.rs
+++ b/components/members/src/queries.rs
@@ -17,9 +17,9 @@
         owned: Vec<ShardSummary>,
         config_version: ConfigVersion,
     ) -> Heartbeat {
-        let mut follows = self.follows.claims_of(to);
+        let mut follows = self.followed_owners.known_owners_for(to);
         if let Some(peer) = self.peers.get(to) {
-            follows.extend(self.follows.newer_than(&peer.claims));
+            follows.extend(self.followed_owners.newer_terms(&peer.owned_shards));
         }
         Heartbeat {
             stamp: now,
@@ -45,16 +45,16 @@
 
     /// Shards owned here.
     #[must_use]
-    pub fn owned(&self) -> BTreeSet<Shard> {
+    pub fn owned_shards(&self) -> BTreeSet<Shard> {
         self.terms.keys().cloned().collect()
     }
 
     /// Peers that are alive.
     #[must_use]
-    pub fn alive(&self, now: Moment) -> Vec<InstanceId> {
+    pub fn alive_peers(&self, now: Moment) -> Vec<InstanceId> {
         self.peers
             .iter()
-            .filter(|(_, p)| p.alive(now))
+            .filter(|(_, p)| p.is_alive(now))
             .map(|(id, _)| id.clone())
             .collect()
     }
@@ -62,21 +62,21 @@
     /// Whether a life of an instance may still be running: it is this one, or it was heard and
     /// is not gone, or it was never heard and may just be starting.
     #[must_use]
-    pub fn may_run(&self, now: Moment, id: &InstanceId, incarnation: Incarnation) -> bool {
+    pub fn may_be_running(&self, now: Moment, id: &InstanceId, incarnation: Incarnation) -> bool {
         if *id == self.me.id {
             return incarnation == self.me.incarnation;
         }
         match self.peers.get(id) {
-            Some(peer) => peer.incarnation <= incarnation && !peer.gone(now),
+            Some(peer) => peer.incarnation <= incarnation && !peer.is_gone(now),
             None => self.listed.contains_key(id) && now < self.ready_at,
         }
     }
 
     /// Whether this instance hears nobody although others are listed.
     #[must_use]
-    pub fn isolated(&self, now: Moment) -> bool {
+    pub fn is_isolated(&self, now: Moment) -> bool {
         let others = self.listed.keys().any(|id| *id != self.me.id);
-        others && now >= self.ready_at && !self.peers.values().any(|p| p.alive(now))
+        others && now >= self.ready_at && !self.peers.values().any(|p| p.is_alive(now))
     }
 
     /// Lines for a dump.
@@ -84,11 +84,15 @@
     pub fn dump(&self, now: Moment) -> Vec<String> {
         let mut lines = Vec::new();
         for (id, peer) in &self.peers {
-            let heard = now.saturating_sub(peer.heard).as_millis();
-            let state = if peer.alive(now) { "alive" } else { "silent" };
+            let heard = now.saturating_sub(peer.last_seen).as_millis();
+            let state = if peer.is_alive(now) {
+                "alive"
+            } else {
+                "silent"
+            };
             lines.push(format!("peer {id} {state}, heard {heard} ms ago"));
         }
-        for (shard, followed) in self.follows.iter() {
+        for (shard, followed) in self.followed_owners.iter() {
             let owner = followed.owner.as_deref().unwrap_or("nobody");
             lines.push(format!(
                 "shard {shard} owner {owner} term {}",
--- a/components/members/src/rendezvous.rs
+++ b/components/members/src/rendezvous.rs
@@ -16,7 +16,7 @@
 /// targets sees them sooner, and a data centre that is lost takes owner and targets together
 /// instead of leaving other data centres' targets without an owner.
 #[must_use]
-pub fn pick<'a>(shard: &Shard, candidates: &'a [Candidate]) -> Option<&'a InstanceId> {
+pub fn pick_owner<'a>(shard: &Shard, candidates: &'a [Candidate]) -> Option<&'a InstanceId> {
     let rank = |c: &&Candidate| (c.data_centre == shard.data_centre, score(shard, &c.id));
     candidates.iter().max_by_key(rank).map(|c| &c.id)
 }
--- a/components/members/src/times.rs
+++ b/components/members/src/timeouts.rs
@@ -7,25 +7,27 @@
 use wire::PERMIT_LIFETIME;
 
 /// A peer that was not heard for this long owns nothing in our eyes.
-pub const SILENT: Duration = Duration::from_millis(1000);
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// How long a statement "I follow you" counts, from the moment its receiver sent the heartbeat
 /// that the statement answers.
-pub const FOLLOW_FRESH: Duration = Duration::from_millis(1000);
+pub const FOLLOW_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// For differences between clocks' speeds and for work between a check and its effect.
-pub const MARGIN: Duration = Duration::from_millis(200);
+pub const SAFETY_MARGIN: Duration = Duration::from_millis(200);
 
 /// A peer silent for this long can't hold a usable permit any more.
-pub const GONE: Duration = Duration::from_millis(2200);
+pub const GONE_TIMEOUT: Duration = Duration::from_millis(2200);
 
-/// A gap of this length between two ticks counts as a pause. It must stay well below `SILENT`:
+/// A gap of this length between two ticks counts as a pause. It must stay well below `HEARTBEAT_TIMEOUT`:
 /// others take shards over after that.
-pub const PAUSE: Duration = Duration::from_millis(600);
+pub const PAUSE_THRESHOLD: Duration = Duration::from_millis(600);
 
 /// After its start an instance takes part in nothing for this long, so that what it promised
 /// before a restart has lapsed, and so that it hears its peers before it judges them silent.
-pub const START_WAIT: Duration = Duration::from_millis(600);
+pub const STARTUP_DELAY: Duration = Duration::from_millis(600);
 
-const _: () = assert!(GONE.as_millis() >= SILENT.as_millis() + PERMIT_LIFETIME.as_millis());
-const _: () = assert!(PAUSE.as_millis() < SILENT.as_millis());
+const _: () = assert!(
+    GONE_TIMEOUT.as_millis() >= HEARTBEAT_TIMEOUT.as_millis() + PERMIT_LIFETIME.as_millis()
+);
+const _: () = assert!(PAUSE_THRESHOLD.as_millis() < HEARTBEAT_TIMEOUT.as_millis());
--- a/components/members/tests/ownership.rs
+++ b/components/members/tests/ownership.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, time::Duration};
 
-use members::{Change, Identity, Input, Membership, times::PAUSE};
+use members::{Change, Identity, Input, Membership, timeouts::PAUSE_THRESHOLD};
 use proptest::prelude::*;
 use types::{Epoch, InstanceId, Member, Moment, ServingState, Shard};
 use wire::{Heartbeat, ShardSummary};
@@ -90,7 +90,7 @@
         }
         let gap = now - self.instances[n].last_step;
         self.instances[n].last_step = now;
-        if gap > PAUSE {
+        if gap > PAUSE_THRESHOLD {
             self.feed(n, Input::Paused { gap });
         }
         let inbox = std::mem::take(&mut self.instances[n].inbox);
@@ -165,7 +165,9 @@
                     self.instances[n].owns = None;
                     self.instances[n].exclusive = false;
                 }
-                Change::Exclusive { exclusive, .. } => self.instances[n].exclusive = exclusive,
+                Change::ExclusivityChanged { exclusive, .. } => {
+                    self.instances[n].exclusive = exclusive
+                }
                 _ => {}
             }
         }
--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -10,7 +10,7 @@
 };
 
 use events::Event as Log;
-use members::{Change, Input, Membership, times::PAUSE};
+use members::{Change, Input, Membership, timeouts::PAUSE_THRESHOLD};
 use parking_lot::Mutex;
 use policy::{Action, DispatchPermit, Event, Policy, RequestId, ShardRole, View};
 use quarantine::QuarantineState;
@@ -88,7 +88,7 @@
             members: Mutex::new(Membership::new(now, me.clone())),
             policy: Mutex::new(policy),
             waiting: Mutex::default(),
-            pauses: Mutex::new(Pauses::new(now, PAUSE)),
+            pauses: Mutex::new(Pauses::new(now, PAUSE_THRESHOLD)),
             view: Mutex::default(),
             quarantine: Mutex::default(),
             owned: Mutex::default(),
@@ -275,14 +275,14 @@
                     role: ShardRole::Follow { owner, epoch },
                 });
             }
-            Change::Exclusive { shard, exclusive } => {
+            Change::ExclusivityChanged { shard, exclusive } => {
                 self.feed(Event::ExclusivityChanged { shard, exclusive });
             }
-            Change::Heard { peer } => events::emit(&Log::PeerHeard { peer }),
-            Change::Silent { peer } => events::emit(&Log::PeerSilent { peer }),
-            Change::Gone { peer } => self.feed(Event::PeerGone { peer }),
+            Change::PeerAlive { peer } => events::emit(&Log::PeerHeard { peer }),
+            Change::PeerUnresponsive { peer } => events::emit(&Log::PeerSilent { peer }),
+            Change::PeerGone { peer } => self.feed(Event::PeerGone { peer }),
             Change::Summary { owner, shards } => self.feed(Event::Summary { owner, shards }),
-            Change::Config { peer, version } => {
+            Change::PeerConfig { peer, version } => {
                 // A full channel loses a hint; the next heartbeat brings it again.
                 let _ = self.config_hints.try_send(ConfigHint { peer, version });
             }
--- a/components/node/src/dump.rs
+++ b/components/node/src/dump.rs
@@ -60,7 +60,10 @@
         if !self.watch.has_list() {
             return Some("the platform's list of instances could not be read yet");
         }
-        if self.core.with_members(|members, now| members.isolated(now)) {
+        if self
+            .core
+            .with_members(|members, now| members.is_isolated(now))
+        {
             return Some("no other instance is heard");
         }
         None
--- a/components/node/src/liveness.rs
+++ b/components/node/src/liveness.rs
@@ -26,7 +26,9 @@
 impl Liveness for Heard {
     fn gone(&self, instance: &InstanceId, incarnation: Incarnation) -> bool {
         self.core.with_members(|members, now| {
-            now >= SETTLED && !members.isolated(now) && !members.may_run(now, instance, incarnation)
+            now >= SETTLED
+                && !members.is_isolated(now)
+                && !members.may_be_running(now, instance, incarnation)
         })
     }
 }
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -225,7 +225,8 @@
     }
 
     fn peers(&self) -> Vec<InstanceId> {
-        self.core.with_members(|members, now| members.alive(now))
+        self.core
+            .with_members(|members, now| members.alive_peers(now))
     }
 
     async fn exchange(&self, peer: &InstanceId, ours: &[Override]) -> Option<Vec<Override>> {
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -108,7 +108,7 @@
     }
 
     fn keepers(&self, fingerprint: &Fingerprint) -> Vec<InstanceId> {
-        let mut all = self.with_members(|members, now| members.alive(now));
+        let mut all = self.with_members(|members, now| members.alive_peers(now));
         all.push(Arc::clone(&self.me));
         all.sort_by_cached_key(|id| {
             Fingerprint::new(&[&fingerprint.short().to_be_bytes(), id.as_bytes()])
--- a/components/node/src/reports.rs
+++ b/components/node/src/reports.rs
@@ -59,7 +59,7 @@
         let mut ticks = self.core.timer.every(REPORT_PERIOD);
         loop {
             ticks.next().await;
-            let owned = self.core.with_members(|members, _| members.owned());
+            let owned = self.core.with_members(|members, _| members.owned_shards());
             let view = self.core.view();
             for target in &view.targets {
                 if self.watches(target, &owned) && self.under_way.lock().insert(target.id.clone()) {
--- a/components/node/src/ticks.rs
+++ b/components/node/src/ticks.rs
@@ -36,7 +36,7 @@
 /// Tells membership about peers whose address refuses connections.
 pub async fn watch_refusals(core: Arc<Core>, refusals: Refusals) {
     while let Ok(peer) = refusals.recv().await {
-        core.member(Input::Refused { peer });
+        core.member(Input::ConnectionRefused { peer });
     }
 }
 
