--- a/components/front/tests/joining.rs
+++ b/components/front/tests/joining.rs
@@ -1,5 +1,5 @@
-//! Hundreds of instances that start together: who greets whom, who looks again, and whether all
-//! agree in the end.
+//! A simultaneous start of hundreds of instances: which peers each greets, which instances reread
+//! the members, and whether all agree on one owner in the end.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -24,10 +24,11 @@
     TOPICS.iter().map(order).collect()
 }
 
-/// After a loss of power two hundred instances know each other from their listings. If each greeted
-/// some and looked again, the store and the strongest would be called for seconds.
+/// After a power failure 195 instances know each other from the store. If each greeted some and
+/// reread the members, the store and the instances with the most capacity would be busy for
+/// seconds.
 #[test]
-fn few_of_two_hundred_that_start_together_greet_or_look_again() {
+fn few_of_195_instances_that_start_together_greet_peers_or_reread_the_members() {
     let all: Vec<OwnerCandidate> = (0..195).map(|n| candidate(n, 15)).collect();
     let orders = orders(&all);
     let greetings: usize = all
@@ -36,15 +37,15 @@
         .sum();
     assert!(greetings <= 15 * 14, "{greetings}");
     let mut rng = Rng::with_seed(1);
-    let lookers = all
+    let readers = all
         .iter()
         .filter(|c| rereads_members(&c.id, &orders, all.len(), rng.f64()))
         .count();
-    assert!((1..=25).contains(&lookers), "{lookers}");
+    assert!((1..=25).contains(&readers), "{readers}");
 }
 
 #[test]
-fn on_few_instances_each_greets_all_and_looks_again() {
+fn in_small_deployments_each_instance_greets_all_and_rereads_the_members() {
     let all: Vec<OwnerCandidate> = (0..7).map(|n| candidate(n, 0)).collect();
     let orders = orders(&all);
     for c in &all {
@@ -53,22 +54,25 @@
     }
 }
 
-/// What one instance knows of the others.
-struct Knowing {
-    /// Listed, greeted, or told.
+/// The members that one instance knows.
+struct Membership {
+    /// Listed in the store, greeted, or passed on by others.
     known: BTreeSet<usize>,
-    /// Of those, the ones that it heard itself.
-    heard: BTreeSet<usize>,
+    /// Those from which it has received a message.
+    seen: BTreeSet<usize>,
 }
 
-/// Instances that greet three seeds one after the other, and are told who leads among those that
-/// greeted these before. They are listed only later.
-fn told_by_seeds(count: usize, strong: usize, rng: &mut Rng) -> Vec<Knowing> {
+/// Instances that greet one of three seeds in random order. Each gets the leading members among
+/// those that greeted before it. None is listed in the store yet.
+fn after_greeting_seeds(count: usize, strong: usize, rng: &mut Rng) -> Vec<Membership> {
     let mut order: Vec<usize> = (0..count).collect();
     rng.shuffle(&mut order);
     let seeds = [0, count / 3, count / 2];
-    let knowing = |me: usize| {
-        let at = order.iter().position(|n| *n == me).expect("it is there");
+    let membership = |me: usize| {
+        let at = order
+            .iter()
+            .position(|n| *n == me)
+            .expect("each instance is in the order");
         let greeted: Vec<OwnerCandidate> =
             order[..at].iter().map(|n| candidate(*n, strong)).collect();
         let heads = orders(&greeted).into_iter().take(2);
@@ -78,16 +82,20 @@
         if seeds.contains(&me) {
             known.extend(0..count);
         }
-        Knowing {
+        Membership {
             known,
-            heard: BTreeSet::new(),
+            seen: BTreeSet::new(),
         }
     };
-    (0..count).map(knowing).collect()
+    (0..count).map(membership).collect()
 }
 
-fn orders_of(view: &Knowing, strong: usize) -> Vec<Vec<InstanceId>> {
-    let known: Vec<OwnerCandidate> = view.known.iter().map(|n| candidate(*n, strong)).collect();
+fn orders_of(membership: &Membership, strong: usize) -> Vec<Vec<InstanceId>> {
+    let known: Vec<OwnerCandidate> = membership
+        .known
+        .iter()
+        .map(|n| candidate(*n, strong))
+        .collect();
     orders(&known)
 }
 
@@ -95,34 +103,34 @@
     id[2..].parse().expect("a number")
 }
 
-fn hear(all: &mut [Knowing], at: usize, who: usize) {
+fn record_contact(all: &mut [Membership], at: usize, who: usize) {
     all[at].known.insert(who);
-    all[at].heard.insert(who);
+    all[at].seen.insert(who);
 }
 
-/// One sync of each instance with the owner that it knows.
-fn sync(all: &mut [Knowing], strong: usize) {
+/// Each instance syncs once with the instance that it takes for the owner.
+fn sync(all: &mut [Membership], strong: usize) {
     for me in 0..all.len() {
         let owner = number(&orders_of(&all[me], strong)[2][0]);
         if owner == me {
             continue;
         }
-        hear(all, owner, me);
-        hear(all, me, owner);
-        let told = all[owner].heard.clone();
-        all[me].known.extend(told);
+        record_contact(all, owner, me);
+        record_contact(all, me, owner);
+        let received = all[owner].seen.clone();
+        all[me].known.extend(received);
     }
 }
 
-fn owners(all: &[Knowing], strong: usize) -> BTreeSet<InstanceId> {
-    let owner = |view| Arc::clone(&orders_of(view, strong)[2][0]);
+fn owners(all: &[Membership], strong: usize) -> BTreeSet<InstanceId> {
+    let owner = |membership| Arc::clone(&orders_of(membership, strong)[2][0]);
     all.iter().map(owner).collect()
 }
 
-/// At the very first start the list in the store is empty, and instances know those that greeted the
-/// seeds before them. Two that take themselves for the owner would fill engines twice.
+/// When all instances start for the first time, the store lists none, and each knows only some of
+/// the others. Two instances that both act as the owner would overfill engines.
 #[test]
-fn instances_that_know_different_parts_at_a_first_start_agree_on_one_owner() {
+fn instances_that_know_different_members_at_the_first_start_agree_on_one_owner() {
     for (seed, count, strong) in [
         (1, 40, 0),
         (2, 83, 0),
@@ -131,7 +139,7 @@
         (5, 90, 1),
     ] {
         let mut rng = Rng::with_seed(seed);
-        let mut all = told_by_seeds(count, strong, &mut rng);
+        let mut all = after_greeting_seeds(count, strong, &mut rng);
         for me in 0..count {
             let orders = orders_of(&all[me], strong);
             let id = candidate(me, strong).id;
@@ -140,18 +148,18 @@
                 .map(number)
                 .collect();
             for peer in peers {
-                hear(&mut all, peer, me);
-                hear(&mut all, me, peer);
+                record_contact(&mut all, peer, me);
+                record_contact(&mut all, me, peer);
             }
         }
         for _ in 0..2 {
             sync(&mut all, strong);
         }
-        for (me, view) in all.iter_mut().enumerate() {
-            let orders = orders_of(view, strong);
+        for (me, membership) in all.iter_mut().enumerate() {
+            let orders = orders_of(membership, strong);
             let id = candidate(me, strong).id;
-            if rereads_members(&id, &orders, view.known.len(), rng.f64()) {
-                view.known.extend(0..count);
+            if rereads_members(&id, &orders, membership.known.len(), rng.f64()) {
+                membership.known.extend(0..count);
             }
         }
         for _ in 0..3 {
--- a/components/front/tests/aims.rs
+++ b/components/front/tests/objectives.rs
@@ -1,4 +1,4 @@
-//! How much time a request has until its answer should be there.
+//! The time left until a request's objective for the first token.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,19 +7,19 @@
 use timer::boot_time;
 use view::{Route, RouteKind, Service};
 
-/// Callers of one route wait for 33 to 39 seconds. Whoever waits less long has not waited before:
-/// taken for late by what is left of the longest time, most callers would get the place of one
-/// that is late, and hear late or not at all.
+/// The callers of one route have deadlines between 33 and 39 seconds. If the time left were derived
+/// from the route's timeout, a request with a shorter deadline would count as late on arrival, and
+/// most callers would be queued as late and answered late or not at all.
 #[test]
-fn a_caller_of_little_patience_has_its_whole_aim_left() {
-    let aim = Duration::from_millis(1_800);
+fn a_shorter_deadline_does_not_reduce_the_time_left_of_the_objective() {
+    let objective = Duration::from_millis(1_800);
     let route = Route {
         name: "drafts".into(),
         host: "host.example".into(),
         prefix: "/drafts/".into(),
         kind: RouteKind::Generation,
         timeout: Duration::from_secs(39),
-        objective: aim,
+        objective,
         max_targets: 1,
         priority: 0,
         allows_anonymous: true,
@@ -58,7 +58,7 @@
         sent: Arc::default(),
     };
     assert!(
-        call.objective_left() > aim / 2,
+        call.objective_left() > objective / 2,
         "{:?}",
         call.objective_left()
     );
--- a/components/front/tests/sources.rs
+++ b/components/front/tests/sources.rs
@@ -1,4 +1,4 @@
-//! Where a topic of the store is followed, and what comes next when that fails.
+//! The selection of sources of a topic, without failures and after them.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -16,7 +16,7 @@
     (0..count).map(|n| format!("i-{n}").into()).collect()
 }
 
-/// Instances of which no data centre has many.
+/// Instances in data centres too small for relays.
 fn scattered(count: usize) -> Ranking {
     Ranking {
         all: instances(count),
@@ -24,7 +24,7 @@
     }
 }
 
-/// Instances of five data centres, as one of the first of them sees them.
+/// Instances in five large data centres, as seen from the first.
 fn dense(count: usize) -> Ranking {
     let all = instances(count);
     Ranking {
@@ -37,24 +37,24 @@
     SourceSelector::new(Rng::with_seed(seed))
 }
 
-/// Asks until a whole round has failed; tells the sources of that round. The store is silent; the
-/// peers fail as told.
+/// Fails all sources of a round, and returns them. The store does not answer; peers fail with
+/// `failure`.
 fn failing_round(
     sources: &mut SourceSelector,
     me: &InstanceId,
     ranking: &Ranking,
-    how: SourceFailure,
+    failure: SourceFailure,
 ) -> Vec<Source> {
-    let mut asked = Vec::new();
+    let mut tried = Vec::new();
     loop {
         let source = sources.next(NOW, me, ranking);
-        asked.push(source.clone());
-        let how = match source {
+        tried.push(source.clone());
+        let failure = match source {
             Source::Store => SourceFailure::NoAnswer,
-            Source::Peer(_) => how,
+            Source::Peer(_) => failure,
         };
-        if sources.record_failure(&source, how) {
-            return asked;
+        if sources.record_failure(&source, failure) {
+            return tried;
         }
     }
 }
@@ -77,10 +77,10 @@
     }
 }
 
-/// A reader falls silent. Its followers have two seconds until a change must be in force; waiting
-/// for the other reader, which may be cut off as well, would be too long.
+/// A change must be in force within two seconds. After one reader has not answered, waiting for the
+/// other, which may be cut off as well, would take too long.
 #[test]
-fn after_a_silent_reader_the_store_comes_next() {
+fn after_a_reader_that_does_not_answer_the_store_is_tried() {
     let ranking = scattered(83);
     let me = &ranking.all[40];
     let mut sources = sources(1);
@@ -89,9 +89,9 @@
     assert_eq!(sources.next(NOW, me, &ranking), Source::Store);
 }
 
-/// The same where relays stand between: the other relay may be cut off as well.
+/// The same for a leaf that follows relays: the other relay may be cut off as well.
 #[test]
-fn after_a_silent_relay_the_store_comes_next() {
+fn after_a_relay_that_does_not_answer_the_store_is_tried() {
     let ranking = dense(195);
     let leaf = &ranking.same_data_centre[20];
     let mut sources = sources(1);
@@ -104,14 +104,14 @@
 fn peer(source: &Source) -> InstanceId {
     match source {
         Source::Peer(id) => Arc::clone(id),
-        Source::Store => panic!("a peer was expected"),
+        Source::Store => panic!("expected a peer"),
     }
 }
 
-/// Both readers have lost the store, and relays get through to it. A whole data centre follows
-/// each relay, so these ask whatever the luck of the draw.
+/// Both readers have lost the store, but relays may still reach it. Since a whole data centre
+/// follows the relays, they always try the store, whatever the random draw.
 #[test]
-fn relays_ask_the_store_where_both_readers_have_lost_it() {
+fn relays_always_try_the_store_if_both_readers_have_lost_it() {
     let mut ranking = dense(195);
     // Readers of other data centres.
     ranking.same_data_centre.remove(0);
@@ -123,13 +123,13 @@
     }
 }
 
-/// Both readers are turned away by the store and answer that they know nothing new. If all of
-/// eighty followers turned to the store in the same moment, that would cost as many calls as ten
-/// seconds of following, and again in each round.
+/// The store refuses both readers, and these answer with stale state. If all of eighty followers
+/// tried the store at once, that would take as many calls as ten seconds of following, and again in
+/// each round.
 #[test]
-fn few_followers_ask_the_store_where_readers_answer_that_they_have_lost_it() {
+fn few_followers_try_the_store_if_the_readers_have_lost_it() {
     let ranking = scattered(83);
-    let asked: Vec<Vec<Source>> = ranking.all[READERS..]
+    let rounds: Vec<Vec<Source>> = ranking.all[READERS..]
         .iter()
         .enumerate()
         .map(|(seed, me)| {
@@ -141,17 +141,18 @@
             )
         })
         .collect();
-    let at_store = asked.iter().filter(|round| round.contains(&Source::Store));
+    let at_store = rounds.iter().filter(|round| round.contains(&Source::Store));
     assert!((2..=20).contains(&at_store.count()));
-    // Each asked somebody else too, and not all the same one.
-    let third = |round: &Vec<Source>| round[READERS].to_string();
-    let thirds: BTreeSet<String> = asked.iter().map(third).collect();
-    assert!(thirds.len() > 20, "{thirds:?}");
+    // Each has also tried an extra peer, and these differ.
+    let extra = |round: &Vec<Source>| round[READERS].to_string();
+    let extras: BTreeSet<String> = rounds.iter().map(extra).collect();
+    assert!(extras.len() > 20, "{extras:?}");
 }
 
-/// On a small deployment each may ask the store itself: it costs little, and sooner known is better.
+/// In a small deployment each instance may try the store: that costs little and gives the state
+/// sooner.
 #[test]
-fn on_few_instances_each_may_ask_the_store() {
+fn in_small_deployments_each_instance_may_try_the_store() {
     let ranking = scattered(4);
     let round = failing_round(
         &mut sources(3),
@@ -162,10 +163,10 @@
     assert!(round.contains(&Source::Store), "{round:?}");
 }
 
-/// A peer beside the readers gets through to the store. It is followed for a while, and then the
-/// readers are tried again: if everybody stayed where they are, chains of followers would grow.
+/// An extra peer still has access to the store. It is followed for a while only, then the readers
+/// are tried again: otherwise longer and longer chains of followers would form.
 #[test]
-fn a_peer_that_knows_is_kept_for_a_while_only() {
+fn a_fallback_source_is_used_only_for_a_while() {
     let ranking = scattered(83);
     let all = &ranking.all;
     let me = &all[40];
@@ -174,11 +175,11 @@
         let reader = sources.next(NOW, me, &ranking);
         assert!(!sources.record_failure(&reader, SourceFailure::Stale));
     }
-    let third = sources.next(NOW, me, &ranking);
+    let extra = sources.next(NOW, me, &ranking);
     sources.record_success();
     assert_eq!(
         sources.next(NOW + Duration::from_secs(1), me, &ranking),
-        third
+        extra
     );
     let later = sources.next(NOW + Duration::from_secs(2), me, &ranking);
     assert!(
@@ -189,17 +190,17 @@
 }
 
 proptest! {
-    /// Whatever fails in whatever way, and however many instances there are, a round ends, no
-    /// instance asks itself, and somebody asks the store again and again.
+    /// With any sequence of failures and any number of instances, each round ends, no instance
+    /// selects itself, and the store is tried again and again.
     #[test]
-    fn no_order_of_failures_goes_round_for_ever(
+    fn with_any_failures_rounds_end_and_the_store_is_retried(
         count in 1..90_usize,
         number in any::<prop::sample::Index>(),
         seed in any::<u64>(),
         stale in prop::collection::vec(any::<bool>(), 1..8),
-        relayed in any::<bool>(),
+        has_relays in any::<bool>(),
     ) {
-        let ranking = if relayed { dense(count) } else { scattered(count) };
+        let ranking = if has_relays { dense(count) } else { scattered(count) };
         let me = &ranking.all[number.index(count)];
         let mut sources = sources(seed);
         let mut at_store = 0;
@@ -207,8 +208,12 @@
             let source = sources.next(NOW, me, &ranking);
             prop_assert_ne!(&source, &Source::Peer(Arc::clone(me)));
             at_store += usize::from(source == Source::Store);
-            let how = if stale[step % stale.len()] { SourceFailure::Stale } else { SourceFailure::NoAnswer };
-            sources.record_failure(&source, how);
+            let failure = if stale[step % stale.len()] {
+                SourceFailure::Stale
+            } else {
+                SourceFailure::NoAnswer
+            };
+            sources.record_failure(&source, failure);
         }
         prop_assert!(sources.failed_rounds() >= 2_000 / 6, "{}", sources.failed_rounds());
         prop_assert!(at_store > 0);
--- a/components/front/tests/timeouts.rs
+++ b/components/front/tests/timeouts.rs
@@ -1,21 +1,21 @@
-//! How long calls to the store are waited for.
+//! Timeouts of calls to the store during an outage.
 
 use std::time::Duration;
 
 use front::store::timeouts::{READ_TIMEOUT, outage_timeout};
 
-/// The store is silent, and comes back at any moment. A call that was made before is never answered;
-/// callers are kept out until the next one is made.
+/// After an outage the store does not answer calls that were made before its end. Callers are
+/// refused until the next call, so most timeouts must be short.
 #[test]
-fn a_silent_store_is_asked_again_soon() {
-    let soon = (0..20).filter(|failures| outage_timeout(*failures) < READ_TIMEOUT);
-    assert_eq!(soon.count(), 15);
+fn most_timeouts_during_an_outage_are_short() {
+    let short = (0..20).filter(|failures| outage_timeout(*failures) < READ_TIMEOUT);
+    assert_eq!(short.count(), 15);
 }
 
-/// The store takes more than a second for each answer. Were every call given up before, nobody
-/// would ever know anything again.
+/// If the store takes more than a second for each answer and each call is given up before, no
+/// instance ever gets an answer.
 #[test]
-fn a_store_that_is_slow_is_waited_for_now_and_then() {
+fn some_timeouts_during_an_outage_are_long_enough_for_a_slow_store() {
     let slow = Duration::from_millis(1_500);
     for failures in 0..20 {
         let next = (failures..failures + 4).find(|failures| outage_timeout(*failures) > slow);
--- a/components/front/tests/topic_cache.rs
+++ b/components/front/tests/topic_cache.rs
@@ -1,4 +1,4 @@
-//! Rows as they are known, and passed on from instance to instance.
+//! The cache of a topic: which updates it applies, and which it passes on.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -15,7 +15,7 @@
     }
 }
 
-fn whole(version: u64, rows: Vec<Row>) -> TopicUpdate {
+fn full(version: u64, rows: Vec<Row>) -> TopicUpdate {
     TopicUpdate {
         rows,
         version,
@@ -34,71 +34,72 @@
 }
 
 #[test]
-fn what_a_whole_read_does_not_name_is_dropped() {
+fn a_full_update_deletes_the_rows_that_it_does_not_contain() {
     let cache = TopicCache::new();
     cache.apply(
-        &whole(5, vec![row("a", Some("1"), 3), row("b", Some("2"), 5)]),
+        &full(5, vec![row("a", Some("1"), 3), row("b", Some("2"), 5)]),
         SECOND,
     );
-    let changed = cache.apply(&whole(9, vec![row("b", Some("2"), 5)]), 2 * SECOND);
+    let changed = cache.apply(&full(9, vec![row("b", Some("2"), 5)]), 2 * SECOND);
     assert_eq!(changed, [row("a", None, 9)]);
     assert_eq!(cache.version(), Some(9));
 }
 
-/// A reader has read everything at version 9, and a follower knows version 7. What was dropped between
-/// the reader can't tell; told everything instead, a hundred followers fill a narrow link for seconds.
+/// A reader has all rows as of version 9, and a follower is at version 7. The reader does not know
+/// the deletions in between, and full updates for a hundred followers would saturate a narrow link
+/// for seconds. So the history must start at version 9.
 #[test]
-fn a_whole_read_does_not_reach_further_back() {
+fn the_history_starts_with_the_last_full_update() {
     let cache = TopicCache::new();
-    cache.apply(&whole(9, vec![row("a", Some("1"), 3)]), SECOND);
+    cache.apply(&full(9, vec![row("a", Some("1"), 3)]), SECOND);
     cache.apply(&changes(9, 12, vec![row("b", Some("2"), 12)]), 2 * SECOND);
     assert_eq!(cache.history_start(), 9);
 }
 
-/// Changes come that begin further on than what is known, as after a lost answer. Taken, a row
-/// that changed between would be missed for good, a key that was taken away, say.
+/// After a lost answer, changes may begin after the cached version. If they were applied, a row
+/// that changed in between, such as a revoked key, would never be updated.
 #[test]
-fn changes_after_a_gap_are_not_taken() {
+fn changes_after_a_gap_are_ignored() {
     let cache = TopicCache::new();
-    cache.apply(&whole(5, vec![row("a", Some("1"), 3)]), SECOND);
+    cache.apply(&full(5, vec![row("a", Some("1"), 3)]), SECOND);
     let changed = cache.apply(&changes(7, 8, vec![row("b", Some("2"), 8)]), 2 * SECOND);
     assert!(changed.is_empty());
     assert_eq!(cache.version(), Some(5));
-    // Nor does it confirm what is known.
+    // The update does not confirm the cached version either.
     assert_eq!(cache.confirmed_at(), Some(SECOND));
 }
 
-/// A peer that lies behind answers after one that does not.
+/// A peer that is behind may answer after one that is current.
 #[test]
-fn older_news_changes_and_confirms_nothing() {
+fn an_older_update_changes_and_confirms_nothing() {
     let cache = TopicCache::new();
-    cache.apply(&whole(9, vec![row("a", Some("new"), 9)]), SECOND);
-    let changed = cache.apply(&whole(4, vec![row("a", Some("old"), 4)]), 5 * SECOND);
+    cache.apply(&full(9, vec![row("a", Some("new"), 9)]), SECOND);
+    let changed = cache.apply(&full(4, vec![row("a", Some("old"), 4)]), 5 * SECOND);
     assert!(changed.is_empty());
     assert_eq!(cache.confirmed_at(), Some(SECOND));
 }
 
 #[test]
-fn news_is_what_the_asker_lacks() {
+fn an_update_contains_what_the_follower_lacks() {
     let cache = TopicCache::new();
     assert!(cache.update_since(None).is_none());
-    cache.apply(&whole(5, vec![row("a", Some("1"), 3)]), SECOND);
+    cache.apply(&full(5, vec![row("a", Some("1"), 3)]), SECOND);
     cache.apply(&changes(5, 6, vec![row("b", Some("2"), 6)]), 2 * SECOND);
-    let (news, read) = cache.update_since(Some(5)).expect("news");
-    assert_eq!(news, changes(5, 6, vec![row("b", Some("2"), 6)]));
-    assert_eq!(read, 2 * SECOND);
-    let (news, _) = cache.update_since(None).expect("news");
-    assert!(news.is_full);
-    assert_eq!(news.rows.len(), 2);
-    // One who knows more than this instance, from a store that was set back, is told everything.
-    let (news, _) = cache.update_since(Some(70)).expect("news");
-    assert!(news.is_full);
+    let (update, confirmed_at) = cache.update_since(Some(5)).expect("an update");
+    assert_eq!(update, changes(5, 6, vec![row("b", Some("2"), 6)]));
+    assert_eq!(confirmed_at, 2 * SECOND);
+    let (update, _) = cache.update_since(None).expect("an update");
+    assert!(update.is_full);
+    assert_eq!(update.rows.len(), 2);
+    // A follower may be ahead of this instance if the store was reset; it gets a full update.
+    let (update, _) = cache.update_since(Some(70)).expect("an update");
+    assert!(update.is_full);
 }
 
-/// What a store of one table went through: for each version, the key that was written or dropped.
+/// The history of a table: for each version, the key that was written or deleted.
 type History = Vec<(u8, Option<u8>)>;
 
-/// The rows as of a version.
+/// The rows as of a version, including deleted ones.
 fn state(history: &History, version: usize) -> BTreeMap<Arc<str>, Row> {
     let mut rows = BTreeMap::new();
     for (at, (key, value)) in history.iter().take(version).enumerate() {
@@ -111,66 +112,66 @@
 }
 
 proptest! {
-    /// Two instances follow a store and each other in any order, from any version, whole or by
-    /// changes. What one knows is always exactly the store's state at the version that it names.
+    /// Two instances follow the store and each other in any order, from any version, with full
+    /// updates and with changes. Each cache always equals the store's state at the cached version.
     #[test]
-    fn knowledge_is_the_state_of_some_moment_and_never_goes_back(
+    fn a_cache_equals_the_state_at_its_version_and_never_goes_back(
         history in prop::collection::vec((0..5_u8, prop::option::of(any::<u8>())), 1..25),
         steps in prop::collection::vec((0..4_u8, any::<prop::sample::Index>(), any::<bool>()), 1..40),
     ) {
-        let shelves = [TopicCache::new(), TopicCache::new()];
+        let caches = [TopicCache::new(), TopicCache::new()];
         let mut read = SECOND;
         for (step, at, first) in steps {
             read += SECOND;
             let number = usize::from(first);
-            let (mine, other) = (&shelves[number], &shelves[1 - number]);
-            let before = mine.version();
+            let (own, other) = (&caches[number], &caches[1 - number]);
+            let before = own.version();
             let now = at.index(history.len()) + 1;
             let version = u64::try_from(now).expect("a small number");
             let rows = state(&history, now);
             match step {
                 0 => {
                     let all = rows.into_values().filter(|row| row.value.is_some()).collect();
-                    mine.apply(&whole(version, all), read);
+                    own.apply(&full(version, all), read);
                 }
                 1 | 2 => {
                     let after = before.unwrap_or_default().min(version);
                     let new = rows.into_values().filter(|row| row.version > after).collect();
-                    mine.apply(&changes(after, version, new), read);
+                    own.apply(&changes(after, version, new), read);
                 }
                 _ => {
-                    if let Some((news, confirmed)) = other.update_since(mine.version()) {
-                        mine.apply(&news, confirmed);
+                    if let Some((update, confirmed_at)) = other.update_since(own.version()) {
+                        own.apply(&update, confirmed_at);
                     }
                 }
             }
-            prop_assert!(mine.version() >= before);
-            if let Some((news, _)) = mine.update_since(None) {
-                let at = usize::try_from(news.version).expect("a small number");
+            prop_assert!(own.version() >= before);
+            if let Some((update, _)) = own.update_since(None) {
+                let at = usize::try_from(update.version).expect("a small number");
                 let known: BTreeMap<Arc<str>, Option<Arc<[u8]>>> =
-                    news.rows.into_iter().map(|row| (row.key, row.value)).collect();
-                let want: BTreeMap<Arc<str>, Option<Arc<[u8]>>> = state(&history, at)
+                    update.rows.into_iter().map(|row| (row.key, row.value)).collect();
+                let expected: BTreeMap<Arc<str>, Option<Arc<[u8]>>> = state(&history, at)
                     .into_values()
                     .filter(|row| row.value.is_some())
                     .map(|row| (row.key, row.value))
                     .collect();
-                prop_assert_eq!(known, want);
+                prop_assert_eq!(known, expected);
             }
         }
     }
 }
 
-/// An instance that has lost its source kept those that follow it waiting for news that it would be
-/// the last to hear.
+/// An instance that loses its source must not keep its followers waiting, since it would be the
+/// last to get changes.
 #[test]
-fn who_waits_is_woken_when_the_source_is_lost() {
+fn waiting_followers_are_woken_when_the_source_is_lost() {
     smol::block_on(async {
         let cache = Arc::new(TopicCache::new());
         let waiter = {
             let cache = Arc::clone(&cache);
             smol::spawn(async move { cache.wait_for_change(Duration::from_secs(60)).await })
         };
-        // Until it waits, a wake-up would pass unheard.
+        // A wake-up before the task waits has no effect, so it is repeated.
         while !waiter.is_finished() {
             cache.set_source_lost(true);
             cache.set_source_lost(false);
