--- a/components/policy/tests/limits.rs
+++ b/components/policy/tests/limits.rs
@@ -97,7 +97,7 @@
 }
 
 // When the owner changes, targets have long been warm. A new owner that treated them as cold would
-// lose others of the capacity for minutes.
+// lose most of the capacity for minutes.
 #[test]
 fn a_new_owner_trusts_a_target_that_reports_itself_warm() {
     let mut fixture = Fixture::new(view(vec![target("a", 1)], large_limits()));
