--- a/components/front/src/generations/relay.rs
+++ b/components/front/src/generations/relay.rs
@@ -37,11 +37,11 @@
 
 /// Time for the last events of a stopped engine to arrive and for its stream to close.
 const LAST_EVENTS_TIMEOUT: Duration = Duration::from_millis(30);
-/// Time for the next command of a migration after the stream has closed: that of a copy and a
+/// Time for the next command of a migration after the stream has closed: the time of a copy plus a
 /// margin.
 const MIGRATION_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time for an engine to answer a resumed generation. Engines admit resumed generations first, in
-/// their next step; a caller would have given up long before this.
+/// their next step, and a caller gives up long before this time is over.
 const RESUME_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Channel to the body of the response to the caller.
