--- a/components/members/src/api.rs
+++ b/components/members/src/api.rs
@@ -1,25 +1,25 @@
-//! What goes into membership and what comes out.
+//! The inputs that membership handles and the changes that it reports.
 
 use std::{collections::BTreeSet, time::Duration};
 
 use types::{ConfigVersion, DataCentreId, Epoch, Incarnation, InstanceId, Member, Shard};
 use wire::{Heartbeat, ShardSummary};
 
-/// Something that happened.
+/// An event that membership handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// The platform's list was read.
+    /// The platform's list of instances was read.
     Listed(Vec<Member>),
-    /// A peer's heartbeat came.
+    /// A heartbeat arrived from a peer.
     Heartbeat {
         /// The peer.
         from: InstanceId,
-        /// Which life of the peer.
+        /// The incarnation of the peer that sent it.
         incarnation: Incarnation,
-        /// What it says.
+        /// Content of the heartbeat.
         heartbeat: Heartbeat,
     },
-    /// A new owner asked what this instance holds.
+    /// A new owner queried the permits that this instance holds.
     Queried {
         /// The owner.
         from: InstanceId,
@@ -28,75 +28,76 @@
         /// The owner's term.
         epoch: Epoch,
     },
-    /// A peer's address refused a connection: its process is gone.
+    /// A peer's address refused a connection, so its process no longer runs.
     ConnectionRefused {
         /// The peer.
         peer: InstanceId,
     },
-    /// The shards that exist now.
+    /// The complete set of shards.
     Shards(BTreeSet<Shard>),
-    /// This process was not running for a while.
+    /// This process did not run for a while.
     Paused {
-        /// For how long.
+        /// Duration of the pause.
         gap: Duration,
     },
-    /// The shutdown has begun: own nothing from now on.
+    /// The shutdown has begun: the instance owns no shard from now on.
     Drain,
-    /// Time passed.
+    /// A periodic tick, on which timeouts are checked.
     Tick,
 }
 
-/// Something that others have to know.
+/// A change of membership or ownership that other parts of the instance act on.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Change {
-    /// This instance owns a shard from now on and should ask these entries what they hold.
+    /// This instance became the owner of a shard and must query the permits that these entries
+    /// hold.
     Own {
         /// The shard.
         shard: Shard,
         /// The term.
         epoch: Epoch,
-        /// Entries that are heard, this instance among them.
+        /// All instances that are alive, including this one.
         entries_to_query: Vec<InstanceId>,
     },
-    /// Somebody else owns a shard, or nobody.
+    /// Another instance became the owner of a shard, or the shard lost its owner.
     Follow {
         /// The shard.
         shard: Shard,
-        /// The owner.
+        /// The owner, if there is one.
         owner: Option<InstanceId>,
         /// The owner's term.
         epoch: Epoch,
     },
-    /// Whether this instance's ownership is certainly the only one.
+    /// This instance's ownership of a shard became, or ceased to be, certainly the only one.
     ExclusivityChanged {
         /// The shard.
         shard: Shard,
-        /// The answer.
+        /// Whether the ownership is exclusive now.
         exclusive: bool,
     },
-    /// A peer is heard for the first time, or again.
+    /// A peer became alive: its first heartbeat arrived, or the first after it was unresponsive.
     PeerAlive {
         /// The peer.
         peer: InstanceId,
     },
-    /// A peer is no longer heard.
+    /// A peer stopped responding.
     PeerUnresponsive {
         /// The peer.
         peer: InstanceId,
     },
-    /// A peer is gone for good, its permits have lapsed.
+    /// A peer is gone, and all permits that it held have expired.
     PeerGone {
         /// The peer.
         peer: InstanceId,
     },
-    /// What an owner says about its shards.
+    /// An owner reported the state of its shards.
     Summary {
         /// The owner.
         owner: InstanceId,
         /// Its shards.
         shards: Vec<ShardSummary>,
     },
-    /// A peer has this configuration in force.
+    /// A peer reported the version of the configuration that it has in force.
     PeerConfig {
         /// The peer.
         peer: InstanceId,
@@ -105,13 +106,13 @@
     },
 }
 
-/// Who this instance is.
+/// The identity of this instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Identity {
-    /// Its name.
+    /// Name of the instance.
     pub id: InstanceId,
-    /// Its data centre.
+    /// The data centre that it runs in.
     pub data_centre: DataCentreId,
-    /// Which life of the instance this is.
+    /// The incarnation, which grows with every start of the process.
     pub incarnation: Incarnation,
 }
--- a/components/members/src/followed_owners.rs
+++ b/components/members/src/followed_owners.rs
@@ -1,27 +1,27 @@
-//! Which owner this instance follows for each shard.
+//! The owner that this instance follows for each shard.
 
 use std::collections::BTreeMap;
 
 use types::{Epoch, InstanceId, Shard};
 use wire::KnownOwner;
 
-/// The owner that an instance follows for a shard.
+/// The owner that this instance follows for one shard.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FollowedOwner {
-    /// The owner; `None` once it is lost.
+    /// The owner; `None` after it was lost or released the shard.
     pub owner: Option<InstanceId>,
-    /// The newest term seen; permits of earlier ones are void.
+    /// The newest term seen; permits of earlier terms are void.
     pub epoch: Epoch,
 }
 
-/// All owners followed. A term never goes back.
+/// The followed owners of all shards. The term of a shard never decreases.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FollowedOwners {
     by_shard: BTreeMap<Shard, FollowedOwner>,
 }
 
 impl FollowedOwners {
-    /// Follows an owner if its term is newer; tells whether anything changed.
+    /// Follows an owner if its term is newer than the one seen; returns whether it is.
     pub fn follow(&mut self, shard: &Shard, owner: &InstanceId, epoch: Epoch) -> bool {
         let newer = self.by_shard.get(shard).is_none_or(|f| epoch > f.epoch);
         if newer {
@@ -34,19 +34,19 @@
         newer
     }
 
-    /// The newest term seen for a shard, 0 before the first.
+    /// Returns the newest term seen for a shard, 0 before the first.
     #[must_use]
     pub fn epoch(&self, shard: &Shard) -> Epoch {
         self.by_shard.get(shard).map_or(0, |f| f.epoch)
     }
 
-    /// The owner followed.
+    /// Returns the owner that is followed for a shard.
     #[must_use]
     pub fn owner(&self, shard: &Shard) -> Option<&InstanceId> {
         self.by_shard.get(shard)?.owner.as_ref()
     }
 
-    /// Forgets an owner, everywhere; tells which shards have none now.
+    /// Stops following an owner for all shards; returns these shards with their terms.
     pub fn remove_owner(&mut self, owner: &InstanceId) -> Vec<(Shard, Epoch)> {
         let mut lost = Vec::new();
         for (shard, followed) in &mut self.by_shard {
@@ -58,49 +58,50 @@
         lost
     }
 
-    /// Follows an owner again that was lost and came back in the same term.
+    /// Follows an owner that was lost and has returned in the same term.
     pub fn restore(&mut self, shard: &Shard, owner: &InstanceId) {
         if let Some(followed) = self.by_shard.get_mut(shard) {
             followed.owner = Some(owner.clone());
         }
     }
 
-    /// Forgets a shard's owner but not its term.
+    /// Stops following the owner of a shard, and keeps the term.
     pub fn release(&mut self, shard: &Shard) {
         if let Some(followed) = self.by_shard.get_mut(shard) {
             followed.owner = None;
         }
     }
 
-    /// What this instance tells an owner that it follows.
+    /// Returns the shards for which `owner` is followed; sent to it as confirmation.
     #[must_use]
     pub fn known_owners_for(&self, owner: &InstanceId) -> Vec<KnownOwner> {
-        let mut claims = Vec::new();
+        let mut known = Vec::new();
         for (shard, followed) in &self.by_shard {
             if followed.owner.as_ref() == Some(owner) {
-                claims.push(known_owner(shard, followed));
+                known.push(known_owner(shard, followed));
             }
         }
-        claims
+        known
     }
 
-    /// Tells a peer that claims a shard in an outdated term which term is the newest; it would
-    /// otherwise believe for good to own what nobody follows it for.
+    /// Returns the newest term of each shard that a peer states to own in an older term. Without
+    /// being told, the peer would continue to regard itself as the owner although no instance
+    /// follows it.
     #[must_use]
-    pub fn newer_terms(&self, claimed: &BTreeMap<Shard, Epoch>) -> Vec<KnownOwner> {
-        let mut claims = Vec::new();
+    pub fn newer_terms(&self, stated: &BTreeMap<Shard, Epoch>) -> Vec<KnownOwner> {
+        let mut newer = Vec::new();
         for (shard, followed) in &self.by_shard {
-            if claimed
+            if stated
                 .get(shard)
                 .is_some_and(|epoch| *epoch < followed.epoch)
             {
-                claims.push(known_owner(shard, followed));
+                newer.push(known_owner(shard, followed));
             }
         }
-        claims
+        newer
     }
 
-    /// Takes note of a newer term whose owner is unknown.
+    /// Records a newer term whose owner is unknown.
     pub fn record_epoch(&mut self, shard: &Shard, epoch: Epoch) {
         if epoch > self.epoch(shard) {
             self.by_shard
@@ -108,7 +109,7 @@
         }
     }
 
-    /// All of it.
+    /// Iterates over all shards for which a term was seen.
     pub fn iter(&self) -> impl Iterator<Item = (&Shard, &FollowedOwner)> {
         self.by_shard.iter()
     }
--- a/components/members/src/lib.rs
+++ b/components/members/src/lib.rs
@@ -1,8 +1,10 @@
-//! Which instances are alive, and which of them owns which shard. No I/O.
+//! Tracks which instances are alive, and which of them owns each shard. Does no I/O.
 //!
-//! Heartbeats between instances stand beside the platform's lagging list. Each shard has one
-//! owner, found by rendezvous hashing over the instances that are heard. An owner gives work to
-//! cold targets only while its ownership is exclusive; see `exclusive`.
+//! The platform's list of instances lags, so instances also exchange heartbeats. Each shard has
+//! one owner, chosen by rendezvous hashing among the live instances. Two instances may
+//! temporarily both believe that they own a shard; an owner therefore gives work to cold targets
+//! only while its ownership is exclusive (see [`exclusive`]). At most one instance at a time has
+//! exclusive ownership of a shard.
 
 pub mod api;
 pub mod exclusive;
--- a/components/members/src/membership.rs
+++ b/components/members/src/membership.rs
@@ -1,4 +1,8 @@
-//! The state machine: heartbeats and the platform's list in, ownership out.
+//! The state machine of membership: handles heartbeats and the platform's list, and reports
+//! changes of ownership.
+//!
+//! Its invariant is that an owner follows itself in its own term, and that an instance that shuts
+//! down owns nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,17 +18,18 @@
     timeouts::STARTUP_DELAY,
 };
 
-/// A shard that this instance owns.
+/// The term in which this instance owns a shard.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Term {
     pub(crate) epoch: Epoch,
     pub(crate) exclusivity: Exclusivity,
 }
 
-/// Membership and ownership as one instance sees them.
+/// Membership and ownership as this instance sees them.
 #[derive(Debug)]
 pub struct Membership {
     pub(crate) me: Identity,
+    /// End of the grace period after the start or the last pause.
     pub(crate) ready_at: Moment,
     pub(crate) draining: bool,
     pub(crate) listed: BTreeMap<InstanceId, Member>,
@@ -32,14 +37,16 @@
     pub(crate) shards: BTreeSet<Shard>,
     pub(crate) followed_owners: FollowedOwners,
     pub(crate) owner_changed_at: BTreeMap<Shard, Moment>,
+    /// The shards that this instance owns.
     pub(crate) terms: BTreeMap<Shard, Term>,
-    /// Shards that should be owned here, going by these candidates.
+    /// The shards that rendezvous hashing over `candidates` assigns to this instance.
     pub(crate) assigned: BTreeSet<Shard>,
+    /// The candidates from which `assigned` was computed; empty if it has to be computed again.
     pub(crate) candidates: Vec<Candidate>,
 }
 
 impl Membership {
-    /// Starts knowing nobody.
+    /// Creates a membership without peers and shards.
     #[must_use]
     pub fn new(now: Moment, me: Identity) -> Self {
         Self {
@@ -57,12 +64,15 @@
         }
     }
 
-    /// Takes one input and appends what others have to know to `out`.
+    /// Handles one input, and appends the resulting changes to `out`.
+    ///
+    /// # Panics
+    /// Panics if an invariant of the module is violated.
     pub fn handle(&mut self, now: Moment, input: Input, out: &mut Vec<Change>) {
-        // Looking at all peers and shards for each peer's heartbeat would take time by the
-        // square of their number; the next tick is soon enough, since whatever rests on a
-        // heartbeat lapses by the clock alone.
-        let heard = matches!(input, Input::Heartbeat { .. });
+        // Checking all peers and shards on every heartbeat would take time quadratic in their
+        // number. The next tick is soon enough, because whatever a heartbeat proves expires by
+        // the clock alone.
+        let is_heartbeat = matches!(input, Input::Heartbeat { .. });
         match input {
             Input::Listed(members) => self.set_listed(members),
             Input::Heartbeat {
@@ -83,7 +93,7 @@
             Input::Drain => self.drain(out),
             Input::Tick => {}
         }
-        if !heard {
+        if !is_heartbeat {
             self.detect_lost_peers(now, out);
             self.acquire_shards(now, out);
             self.update_exclusivity(now, out);
@@ -93,7 +103,7 @@
 
     fn set_listed(&mut self, members: Vec<Member>) {
         self.listed = members.into_iter().map(|m| (m.id.clone(), m)).collect();
-        // An instance that is no longer listed and no longer heard is history.
+        // Removes peers that are gone and no longer listed.
         let listed = &self.listed;
         self.peers
             .retain(|id, p| listed.contains_key(id) || !p.gone_reported);
@@ -115,7 +125,7 @@
             return;
         }
         if known.is_some_and(|p| p.incarnation < incarnation && !p.gone_reported) {
-            // A restart: whatever the former life held is gone with it.
+            // The peer has restarted; the permits of its previous incarnation are gone.
             self.remove_owner(now, from, out);
             out.push(Change::PeerGone { peer: from.clone() });
         }
@@ -126,8 +136,8 @@
             from.clone(),
             peer_from_heartbeat(now, &self.me.id, incarnation, &heartbeat),
         );
-        for claim in &heartbeat.follows {
-            self.yield_to_newer_term(&claim.shard, claim.epoch, out);
+        for known in &heartbeat.follows {
+            self.yield_to_newer_term(&known.shard, known.epoch, out);
         }
         for summary in &heartbeat.owned {
             self.follow(now, from, &summary.shard, summary.epoch, out);
@@ -142,6 +152,7 @@
         });
     }
 
+    /// Follows an owner if its term is newer, or if the owner has returned in the same term.
     fn follow(
         &mut self,
         now: Moment,
@@ -153,9 +164,9 @@
         if *owner == self.me.id {
             return;
         }
-        let back = self.followed_owners.epoch(shard) == epoch
+        let has_returned = self.followed_owners.epoch(shard) == epoch
             && self.followed_owners.owner(shard).is_none();
-        if back {
+        if has_returned {
             self.followed_owners.restore(shard, owner);
         } else if !self.followed_owners.follow(shard, owner, epoch) {
             return;
@@ -170,8 +181,9 @@
         });
     }
 
-    /// A peer knows a newer term than ours, of an owner that may be lost: ours counts nowhere
-    /// any more. `claim` starts a newer one if the shard should be ours.
+    /// Releases a shard if a peer knows a newer term than this instance's, even if the owner of
+    /// that term is lost: no instance accepts the older term any more. `acquire_shards` starts
+    /// another term if the shard is still assigned to this instance.
     fn yield_to_newer_term(&mut self, shard: &Shard, epoch: Epoch, out: &mut Vec<Change>) {
         if self.terms.get(shard).is_some_and(|t| t.epoch < epoch) {
             self.followed_owners.record_epoch(shard, epoch);
@@ -180,13 +192,13 @@
     }
 
     fn set_shards(&mut self, shards: BTreeSet<Shard>, out: &mut Vec<Change>) {
-        let ended: Vec<Shard> = self
+        let removed: Vec<Shard> = self
             .terms
             .keys()
             .filter(|s| !shards.contains(*s))
             .cloned()
             .collect();
-        for shard in ended {
+        for shard in removed {
             self.release(&shard, out);
         }
         if self.shards != shards {
@@ -195,8 +207,8 @@
         }
     }
 
-    /// A process that was frozen believes what it knew before. It owns nothing until it has
-    /// heard its peers again.
+    /// Handles a pause of the process, whose state is outdated after it: releases all shards, and
+    /// acquires none until heartbeats of the peers have arrived again.
     fn handle_pause(&mut self, now: Moment, out: &mut Vec<Change>) {
         self.release_all(out);
         self.ready_at = now + STARTUP_DELAY;
@@ -240,21 +252,22 @@
         }
     }
 
-    /// Tells who fell silent and who is gone, and gives up everything when hearing nobody.
+    /// Reports peers that became unresponsive or gone, and releases all shards if no peer is
+    /// alive.
     fn detect_lost_peers(&mut self, now: Moment, out: &mut Vec<Change>) {
-        let mut silent = Vec::new();
+        let mut unresponsive = Vec::new();
         let mut gone = Vec::new();
         for (id, peer) in &mut self.peers {
             if !peer.is_alive(now) && !peer.unresponsive_reported {
                 peer.unresponsive_reported = true;
-                silent.push(id.clone());
+                unresponsive.push(id.clone());
             }
             if peer.is_gone(now) && !peer.gone_reported {
                 peer.gone_reported = true;
                 gone.push(id.clone());
             }
         }
-        for peer in silent {
+        for peer in unresponsive {
             self.remove_owner(now, &peer, out);
             out.push(Change::PeerUnresponsive { peer });
         }
@@ -283,6 +296,7 @@
     }
 }
 
+/// Builds the state of a peer from its heartbeat.
 fn peer_from_heartbeat(
     now: Moment,
     me: &InstanceId,
@@ -290,10 +304,10 @@
     heartbeat: &Heartbeat,
 ) -> Peer {
     let echo = heartbeat.echo.unwrap_or_default();
-    let ours = heartbeat
+    let follows_me = heartbeat
         .follows
         .iter()
-        .filter(|c| c.owner.as_ref() == Some(me));
+        .filter(|known| known.owner.as_ref() == Some(me));
     Peer {
         incarnation,
         data_centre: heartbeat.data_centre.clone(),
@@ -309,12 +323,12 @@
             .iter()
             .map(|s| (s.shard.clone(), s.epoch))
             .collect(),
-        follows: ours
-            .map(|c| {
+        follows: follows_me
+            .map(|known| {
                 (
-                    c.shard.clone(),
+                    known.shard.clone(),
                     FollowStatement {
-                        epoch: c.epoch,
+                        epoch: known.epoch,
                         echo,
                     },
                 )
--- a/components/members/src/ownership.rs
+++ b/components/members/src/ownership.rs
@@ -1,4 +1,4 @@
-//! Which shards this instance claims, and whether it is their only owner.
+//! Acquires the shards that this instance should own, and checks whether its ownership is exclusive.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -11,11 +11,12 @@
     rendezvous::{Candidate, next_epoch, pick_owner},
 };
 
-/// After a shard changed hands it stays there for this long, unless its owner is lost. Instances
-/// that see different peers would otherwise take it from each other with every heartbeat.
+/// A shard keeps a new owner for at least this long, unless the owner is lost. Otherwise instances
+/// that see different sets of live peers would take the shard from each other with every heartbeat.
 const OWNER_CHANGE_COOLDOWN: Duration = Duration::from_millis(500);
 
 impl Membership {
+    /// Starts a term for each assigned shard that this instance may take over now.
     pub(crate) fn acquire_shards(&mut self, now: Moment, out: &mut Vec<Change>) {
         if now < self.ready_at || self.draining || self.listed.is_empty() || self.is_isolated(now) {
             return;
@@ -26,13 +27,13 @@
             self.assigned = self.shards.iter().filter(is_assigned).cloned().collect();
             self.candidates = candidates;
         }
-        let wanted: Vec<Shard> = self
+        let acquired: Vec<Shard> = self
             .assigned
             .iter()
             .filter(|s| self.should_acquire(now, s))
             .cloned()
             .collect();
-        for shard in wanted {
+        for shard in acquired {
             self.start_term(now, shard, out);
         }
     }
@@ -75,6 +76,8 @@
         });
     }
 
+    /// Returns the instances among which owners are chosen: this one and all peers that are alive,
+    /// listed and not shutting down.
     fn candidates(&self, now: Moment) -> Vec<Candidate> {
         let me = Candidate {
             id: self.me.id.clone(),
@@ -93,31 +96,32 @@
         candidates
     }
 
+    /// Counts the followers of each owned shard, and reports where exclusivity changed.
     pub(crate) fn update_exclusivity(&mut self, now: Moment, out: &mut Vec<Change>) {
         if self.terms.is_empty() {
             return;
         }
-        // Instances that are heard but not listed yet count too: the list lags.
-        let mut everyone: BTreeSet<&InstanceId> = self.listed.keys().collect();
-        everyone.extend(
+        // Instances that are alive but not listed yet count too, because the list lags.
+        let mut instances: BTreeSet<&InstanceId> = self.listed.keys().collect();
+        instances.extend(
             self.peers
                 .iter()
                 .filter(|(_, p)| p.is_alive(now))
                 .map(|(id, _)| id),
         );
-        everyone.insert(&self.me.id);
+        instances.insert(&self.me.id);
         for (shard, term) in &mut self.terms {
-            let follows = |id: &&&InstanceId| {
+            let is_follower = |id: &&&InstanceId| {
                 **id == &self.me.id
                     || exclusive::is_follower(self.peers.get(**id), shard, term.epoch, now)
             };
-            let following = everyone.iter().filter(follows).count();
+            let following = instances.iter().filter(is_follower).count();
             let before = term.exclusivity.exclusive;
             term.exclusivity.update(
                 now,
                 FollowerCount {
                     following,
-                    listed: everyone.len(),
+                    instances: instances.len(),
                 },
             );
             let exclusive = term.exclusivity.exclusive;
--- a/components/members/src/peer.rs
+++ b/components/members/src/peer.rs
@@ -1,4 +1,4 @@
-//! What is known about one peer.
+//! The state of one peer, as its heartbeats report it.
 
 use std::collections::BTreeMap;
 
@@ -6,50 +6,50 @@
 
 use crate::timeouts::{GONE_TIMEOUT, HEARTBEAT_TIMEOUT};
 
-/// A peer's statement that it follows this instance for a shard.
+/// A peer's statement that it follows this instance as the owner of a shard.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FollowStatement {
-    /// The term it follows.
+    /// The term in which it follows.
     pub epoch: Epoch,
-    /// Our own clock at the heartbeat that the statement answers.
+    /// This instance's clock when it sent the heartbeat that the statement answers.
     pub echo: Moment,
 }
 
-/// One peer.
+/// A peer from which at least one heartbeat has arrived.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peer {
-    /// Which life of it was heard last.
+    /// The incarnation that sent the last heartbeat.
     pub incarnation: Incarnation,
     /// Its data centre.
     pub data_centre: DataCentreId,
-    /// When it was heard last, on our clock.
+    /// When its last heartbeat arrived, on this instance's clock.
     pub last_seen: Moment,
-    /// Its clock at its last heartbeat, to be echoed.
+    /// The peer's clock at its last heartbeat; it is echoed in heartbeats to the peer.
     pub stamp: Moment,
-    /// Whether it shuts down.
+    /// Whether the peer is shutting down.
     pub draining: bool,
-    /// Whether its address refuses connections since it was heard last.
+    /// Whether its address has refused a connection since its last heartbeat.
     pub connection_refused: bool,
-    /// Whether `Silent` was told.
+    /// Whether `Change::PeerUnresponsive` was reported since the last heartbeat.
     pub unresponsive_reported: bool,
-    /// Whether `Gone` was told.
+    /// Whether `Change::PeerGone` was reported since the last heartbeat.
     pub gone_reported: bool,
-    /// The configuration it has in force.
+    /// The version of the configuration that it has in force.
     pub config_version: ConfigVersion,
-    /// Shards that it claims to own, with its term.
+    /// Shards that the peer states to own, with its term for each.
     pub owned_shards: BTreeMap<Shard, Epoch>,
-    /// Shards of ours that it follows.
+    /// Shards for which the peer follows this instance.
     pub follows: BTreeMap<Shard, FollowStatement>,
 }
 
 impl Peer {
-    /// Whether it counts as alive.
+    /// Whether the peer counts as alive.
     #[must_use]
     pub fn is_alive(&self, now: Moment) -> bool {
         !self.connection_refused && now.saturating_sub(self.last_seen) < HEARTBEAT_TIMEOUT
     }
 
-    /// Whether no permit in its hands can be usable any more.
+    /// Whether all permits that the peer held have certainly expired.
     #[must_use]
     pub fn is_gone(&self, now: Moment) -> bool {
         now.saturating_sub(self.last_seen) >= GONE_TIMEOUT
--- a/components/members/src/queries.rs
+++ b/components/members/src/queries.rs
@@ -1,4 +1,4 @@
-//! What others may ask of membership.
+//! Read access to membership, and the heartbeats that are sent.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,8 @@
 use crate::membership::Membership;
 
 impl Membership {
-    /// The heartbeat for one peer.
+    /// Builds the heartbeat for one peer. `owned` summarizes the shards that this instance owns.
+    /// The quarantine digest is left 0 for the caller to fill in.
     #[must_use]
     pub fn heartbeat(
         &self,
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Peers to send heartbeats to.
+    /// Returns the listed instances except this one; heartbeats are sent to them.
     #[must_use]
     pub fn peers(&self) -> Vec<Member> {
         self.listed
@@ -43,13 +44,13 @@
             .collect()
     }
 
-    /// Shards owned here.
+    /// Returns the shards that this instance owns.
     #[must_use]
     pub fn owned_shards(&self) -> BTreeSet<Shard> {
         self.terms.keys().cloned().collect()
     }
 
-    /// Peers that are alive.
+    /// Returns the peers that are alive.
     #[must_use]
     pub fn alive_peers(&self, now: Moment) -> Vec<InstanceId> {
         self.peers
@@ -59,8 +60,9 @@
             .collect()
     }
 
-    /// Whether a life of an instance may still be running: it is this one, or it was heard and
-    /// is not gone, or it was never heard and may just be starting.
+    /// Whether an incarnation of an instance may still be running: it is this process, or a peer
+    /// that is not gone, or a listed peer that has not sent a heartbeat yet because this instance
+    /// has just started.
     #[must_use]
     pub fn may_be_running(&self, now: Moment, id: &InstanceId, incarnation: Incarnation) -> bool {
         if *id == self.me.id {
@@ -72,14 +74,14 @@
         }
     }
 
-    /// Whether this instance hears nobody although others are listed.
+    /// Whether no peer is alive although others are listed.
     #[must_use]
     pub fn is_isolated(&self, now: Moment) -> bool {
         let others = self.listed.keys().any(|id| *id != self.me.id);
         others && now >= self.ready_at && !self.peers.values().any(|p| p.is_alive(now))
     }
 
-    /// Lines for a dump.
+    /// Returns a description of the state for operators, in lines.
     #[must_use]
     pub fn dump(&self, now: Moment) -> Vec<String> {
         let mut lines = Vec::new();
--- a/components/members/src/rendezvous.rs
+++ b/components/members/src/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Rendezvous hashing: who should own a shard.
+//! Assigns shards to owners by rendezvous hashing.
 
 use types::{DataCentreId, Epoch, Incarnation, InstanceId, Shard};
 use xxhash_rust::xxh3::xxh3_64;
@@ -6,15 +6,15 @@
 /// An instance that may own shards.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Candidate {
-    /// The instance.
+    /// Name of the instance.
     pub id: InstanceId,
     /// Its data centre.
     pub data_centre: DataCentreId,
 }
 
-/// Picks a shard's owner. Instances of the shard's own data centre go first: an owner near its
-/// targets sees them sooner, and a data centre that is lost takes owner and targets together
-/// instead of leaving other data centres' targets without an owner.
+/// Picks the owner of a shard. Instances in the data centre of the shard are preferred: an owner
+/// close to its targets learns their state sooner, and when a data centre fails, the targets of
+/// other data centres keep their owners.
 #[must_use]
 pub fn pick_owner<'a>(shard: &Shard, candidates: &'a [Candidate]) -> Option<&'a InstanceId> {
     let rank = |c: &&Candidate| (c.data_centre == shard.data_centre, score(shard, &c.id));
@@ -25,12 +25,13 @@
     xxh3_64(format!("{shard}\n{id}").as_bytes())
 }
 
-/// Bits of an epoch that tell apart two instances which start a term at the same time.
+/// The number of low bits of an epoch that differ between instances, so that two instances which
+/// start a term at the same time get different epochs.
 const TIE_BITS: u32 = 16;
 
-/// The next term after `seen`, for a life of an instance. Lives are numbered by the wall clock in
-/// milliseconds, so that a restarted instance that has heard nothing yet does not start a term
-/// that its former life had; the low bits tell apart two instances that start a term at once.
+/// Returns the next epoch after `seen` for an incarnation of an instance. Incarnations are numbered
+/// by the wall clock in milliseconds, so that a restarted instance which has not received any
+/// epoch yet does not reuse one of its previous incarnation.
 #[must_use]
 pub fn next_epoch(seen: Epoch, me: &InstanceId, incarnation: Incarnation) -> Epoch {
     let tie = xxh3_64(me.as_bytes()) & ((1 << TIE_BITS) - 1);
--- a/components/members/src/timeouts.rs
+++ b/components/members/src/timeouts.rs
@@ -1,30 +1,34 @@
-//! The times that membership and permits rest on.
+//! Timeouts on which the safety of ownership and permits depends.
 //!
-//! They hang together: raising one may need raising another, so they stand in one place.
+//! They depend on each other: raising one may require raising another. The assertions below check
+//! the dependencies between them.
 
 use std::time::Duration;
 
 use wire::PERMIT_LIFETIME;
 
-/// A peer that was not heard for this long owns nothing in our eyes.
+/// A peer without a heartbeat for this long is unresponsive: it is no longer followed as an owner,
+/// and other instances take over its shards.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// How long a statement "I follow you" counts, from the moment its receiver sent the heartbeat
-/// that the statement answers.
+/// How long a peer's statement that it follows this instance is valid, counted from when this
+/// instance sent the heartbeat that the statement answers.
 pub const FOLLOW_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// For differences between clocks' speeds and for work between a check and its effect.
+/// Allowance for clocks that run at different speeds, and for the time between a check and its
+/// effect.
 pub const SAFETY_MARGIN: Duration = Duration::from_millis(200);
 
-/// A peer silent for this long can't hold a usable permit any more.
+/// A peer without a heartbeat for this long is gone: all permits that it held have expired.
 pub const GONE_TIMEOUT: Duration = Duration::from_millis(2200);
 
-/// A gap of this length between two ticks counts as a pause. It must stay well below `HEARTBEAT_TIMEOUT`:
-/// others take shards over after that.
+/// A gap between two ticks that is longer than this counts as a pause of the process. It must stay
+/// well below `HEARTBEAT_TIMEOUT`, after which other instances take over the shards.
 pub const PAUSE_THRESHOLD: Duration = Duration::from_millis(600);
 
-/// After its start an instance takes part in nothing for this long, so that what it promised
-/// before a restart has lapsed, and so that it hears its peers before it judges them silent.
+/// Grace period after a start or a pause in which an instance acquires no shards. By its end,
+/// whatever the instance promised before a restart has expired, and heartbeats of its peers have
+/// arrived.
 pub const STARTUP_DELAY: Duration = Duration::from_millis(600);
 
 const _: () = assert!(
--- a/components/members/tests/ownership.rs
+++ b/components/members/tests/ownership.rs
@@ -1,4 +1,6 @@
-//! Ownership between several memberships that exchange heartbeats over bad links.
+//! Tests ownership between several instances that exchange heartbeats over an unreliable network.
+//!
+//! Time advances in steps; a heartbeat arrives one step after it was sent.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -8,7 +10,7 @@
 use wire::{Heartbeat, ShardSummary};
 
 const STEP: Duration = Duration::from_millis(50);
-/// Every fourth step is a heartbeat.
+/// Number of steps between two heartbeats.
 const HEARTBEAT_STEPS: u64 = 4;
 
 struct Instance {
@@ -16,7 +18,9 @@
     members: Membership,
     owns: Option<Epoch>,
     exclusive: bool,
-    frozen_until: u64,
+    /// The step at which a paused instance resumes.
+    paused_until: u64,
+    /// Heartbeats on their way, each with the step of its arrival and the index of its sender.
     inbox: Vec<(u64, usize, Heartbeat)>,
     last_step: Moment,
 }
@@ -25,7 +29,7 @@
     instances: Vec<Instance>,
     shard: Shard,
     step: u64,
-    /// Links that lose everything, as (sender, receiver).
+    /// Directions in which all messages are lost, as (sender, receiver).
     cut: BTreeSet<(usize, usize)>,
     exclusive_seen: bool,
 }
@@ -55,7 +59,7 @@
                 members,
                 owns: None,
                 exclusive: false,
-                frozen_until: 0,
+                paused_until: 0,
                 inbox: Vec::new(),
                 last_step: Moment::ZERO,
             });
@@ -70,7 +74,7 @@
     }
 
     fn now(&self) -> Moment {
-        STEP * u32::try_from(self.step).expect("few steps")
+        STEP * u32::try_from(self.step).expect("the number of steps fits u32")
     }
 
     fn run(&mut self, steps: u64) {
@@ -85,13 +89,13 @@
 
     fn step_one(&mut self, n: usize) {
         let (now, step) = (self.now(), self.step);
-        if self.instances[n].frozen_until > step {
+        if self.instances[n].paused_until > step {
             return;
         }
         let gap = now - self.instances[n].last_step;
         self.instances[n].last_step = now;
         if gap > PAUSE_THRESHOLD {
-            self.feed(n, Input::Paused { gap });
+            self.handle(n, Input::Paused { gap });
         }
         let inbox = std::mem::take(&mut self.instances[n].inbox);
         for (due, from, heartbeat) in inbox {
@@ -100,7 +104,7 @@
                 continue;
             }
             let from = self.instances[from].id.clone();
-            self.feed(
+            self.handle(
                 n,
                 Input::Heartbeat {
                     from,
@@ -109,7 +113,7 @@
                 },
             );
         }
-        self.feed(n, Input::Tick);
+        self.handle(n, Input::Tick);
         if step % HEARTBEAT_STEPS == 0 {
             self.send(n);
         }
@@ -146,7 +150,7 @@
         }]
     }
 
-    fn feed(&mut self, n: usize, input: Input) {
+    fn handle(&mut self, n: usize, input: Input) {
         let mut out = Vec::new();
         let now = self.now();
         self.instances[n].members.handle(now, input, &mut out);
@@ -173,19 +177,19 @@
         }
     }
 
-    /// A query arrives at once at those whose link works.
-    fn query(&mut self, n: usize, ask: &[InstanceId], shard: &Shard, epoch: Epoch) {
+    /// Sends a query, which arrives at once wherever the network delivers it.
+    fn query(&mut self, n: usize, entries: &[InstanceId], shard: &Shard, epoch: Epoch) {
         for to in 0..self.instances.len() {
-            let awake = self.instances[to].frozen_until <= self.step;
+            let running = self.instances[to].paused_until <= self.step;
             if to == n
                 || self.cut.contains(&(n, to))
-                || !awake
-                || !ask.contains(&self.instances[to].id)
+                || !running
+                || !entries.contains(&self.instances[to].id)
             {
                 continue;
             }
             let from = self.instances[n].id.clone();
-            self.feed(
+            self.handle(
                 to,
                 Input::Queried {
                     from,
@@ -197,12 +201,13 @@
     }
 
     fn check(&mut self) {
-        // A frozen owner does nothing until it has noticed; what counts is who can act.
-        let awake = |i: &&Instance| i.frozen_until <= self.step && i.exclusive;
+        // A paused instance may still be marked exclusive, but it can't act on it: its first step
+        // after the pause detects the gap.
+        let is_active = |i: &&Instance| i.paused_until <= self.step && i.exclusive;
         let exclusive: Vec<_> = self
             .instances
             .iter()
-            .filter(awake)
+            .filter(is_active)
             .map(|i| i.id.clone())
             .collect();
         assert!(
@@ -227,39 +232,41 @@
     }
 }
 
+/// A step of a random scenario.
 #[derive(Clone, Debug)]
-enum Trouble {
+enum Fault {
     Cut(usize, usize),
     CutBothWays(usize, usize),
-    /// The first instances up to a number lose all links to the rest.
+    /// The instances below an index are cut off from the others, in both directions.
     Split(usize),
     Heal,
-    Freeze(usize, u64),
+    /// Pauses an instance for a number of steps.
+    Pause(usize, u64),
     Run(u64),
 }
 
-fn trouble(size: usize) -> impl Strategy<Value = Trouble> {
+fn fault(size: usize) -> impl Strategy<Value = Fault> {
     prop_oneof![
-        (0..size, 0..size).prop_map(|(a, b)| Trouble::Cut(a, b)),
-        (0..size, 0..size).prop_map(|(a, b)| Trouble::CutBothWays(a, b)),
-        (1..size).prop_map(Trouble::Split),
-        Just(Trouble::Heal),
-        (0..size, 5_u64..120).prop_map(|(n, steps)| Trouble::Freeze(n, steps)),
-        (1_u64..80).prop_map(Trouble::Run),
+        (0..size, 0..size).prop_map(|(a, b)| Fault::Cut(a, b)),
+        (0..size, 0..size).prop_map(|(a, b)| Fault::CutBothWays(a, b)),
+        (1..size).prop_map(Fault::Split),
+        Just(Fault::Heal),
+        (0..size, 5_u64..120).prop_map(|(n, steps)| Fault::Pause(n, steps)),
+        (1_u64..80).prop_map(Fault::Run),
     ]
 }
 
-fn apply(group: &mut Group, trouble: &Trouble) {
+fn apply(group: &mut Group, fault: &Fault) {
     let size = group.instances.len();
-    match *trouble {
-        Trouble::Cut(a, b) => {
+    match *fault {
+        Fault::Cut(a, b) => {
             group.cut.insert((a, b));
         }
-        Trouble::CutBothWays(a, b) => {
+        Fault::CutBothWays(a, b) => {
             group.cut.insert((a, b));
             group.cut.insert((b, a));
         }
-        Trouble::Split(at) => {
+        Fault::Split(at) => {
             for a in 0..at {
                 for b in at..size {
                     group.cut.insert((a, b));
@@ -267,33 +274,34 @@
                 }
             }
         }
-        Trouble::Heal => group.cut.clear(),
-        Trouble::Freeze(n, steps) => group.instances[n].frozen_until = group.step + steps,
-        Trouble::Run(steps) => group.run(steps),
+        Fault::Heal => group.cut.clear(),
+        Fault::Pause(n, steps) => group.instances[n].paused_until = group.step + steps,
+        Fault::Run(steps) => group.run(steps),
     }
 }
 
 proptest! {
-    // Links are cut one way or both, the group splits, instances freeze and wake. A caller
-    // would notice two owners at once as engines in cold start that fall over. At no time may
-    // two instances be sure of owning the shard alone, and once all is well again there is
-    // exactly one owner, and it is sure.
+    // Guards against two exclusive owners of a shard: each would grant as many requests as a cold
+    // engine can run, and the engine would crash. The network loses messages in one or both
+    // directions, the group is partitioned, and instances are paused and resume. At no time may
+    // two instances be exclusive owners, and after all faults are over there must be exactly one
+    // owner, and it must be exclusive.
     #[test]
     fn two_instances_are_never_exclusive_owners_at_once(
         size in 3_usize..7,
-        troubles in proptest::collection::vec(trouble(7), 1..25),
+        faults in proptest::collection::vec(fault(7), 1..25),
     ) {
         let mut group = Group::new(size);
         group.run(40);
-        for trouble in &troubles {
-            let fits = match *trouble {
-                Trouble::Cut(a, b) | Trouble::CutBothWays(a, b) => a < size && b < size,
-                Trouble::Split(at) => at < size,
-                Trouble::Freeze(n, _) => n < size,
-                Trouble::Heal | Trouble::Run(_) => true,
+        for fault in &faults {
+            let fits = match *fault {
+                Fault::Cut(a, b) | Fault::CutBothWays(a, b) => a < size && b < size,
+                Fault::Split(at) => at < size,
+                Fault::Pause(n, _) => n < size,
+                Fault::Heal | Fault::Run(_) => true,
             };
             if fits {
-                apply(&mut group, trouble);
+                apply(&mut group, fault);
             }
             group.run(1);
         }
@@ -305,7 +313,7 @@
 }
 
 #[test]
-fn a_fresh_group_settles_on_one_exclusive_owner() {
+fn a_new_group_elects_one_exclusive_owner() {
     let mut group = Group::new(5);
     group.run(60);
     assert_eq!(group.owners(), 1);
@@ -313,9 +321,9 @@
 }
 
 #[test]
-fn another_instance_takes_over_when_the_owner_is_frozen() {
-    // The owner's machine stops for a while. Callers would wait for permits from it; within
-    // two seconds another instance has to hand them out.
+fn another_instance_takes_over_when_the_owner_is_paused() {
+    // Guards against callers that wait for permits of an owner whose machine has stopped. Within
+    // two seconds another instance must become the owner.
     let mut group = Group::new(5);
     group.run(60);
     let owner = group
@@ -323,12 +331,12 @@
         .iter()
         .position(|i| i.owns.is_some())
         .expect("an owner");
-    group.instances[owner].frozen_until = group.step + 1_000;
+    group.instances[owner].paused_until = group.step + 1_000;
     group.run(40);
-    let takers = group
+    let new_owners = group
         .instances
         .iter()
         .enumerate()
         .filter(|(n, i)| *n != owner && i.owns.is_some());
-    assert_eq!(takers.count(), 1);
+    assert_eq!(new_owners.count(), 1);
 }
