--- a/components/front/src/callers/handler.rs
+++ b/components/front/src/callers/handler.rs
@@ -16,13 +16,13 @@
 use smol::future;
 use timer::boot_time;
 use types::Moment;
-use view::{Identity, Kind};
+use view::{Identity, RouteKind};
 
 use crate::{
     adapters::CallerRequest,
     callers::{
         call::Call,
-        refusal::{ELSEWHERE_RETRY, Refusal},
+        refusal::{ELSEWHERE_RETRY_AFTER, Refusal},
         retry_after::retry_after,
     },
     generations, plain_calls,
@@ -30,15 +30,15 @@
 };
 
 /// `Retry-After` of a request whose body does not fit into the memory budget.
-const MEMORY_RETRY: Duration = Duration::from_millis(300);
-/// Age at which the known configuration may lack a route or a key, so that no request is denied on
-/// its ground any more.
+const MEMORY_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Maximum age of a configuration by which requests are denied; an older one may lack a route or a
+/// key.
 const MAX_DENY_AGE: Duration = Duration::from_millis(4_500);
 /// Maximum body size in bytes if the configuration sets none.
 const DEFAULT_BODY_BYTES: usize = 4 * 1_024 * 1_024;
 /// Longest pause within a body if the configuration sets none.
 const DEFAULT_BODY_PAUSE: Duration = Duration::from_secs(3);
-/// Time for an answer if neither the caller nor the route sets one.
+/// Time for an answer if the route sets no timeout.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Reason of the refusal of requests that outlast the instance.
@@ -81,7 +81,7 @@
             }
         };
         open.set_id(&request.id);
-        self.front.wait_for_state_at_start().await;
+        self.front.wait_until_ready_after_start().await;
         let admitted = body.and_then(|body| self.admit(request.clone(), head, body, arrived));
         let resp = match admitted {
             Ok(call) => self.serve(call).await,
@@ -106,39 +106,43 @@
             front.metrics.quarantined.inc();
             return front.refuse_call(&call, &Refusal::quarantined());
         }
-        let aborted = self.aborted(&call);
+        let abort_response = self.abort_response(&call);
         let served = async {
             match call.route.kind {
-                Kind::Generation => generations::dispatch::serve(front, call).await,
-                Kind::Idempotent | Kind::NonIdempotent => {
+                RouteKind::Generation => generations::dispatch::serve(front, call).await,
+                RouteKind::Idempotent | RouteKind::NonIdempotent => {
                     plain_calls::dispatch::serve(&front, &call).await
                 }
             }
         };
-        future::or(aborted, served).await
+        future::or(abort_response, served).await
     }
 
     /// Waits for the abort at shutdown, and builds the answer to a call in place of its target.
     /// Without an answer the caller could not tell whether its request has run.
-    fn aborted(&self, call: &Call) -> impl Future<Output = Response<Body>> + use<> {
+    fn abort_response(&self, call: &Call) -> impl Future<Output = Response<Body>> + use<> {
         let front = Arc::clone(&self.front);
         let (id, kind, arrived) = (Arc::clone(&call.request.id), call.kind(), call.arrived);
         let sent = Arc::clone(&call.sent);
         async move {
             front.shutdown.aborted().await;
             let refusal = if sent.load(Ordering::Acquire) {
-                Refusal::late(SHUTDOWN_REASON)
+                Refusal::timed_out(SHUTDOWN_REASON)
             } else {
-                Refusal::not_run(SHUTDOWN_REASON, ELSEWHERE_RETRY)
+                Refusal::not_run(SHUTDOWN_REASON, ELSEWHERE_RETRY_AFTER)
             };
             front.refuse_kind(kind, &id, elapsed_since(arrived), &refusal)
         }
     }
 
     async fn read_body(&self, body: Incoming) -> Result<BufferedBody, Refusal> {
-        let limits = self.front.view.rules().and_then(|rules| rules.limits);
+        let limits = self
+            .front
+            .view
+            .rules()
+            .and_then(|rules| rules.request_limits);
         let limit = limits.map_or(DEFAULT_BODY_BYTES, |limits| limits.body_bytes);
-        let pause = limits.map_or(DEFAULT_BODY_PAUSE, |limits| limits.header_time);
+        let pause = limits.map_or(DEFAULT_BODY_PAUSE, |limits| limits.header_timeout);
         let mut memory = self.front.body_budget.share();
         let reading = async { Some(read_shared(body, limit, pause, &mut memory).await) };
         let aborted = async {
@@ -146,7 +150,7 @@
             None
         };
         let Some(read) = future::or(aborted, reading).await else {
-            return Err(Refusal::not_run(SHUTDOWN_REASON, ELSEWHERE_RETRY));
+            return Err(Refusal::not_run(SHUTDOWN_REASON, ELSEWHERE_RETRY_AFTER));
         };
         let read = read.map_err(|e| match e {
             SharedError::Body(BodyError::TooLarge) => {
@@ -158,7 +162,7 @@
             SharedError::Body(BodyError::Broken) => {
                 Refusal::new(StatusCode::BAD_REQUEST, e.to_string())
             }
-            SharedError::Crowded => Refusal::not_run(e.to_string(), MEMORY_RETRY),
+            SharedError::Crowded => Refusal::not_run(e.to_string(), MEMORY_RETRY_AFTER),
         });
         Ok(BufferedBody {
             bytes: read?,
@@ -176,11 +180,11 @@
         let front = &self.front;
         let rules = front.view.rules();
         let not_ready = |reason: &str| {
-            let after = retry_after(front.state_age(), request.time_left, fastrand::f64());
+            let after = retry_after(front.config_age(), request.time_left, fastrand::f64());
             Refusal::not_run(reason, after)
         };
         let rules = rules.ok_or_else(|| not_ready("no configuration is known yet"))?;
-        let read = front.view.rules_read().unwrap_or_default();
+        let read = front.view.rules_read_at().unwrap_or_default();
         let deny = |status: StatusCode, reason: &str| {
             // A wrong denial is final for its caller, so a configuration that may be outdated
             // denies nothing.
@@ -199,11 +203,11 @@
             return Err(not_ready("knowledge of keys is too old"));
         }
         let service = route
-            .pick(fastrand::f64())
+            .pick_service(fastrand::f64())
             .and_then(|name| rules.service(name))
             .ok_or_else(|| not_ready("the route's service is not configured"))?;
         let time_left = request.time_left.unwrap_or(route.timeout);
-        let priority = priority(&identity, route.rank);
+        let priority = priority(&identity, route.priority);
         let workspace = workspace(identity);
         Ok(Call {
             priority,
@@ -245,14 +249,14 @@
 
 fn priority(identity: &Identity, route_priority: u32) -> u32 {
     match identity {
-        Identity::Holder(holder) => holder.rank.unwrap_or(route_priority),
+        Identity::KeyHolder(holder) => holder.priority.unwrap_or(route_priority),
         Identity::Anonymous => route_priority,
     }
 }
 
 fn workspace(identity: Identity) -> Option<Arc<str>> {
     match identity {
-        Identity::Holder(holder) => Some(holder.workspace),
+        Identity::KeyHolder(holder) => Some(holder.workspace),
         Identity::Anonymous => None,
     }
 }
--- a/components/front/src/callers/retry_after.rs
+++ b/components/front/src/callers/retry_after.rs
@@ -1,6 +1,6 @@
 //! `Retry-After` of instances whose state is too incomplete to serve callers.
 //!
-//! An instance that has outage the store, or has started while the store is unavailable, can't tell
+//! An instance that has lost the store, or has started while the store is unavailable, can't tell
 //! how long that lasts. With a short `Retry-After` each time, a caller that retries only once would
 //! be refused twice and give up although it could have waited longer. An outage that has lasted for
 //! some time usually lasts about half as long again, so the time grows with the outage.
@@ -20,8 +20,8 @@
 /// all retry at the moment when the store is back.
 const SPREAD: f64 = 0.4;
 
-/// When a caller may retry that waits for `time_left`, if the state has been incomplete for `outage`.
-/// `random` is a random number in `0.0..1.0` that spreads the retries.
+/// When a caller may retry that waits for `time_left`, if the state has been incomplete for
+/// `outage`. `random` is a random number in `0.0..1.0` that spreads the retries.
 #[must_use]
 pub fn retry_after(outage: Duration, time_left: Option<Duration>, random: f64) -> Duration {
     let mean = outage
--- a/components/front/src/generations/relay.rs
+++ b/components/front/src/generations/relay.rs
@@ -37,11 +37,11 @@
 
 /// Time for the last events of a stopped engine to arrive and for its stream to close.
 const LAST_EVENTS_TIMEOUT: Duration = Duration::from_millis(30);
-/// Time for the next command of a migration after the stream has closed: that of a copy and a
+/// Time for the next command of a migration after the stream has closed: the time of a copy plus a
 /// margin.
 const MIGRATION_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time for an engine to answer a resumed generation. Engines admit resumed generations first, in
-/// their next step; a caller would have given up long before this.
+/// their next step, and a caller gives up long before this time is over.
 const RESUME_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Channel to the body of the response to the caller.
@@ -231,7 +231,10 @@
     async fn recover(&mut self, reason: Arc<str>) -> Option<RelayEnd> {
         let generation = Arc::clone(&self.assignment.generation);
         let resumed = match recovery::recover(&self.front, &self.call, &generation).await {
-            Ok((target, resume)) => self.resume_at(&target, resume).await.map_err(|f| f.reason),
+            Ok((target, resume)) => self
+                .resume_at(&target, resume)
+                .await
+                .map_err(|failure| failure.reason),
             Err(why) => Err(why),
         };
         generation.end_migration();
@@ -275,14 +278,16 @@
             target: Arc::clone(&generation.target().id),
             took_ms: millis(self.call.elapsed()),
         });
-        let run = Arc::clone(&generation.id);
+        let generation_id = Arc::clone(&generation.id);
         let shard = self
             .front
             .shard_of(&generation.service, &generation.target().id);
         Front::notify_owner(
             &self.front,
             &shard,
-            GenerationUpdate::Started { generation: run },
+            GenerationUpdate::Started {
+                generation: generation_id,
+            },
         );
     }
 
@@ -316,8 +321,8 @@
         // stream.
         let addr = self.assignment.generation.target().addr;
         let report = self.front.engines.report(addr, REPORT_TIMEOUT).await;
-        let gone = "the stream ended and the engine does not answer";
-        report.err().map(|_| gone)
+        let reason = "the stream ended and the engine does not answer";
+        report.err().map(|_| reason)
     }
 
     /// Forwards the rest of a complete stream.
--- a/components/front/src/state.rs
+++ b/components/front/src/state.rs
@@ -92,11 +92,11 @@
     /// Requests that have no answer yet.
     pub open_requests: OpenRequests,
     /// Opened once the instance has been ready for callers for the first time.
-    pub state_known: Latch,
+    pub became_ready: Latch,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Limits on callers' connections, from the current configuration.
-    pub terms: Arc<Terms>,
+    pub connection_limits: Arc<Terms>,
     /// All sources of the targets have failed, so the cached targets may be stale.
     pub targets_lost: AtomicBool,
     /// When the instance started.
@@ -109,7 +109,7 @@
     /// The targets of a service that accept work.
     #[must_use]
     pub fn usable_targets(&self, service: &Service) -> Vec<Arc<Target>> {
-        self.view.usable(&service.name)
+        self.view.usable_targets(&service.name)
     }
 
     /// Whether the cached keys are recent enough to be honoured. A key may have been revoked since
@@ -122,43 +122,43 @@
         }
         let max_age = bounds.revocation_limit.mul_f64(KEY_AGE_SHARE);
         self.view
-            .rules_read()
+            .rules_read_at()
             .is_some_and(|read| elapsed_since(read) < max_age)
     }
 
     /// The age of the cached configuration: time since the last read of it was sent, or since the
     /// start if there was none.
     #[must_use]
-    pub fn state_age(&self) -> Duration {
-        elapsed_since(self.view.rules_read().unwrap_or(self.started_at))
+    pub fn config_age(&self) -> Duration {
+        elapsed_since(self.view.rules_read_at().unwrap_or(self.started_at))
     }
 
     /// Whether the instance accepts callers.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        let known = self.view.rules().is_some() && self.view.targets_read().is_some();
+        let known = self.view.rules().is_some() && self.view.targets_read_at().is_some();
         known && self.shutdown.time_left().is_none() && self.can_honour_keys()
     }
 
     /// Waits until the instance is ready, if it has only just started: a short wait saves callers
     /// one of their few retries.
-    pub async fn wait_for_state_at_start(&self) {
+    pub async fn wait_until_ready_after_start(&self) {
         let time_left = START_TIMEOUT.saturating_sub(elapsed_since(self.started_at));
         if !time_left.is_zero() {
             // If the wait times out, the request is handled as at any other time.
             let _ = Timer::new()
-                .within(time_left, self.state_known.wait())
+                .within(time_left, self.became_ready.wait())
                 .await;
         }
     }
 
     /// Applies the limits on callers' connections from the current configuration.
     pub fn apply_connection_limits(&self) {
-        let Some(limits) = self.view.rules().and_then(|rules| rules.limits) else {
+        let Some(limits) = self.view.rules().and_then(|rules| rules.request_limits) else {
             return;
         };
-        let idle = limits.idle_time.max(limits.header_time) + IDLE_MARGIN;
-        self.terms.set(
+        let idle = limits.idle_timeout.max(limits.header_timeout) + IDLE_MARGIN;
+        self.connection_limits.set(
             limits.header_bytes.saturating_mul(HEADER_BUFFER_FACTOR),
             idle,
         );
@@ -184,8 +184,8 @@
     /// instance's share of its rate is used up.
     pub fn take_cold_permit(&self, service: &Service, target: &Target) -> bool {
         let bounds = *self.bounds.read();
-        let per_s = if service.cold_per_s > 0.0 {
-            service.cold_per_s * bounds.cold_overage + bounds.cold_slack
+        let per_s = if service.cold_requests_per_s > 0.0 {
+            service.cold_requests_per_s * bounds.cold_overage + bounds.cold_slack
         } else {
             0.0
         };
--- a/components/policy/src/entry/owner_messages.rs
+++ b/components/policy/src/entry/owner_messages.rs
@@ -95,12 +95,12 @@
             max_output: requester.map_or(0, |r| r.max_output),
             users: BTreeSet::new(),
             produced: 0,
-            seen: false,
+            answer_started: false,
             tally: OutcomeTally::default(),
         }
     }
 
-    /// Assigns a request to a permit and asks the driver to send it.
+    /// Assigns a request to a permit and requests the driver to send it.
     pub(super) fn dispatch(&mut self, key: PermitKey, id: RequestId, out: &mut Vec<Action>) {
         let (Some(held), Some(pending)) = (self.permits.get_mut(&key), self.requests.get_mut(&id))
         else {
@@ -157,7 +157,7 @@
             return;
         }
         for id in &permit.users {
-            if self.requests.get(id).is_some_and(|p| !p.seen) {
+            if self.requests.get(id).is_some_and(|p| !p.answer_started) {
                 out.push(Action::Revoke { request: *id });
             }
         }
--- a/components/policy/src/entry/pending.rs
+++ b/components/policy/src/entry/pending.rs
@@ -32,7 +32,7 @@
     /// Targets on which it has failed.
     pub avoid: Vec<TargetId>,
     /// Whether the caller has seen any of the answer.
-    pub seen: bool,
+    pub answer_started: bool,
     /// No permit is requested before this moment.
     pub not_before: Moment,
 }
@@ -43,7 +43,7 @@
 pub struct OutstandingPermitRequest {
     /// The caller's request that it is for.
     pub request: Option<RequestId>,
-    /// Which shard.
+    /// The shard of the owner.
     pub shard: Shard,
     /// The owner that it was sent to.
     pub owner: InstanceId,
@@ -59,7 +59,7 @@
 /// A request for which no owner could be found is refused after this time. Changes of ownership
 /// normally take less, and the caller can retry sooner than if it were left waiting.
 pub const NO_OWNER_TIMEOUT: Duration = Duration::from_secs(4);
-/// A request whose service has no target that takes work is refused after this time.
+/// A request whose service has no target that accepts work is refused after this time.
 pub const NO_TARGET_TIMEOUT: Duration = Duration::from_millis(500);
 /// A permit request that has waited longer than this may be moved to another shard.
 pub const MOVE_AFTER: Duration = Duration::from_millis(300);
--- a/components/policy/src/owner.rs
+++ b/components/policy/src/owner.rs
@@ -100,9 +100,9 @@
         out: &mut Vec<Action>,
     ) {
         match message {
-            Message::PermitRequest(ask) => {
-                self.record_contact(now, from, incarnation, ask.stamp);
-                self.handle_permit_request(now, from, ask, out);
+            Message::PermitRequest(request) => {
+                self.record_contact(now, from, incarnation, request.stamp);
+                self.handle_permit_request(now, from, request, out);
             }
             Message::Withdraw(withdraw) => {
                 if let Some(state) = self.shards.get_mut(&withdraw.shard) {
@@ -144,14 +144,14 @@
         &mut self,
         now: Moment,
         from: &InstanceId,
-        ask: &PermitRequest,
+        request: &PermitRequest,
         out: &mut Vec<Action>,
     ) {
-        let Some(state) = self.shards.get_mut(&ask.shard) else {
-            deny(from, &ask.shard, ask.permit_request, None, out);
+        let Some(state) = self.shards.get_mut(&request.shard) else {
+            deny(from, &request.shard, request.permit_request, None, out);
             return;
         };
-        state.enqueue(now, from, ask, &mut self.owner_state, out);
+        state.enqueue(now, from, request, &mut self.owner_state, out);
         state.grant_waiting(now, &mut self.owner_state, out);
     }
 
@@ -197,7 +197,7 @@
                 continue;
             };
             if state.record_report(now, target, report, &limits) {
-                state.revoke_unseen(now, &mut self.owner_state, out);
+                state.revoke_on_low_memory(now, &mut self.owner_state, out);
                 state.grant_waiting(now, &mut self.owner_state, out);
             }
         }
@@ -284,7 +284,7 @@
     fn tick(&mut self, now: Moment, out: &mut Vec<Action>) {
         for state in self.shards.values_mut() {
             state.tick(now, &mut self.owner_state, out);
-            state.revoke_unseen(now, &mut self.owner_state, out);
+            state.revoke_on_low_memory(now, &mut self.owner_state, out);
             state.grant_waiting(now, &mut self.owner_state, out);
         }
     }
