--- a/components/claims/src/desk.rs
+++ b/components/claims/src/desk.rs
@@ -238,7 +238,7 @@
                     Err(_) => return Tried::Lost,
                 },
                 Err(PlatformError::Busy { .. } | PlatformError::Unavailable { .. }) => down += 1,
-                Err(PlatformError::Unknown { .. } | PlatformError::Garbled { .. }) => lost += 1,
+                Err(PlatformError::Unknown { .. } | PlatformError::Malformed { .. }) => lost += 1,
             }
             let late = self.timer.now() >= end;
             if lost > 0 && (late || lost + down >= LOST_TRIES) {
--- a/components/claims/src/row.rs
+++ b/components/claims/src/row.rs
@@ -65,7 +65,7 @@
     /// # Errors
     /// Tells that the row is no claim.
     pub fn read(row: &Row) -> Result<Self, PlatformError> {
-        serde_json::from_str(&row.body).map_err(|e| PlatformError::Garbled {
+        serde_json::from_str(&row.body).map_err(|e| PlatformError::Malformed {
             reason: format!("row {}: {e}", row.key).into(),
         })
     }
--- a/components/claims/tests/claiming/one.rs
+++ b/components/claims/tests/claiming/one.rs
@@ -44,7 +44,11 @@
             let call = call("k", "d");
             all.table.add_faults([fault]);
             assert_eq!(a.claim(&call).await, Ok(Claimed::Mine), "{fault:?}");
-            assert_eq!(all.table.land(), 0, "{fault:?}: a late claim took effect");
+            assert_eq!(
+                all.table.apply_late_commits(),
+                0,
+                "{fault:?}: a late claim took effect"
+            );
             a.claims.record(&call, answer("1")).await;
             let before = Ok(Claimed::Before(answer("1")));
             assert_eq!(b.claim(&call).await, before, "{fault:?}");
@@ -82,10 +86,10 @@
                 .add_faults([Fault::Late, Fault::Late, Fault::Late]);
             assert_eq!(a.claim(&call).await, Err(ClaimError::StoreDown));
             if land_first {
-                all.table.land();
+                all.table.apply_late_commits();
             }
             assert_eq!(b.claim_when_up(&call).await, Ok(Claimed::Mine));
-            all.table.land();
+            all.table.apply_late_commits();
             b.claims.record(&call, answer("1")).await;
             let before = Ok(Claimed::Before(answer("1")));
             assert_eq!(a.claim_when_up(&call).await, before);
@@ -114,7 +118,11 @@
                 .add_faults([Fault::Late, Fault::Late, Fault::Late]);
             assert_eq!(a.claim(&call).await, Err(ClaimError::StoreDown));
             a.until_settled().await;
-            assert_eq!(all.table.land(), 0, "a late claim took effect");
+            assert_eq!(
+                all.table.apply_late_commits(),
+                0,
+                "a late claim took effect"
+            );
             assert_eq!(b.claim(&call).await, Ok(Claimed::Mine));
         }
     });
--- a/components/claims/tests/claiming/platform.rs
+++ b/components/claims/tests/claiming/platform.rs
@@ -10,7 +10,7 @@
     Running,
     platform::{Faults, Platform, start},
 };
-use stores::{Budget, DynamoTable, PacedTable};
+use stores::{CallBudget, DynamoTable, PacedTable};
 use timer::Timer;
 
 struct Instance {
@@ -24,7 +24,7 @@
         let base = format!("http://{}", platform.addr);
         let client = DynamoTable::new(Client::new(), &base, None).expect("a valid address");
         let timer = Timer::new();
-        let table = PacedTable::new(Arc::new(client), Budget::default(), timer);
+        let table = PacedTable::new(Arc::new(client), CallBudget::default(), timer);
         let gone = Arc::new(Gone::default());
         let claims = StoreClaims::new(name.into(), 1, Arc::new(table.clone()), gone, timer);
         let run = workers::spawn(Arc::clone(&claims).run());
--- a/components/claims/tests/claiming/random.rs
+++ b/components/claims/tests/claiming/random.rs
@@ -73,7 +73,7 @@
         Just(Fault::AnswerLost),
         Just(Fault::CommitLost),
         Just(Fault::Late),
-        Just(Fault::Refused),
+        Just(Fault::Throttled),
     ];
     let request = (0..INSTANCES, 0..KEYS, then(), 0..15_u64, 0..200_u64);
     prop_oneof![
@@ -213,7 +213,7 @@
             Step::Down(down) => all.table.set_down(down),
             Step::Slow(ms) => all.table.set_delay(Duration::from_millis(ms)),
             Step::Land => {
-                all.table.land();
+                all.table.apply_late_commits();
             }
             Step::Wait(ms) => timer.sleep(Duration::from_millis(ms)).await,
         }
@@ -229,7 +229,7 @@
         for instance in &instances {
             instance.until_settled().await;
         }
-        all.table.land();
+        all.table.apply_late_commits();
     }
     check(&all, &outside).await;
 }
@@ -252,7 +252,7 @@
             }
             Err(ClaimError::OtherCall) => panic!("there is one call for key {key}"),
         }
-        all.table.land();
+        all.table.apply_late_commits();
         let again = late.claim_when_up(&call).await;
         let ended = matches!(again, Ok(Claimed::Before(_) | Claimed::Unknown));
         assert!(ended, "key {key} could run again: {again:?}");
--- a/components/config/src/commit.rs
+++ b/components/config/src/commit.rs
@@ -103,7 +103,7 @@
         Err(PlatformError::Busy { .. } | PlatformError::Unavailable { .. }) => {
             Err(ChangeError::StoreDown)
         }
-        Err(PlatformError::Unknown { .. } | PlatformError::Garbled { .. }) => {
+        Err(PlatformError::Unknown { .. } | PlatformError::Malformed { .. }) => {
             settle(store, timer, entry, &writes).await
         }
     }
--- a/components/config/src/fetching.rs
+++ b/components/config/src/fetching.rs
@@ -141,7 +141,7 @@
             emit(&Event::StoreBehind { store, here });
         }
         let reason = format!("version {store} is older than {here}, which is in force");
-        PlatformError::Garbled {
+        PlatformError::Malformed {
             reason: reason.into(),
         }
     }
--- a/components/config/src/rows.rs
+++ b/components/config/src/rows.rs
@@ -71,7 +71,7 @@
 /// # Errors
 /// Tells that the content is not of this form.
 pub fn read_body<T: DeserializeOwned>(row: &Row) -> Result<T, PlatformError> {
-    serde_json::from_str(&row.body).map_err(|e| PlatformError::Garbled {
+    serde_json::from_str(&row.body).map_err(|e| PlatformError::Malformed {
         reason: format!("row {}: {e}", row.key).into(),
     })
 }
@@ -83,7 +83,7 @@
 pub fn body(content: &impl Serialize) -> Result<Arc<str>, PlatformError> {
     serde_json::to_string(content)
         .map(Into::into)
-        .map_err(|e| PlatformError::Garbled {
+        .map_err(|e| PlatformError::Malformed {
             reason: e.to_string().into(),
         })
 }
--- a/components/config/src/store.rs
+++ b/components/config/src/store.rs
@@ -120,7 +120,7 @@
         while last < upto {
             let page = self.changes(last, PAGE).await?;
             let Some(newest) = page.last() else {
-                return Err(PlatformError::Garbled {
+                return Err(PlatformError::Malformed {
                     reason: format!("no change row between version {last} and {upto}").into(),
                 });
             };
--- a/components/config/tests/keeping/keeper.rs
+++ b/components/config/tests/keeping/keeper.rs
@@ -110,7 +110,7 @@
                 Ok(1),
                 "{fault:?}"
             );
-            assert_eq!(all.table.land(), 0, "{fault:?}");
+            assert_eq!(all.table.apply_late_commits(), 0, "{fault:?}");
             let history = a.history(10).await.expect("the table is up");
             assert_eq!(history.len(), 1, "{fault:?}");
         }
@@ -139,7 +139,7 @@
         let all = Deployment::default();
         let a = all.start_up_to_date("a").await;
         all.table.add_faults([Fault::AnswerLost]);
-        all.table.add_faults([Fault::Refused; 1000]);
+        all.table.add_faults([Fault::Throttled; 1000]);
         let unknown = a.change(change(S, service(1), None)).await;
         assert_eq!(unknown, Err(ChangeError::Unknown));
         all.table.clear_faults();
--- a/components/config/tests/keeping/random.rs
+++ b/components/config/tests/keeping/random.rs
@@ -60,7 +60,7 @@
         Just(Fault::AnswerLost),
         Just(Fault::CommitLost),
         Just(Fault::Late),
-        Just(Fault::Refused),
+        Just(Fault::Throttled),
     ];
     let any_change = (0..INSTANCES, 0..NODES, any::<bool>(), any::<bool>());
     prop_oneof![
@@ -200,7 +200,7 @@
             Step::Faults(fault, count) => self.all.table.add_faults(vec![fault; count]),
             Step::Down(down) => self.all.table.set_down(down),
             Step::Land => {
-                self.all.table.land();
+                self.all.table.apply_late_commits();
             }
             Step::Wait(ms) => Timer::new().sleep(Duration::from_millis(ms)).await,
         }
@@ -229,7 +229,7 @@
         let ended = Timer::new().within(PATIENCE, task).await;
         assert!(ended.is_some(), "a change or a fetch hangs");
     }
-    run.all.table.land();
+    run.all.table.apply_late_commits();
     check(&run).await;
 }
 
--- a/components/front/src/callers/handler.rs
+++ b/components/front/src/callers/handler.rs
@@ -162,7 +162,7 @@
             SharedError::Body(BodyError::Broken) => {
                 Refusal::new(StatusCode::BAD_REQUEST, e.to_string())
             }
-            SharedError::Crowded => Refusal::not_run(e.to_string(), MEMORY_RETRY_AFTER),
+            SharedError::BudgetExhausted => Refusal::not_run(e.to_string(), MEMORY_RETRY_AFTER),
         });
         Ok(BufferedBody {
             bytes: read?,
--- a/components/front/src/generations/dispatch.rs
+++ b/components/front/src/generations/dispatch.rs
@@ -5,7 +5,7 @@
 use async_channel::Receiver;
 use events::{Event, emit};
 use hyper::{Response, http};
-use net::{Body, fed};
+use net::{Body, task_body};
 use placing::{GenerationUpdate, PlacementAnswer, PlacementRequest, Shard};
 use rates::Reservation;
 use smol::future;
@@ -388,7 +388,7 @@
     body: hyper::body::Incoming,
 ) -> Response<Body> {
     let relay = Relay::new(Arc::clone(front), call.clone(), assignment, head, body);
-    let mut resp = Response::new(fed(move |tx| relay.run(tx)));
+    let mut resp = Response::new(task_body(move |tx| relay.run(tx)));
     *resp.status_mut() = head.status;
     *resp.headers_mut() = front.adapter.forwarded_headers(head);
     resp
--- a/components/front/src/generations/relay.rs
+++ b/components/front/src/generations/relay.rs
@@ -14,7 +14,7 @@
     header::{CONTENT_LENGTH, TRANSFER_ENCODING},
     http::response::Parts,
 };
-use net::Cut;
+use net::BodyAborted;
 use placing::GenerationUpdate;
 use smol::future;
 use timer::{Timer, boot_time};
@@ -45,7 +45,7 @@
 const RESUME_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Channel to the body of the response to the caller.
-pub type EventSender = Sender<Result<Bytes, Cut>>;
+pub type EventSender = Sender<Result<Bytes, BodyAborted>>;
 
 /// Relays one generation's event stream.
 pub struct Relay {
@@ -91,7 +91,7 @@
     /// The caller has closed its connection.
     CallerGone,
     /// The stream can't be continued, for this reason.
-    Cut(Arc<str>),
+    BodyAborted(Arc<str>),
 }
 
 impl Relay {
@@ -125,7 +125,7 @@
         // instead of a stream that seems complete.
         let shutdown = async {
             front.shutdown.aborted().await;
-            RelayEnd::Cut("the instance stops before the stream ends".into())
+            RelayEnd::BodyAborted("the instance stops before the stream ends".into())
         };
         let end = future::or(self.forward_all(&out), shutdown).await;
         let target = self.assignment.generation.target();
@@ -144,7 +144,7 @@
                 });
             }
             RelayEnd::CallerGone => {}
-            RelayEnd::Cut(reason) => {
+            RelayEnd::BodyAborted(reason) => {
                 self.front.metrics.count_request(self.call.kind(), "cut");
                 emit(&Event::StreamCut {
                     id: Arc::clone(&self.call.request.id),
@@ -153,7 +153,7 @@
                     last_event: self.last_event.unwrap_or_default(),
                 });
                 // Fails only if the caller has closed its connection.
-                let _ = out.send(Err(Cut)).await;
+                let _ = out.send(Err(BodyAborted)).await;
             }
         }
     }
@@ -166,7 +166,9 @@
                 Input::Interrupted(reason) => self.handle_interruption(reason, out).await,
                 Input::Command(command) => self.handle_command(command, out).await,
                 Input::Idle => self.handle_idle().await,
-                Input::DeadlinePassed => Some(RelayEnd::Cut("the deadline has passed".into())),
+                Input::DeadlinePassed => {
+                    Some(RelayEnd::BodyAborted("the deadline has passed".into()))
+                }
             };
             if let Some(end) = end {
                 return end;
@@ -213,7 +215,7 @@
                     sent,
                     generation.events_received(),
                 );
-                Some(RelayEnd::Cut(
+                Some(RelayEnd::BodyAborted(
                     "engine does not answer and is no longer listed".into(),
                 ))
             }
@@ -240,13 +242,15 @@
         generation.end_migration();
         resumed
             .err()
-            .map(|why| RelayEnd::Cut(format!("{reason}; recovery failed: {why}").into()))
+            .map(|why| RelayEnd::BodyAborted(format!("{reason}; recovery failed: {why}").into()))
     }
 
     /// Forwards the events that are complete after these bytes.
     async fn forward(&mut self, bytes: &[u8], out: &EventSender) -> Result<(), RelayEnd> {
         if self.splitter.push(bytes).is_err() {
-            return Err(RelayEnd::Cut("an event exceeds the size limit".into()));
+            return Err(RelayEnd::BodyAborted(
+                "an event exceeds the size limit".into(),
+            ));
         }
         let mut ready = Vec::new();
         self.monitor.reset(boot_time());
@@ -358,7 +362,7 @@
         let Some((target, resume)) = generation.take_copy() else {
             let recovers = self.front.cfg.decisions.features.stream_recovery;
             if !recovers || !self.assignment.generation.begin_migration() {
-                return Some(RelayEnd::Cut(reason));
+                return Some(RelayEnd::BodyAborted(reason));
             }
             return self.recover(reason).await;
         };
@@ -366,7 +370,7 @@
             Ok(()) => None,
             Err(failure) => {
                 let why = failure.reason;
-                Some(RelayEnd::Cut(
+                Some(RelayEnd::BodyAborted(
                     format!("{reason}; resuming from the copy failed: {why}").into(),
                 ))
             }
@@ -424,7 +428,9 @@
                     Err(failure) if failure.not_run => {
                         self.resume_at_source(&source, resume, failure).await
                     }
-                    resumed => resumed.err().map(|failure| RelayEnd::Cut(failure.reason)),
+                    resumed => resumed
+                        .err()
+                        .map(|failure| RelayEnd::BodyAborted(failure.reason)),
                 };
             }
             // The handle holds a sender, so the channel is not closed while the relay runs.
@@ -467,7 +473,7 @@
         };
         resumed
             .err()
-            .map(|at_source| RelayEnd::Cut(why(at_source).into()))
+            .map(|at_source| RelayEnd::BodyAborted(why(at_source).into()))
     }
 
     /// Resumes the generation at an engine from a copy.
--- a/components/front/src/instances/peers.rs
+++ b/components/front/src/instances/peers.rs
@@ -357,7 +357,7 @@
         let answer: Result<Reply, String> = sent.await;
         if answer.is_err() {
             // Other connections to this address may be dead as well.
-            self.client.forget(addr);
+            self.client.close_connections(addr);
         }
         answer
     }
--- a/components/front/src/run.rs
+++ b/components/front/src/run.rs
@@ -11,7 +11,7 @@
 
 use errors::{Context, Result};
 use events::{Event, emit};
-use net::{Client, Handler, ServeLimits, Server, Terms};
+use net::{Client, DynamicLimits, Handler, ServeLimits, Server};
 use parking_lot::{Mutex, RwLock};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use timer::boot_time;
@@ -92,7 +92,7 @@
     );
     let callers = callers
         .await?
-        .with_terms(Arc::clone(&front.connection_limits));
+        .with_dynamic_limits(Arc::clone(&front.connection_limits));
     let messages = MessageHandler::new(Arc::clone(&front));
     let peers = listen(front.cfg.peers, ServeLimits::default(), messages).await?;
     let readiness = Readiness::new(Arc::clone(&front));
@@ -178,7 +178,7 @@
         became_ready: Latch::default(),
         open_requests: OpenRequests::default(),
         metrics,
-        connection_limits: Arc::new(Terms::new(&serve_limits)),
+        connection_limits: Arc::new(DynamicLimits::new(&serve_limits)),
         targets_lost: AtomicBool::new(false),
         started_at: boot_time(),
         bounds: RwLock::new(bounds),
--- a/components/front/src/state.rs
+++ b/components/front/src/state.rs
@@ -9,7 +9,7 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-use net::{Client, Terms};
+use net::{Client, DynamicLimits};
 use parking_lot::{Mutex, RwLock};
 use quarantine::QuarantineState;
 use rates::{RateAllocator, RateLimits};
@@ -96,7 +96,7 @@
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Limits on callers' connections, from the current configuration.
-    pub connection_limits: Arc<Terms>,
+    pub connection_limits: Arc<DynamicLimits>,
     /// All sources of the targets have failed, so the cached targets may be stale.
     pub targets_lost: AtomicBool,
     /// When the instance started.
--- a/components/front/src/store/follow.rs
+++ b/components/front/src/store/follow.rs
@@ -437,7 +437,7 @@
             emit(&Event::TargetReborn {
                 target: Arc::clone(&target.id),
             });
-            front.client.forget(target.addr);
+            front.client.close_connections(target.addr);
             front.placement.owner.lock().remove_engine(&target.id);
         }
         Change::Closed(data_centre) => log_switch(data_centre, true),
--- a/components/gateway/src/attempt.rs
+++ b/components/gateway/src/attempt.rs
@@ -2,7 +2,7 @@
 
 use futures_lite::future;
 use relay::ActiveStream;
-use targets::{Piece, TargetError};
+use targets::{StreamItem, TargetError};
 use types::{Execution, Refusal};
 
 use crate::{
@@ -36,8 +36,8 @@
 
 /// The next event of an attempt.
 pub enum AttemptEvent {
-    /// The engine sent a piece of the stream.
-    Piece(Piece),
+    /// The engine sent an item of the stream.
+    StreamItem(StreamItem),
     /// The permit was revoked.
     Revoked,
     /// The deadline passed.
@@ -78,7 +78,7 @@
         permit.expect("an attempt has its permit until it is taken apart")
     }
 
-    /// Waits for the next event. A revocation takes precedence over a piece, so that no token is
+    /// Waits for the next event. A revocation takes precedence over an item, so that no token is
     /// sent after it.
     pub async fn next(&mut self) -> AttemptEvent {
         let Some(stream) = &mut self.stream else {
@@ -86,20 +86,20 @@
         };
         let permit = self.permit.as_deref();
         let permit = permit.expect("an attempt has its permit until it is taken apart");
-        let piece = async {
+        let item = async {
             match stream.next().await {
-                Ok(piece) => AttemptEvent::Piece(piece),
+                Ok(item) => AttemptEvent::StreamItem(item),
                 Err(_) => AttemptEvent::StreamFailed,
             }
         };
-        unless_revoked(permit, piece).await
+        unless_revoked(permit, item).await
     }
 
-    /// Ends the attempt because of an event other than an expected piece. Waits for the engine to
+    /// Ends the attempt because of an event other than an expected item. Waits for the engine to
     /// confirm a cancellation before the attempt may be repeated.
     pub async fn give_up<T>(&mut self, event: AttemptEvent) -> AttemptResult<T> {
         match event {
-            AttemptEvent::Piece(_) | AttemptEvent::Revoked => AttemptResult::Retry {
+            AttemptEvent::StreamItem(_) | AttemptEvent::Revoked => AttemptResult::Retry {
                 outcome: stop(self.stream.take(), self.sent).await,
                 ran: true,
             },
@@ -188,11 +188,11 @@
             outcome: WorkOutcome::Unreachable,
             ran: false,
         },
-        TargetError::Turned { .. } => AttemptResult::Retry {
+        TargetError::Rejected { .. } => AttemptResult::Retry {
             outcome: WorkOutcome::Overloaded,
             ran: false,
         },
-        TargetError::Wrong { status, body } => AttemptResult::Failed {
+        TargetError::ClientError { status, body } => AttemptResult::Failed {
             outcome: Some(WorkOutcome::Cancelled { produced: 0 }),
             refusal: engine_refusal(status, &body),
         },
--- a/components/gateway/src/buffered.rs
+++ b/components/gateway/src/buffered.rs
@@ -8,7 +8,7 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value, json};
-use targets::{Piece, openai::REQUEST_ID};
+use targets::{StreamItem, openai::REQUEST_ID};
 use types::{Refusal, Tokens};
 
 use crate::{
@@ -167,15 +167,15 @@
     let arrived = request.caller.arrived;
     core.metrics
         .record_first_token(core.admission.now().saturating_sub(arrived));
-    let StartedGeneration { mut piece, request } = started;
+    let StartedGeneration { mut item, request } = started;
     let mut data = Vec::new();
     let mut share = core.answers.share();
     let mut progress = ProgressThrottle::new(0, core.timer.now());
     let mut size = 0;
     loop {
-        let (first, more) = match piece {
-            Piece::Tokens { first, data, .. } => (first, data),
-            Piece::End => {
+        let (first, more) = match item {
+            StreamItem::Tokens { first, data, .. } => (first, data),
+            StreamItem::End => {
                 return AttemptResult::Success(BufferedAnswer {
                     request,
                     data,
@@ -203,8 +203,8 @@
         if progress.is_due(produced, core.timer.now()) {
             attempt.permit().report_buffered(produced);
         }
-        piece = match attempt.next().await {
-            AttemptEvent::Piece(piece) => piece,
+        item = match attempt.next().await {
+            AttemptEvent::StreamItem(item) => item,
             event => {
                 if matches!(event, AttemptEvent::StreamFailed) {
                     *partial_data.lock() = data;
--- a/components/gateway/src/delivery.rs
+++ b/components/gateway/src/delivery.rs
@@ -7,7 +7,7 @@
 use events::Event;
 use futures_lite::future;
 use relay::{ActiveStream, StreamEnd, StreamError, TokenSink};
-use targets::Piece;
+use targets::StreamItem;
 use types::{ServiceKind, WorkspaceId};
 
 use crate::{
@@ -60,12 +60,12 @@
     Superseded,
 }
 
-/// Delivers a stream until its end, beginning with `piece` if it has already been read.
-pub async fn deliver(mut delivery: StreamDelivery, piece: Option<Piece>) {
+/// Delivers a stream until its end, beginning with `item` if it has already been read.
+pub async fn deliver(mut delivery: StreamDelivery, item: Option<StreamItem>) {
     let core = Arc::clone(&delivery.core);
     let target = delivery.stream.target().id.clone();
     let registration = core.streams.register(&target, delivery.stream.id());
-    let end = forward(&mut delivery, piece, registration.superseded()).await;
+    let end = forward(&mut delivery, item, registration.superseded()).await;
     if !matches!(end, DeliveryEnd::Stream(StreamEnd::Closed)) {
         drop(registration);
         return finish(delivery, end, false).await;
@@ -77,14 +77,14 @@
 
 async fn forward(
     delivery: &mut StreamDelivery,
-    piece: Option<Piece>,
+    item: Option<StreamItem>,
     superseded: Superseded,
 ) -> DeliveryEnd {
     let StreamDelivery { stream, writer, .. } = delivery;
     let forward = async {
-        let written = match piece {
-            Some(Piece::Tokens { first, data, .. }) => writer.write_tokens(first, data).await,
-            Some(Piece::End) => return DeliveryEnd::Stream(StreamEnd::Finished),
+        let written = match item {
+            Some(StreamItem::Tokens { first, data, .. }) => writer.write_tokens(first, data).await,
+            Some(StreamItem::End) => return DeliveryEnd::Stream(StreamEnd::Finished),
             None => Ok(()),
         };
         match written {
@@ -120,7 +120,7 @@
 async fn read_to_end(delivery: &mut StreamDelivery) -> Result<(), StreamError> {
     let StreamDelivery { stream, writer, .. } = delivery;
     stream.disable_resume();
-    while let Piece::Tokens { .. } = stream.next().await? {
+    while let StreamItem::Tokens { .. } = stream.next().await? {
         writer.report_progress(stream.produced());
     }
     Ok(())
--- a/components/gateway/src/gateway.rs
+++ b/components/gateway/src/gateway.rs
@@ -15,7 +15,7 @@
 use net::Budget;
 use relay::Relay;
 use settings::Limits;
-use targets::{Engine, Plain, StreamId};
+use targets::{Engine, PlainService, StreamId};
 use timer::Timer;
 use types::{Execution, InstanceId, Moment, Refusal, TargetId};
 
@@ -45,7 +45,7 @@
     /// The client of engines.
     pub engine: Arc<dyn Engine>,
     /// The client of plain services.
-    pub plain: Arc<dyn Plain>,
+    pub plain: Arc<dyn PlainService>,
     /// Claims on idempotency keys: a key runs at most once.
     pub claims: Arc<dyn Claims>,
     /// Rejects requests that crash targets.
@@ -85,7 +85,7 @@
 pub(crate) struct Core {
     pub admission: Arc<dyn Admission>,
     pub engine: Arc<dyn Engine>,
-    pub plain: Arc<dyn Plain>,
+    pub plain: Arc<dyn PlainService>,
     pub claims: Arc<dyn Claims>,
     pub quarantine: Arc<dyn Quarantine>,
     pub config: Arc<dyn Config>,
--- a/components/gateway/src/generate.rs
+++ b/components/gateway/src/generate.rs
@@ -8,7 +8,7 @@
 use hyper::{Request, Response, body::Incoming};
 use net::{Body, Share};
 use relay::ActiveStream;
-use targets::{EngineCall, Piece};
+use targets::{EngineCall, StreamItem};
 use tree::RouteRule;
 use types::{Class, Moment, Refusal, Tokens};
 
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Makes one attempt: starts the generation and waits for its first piece.
+    /// Makes one attempt: starts the generation and waits for its first item.
     pub async fn start(&self, attempt: &mut Attempt) -> AttemptResult<StartedGeneration> {
         if !attempt.permit().may_send() {
             return AttemptResult::Retry {
@@ -156,8 +156,8 @@
             AttemptEvent::DeadlineExceeded
         };
         match future::or(attempt.next(), deadline).await {
-            AttemptEvent::Piece(piece) => AttemptResult::Success(StartedGeneration {
-                piece,
+            AttemptEvent::StreamItem(item) => AttemptResult::Success(StartedGeneration {
+                item,
                 request: call.request,
             }),
             event => attempt.give_up(event).await,
@@ -255,10 +255,10 @@
     }
 }
 
-/// A generation whose first piece has arrived.
+/// A generation whose first item has arrived.
 pub struct StartedGeneration {
-    /// The first piece.
-    pub piece: Piece,
+    /// The first item.
+    pub item: StreamItem,
     /// The request id that the engine received.
     pub request: Arc<str>,
 }
@@ -266,9 +266,9 @@
 impl StartedGeneration {
     /// Returns the number of tokens produced so far.
     pub const fn produced(&self) -> Tokens {
-        match self.piece {
-            Piece::Tokens { first, count, .. } => first + count,
-            Piece::End => 0,
+        match self.item {
+            StreamItem::Tokens { first, count, .. } => first + count,
+            StreamItem::End => 0,
         }
     }
 }
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -213,7 +213,7 @@
                 };
                 Ok((outcome, answer))
             }
-            Err(TargetError::Wrong { status, body }) => {
+            Err(TargetError::ClientError { status, body }) => {
                 let answer = PlainAnswer {
                     status,
                     headers: Vec::new(),
@@ -222,7 +222,7 @@
                 Ok((WorkOutcome::Cancelled { produced: 0 }, answer))
             }
             Err(TargetError::Unsent { .. }) => Err((WorkOutcome::Unreachable, false)),
-            Err(TargetError::Turned { .. }) => Err((WorkOutcome::Overloaded, false)),
+            Err(TargetError::Rejected { .. }) => Err((WorkOutcome::Overloaded, false)),
             Err(TargetError::Lost { .. } | TargetError::Gone) => Err((WorkOutcome::Failed, true)),
         }
     }
--- a/components/gateway/src/quarantine.rs
+++ b/components/gateway/src/quarantine.rs
@@ -4,7 +4,7 @@
 
 use ::quarantine::{Evidence, Fingerprint, TargetIncarnation};
 use events::Event;
-use targets::{Report, TargetError};
+use targets::{TargetError, TargetReport};
 use types::{Moment, Refusal, ServiceKind, ServingState, Target};
 
 use crate::{gateway::Core, refusals};
@@ -95,7 +95,11 @@
         false
     }
 
-    async fn load_report(&self, kind: ServiceKind, target: &Target) -> Result<Report, TargetError> {
+    async fn load_report(
+        &self,
+        kind: ServiceKind,
+        target: &Target,
+    ) -> Result<TargetReport, TargetError> {
         match kind {
             ServiceKind::Model => self.engine.report(target).await,
             ServiceKind::Plain => self.plain.report(target).await,
--- a/components/gateway/src/request.rs
+++ b/components/gateway/src/request.rs
@@ -134,7 +134,7 @@
     let bytes = read.map_err(|e| match e {
         SharedError::Body(BodyError::TooLarge) => refusals::body_too_large(limit),
         SharedError::Body(BodyError::TooSlow) => refusals::body_too_slow(),
-        SharedError::Crowded => refusals::bodies_crowded(),
+        SharedError::BudgetExhausted => refusals::bodies_crowded(),
         SharedError::Body(BodyError::Broken) => refusals::incomplete_body(),
     })?;
     Ok(RequestBody { bytes, share })
--- a/components/gateway/src/writer.rs
+++ b/components/gateway/src/writer.rs
@@ -10,7 +10,7 @@
 use net::{Body, BodySender, Reply, channel};
 use relay::{ActiveStream, ReceiverClosed, TokenSink};
 use smol::channel::TrySendError;
-use targets::{Piece, openai::REQUEST_ID};
+use targets::{StreamItem, openai::REQUEST_ID};
 use timer::Timer;
 use types::{Class, Moment, Refusal, Tokens, WorkspaceId};
 
@@ -56,9 +56,9 @@
     let time = core.admission.now().saturating_sub(arrived);
     core.metrics.record_first_token(time);
     let context = StreamContext::of(&generation);
-    let StartedGeneration { piece, request } = started;
+    let StartedGeneration { item, request } = started;
     let in_flight = generation.in_flight;
-    let reply = start_delivery(&core, &context, permit, stream, Some(piece), in_flight);
+    let reply = start_delivery(&core, &context, permit, stream, Some(item), in_flight);
     Ok(reply.with_header(REQUEST_ID, &request).done())
 }
 
@@ -104,14 +104,14 @@
     }
 }
 
-/// Starts delivering a stream to its caller in the background, beginning with `piece` if it has
+/// Starts delivering a stream to its caller in the background, beginning with `item` if it has
 /// already been read. Returns the response head with the body to stream.
 pub fn start_delivery(
     core: &Arc<Core>,
     context: &StreamContext,
     permit: Box<dyn PermitHandle>,
     stream: ActiveStream,
-    piece: Option<Piece>,
+    item: Option<StreamItem>,
     in_flight: InFlightGuard,
 ) -> Reply {
     let (tx, body) = channel();
@@ -125,7 +125,7 @@
         writer,
         in_flight: Some(in_flight),
     };
-    workers::spawn(delivery::deliver(delivery, piece)).detach();
+    workers::spawn(delivery::deliver(delivery, item)).detach();
     Reply::new(200)
         .with_header("content-type", "text/event-stream")
         .with_header("cache-control", "no-cache")
@@ -184,7 +184,7 @@
 
     /// Aborts the response, so that it does not look complete to the caller.
     pub fn close(&self) {
-        self.tx.cut();
+        self.tx.abort();
     }
 
     /// Reports how the work ended and gives the permit back. Does nothing if called again.
--- a/components/gateway/tests/fakes/engine.rs
+++ b/components/gateway/tests/fakes/engine.rs
@@ -12,7 +12,9 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use parking_lot::Mutex;
-use targets::{Engine, EngineCall, Order, Piece, Report, Stream, StreamId, TargetError};
+use targets::{
+    Command, Engine, EngineCall, Stream, StreamId, StreamItem, TargetError, TargetReport,
+};
 use types::{Target, TargetId, Tokens};
 
 /// One step of a stream.
@@ -105,18 +107,18 @@
         Arc::clone(&self.id)
     }
 
-    async fn next(&mut self) -> Result<Piece, TargetError> {
+    async fn next(&mut self) -> Result<StreamItem, TargetError> {
         loop {
             match self.steps.pop_front() {
                 Some(Step::Tokens(first, count)) => {
-                    return Ok(Piece::Tokens {
+                    return Ok(StreamItem::Tokens {
                         first,
                         count,
                         data: (first..first + count).map(token).collect(),
                     });
                 }
                 Some(Step::Data(first, data)) => {
-                    return Ok(Piece::Tokens {
+                    return Ok(StreamItem::Tokens {
                         first,
                         count: 1,
                         data: vec![Bytes::from_static(data.as_bytes())],
@@ -125,7 +127,7 @@
                 Some(Step::Pause(time)) => {
                     smol::Timer::after(time).await;
                 }
-                Some(Step::End) => return Ok(Piece::End),
+                Some(Step::End) => return Ok(StreamItem::End),
                 Some(Step::Silent) => {
                     self.silent_streams.fetch_add(1, Ordering::AcqRel);
                     std::future::pending().await
@@ -171,11 +173,11 @@
         Ok(())
     }
 
-    async fn report(&self, _: &Target) -> Result<Report, TargetError> {
-        Ok(Report::default())
+    async fn report(&self, _: &Target) -> Result<TargetReport, TargetError> {
+        Ok(TargetReport::default())
     }
 
-    async fn order(&self, _: &Target, _: &Order) -> Result<(), TargetError> {
+    async fn send_command(&self, _: &Target, _: &Command) -> Result<(), TargetError> {
         Ok(())
     }
 }
--- a/components/gateway/tests/fakes/plain.rs
+++ b/components/gateway/tests/fakes/plain.rs
@@ -5,7 +5,7 @@
 use async_trait::async_trait;
 use claims::{ClaimError, Claimed, Claims, KeyedCall, Recorded};
 use parking_lot::Mutex;
-use targets::{Plain, PlainAnswer, PlainCall, Report, TargetError};
+use targets::{PlainAnswer, PlainCall, PlainService, TargetError, TargetReport};
 use types::Target;
 
 /// Returns an answer with this body.
@@ -39,7 +39,7 @@
 }
 
 #[async_trait]
-impl Plain for FakePlain {
+impl PlainService for FakePlain {
     async fn call(
         &self,
         _: &Target,
@@ -51,8 +51,8 @@
         next.unwrap_or_else(|| Ok(answer("fine")))
     }
 
-    async fn report(&self, _: &Target) -> Result<Report, TargetError> {
-        Ok(Report::default())
+    async fn report(&self, _: &Target) -> Result<TargetReport, TargetError> {
+        Ok(TargetReport::default())
     }
 }
 
--- a/components/gateway/tests/generations.rs
+++ b/components/gateway/tests/generations.rs
@@ -38,7 +38,7 @@
 }
 
 fn turned() -> TargetError {
-    TargetError::Turned {
+    TargetError::Rejected {
         reason: "busy".into(),
         retry_after: None,
     }
--- a/components/gateway/tests/plain_calls.rs
+++ b/components/gateway/tests/plain_calls.rs
@@ -29,7 +29,7 @@
 }
 
 fn turned() -> TargetError {
-    TargetError::Turned {
+    TargetError::Rejected {
         reason: "busy".into(),
         retry_after: None,
     }
--- a/components/net/src/body.rs
+++ b/components/net/src/body.rs
@@ -6,7 +6,7 @@
 use derive_more::{Display, Error, From};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
-use timer::{Alarm, Timer};
+use timer::{ReusableTimeout, Timer};
 
 use crate::budget::{Budget, Share};
 
@@ -32,7 +32,7 @@
     /// All bodies together take as much memory as they may.
     #[display("too many bytes are held by other bodies")]
     #[from(ignore)]
-    Crowded,
+    BudgetExhausted,
 }
 
 /// A body may take this many times the patience for one part. Without it a sender of one byte
@@ -54,7 +54,7 @@
     read.map_err(|e| match e {
         SharedError::Body(e) => e,
         // A budget of its own can't be used up by others.
-        SharedError::Crowded => BodyError::TooLarge,
+        SharedError::BudgetExhausted => BodyError::TooLarge,
     })
 }
 
@@ -86,7 +86,7 @@
     patience: Duration,
     share: &mut Share,
 ) -> Result<Bytes, SharedError> {
-    let mut alarm = Alarm::new();
+    let mut alarm = ReusableTimeout::new();
     let mut buf = BytesMut::new();
     loop {
         let frame = alarm
@@ -104,7 +104,7 @@
             return Err(BodyError::TooLarge.into());
         }
         if !share.grow(data.len()) {
-            return Err(SharedError::Crowded);
+            return Err(SharedError::BudgetExhausted);
         }
         buf.extend_from_slice(&data);
     }
--- a/components/net/src/client.rs
+++ b/components/net/src/client.rs
@@ -113,8 +113,8 @@
     }
 
     /// Closes all connections to an address: the idle ones now, those in use after it.
-    pub fn forget(&self, addr: SocketAddr) {
-        self.pool.lock().forget(addr);
+    pub fn close_connections(&self, addr: SocketAddr) {
+        self.pool.lock().close_connections(addr);
     }
 
     /// Idle connections kept to an address.
--- a/components/net/src/lib.rs
+++ b/components/net/src/lib.rs
@@ -14,5 +14,5 @@
 pub use body::{BodyError, SharedError, read_all, read_limited, read_shared};
 pub use budget::{Budget, Share};
 pub use client::{Client, SendError};
-pub use reply::{Body, BodySender, Cut, Reply, channel, empty, fed, full};
-pub use serve::{Guard, Handler, ServeLimits, Server, Terms};
+pub use reply::{Body, BodyAborted, BodySender, Reply, channel, empty, full, task_body};
+pub use serve::{ConnectionGuard, DynamicLimits, Handler, ServeLimits, Server};
--- a/components/net/src/pool.rs
+++ b/components/net/src/pool.rs
@@ -88,7 +88,7 @@
 
     /// Closes all connections to an address. Those in use are closed after it: they may be as
     /// lost as the one that made them suspect.
-    pub fn forget(&mut self, addr: SocketAddr) {
+    pub fn close_connections(&mut self, addr: SocketAddr) {
         self.idle.remove(&addr);
         self.forgotten.insert(addr, Instant::now());
     }
--- a/components/net/src/reply.rs
+++ b/components/net/src/reply.rs
@@ -31,10 +31,10 @@
 /// receiver can tell that something is missing.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 #[display("the body was cut before its end")]
-pub struct Cut;
+pub struct BodyAborted;
 
 /// Body of an answer.
-pub type Body = UnsyncBoxBody<Bytes, Cut>;
+pub type Body = UnsyncBoxBody<Bytes, BodyAborted>;
 
 /// Pieces of a streamed body that may wait for a slow receiver. With the client's buffers it
 /// bounds what one receiver that does not read can hold.
@@ -62,7 +62,7 @@
     let whole = Arc::<AtomicBool>::default();
     let end = Arc::clone(&whole);
     // Asked only once the channel has ended.
-    let cut = move |()| (!end.load(Ordering::Acquire)).then_some(Err(Cut));
+    let cut = move |()| (!end.load(Ordering::Acquire)).then_some(Err(BodyAborted));
     let rx = Box::pin(rx.map(Ok).chain(stream::once(()).filter_map(cut)));
     (BodySender { tx, whole }, Fed::new(rx, None).boxed_unsync())
 }
@@ -104,16 +104,16 @@
     }
 
     /// Cuts the body after what was sent, unless it was ended.
-    pub fn cut(&self) {
+    pub fn abort(&self) {
         self.tx.close();
     }
 }
 
-/// A body fed by a task, which gets the sending end. It ends once the task has returned; a [`Cut`]
+/// A body fed by a task, which gets the sending end. It ends once the task has returned; a [`BodyAborted`]
 /// ends the connection with it, and so does a panic. The task is dropped with the body: when the
 /// receiver goes away, nothing works on for nobody.
 #[must_use]
-pub fn fed<F>(feed: impl FnOnce(Sender<Result<Bytes, Cut>>) -> F) -> Body
+pub fn task_body<F>(feed: impl FnOnce(Sender<Result<Bytes, BodyAborted>>) -> F) -> Body
 where
     F: Future<Output = ()> + Send + 'static,
 {
@@ -126,7 +126,7 @@
 }
 
 struct Fed {
-    rx: Pin<Box<dyn Stream<Item = Result<Bytes, Cut>> + Send>>,
+    rx: Pin<Box<dyn Stream<Item = Result<Bytes, BodyAborted>> + Send>>,
     /// Dropping it ends the task.
     feeder: Option<Task<thread::Result<()>>>,
     /// It is cut as soon as what went before has been written.
@@ -135,7 +135,7 @@
 
 impl Fed {
     fn new(
-        rx: Pin<Box<dyn Stream<Item = Result<Bytes, Cut>> + Send>>,
+        rx: Pin<Box<dyn Stream<Item = Result<Bytes, BodyAborted>> + Send>>,
         feeder: Option<Task<thread::Result<()>>>,
     ) -> Self {
         Self {
@@ -145,7 +145,7 @@
         }
     }
 
-    fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Cut>>> {
+    fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyAborted>>> {
         match ready!(self.rx.as_mut().poll_next(cx)) {
             None => self.poll_end(cx),
             piece => Poll::Ready(piece),
@@ -153,29 +153,29 @@
     }
 
     /// What comes after the last piece: the end, if the feeder came to its own.
-    fn poll_end(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Cut>>> {
+    fn poll_end(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyAborted>>> {
         let Some(feeder) = &mut self.feeder else {
             return Poll::Ready(None);
         };
         let ended = ready!(Pin::new(feeder).poll(cx));
         self.feeder = None;
-        Poll::Ready(ended.err().map(|_| Err(Cut)))
+        Poll::Ready(ended.err().map(|_| Err(BodyAborted)))
     }
 }
 
 impl HttpBody for Fed {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = BodyAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         if self.cut {
-            return Poll::Ready(Some(Err(Cut)));
+            return Poll::Ready(Some(Err(BodyAborted)));
         }
         match ready!(self.poll_piece(cx)) {
-            Some(Err(Cut)) => {
+            Some(Err(BodyAborted)) => {
                 // The connection drops what it holds once it hears of the cut, be it the head. It
                 // writes whenever a body has nothing more for now.
                 self.cut = true;
--- a/components/net/src/serve.rs
+++ b/components/net/src/serve.rs
@@ -67,12 +67,12 @@
 
 /// Limits that may change while a server runs: connections made from then on get the new ones.
 #[derive(Debug, Default)]
-pub struct Terms {
+pub struct DynamicLimits {
     header_bytes: AtomicUsize,
     header_millis: AtomicU64,
 }
 
-impl Terms {
+impl DynamicLimits {
     /// Takes the limits of some settings.
     #[must_use]
     pub fn new(limits: &ServeLimits) -> Self {
@@ -102,7 +102,7 @@
 pub struct Server {
     listener: TcpListener,
     limits: ServeLimits,
-    terms: Arc<Terms>,
+    terms: Arc<DynamicLimits>,
     write_stall: Duration,
     handler: Arc<dyn Handler>,
     open: Arc<AtomicUsize>,
@@ -115,13 +115,13 @@
 }
 
 /// Counts one open connection for as long as it lives.
-pub struct Guard {
+pub struct ConnectionGuard {
     open: Arc<AtomicUsize>,
     /// Held for its drop.
     _alive: Sender<()>,
 }
 
-impl Drop for Guard {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.open.fetch_sub(1, Ordering::AcqRel);
     }
@@ -141,7 +141,7 @@
         Ok(Self {
             listener,
             limits,
-            terms: Arc::new(Terms::new(&limits)),
+            terms: Arc::new(DynamicLimits::new(&limits)),
             write_stall: WRITE_STALL,
             handler,
             open: Arc::default(),
@@ -162,7 +162,7 @@
 
     /// Shares limits that may change while it runs, in place of its own.
     #[must_use]
-    pub fn with_terms(mut self, terms: Arc<Terms>) -> Self {
+    pub fn with_dynamic_limits(mut self, terms: Arc<DynamicLimits>) -> Self {
         self.terms = terms;
         self
     }
@@ -245,7 +245,7 @@
         // may begin only after that.
         let limits = self.terms.now(self.limits.connections);
         let open = self.open.fetch_add(1, Ordering::AcqRel) + 1;
-        let guard = Guard {
+        let guard = ConnectionGuard {
             open: Arc::clone(&self.open),
             _alive: self.alive.0.clone(),
         };
--- a/components/net/tests/endings.rs
+++ b/components/net/tests/endings.rs
@@ -11,7 +11,7 @@
 };
 
 use hyper::{Request, Response, body::Incoming};
-use net::{Body, Cut, Handler, Reply, ServeLimits, Server, channel, fed};
+use net::{Body, BodyAborted, Handler, Reply, ServeLimits, Server, channel, task_body};
 use parking_lot::Mutex;
 use smol::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -37,16 +37,16 @@
                 Reply::text(200, "slow").done()
             }
             "/fed" => {
-                let body = fed(|tx| async move {
+                let body = task_body(|tx| async move {
                     let _ = tx.send(Ok("a part".into())).await;
                     panic!("a feeder broke off");
                 });
                 Reply::new(200).with_body(body).done()
             }
             "/cut" => {
-                let body = fed(|tx| async move {
+                let body = task_body(|tx| async move {
                     let _ = tx.send(Ok("a part".into())).await;
-                    let _ = tx.send(Err(Cut)).await;
+                    let _ = tx.send(Err(BodyAborted)).await;
                 });
                 Reply::new(200).with_body(body).done()
             }
@@ -59,7 +59,7 @@
                 Reply::new(200).with_body(body).done()
             }
             "/ends" => {
-                let body = fed(|tx| async move {
+                let body = task_body(|tx| async move {
                     let _ = tx.send(Ok("a whole".into())).await;
                 });
                 Reply::new(200).with_body(body).done()
--- a/components/net/tests/serving.rs
+++ b/components/net/tests/serving.rs
@@ -14,7 +14,8 @@
 use http_body_util::{BodyExt, Full};
 use hyper::{Request, Response, body::Incoming};
 use net::{
-    Body, Client, Handler, Reply, SendError, ServeLimits, Server, Terms, channel, read_limited,
+    Body, Client, DynamicLimits, Handler, Reply, SendError, ServeLimits, Server, channel,
+    read_limited,
 };
 use smol::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -182,10 +183,12 @@
             header_time: 60 * SECOND,
             ..ServeLimits::default()
         };
-        let terms = Arc::new(Terms::new(&limits));
+        let terms = Arc::new(DynamicLimits::new(&limits));
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         let server = Server::bind(any, limits, Arc::new(Answers::default())).await;
-        let server = server.expect("a port").with_terms(Arc::clone(&terms));
+        let server = server
+            .expect("a port")
+            .with_dynamic_limits(Arc::clone(&terms));
         let (addr, open) = (server.addr().expect("an address"), server.open());
         workers::spawn(server.run()).detach();
         let _early = TcpStream::connect(addr).await.expect("a connection");
@@ -403,7 +406,7 @@
             assert_eq!(text(resp.expect("an answer")).await, "ok");
         }
         assert_eq!(accepted.load(Ordering::Acquire), 2);
-        client.forget(addr);
+        client.close_connections(addr);
         let resp = client.send(addr, request("/", "x")).await;
         assert_eq!(text(resp.expect("an answer")).await, "ok");
         assert_eq!(accepted.load(Ordering::Acquire), 3);
--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -15,7 +15,7 @@
 use policy::{Action, DispatchPermit, Event, Policy, RequestId, ShardRole, View};
 use quarantine::QuarantineState;
 use smol::channel::{Receiver, Sender, bounded};
-use timer::{Pauses, Timer};
+use timer::{PauseDetector, Timer};
 use types::{Incarnation, InstanceId, Moment, Refusal, Shard};
 use wire::{Heartbeat, Message};
 
@@ -59,7 +59,7 @@
     members: Mutex<Membership>,
     policy: Mutex<Box<dyn Policy>>,
     waiting: Mutex<HashMap<RequestId, Waiting>>,
-    pauses: Mutex<Pauses>,
+    pauses: Mutex<PauseDetector>,
     view: Mutex<Arc<View>>,
     /// Requests that crash targets; held alone.
     pub(crate) quarantine: Mutex<QuarantineState>,
@@ -88,7 +88,7 @@
             members: Mutex::new(Membership::new(now, me.clone())),
             policy: Mutex::new(policy),
             waiting: Mutex::default(),
-            pauses: Mutex::new(Pauses::new(now, PAUSE_THRESHOLD)),
+            pauses: Mutex::new(PauseDetector::new(now, PAUSE_THRESHOLD)),
             view: Mutex::default(),
             quarantine: Mutex::default(),
             owned: Mutex::default(),
@@ -220,7 +220,7 @@
         (members, policy)
     }
 
-    /// A process that was stopped must not act on what it knew before; see `Pauses`.
+    /// A process that was stopped must not act on what it knew before; see `PauseDetector`.
     fn check_pause(&self) {
         let gap = self.pauses.lock().check(self.timer.now());
         if let Some(gap) = gap {
--- a/components/node/src/parts.rs
+++ b/components/node/src/parts.rs
@@ -14,8 +14,8 @@
 use prometheus_client::registry::Registry;
 use settings::{Settings, Strategy};
 use smol::channel::{Receiver, bounded};
-use stores::{Budget, DynamoTable, PacedTable, SliceDirectory, Table};
-use targets::{Engine, HttpPlain, OpenAiEngine, Plain};
+use stores::{CallBudget, DynamoTable, PacedTable, SliceDirectory, Table};
+use targets::{Engine, HttpPlainService, OpenAiEngine, PlainService};
 use timer::Timer;
 use wire::Key;
 
@@ -56,7 +56,7 @@
     watch: Arc<Watch>,
     peers: Arc<PeerClient>,
     engine: Arc<dyn Engine>,
-    plain: Arc<dyn Plain>,
+    plain: Arc<dyn PlainService>,
 }
 
 impl Parts {
@@ -73,7 +73,7 @@
         let at = &settings.platform;
         let dynamo = DynamoTable::new(client.clone(), &at.table, at.token.clone())?;
         let directory = SliceDirectory::new(client.clone(), &at.directory, at.token.clone())?;
-        let paced = PacedTable::new(Arc::new(dynamo), Budget::default(), timer);
+        let paced = PacedTable::new(Arc::new(dynamo), CallBudget::default(), timer);
         let table = Arc::new(paced);
         let shared = Arc::clone(&table) as Arc<dyn Table>;
 
@@ -94,7 +94,7 @@
             watch: Arc::new(watch),
             peers,
             engine: Arc::new(OpenAiEngine::new(client.clone(), timer)),
-            plain: Arc::new(HttpPlain::new(client, timer)),
+            plain: Arc::new(HttpPlainService::new(client, timer)),
         };
         Ok((parts, inputs))
     }
--- a/components/node/src/reports.rs
+++ b/components/node/src/reports.rs
@@ -8,7 +8,7 @@
 
 use parking_lot::Mutex;
 use policy::{EngineReport, Event};
-use targets::{Engine, Plain, Report};
+use targets::{Engine, PlainService, TargetReport};
 use types::{ServiceKind, Shard, Target, TargetId};
 
 use crate::core::Core;
@@ -31,7 +31,7 @@
 pub struct Reports {
     core: Arc<Core>,
     engine: Arc<dyn Engine>,
-    plain: Arc<dyn Plain>,
+    plain: Arc<dyn PlainService>,
     scope: Scope,
     under_way: Mutex<HashSet<TargetId>>,
 }
@@ -42,7 +42,7 @@
     pub fn new(
         core: Arc<Core>,
         engine: Arc<dyn Engine>,
-        plain: Arc<dyn Plain>,
+        plain: Arc<dyn PlainService>,
         scope: Scope,
     ) -> Self {
         Self {
@@ -101,7 +101,7 @@
     }
 }
 
-const fn engine_report(report: &Report, way: Duration) -> EngineReport {
+const fn engine_report(report: &TargetReport, way: Duration) -> EngineReport {
     EngineReport {
         incarnation: report.incarnation,
         age: report.age.saturating_add(way),
--- a/components/relay/examples/resume.rs
+++ b/components/relay/examples/resume.rs
@@ -12,7 +12,7 @@
 use hyper::{Method, Request, Response, body::Incoming};
 use net::{Body, Client, Handler, Reply, ServeLimits, Server, channel};
 use relay::Relay;
-use targets::{EngineCall, OpenAiEngine, Piece};
+use targets::{EngineCall, OpenAiEngine, StreamItem};
 use timer::Timer;
 use types::{ServingState, Target};
 
@@ -72,7 +72,7 @@
         .expect("the generation starts");
     let mut last = None;
     let mut longest = Duration::ZERO;
-    while let Piece::Tokens { .. } = stream.next().await.expect("the generation continues") {
+    while let StreamItem::Tokens { .. } = stream.next().await.expect("the generation continues") {
         let now = Instant::now();
         longest = longest.max(last.map_or(Duration::ZERO, |last| now - last));
         last = Some(now);
--- a/components/relay/src/active_stream.rs
+++ b/components/relay/src/active_stream.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use targets::{Piece, Stream, StreamId, TargetError};
-use timer::Alarm;
+use targets::{Stream, StreamId, StreamItem, TargetError};
+use timer::ReusableTimeout;
 use types::{Moment, Target, Tokens};
 
 use crate::{
@@ -33,7 +33,7 @@
     first_token_at: Option<Moment>,
     last_token_at: Moment,
     token_gaps: GapEstimator,
-    alarm: Alarm,
+    timeout_timer: ReusableTimeout,
     retry: RetryState,
     resume_count: u32,
     /// Whether a lost connection ends the stream instead of being replaced.
@@ -75,7 +75,7 @@
             first_token_at: None,
             last_token_at: started_at,
             token_gaps: GapEstimator::new(TOKEN_GAP_BOUNDS),
-            alarm: Alarm::new(),
+            timeout_timer: ReusableTimeout::new(),
             retry: RetryState::default(),
             resume_count: 0,
             resume_disabled: false,
@@ -120,27 +120,27 @@
         self.resume_count
     }
 
-    /// Waits for the next piece and resumes the stream as often as needed. Cancel-safe: dropping
+    /// Waits for the next item and resumes the stream as often as needed. Cancel-safe: dropping
     /// the future loses no token.
     ///
     /// # Errors
     /// Fails when the generation can't be continued.
-    pub async fn next(&mut self) -> Result<Piece, StreamError> {
+    pub async fn next(&mut self) -> Result<StreamItem, StreamError> {
         loop {
             let timeout = self.idle_timeout();
             let Some(connection) = &mut self.connection else {
                 self.resume().await?;
                 continue;
             };
-            match self.alarm.within(timeout, connection.next()).await {
-                Some(Ok(Piece::Tokens { first, data, .. })) => {
-                    if let Some(piece) = self.accept_tokens(first, data) {
-                        return Ok(piece);
+            match self.timeout_timer.within(timeout, connection.next()).await {
+                Some(Ok(StreamItem::Tokens { first, data, .. })) => {
+                    if let Some(item) = self.accept_tokens(first, data) {
+                        return Ok(item);
                     }
                 }
-                Some(Ok(Piece::End)) => {
+                Some(Ok(StreamItem::End)) => {
                     self.cancel_on_drop = false;
-                    return Ok(Piece::End);
+                    return Ok(StreamItem::End);
                 }
                 Some(Err(TargetError::Gone)) => return Err(self.fail(StreamError::Gone)),
                 Some(Err(_)) => self.connection = None,
@@ -172,16 +172,16 @@
         self.resume_disabled = true;
     }
 
-    /// Writes all pieces to a sink until the generation ends, fails or the sink is closed.
+    /// Writes all items to a sink until the generation ends, fails or the sink is closed.
     pub async fn forward_to(&mut self, sink: &mut dyn TokenSink) -> StreamEnd {
         loop {
             match self.next().await {
-                Ok(Piece::Tokens { first, data, .. }) => {
+                Ok(StreamItem::Tokens { first, data, .. }) => {
                     if sink.write_tokens(first, data).await.is_err() {
                         return StreamEnd::Closed;
                     }
                 }
-                Ok(Piece::End) => return StreamEnd::Finished,
+                Ok(StreamItem::End) => return StreamEnd::Finished,
                 Err(error) => return StreamEnd::Failed(error),
             }
         }
@@ -204,7 +204,7 @@
         cancel(&self.relay, &self.target, &self.id).await
     }
 
-    /// Returns how long to wait for the next piece before the connection is replaced.
+    /// Returns how long to wait for the next item before the connection is replaced.
     fn idle_timeout(&self) -> Duration {
         let timeout = if self.next_offset == 0 {
             self.relay.first_token.timeout(&self.target.service)
@@ -216,7 +216,7 @@
 
     /// Accepts tokens from the connection. Repeated tokens are dropped; a skipped token makes the
     /// connection unusable.
-    fn accept_tokens(&mut self, first: Tokens, mut data: Vec<Bytes>) -> Option<Piece> {
+    fn accept_tokens(&mut self, first: Tokens, mut data: Vec<Bytes>) -> Option<StreamItem> {
         if first > self.next_offset {
             // Passing these on would lose tokens in between, which the engine still has.
             self.connection = None;
@@ -237,7 +237,7 @@
         );
         self.next_offset += count;
         self.record_tokens();
-        Some(Piece::Tokens { first, count, data })
+        Some(StreamItem::Tokens { first, count, data })
     }
 
     fn record_tokens(&mut self) {
@@ -333,7 +333,7 @@
     let mut delay = INITIAL_BACKOFF;
     for _ in 0..CANCEL_ATTEMPTS {
         match relay.engine.cancel(target, id).await {
-            Ok(()) | Err(TargetError::Gone | TargetError::Wrong { .. }) => return true,
+            Ok(()) | Err(TargetError::Gone | TargetError::ClientError { .. }) => return true,
             Err(_) => relay.timer.sleep(delay).await,
         }
         delay *= 2;
--- a/components/relay/tests/scripted_engine/mod.rs
+++ b/components/relay/tests/scripted_engine/mod.rs
@@ -5,7 +5,9 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use parking_lot::Mutex;
-use targets::{Engine, EngineCall, Order, Piece, Report, Stream, StreamId, TargetError};
+use targets::{
+    Command, Engine, EngineCall, Stream, StreamId, StreamItem, TargetError, TargetReport,
+};
 use types::{ServingState, Target, Tokens};
 
 /// One step of a connection.
@@ -100,15 +102,15 @@
         Arc::clone(&self.id)
     }
 
-    async fn next(&mut self) -> Result<Piece, TargetError> {
+    async fn next(&mut self) -> Result<StreamItem, TargetError> {
         self.steps.retain(|step| !matches!(step, Step::OtherStream));
         match self.steps.pop_front() {
-            Some(Step::Tokens(first, count)) => Ok(Piece::Tokens {
+            Some(Step::Tokens(first, count)) => Ok(StreamItem::Tokens {
                 first,
                 count,
                 data: (first..first + count).map(token).collect(),
             }),
-            Some(Step::End) => Ok(Piece::End),
+            Some(Step::End) => Ok(StreamItem::End),
             Some(Step::Silent) => std::future::pending().await,
             Some(Step::Break | Step::OtherStream) | None => Err(TargetError::Lost {
                 reason: "cut".into(),
@@ -138,11 +140,11 @@
         Ok(())
     }
 
-    async fn report(&self, _: &Target) -> Result<Report, TargetError> {
-        Ok(Report::default())
+    async fn report(&self, _: &Target) -> Result<TargetReport, TargetError> {
+        Ok(TargetReport::default())
     }
 
-    async fn order(&self, _: &Target, _: &Order) -> Result<(), TargetError> {
+    async fn send_command(&self, _: &Target, _: &Command) -> Result<(), TargetError> {
         Ok(())
     }
 }
--- a/components/stores/src/api.rs
+++ b/components/stores/src/api.rs
@@ -36,7 +36,7 @@
     },
     /// The platform's answer makes no sense.
     #[display("the platform's answer is not understood: {reason}")]
-    Garbled {
+    Malformed {
         /// Why.
         #[error(not(source))]
         reason: Arc<str>,
--- a/components/stores/src/dynamo.rs
+++ b/components/stores/src/dynamo.rs
@@ -72,7 +72,7 @@
         if !answer.status.is_success() {
             return Err(dynamo_form::read_refusal(answer.status, &answer.body));
         }
-        serde_json::from_slice(&answer.body).map_err(|e| PlatformError::Garbled {
+        serde_json::from_slice(&answer.body).map_err(|e| PlatformError::Malformed {
             reason: e.to_string().into(),
         })
     }
@@ -85,7 +85,7 @@
         return Ok(());
     }
     let reason = format!("row {} comes after {last}", row.key).into();
-    Err(PlatformError::Garbled { reason })
+    Err(PlatformError::Malformed { reason })
 }
 
 #[async_trait]
--- a/components/stores/src/dynamo_form.rs
+++ b/components/stores/src/dynamo_form.rs
@@ -231,7 +231,7 @@
             body: item.body.as_ref()?.read_text()?,
         })
     };
-    read().ok_or_else(|| PlatformError::Garbled {
+    read().ok_or_else(|| PlatformError::Malformed {
         reason: "a row without its attributes".into(),
     })
 }
--- a/components/stores/src/http.rs
+++ b/components/stores/src/http.rs
@@ -135,7 +135,7 @@
                 // The connection may be one that something on the way has lost track of; others
                 // opened at that time may be too. Without this, each later call could pick one
                 // of them and wait its full time.
-                self.client.forget(self.addr);
+                self.client.close_connections(self.addr);
                 let reason = format!("no answer from {} within {within:?}", self.addr).into();
                 Err(CallError::Lost { reason })
             }
--- a/components/stores/src/lib.rs
+++ b/components/stores/src/lib.rs
@@ -14,6 +14,6 @@
 pub use api::{Directory, Objects, PlatformError, Row, RowKey, Table, Write};
 pub use dynamo::DynamoTable;
 pub use memory::MemoryTable;
-pub use paced::{Budget, PacedTable};
+pub use paced::{CallBudget, PacedTable};
 pub use s3::S3Objects;
 pub use slices::SliceDirectory;
--- a/components/stores/src/memory.rs
+++ b/components/stores/src/memory.rs
@@ -22,10 +22,11 @@
     AnswerLost,
     /// It is lost on the way, and so is its answer.
     CommitLost,
-    /// Its answer is lost, and it takes effect only at `land`, if its conditions hold then.
+    /// Its answer is lost; it takes effect only at
+    /// [`MemoryTable::apply_late_commits`], if its conditions hold then.
     Late,
     /// The service refuses it because it is busy.
-    Refused,
+    Throttled,
 }
 
 /// A table in memory.
@@ -74,7 +75,7 @@
     }
 
     /// Lets all late commits take effect whose conditions hold; tells how many did.
-    pub fn land(&self) -> usize {
+    pub fn apply_late_commits(&self) -> usize {
         let mut state = self.state.lock();
         let late = std::mem::take(&mut state.late);
         late.into_iter()
@@ -201,7 +202,7 @@
                 state.late.push_back(writes.to_vec());
                 Err(lost())
             }
-            Fault::Refused => Err(PlatformError::Busy {
+            Fault::Throttled => Err(PlatformError::Busy {
                 reason: "throttled".into(),
             }),
         }
--- a/components/stores/src/paced.rs
+++ b/components/stores/src/paced.rs
@@ -27,14 +27,14 @@
 
 /// What one instance may ask of the table service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub struct CallBudget {
     /// Reads and lists a second.
     pub reads: f64,
     /// Rows written a second.
     pub writes: f64,
 }
 
-impl Default for Budget {
+impl Default for CallBudget {
     /// An eighth of what the service bears, so that eight instances can't overrun it.
     fn default() -> Self {
         Self {
@@ -102,7 +102,7 @@
 impl PacedTable {
     /// Spares the service behind `inner`.
     #[must_use]
-    pub fn new(inner: Arc<dyn Table>, budget: Budget, timer: Timer) -> Self {
+    pub fn new(inner: Arc<dyn Table>, budget: CallBudget, timer: Timer) -> Self {
         let shared = Shared {
             inner,
             timer,
@@ -161,7 +161,7 @@
             | Err(
                 PlatformError::Busy { .. }
                 | PlatformError::Conflict
-                | PlatformError::Garbled { .. },
+                | PlatformError::Malformed { .. },
             ) => {
                 self.health.lock().failures = 0;
             }
--- a/components/stores/src/slices.rs
+++ b/components/stores/src/slices.rs
@@ -75,7 +75,7 @@
             }
             if empty || slices.len() > SLICES_LIMIT {
                 let reason = "the list does not come to an end".into();
-                return Err(PlatformError::Garbled { reason });
+                return Err(PlatformError::Malformed { reason });
             }
         }
     }
--- a/components/stores/src/slices_form.rs
+++ b/components/stores/src/slices_form.rs
@@ -48,7 +48,7 @@
     /// # Errors
     /// Tells that it is not a list of slices.
     pub fn read(body: &[u8]) -> Result<Self, PlatformError> {
-        serde_json::from_slice(body).map_err(|e| PlatformError::Garbled {
+        serde_json::from_slice(body).map_err(|e| PlatformError::Malformed {
             reason: e.to_string().into(),
         })
     }
--- a/components/stores/tests/fence.rs
+++ b/components/stores/tests/fence.rs
@@ -11,7 +11,7 @@
         1 => Just(Fault::AnswerLost),
         1 => Just(Fault::CommitLost),
         1 => Just(Fault::Late),
-        1 => Just(Fault::Refused),
+        1 => Just(Fault::Throttled),
     ]
 }
 
@@ -29,7 +29,7 @@
                     let mut numbers = Vec::new();
                     for _ in 0..10 {
                         numbers.extend(fence::next(&*table, "engine-1").await.ok());
-                        table.land();
+                        table.apply_late_commits();
                     }
                     numbers
                 })
--- a/components/stores/tests/paced.rs
+++ b/components/stores/tests/paced.rs
@@ -2,7 +2,9 @@
 
 use std::{sync::Arc, time::Duration};
 
-use stores::{Budget, MemoryTable, PacedTable, PlatformError, RowKey, Table, Write, memory::Fault};
+use stores::{
+    CallBudget, MemoryTable, PacedTable, PlatformError, RowKey, Table, Write, memory::Fault,
+};
 use timer::Timer;
 
 fn insert(sort: &str) -> Write {
@@ -30,7 +32,7 @@
 fn a_table_that_is_down_is_left_alone_until_it_answers() {
     smol::block_on(async {
         let memory = Arc::new(MemoryTable::new());
-        let table = PacedTable::new(memory.clone(), Budget::default(), Timer::new());
+        let table = PacedTable::new(memory.clone(), CallBudget::default(), Timer::new());
         memory.set_down(true);
         for sort in ["a", "b", "c"] {
             assert!(table.commit(&[insert(sort)]).await.is_err());
@@ -57,7 +59,7 @@
 fn a_success_in_between_keeps_the_table_up() {
     smol::block_on(async {
         let memory = Arc::new(MemoryTable::new());
-        let table = PacedTable::new(memory.clone(), Budget::default(), Timer::new());
+        let table = PacedTable::new(memory.clone(), CallBudget::default(), Timer::new());
         for round in 0..5 {
             memory.set_down(true);
             for _ in 0..2 {
@@ -76,8 +78,8 @@
 fn a_busy_table_is_not_taken_for_one_that_is_down() {
     smol::block_on(async {
         let memory = Arc::new(MemoryTable::new());
-        let table = PacedTable::new(memory.clone(), Budget::default(), Timer::new());
-        memory.add_faults([Fault::Refused; 10]);
+        let table = PacedTable::new(memory.clone(), CallBudget::default(), Timer::new());
+        memory.add_faults([Fault::Throttled; 10]);
         for _ in 0..10 {
             let busy = table.commit(&[insert("a")]).await;
             assert!(matches!(busy, Err(PlatformError::Busy { .. })), "{busy:?}");
@@ -92,7 +94,7 @@
 fn a_budget_bounds_what_reaches_the_table() {
     smol::block_on(async {
         let memory = Arc::new(MemoryTable::new());
-        let budget = Budget {
+        let budget = CallBudget {
             reads: 10.0,
             writes: 0.001,
         };
--- a/components/stores/tests/table.rs
+++ b/components/stores/tests/table.rs
@@ -260,13 +260,13 @@
             if !body.contains("Items") {
                 let read = table.read(&key).await;
                 assert!(
-                    matches!(read, Err(PlatformError::Garbled { .. })),
+                    matches!(read, Err(PlatformError::Malformed { .. })),
                     "{body}: {read:?}"
                 );
             } else {
                 let list = table.list("p", "", 5).await;
                 assert!(
-                    matches!(list, Err(PlatformError::Garbled { .. })),
+                    matches!(list, Err(PlatformError::Malformed { .. })),
                     "{body}: {list:?}"
                 );
             }
--- a/components/targets/src/answer.rs
+++ b/components/targets/src/answer.rs
@@ -66,13 +66,13 @@
 /// that lost the answer, and taking it for a proof would run a call twice.
 pub fn refused(status: StatusCode, body: Bytes, retry_after: Option<Duration>) -> TargetError {
     if turned(status, &body, retry_after) {
-        return TargetError::Turned {
+        return TargetError::Rejected {
             reason: format!("status {status}").into(),
             retry_after,
         };
     }
     if status.is_client_error() {
-        return TargetError::Wrong {
+        return TargetError::ClientError {
             status: status.as_u16(),
             body,
         };
@@ -101,7 +101,7 @@
 /// For requests about a stream: not found means that the engine does not know it any more.
 pub fn gone(error: TargetError) -> TargetError {
     match error {
-        TargetError::Wrong {
+        TargetError::ClientError {
             status: 404 | 410, ..
         } => TargetError::Gone,
         other => other,
--- a/components/targets/src/api.rs
+++ b/components/targets/src/api.rs
@@ -22,7 +22,7 @@
     },
     /// The target says that it did not run it, because it has too much or is leaving.
     #[display("the target did not take it: {reason}")]
-    Turned {
+    Rejected {
         /// Why.
         #[error(not(source))]
         reason: Arc<str>,
@@ -31,7 +31,7 @@
     },
     /// The target finds the request wrong; the caller gets this answer.
     #[display("the target answered {status}")]
-    Wrong {
+    ClientError {
         /// HTTP status.
         status: u16,
         /// Body of the answer.
@@ -61,9 +61,9 @@
     pub request: Arc<str>,
 }
 
-/// A piece of a stream: one server-sent event.
+/// An item of a stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Piece {
+pub enum StreamItem {
     /// Events that carry tokens, whole and in order, as the engine wrote them.
     Tokens {
         /// Offset of the first token in it; 0 is the stream's first.
@@ -84,12 +84,12 @@
     fn id(&self) -> StreamId;
 
     /// Waits for the next piece.
-    async fn next(&mut self) -> Result<Piece, TargetError>;
+    async fn next(&mut self) -> Result<StreamItem, TargetError>;
 }
 
-/// What an order asks an engine to do.
+/// What a command asks an engine to do.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum OrderKind {
+pub enum CommandKind {
     /// Load a model version.
     Load(Arc<str>),
     /// Load an adapter.
@@ -98,11 +98,11 @@
     Role(Arc<str>),
 }
 
-/// An order to an engine.
+/// A command to an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Order {
+pub struct Command {
     /// What to do.
-    pub kind: OrderKind,
+    pub kind: CommandKind,
     /// Fencing number; some engines refuse an older one.
     pub fence: u64,
 }
@@ -129,15 +129,15 @@
     async fn cancel(&self, target: &Target, stream: &StreamId) -> Result<(), TargetError>;
 
     /// Reads the load report.
-    async fn report(&self, target: &Target) -> Result<Report, TargetError>;
+    async fn report(&self, target: &Target) -> Result<TargetReport, TargetError>;
 
-    /// Gives an order.
-    async fn order(&self, target: &Target, order: &Order) -> Result<(), TargetError>;
+    /// Sends a command to an engine.
+    async fn send_command(&self, target: &Target, command: &Command) -> Result<(), TargetError>;
 }
 
 /// A target's load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Report {
+pub struct TargetReport {
     /// Which life of the target.
     pub incarnation: u64,
     /// How old the report is, as the target says.
@@ -184,7 +184,7 @@
 
 /// The client of plain services.
 #[async_trait]
-pub trait Plain: Send + Sync {
+pub trait PlainService: Send + Sync {
     /// Makes a call and waits for the whole answer, at most `patience`.
     async fn call(
         &self,
@@ -194,5 +194,5 @@
     ) -> Result<PlainAnswer, TargetError>;
 
     /// Reads the load report.
-    async fn report(&self, target: &Target) -> Result<Report, TargetError>;
+    async fn report(&self, target: &Target) -> Result<TargetReport, TargetError>;
 }
--- a/components/targets/src/lib.rs
+++ b/components/targets/src/lib.rs
@@ -9,8 +9,8 @@
 mod stream;
 
 pub use api::{
-    Engine, EngineCall, Order, OrderKind, Piece, Plain, PlainAnswer, PlainCall, Report, Stream,
-    StreamId, TargetError,
+    Command, CommandKind, Engine, EngineCall, PlainAnswer, PlainCall, PlainService, Stream,
+    StreamId, StreamItem, TargetError, TargetReport,
 };
 pub use openai::OpenAiEngine;
-pub use plain::HttpPlain;
+pub use plain::HttpPlainService;
--- a/components/targets/src/openai.rs
+++ b/components/targets/src/openai.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     answer::{self, ANSWER_PATIENCE},
-    api::{Engine, EngineCall, Order, OrderKind, Report, Stream, StreamId, TargetError},
+    api::{Command, CommandKind, Engine, EngineCall, Stream, StreamId, TargetError, TargetReport},
     report,
     stream::EngineStream,
 };
@@ -92,7 +92,7 @@
         at: Tokens,
     ) -> Result<Box<dyn Stream>, TargetError> {
         // Whatever made the old connection useless may have done so to the idle ones as well.
-        self.client.forget(target.addr);
+        self.client.close_connections(target.addr);
         let mut req = request(Method::GET, &stream_path(stream), Bytes::new())?;
         if let Some(last) = at.checked_sub(1) {
             req = with_header(req, LAST_EVENT_ID, &last.to_string())?;
@@ -113,19 +113,19 @@
         answer::check_done(status, body).map_err(answer::gone)
     }
 
-    async fn report(&self, target: &Target) -> Result<Report, TargetError> {
+    async fn report(&self, target: &Target) -> Result<TargetReport, TargetError> {
         let req = request(Method::GET, report::PATH, Bytes::new())?;
         let (status, body) = self.ask(target, req).await?;
         report::decode(status, &body)
     }
 
-    async fn order(&self, target: &Target, order: &Order) -> Result<(), TargetError> {
-        let (kind, name) = match &order.kind {
-            OrderKind::Load(name) => ("load", name),
-            OrderKind::Adapter(name) => ("adapter", name),
-            OrderKind::Role(name) => ("role", name),
+    async fn send_command(&self, target: &Target, command: &Command) -> Result<(), TargetError> {
+        let (kind, name) = match &command.kind {
+            CommandKind::Load(name) => ("load", name),
+            CommandKind::Adapter(name) => ("adapter", name),
+            CommandKind::Role(name) => ("role", name),
         };
-        let body = json!({ "kind": kind, "name": name, "fence": order.fence }).to_string();
+        let body = json!({ "kind": kind, "name": name, "fence": command.fence }).to_string();
         let req = request(Method::POST, "/v1/orders", body.into())?;
         let (status, body) = self.ask(target, req).await?;
         answer::check_done(status, body)
--- a/components/targets/src/plain.rs
+++ b/components/targets/src/plain.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     answer::{self, ANSWER_PATIENCE},
-    api::{Plain, PlainAnswer, PlainCall, Report, TargetError},
+    api::{PlainAnswer, PlainCall, PlainService, TargetError, TargetReport},
     openai::REQUEST_ID,
     report,
 };
@@ -25,13 +25,13 @@
 
 /// The client of plain services.
 #[derive(Clone)]
-pub struct HttpPlain {
+pub struct HttpPlainService {
     client: Client,
     timer: Timer,
     answers: Budget,
 }
 
-impl HttpPlain {
+impl HttpPlainService {
     /// Makes a client that calls over `client`.
     #[must_use]
     pub fn new(client: Client, timer: Timer) -> Self {
@@ -66,7 +66,7 @@
 }
 
 #[async_trait]
-impl Plain for HttpPlain {
+impl PlainService for HttpPlainService {
     async fn call(
         &self,
         target: &Target,
@@ -79,7 +79,7 @@
             .unwrap_or_else(|| Err(answer::lost(format!("no answer within {patience:?}"))))
     }
 
-    async fn report(&self, target: &Target) -> Result<Report, TargetError> {
+    async fn report(&self, target: &Target) -> Result<TargetReport, TargetError> {
         let req = Request::get(report::PATH)
             .body(Full::new(Bytes::new()))
             .map_err(|e| answer::unsent(e.to_string()))?;
@@ -125,7 +125,7 @@
         .await
         .map_err(|e| answer::lost(e.to_string()))?;
     if answer::turned(status, &body, retry_after) {
-        return Err(TargetError::Turned {
+        return Err(TargetError::Rejected {
             reason: format!("status {status}").into(),
             retry_after,
         });
--- a/components/targets/src/report.rs
+++ b/components/targets/src/report.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     answer,
-    api::{Report, TargetError},
+    api::{TargetError, TargetReport},
 };
 
 /// Where targets publish their load.
@@ -31,13 +31,13 @@
 ///
 /// # Errors
 /// Fails on an answer that is none.
-pub fn decode(status: StatusCode, body: &[u8]) -> Result<Report, TargetError> {
+pub fn decode(status: StatusCode, body: &[u8]) -> Result<TargetReport, TargetError> {
     if status != StatusCode::OK {
         return Err(answer::lost(format!("no load report: status {status}")));
     }
     let written: Written =
         serde_json::from_slice(body).map_err(|e| answer::lost(format!("no load report: {e}")))?;
-    Ok(Report {
+    Ok(TargetReport {
         incarnation: written.incarnation,
         age: Duration::from_millis(written.age_ms),
         running: written.running,
--- a/components/targets/src/stream.rs
+++ b/components/targets/src/stream.rs
@@ -11,21 +11,21 @@
 
 use crate::{
     answer,
-    api::{Piece, Stream, StreamId, TargetError},
+    api::{Stream, StreamId, StreamItem, TargetError},
     sse::{Event, Splitter},
 };
 
 /// The data of the last event.
 const DONE: &[u8] = b"[DONE]";
 
-/// Reads pieces off one connection. Offsets are told as the engine wrote them: the relay finds
+/// Reads items off one connection. Offsets are told as the engine wrote them: the relay finds
 /// repeats and gaps.
 pub struct EngineStream {
     id: StreamId,
     body: Incoming,
     splitter: Splitter,
     events: Vec<Event>,
-    pieces: VecDeque<Piece>,
+    items: VecDeque<StreamItem>,
     next: Tokens,
     ended: bool,
 }
@@ -38,7 +38,7 @@
             body,
             splitter: Splitter::new(),
             events: Vec::new(),
-            pieces: VecDeque::new(),
+            items: VecDeque::new(),
             next: at,
             ended: false,
         }
@@ -64,7 +64,7 @@
         let _ = future::poll_once(self.body.frame()).await;
     }
 
-    /// Turns events into pieces: one for each run of consecutive offsets.
+    /// Turns events into items: one for each run of consecutive offsets.
     fn gather(&mut self) {
         let mut run: Option<(Tokens, Vec<Bytes>)> = None;
         for event in self.events.drain(..) {
@@ -76,21 +76,21 @@
             match &mut run {
                 Some((_, data)) if offset == self.next => data.push(event.data),
                 _ => {
-                    self.pieces.extend(run.take().map(tokens));
+                    self.items.extend(run.take().map(tokens));
                     run = Some((offset, vec![event.data]));
                 }
             }
             self.next = offset.saturating_add(1);
         }
-        self.pieces.extend(run.map(tokens));
+        self.items.extend(run.map(tokens));
         if self.ended {
-            self.pieces.push_back(Piece::End);
+            self.items.push_back(StreamItem::End);
         }
     }
 }
 
-fn tokens((first, data): (Tokens, Vec<Bytes>)) -> Piece {
-    Piece::Tokens {
+fn tokens((first, data): (Tokens, Vec<Bytes>)) -> StreamItem {
+    StreamItem::Tokens {
         first,
         count: data.len() as Tokens,
         data,
@@ -103,16 +103,16 @@
         StreamId::clone(&self.id)
     }
 
-    async fn next(&mut self) -> Result<Piece, TargetError> {
+    async fn next(&mut self) -> Result<StreamItem, TargetError> {
         loop {
-            if let Some(piece) = self.pieces.pop_front() {
-                if piece == Piece::End {
+            if let Some(item) = self.items.pop_front() {
+                if item == StreamItem::End {
                     self.finish().await;
                 }
-                return Ok(piece);
+                return Ok(item);
             }
             if self.ended {
-                return Ok(Piece::End);
+                return Ok(StreamItem::End);
             }
             let chunk = self.chunk().await?;
             self.splitter
--- a/components/targets/tests/engine.rs
+++ b/components/targets/tests/engine.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use net::Client;
-use targets::{Engine, EngineCall, OpenAiEngine, Order, OrderKind, Piece, TargetError};
+use targets::{Command, CommandKind, Engine, EngineCall, OpenAiEngine, StreamItem, TargetError};
 use timer::Timer;
 use types::Target;
 use wire::{Turn, Wire};
@@ -44,13 +44,13 @@
     let mut resumes = 0;
     loop {
         match stream.next().await {
-            Ok(Piece::Tokens {
+            Ok(StreamItem::Tokens {
                 first, data: more, ..
             }) => {
                 assert_eq!(first, data.len() as u64, "tokens came out of order");
                 data.extend(more);
             }
-            Ok(Piece::End) => return Ok((data, resumes)),
+            Ok(StreamItem::End) => return Ok((data, resumes)),
             Err(TargetError::Lost { .. }) => {
                 resumes += 1;
                 let id = stream.id();
@@ -144,11 +144,11 @@
     // A full engine turns a request away. The caller's request may go elsewhere at once.
     let by_header = refusal("503 Busy", "retry-after: 3\r\n", "");
     assert!(
-        matches!(by_header, TargetError::Turned { retry_after: Some(after), .. }
+        matches!(by_header, TargetError::Rejected { retry_after: Some(after), .. }
         if after.as_secs() == 3)
     );
     let by_problem = refusal("503 Busy", "", r#"{"run":"not-run"}"#);
-    assert!(matches!(by_problem, TargetError::Turned { .. }));
+    assert!(matches!(by_problem, TargetError::Rejected { .. }));
 }
 
 #[test]
@@ -165,7 +165,7 @@
 fn a_wrong_request_is_told_with_its_body() {
     let error = refusal("422 Wrong", "", "no such adapter");
     let body = Bytes::from_static(b"no such adapter");
-    assert_eq!(error, TargetError::Wrong { status: 422, body });
+    assert_eq!(error, TargetError::ClientError { status: 422, body });
 }
 
 #[test]
@@ -223,14 +223,14 @@
 }
 
 #[test]
-fn an_order_carries_its_fencing_number() {
+fn a_command_carries_its_fencing_number() {
     let sent = smol::block_on(async {
         let wire = Wire::start(vec![Turn::answer(answered("200 OK", "", ""))]).await;
-        let order = Order {
-            kind: OrderKind::Load("v2".into()),
+        let command = Command {
+            kind: CommandKind::Load("v2".into()),
             fence: 41,
         };
-        let result = engine().order(&wire.target(), &order).await;
+        let result = engine().send_command(&wire.target(), &command).await;
         assert_eq!(result, Ok(()));
         assert_eq!(wire.left(), 0);
         wire.requests().remove(0)
--- a/components/timer/src/pause.rs
+++ b/components/timer/src/pause.rs
@@ -9,12 +9,12 @@
 /// out too. One sees it as a jump of the clock between two ticks; so whoever acts on what it
 /// knows asks here first.
 #[derive(Clone, Copy, Debug)]
-pub struct Pauses {
+pub struct PauseDetector {
     last: Duration,
     limit: Duration,
 }
 
-impl Pauses {
+impl PauseDetector {
     /// Starts at `now`; a gap longer than `limit` counts as a pause.
     #[must_use]
     pub const fn new(now: Duration, limit: Duration) -> Self {
--- a/components/timer/src/alarm.rs
+++ b/components/timer/src/reusable_timeout.rs
@@ -15,7 +15,7 @@
 /// waits for every token. So the timer is left as it is from wait to wait, and only when it goes
 /// off is it looked at how long the present wait has lasted, and set again for the rest.
 #[derive(Debug, Default)]
-pub struct Alarm {
+pub struct ReusableTimeout {
     set: Option<Set>,
 }
 
@@ -25,7 +25,7 @@
     due: Instant,
 }
 
-impl Alarm {
+impl ReusableTimeout {
     /// Makes it.
     #[must_use]
     pub const fn new() -> Self {
