--- a/components/members/src/exclusive.rs
+++ b/components/members/src/exclusive.rs
@@ -26,15 +26,10 @@
 #[must_use]
 pub fn is_follower(peer: Option<&Peer>, shard: &Shard, epoch: Epoch, now: Moment) -> bool {
     let statement = peer.and_then(|p| p.follows.get(shard));
-    statement.is_some_and(
-        |FollowStatement {
-             epoch: stated,
-             echo,
-         }| {
-            // An echo later than the present time answers a previous incarnation of this process.
-            *stated == epoch && *echo <= now && now - *echo < FOLLOW_TIMEOUT
-        },
-    )
+    statement.is_some_and(|FollowStatement { epoch: term, echo }| {
+        // An echo later than the present time answers a previous incarnation of this process.
+        *term == epoch && *echo <= now && now - *echo < FOLLOW_TIMEOUT
+    })
 }
 
 /// The number of instances that follow an owner.
--- a/components/members/src/membership.rs
+++ b/components/members/src/membership.rs
@@ -230,6 +230,7 @@
         }
     }
 
+    /// Ends this instance's ownership of a shard, and reports it.
     fn release(&mut self, shard: &Shard, out: &mut Vec<Change>) {
         self.terms.remove(shard);
         self.followed_owners.release(shard);
@@ -241,6 +242,7 @@
         });
     }
 
+    /// Stops following an owner that became unresponsive or restarted, and reports its shards.
     fn remove_owner(&mut self, now: Moment, owner: &InstanceId, out: &mut Vec<Change>) {
         for (shard, epoch) in self.followed_owners.remove_owner(owner) {
             self.owner_changed_at.insert(shard.clone(), now);
--- a/components/members/src/ownership.rs
+++ b/components/members/src/ownership.rs
@@ -38,6 +38,8 @@
         }
     }
 
+    /// Whether this instance may take over an assigned shard now: it does not own the shard yet,
+    /// and the present owner is lost, is shutting down or has owned the shard for the cooldown.
     fn should_acquire(&self, now: Moment, shard: &Shard) -> bool {
         if self.terms.contains_key(shard) {
             return false;
@@ -47,13 +49,14 @@
             .owner(shard)
             .and_then(|id| self.peers.get(id));
         let lost = owner.is_none_or(|p| !p.is_alive(now) || p.draining);
-        let settled = self
+        let cooled_down = self
             .owner_changed_at
             .get(shard)
             .is_none_or(|at| now.saturating_sub(*at) >= OWNER_CHANGE_COOLDOWN);
-        lost || settled
+        lost || cooled_down
     }
 
+    /// Makes this instance the owner of a shard in a new term.
     fn start_term(&mut self, now: Moment, shard: Shard, out: &mut Vec<Change>) {
         let epoch = next_epoch(
             self.followed_owners.epoch(&shard),
--- a/components/members/tests/ownership.rs
+++ b/components/members/tests/ownership.rs
@@ -81,13 +81,13 @@
         for _ in 0..steps {
             self.step += 1;
             for n in 0..self.instances.len() {
-                self.step_one(n);
+                self.step_instance(n);
             }
-            self.check();
+            self.assert_at_most_one_exclusive();
         }
     }
 
-    fn step_one(&mut self, n: usize) {
+    fn step_instance(&mut self, n: usize) {
         let (now, step) = (self.now(), self.step);
         if self.instances[n].paused_until > step {
             return;
@@ -200,7 +200,7 @@
         }
     }
 
-    fn check(&mut self) {
+    fn assert_at_most_one_exclusive(&mut self) {
         // A paused instance may still be marked exclusive, but it can't act on it: its first step
         // after the pause detects the gap.
         let is_active = |i: &&Instance| i.paused_until <= self.step && i.exclusive;
@@ -218,7 +218,7 @@
         self.exclusive_seen |= !exclusive.is_empty();
     }
 
-    fn owners(&self) -> usize {
+    fn owner_count(&self) -> usize {
         self.instances.iter().filter(|i| i.owns.is_some()).count()
     }
 }
@@ -234,7 +234,7 @@
 
 /// A step of a random scenario.
 #[derive(Clone, Debug)]
-enum Fault {
+enum Action {
     Cut(usize, usize),
     CutBothWays(usize, usize),
     /// The instances below an index are cut off from the others, in both directions.
@@ -245,28 +245,28 @@
     Run(u64),
 }
 
-fn fault(size: usize) -> impl Strategy<Value = Fault> {
+fn action(size: usize) -> impl Strategy<Value = Action> {
     prop_oneof![
-        (0..size, 0..size).prop_map(|(a, b)| Fault::Cut(a, b)),
-        (0..size, 0..size).prop_map(|(a, b)| Fault::CutBothWays(a, b)),
-        (1..size).prop_map(Fault::Split),
-        Just(Fault::Heal),
-        (0..size, 5_u64..120).prop_map(|(n, steps)| Fault::Pause(n, steps)),
-        (1_u64..80).prop_map(Fault::Run),
+        (0..size, 0..size).prop_map(|(a, b)| Action::Cut(a, b)),
+        (0..size, 0..size).prop_map(|(a, b)| Action::CutBothWays(a, b)),
+        (1..size).prop_map(Action::Split),
+        Just(Action::Heal),
+        (0..size, 5_u64..120).prop_map(|(n, steps)| Action::Pause(n, steps)),
+        (1_u64..80).prop_map(Action::Run),
     ]
 }
 
-fn apply(group: &mut Group, fault: &Fault) {
+fn apply(group: &mut Group, action: &Action) {
     let size = group.instances.len();
-    match *fault {
-        Fault::Cut(a, b) => {
+    match *action {
+        Action::Cut(a, b) => {
             group.cut.insert((a, b));
         }
-        Fault::CutBothWays(a, b) => {
+        Action::CutBothWays(a, b) => {
             group.cut.insert((a, b));
             group.cut.insert((b, a));
         }
-        Fault::Split(at) => {
+        Action::Split(at) => {
             for a in 0..at {
                 for b in at..size {
                     group.cut.insert((a, b));
@@ -274,9 +274,9 @@
                 }
             }
         }
-        Fault::Heal => group.cut.clear(),
-        Fault::Pause(n, steps) => group.instances[n].paused_until = group.step + steps,
-        Fault::Run(steps) => group.run(steps),
+        Action::Heal => group.cut.clear(),
+        Action::Pause(n, steps) => group.instances[n].paused_until = group.step + steps,
+        Action::Run(steps) => group.run(steps),
     }
 }
 
@@ -289,25 +289,25 @@
     #[test]
     fn two_instances_are_never_exclusive_owners_at_once(
         size in 3_usize..7,
-        faults in proptest::collection::vec(fault(7), 1..25),
+        actions in proptest::collection::vec(action(7), 1..25),
     ) {
         let mut group = Group::new(size);
         group.run(40);
-        for fault in &faults {
-            let fits = match *fault {
-                Fault::Cut(a, b) | Fault::CutBothWays(a, b) => a < size && b < size,
-                Fault::Split(at) => at < size,
-                Fault::Pause(n, _) => n < size,
-                Fault::Heal | Fault::Run(_) => true,
+        for action in &actions {
+            let is_in_range = match *action {
+                Action::Cut(a, b) | Action::CutBothWays(a, b) => a < size && b < size,
+                Action::Split(at) => at < size,
+                Action::Pause(n, _) => n < size,
+                Action::Heal | Action::Run(_) => true,
             };
-            if fits {
-                apply(&mut group, fault);
+            if is_in_range {
+                apply(&mut group, action);
             }
             group.run(1);
         }
         group.cut.clear();
         group.run(300);
-        prop_assert_eq!(group.owners(), 1);
+        prop_assert_eq!(group.owner_count(), 1);
         prop_assert!(group.instances.iter().any(|i| i.exclusive));
     }
 }
@@ -316,7 +316,7 @@
 fn a_new_group_elects_one_exclusive_owner() {
     let mut group = Group::new(5);
     group.run(60);
-    assert_eq!(group.owners(), 1);
+    assert_eq!(group.owner_count(), 1);
     assert!(group.exclusive_seen);
 }
 
@@ -330,7 +330,7 @@
         .instances
         .iter()
         .position(|i| i.owns.is_some())
-        .expect("an owner");
+        .expect("the group has an owner");
     group.instances[owner].paused_until = group.step + 1_000;
     group.run(40);
     let new_owners = group
--- a/components/node/src/admitted.rs
+++ b/components/node/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission as the gateway sees it.
+//! Implements the gateway's admission of requests on top of the policy.
 
 use std::sync::Arc;
 
@@ -12,61 +12,70 @@
 use types::{Moment, Refusal, Target, Tokens};
 use wire::Outcome;
 
-use crate::core::{Core, Verdict, Waiter};
+use crate::core::{Core, PendingRequest, PermitResult};
 
-/// Lets the gateway ask the decisions.
-pub struct Door {
+/// Admits requests of the gateway by the decisions of the policy.
+pub struct CoreAdmission {
     core: Arc<Core>,
-    ready: Arc<dyn Fn() -> bool + Send + Sync>,
+    accepts_requests: Arc<dyn Fn() -> bool + Send + Sync>,
 }
 
-impl Door {
-    /// Makes it; `ready` tells whether new requests are taken.
+impl CoreAdmission {
+    /// Creates the admission. `accepts_requests` returns whether new requests are accepted.
     #[must_use]
-    pub fn new(core: Arc<Core>, ready: Arc<dyn Fn() -> bool + Send + Sync>) -> Self {
-        Self { core, ready }
+    pub fn new(core: Arc<Core>, accepts_requests: Arc<dyn Fn() -> bool + Send + Sync>) -> Self {
+        Self {
+            core,
+            accepts_requests,
+        }
     }
 }
 
-/// Reports a request as gone if its caller goes away while it waits.
-struct Waits {
+/// Withdraws a request from the policy if its caller disconnects before the decision, which drops
+/// the guard.
+struct WaitGuard {
     core: Arc<Core>,
     id: RequestId,
-    placed: bool,
+    decided: bool,
 }
 
-impl Drop for Waits {
+impl Drop for WaitGuard {
     fn drop(&mut self) {
-        if !self.placed {
+        if !self.decided {
             self.core.unregister(self.id);
-            self.core.decide(Event::CallerLeft { request: self.id });
+            self.core
+                .handle_event(Event::CallerLeft { request: self.id });
         }
     }
 }
 
-async fn wait(core: &Arc<Core>, waiter: Waiter) -> Result<Box<dyn PermitHandle>, Refusal> {
-    let mut waits = Waits {
+/// Waits until the policy has decided about a request.
+async fn wait_for_permit(
+    core: &Arc<Core>,
+    pending: PendingRequest,
+) -> Result<Box<dyn PermitHandle>, Refusal> {
+    let mut guard = WaitGuard {
         core: Arc::clone(core),
-        id: waiter.id,
-        placed: false,
+        id: pending.id,
+        decided: false,
     };
-    let verdict: Verdict = waiter
-        .verdict
+    let result: PermitResult = pending
+        .result
         .recv()
         .await
-        .unwrap_or_else(|_| Err(closing()));
-    waits.placed = true;
-    let used = verdict?;
-    Ok(Box::new(Placed {
+        .unwrap_or_else(|_| Err(shutting_down()));
+    guard.decided = true;
+    let permit = result?;
+    Ok(Box::new(CorePermit {
         core: Arc::clone(core),
-        id: waiter.id,
-        target: used.target,
-        pull_back: waiter.pull_back,
-        ended: false,
+        id: pending.id,
+        target: permit.target,
+        revocation: pending.revocation,
+        finished: false,
     }))
 }
 
-fn closing() -> Refusal {
+fn shutting_down() -> Refusal {
     Refusal::new(
         503,
         "closing",
@@ -75,20 +84,20 @@
     )
 }
 
-/// A request with a permit.
-struct Placed {
+/// The permit of a request, granted by the policy.
+struct CorePermit {
     core: Arc<Core>,
     id: RequestId,
     target: Target,
-    pull_back: Receiver<()>,
-    ended: bool,
+    revocation: Receiver<()>,
+    finished: bool,
 }
 
-impl Placed {
+impl CorePermit {
     fn report_outcome(&mut self, outcome: Outcome) {
-        self.ended = true;
+        self.finished = true;
         self.core.unregister(self.id);
-        self.core.decide(Event::Ended {
+        self.core.handle_event(Event::Ended {
             request: self.id,
             outcome,
             retry: false,
@@ -96,17 +105,17 @@
     }
 }
 
-impl Drop for Placed {
+impl Drop for CorePermit {
     fn drop(&mut self) {
-        if !self.ended {
-            // Nobody knows how far it came, so it may still run.
+        if !self.finished {
+            // How far the work got is unknown, so it counts as failed and may still run.
             self.report_outcome(Outcome::Failed);
         }
     }
 }
 
 #[async_trait]
-impl PermitHandle for Placed {
+impl PermitHandle for CorePermit {
     fn target(&self) -> &Target {
         &self.target
     }
@@ -116,7 +125,7 @@
     }
 
     fn report_progress(&self, produced: Tokens) {
-        self.core.decide(Event::Progress {
+        self.core.handle_event(Event::Progress {
             request: self.id,
             produced,
             answer_started: true,
@@ -124,7 +133,7 @@
     }
 
     fn report_buffered(&self, produced: Tokens) {
-        self.core.decide(Event::Progress {
+        self.core.handle_event(Event::Progress {
             request: self.id,
             produced,
             answer_started: false,
@@ -132,8 +141,8 @@
     }
 
     async fn revoked(&self) {
-        if self.pull_back.recv().await.is_err() {
-            // The request is no longer known to the decisions; nothing is pulled back any more.
+        if self.revocation.recv().await.is_err() {
+            // The policy no longer knows the request, so the permit can't be revoked any more.
             std::future::pending::<()>().await;
         }
     }
@@ -146,25 +155,26 @@
         mut self: Box<Self>,
         outcome: WorkOutcome,
     ) -> Result<Box<dyn PermitHandle>, Refusal> {
-        self.ended = true;
-        let waiter = self.core.register(Some(self.id));
+        self.finished = true;
+        let pending = self.core.register(Some(self.id));
         let event = Event::Ended {
             request: self.id,
             outcome,
             retry: true,
         };
-        self.core.decide(event);
-        wait(&self.core, waiter).await
+        self.core.handle_event(event);
+        wait_for_permit(&self.core, pending).await
     }
 }
 
-/// A stream that began at another instance. The target goes on with it whatever is said here.
-struct Adopted {
+/// Stands in for the permit of a stream that began at another instance. It reports nothing and is
+/// never revoked: the target continues the stream without a permit of this instance.
+struct AdoptedPermit {
     target: Target,
 }
 
 #[async_trait]
-impl PermitHandle for Adopted {
+impl PermitHandle for AdoptedPermit {
     fn target(&self) -> &Target {
         &self.target
     }
@@ -194,16 +204,16 @@
 }
 
 #[async_trait]
-impl Admission for Door {
+impl Admission for CoreAdmission {
     fn now(&self) -> Moment {
         self.core.timer.now()
     }
 
     async fn admit(&self, request: AdmissionRequest) -> Result<Box<dyn PermitHandle>, Refusal> {
-        let waiter = self.core.register(None);
+        let pending = self.core.register(None);
         self.core
-            .decide(Event::Arrived(policy_request(waiter.id, request)));
-        wait(&self.core, waiter).await
+            .handle_event(Event::Arrived(policy_request(pending.id, request)));
+        wait_for_permit(&self.core, pending).await
     }
 
     fn find_target(&self, target: &str) -> Option<Target> {
@@ -221,13 +231,13 @@
         _request: AdmissionRequest,
         _produced: Tokens,
     ) -> Box<dyn PermitHandle> {
-        Box::new(Adopted {
+        Box::new(AdoptedPermit {
             target: target.clone(),
         })
     }
 
     fn is_ready(&self) -> bool {
-        (self.ready)()
+        (self.accepts_requests)()
     }
 }
 
--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -1,4 +1,7 @@
-//! The shared tables: membership and decisions, and what their answers lead to.
+//! The shared state of an instance: membership, policy and quarantine.
+//!
+//! Inputs are passed to membership and policy one at a time, and the resulting changes and actions
+//! are carried out in the order in which they were decided.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -21,49 +24,49 @@
 
 use crate::outbox::Outbox;
 
-/// What a waiting request is told.
-pub type Verdict = Result<DispatchPermit, Refusal>;
+/// The decision about a request that waits for a permit.
+pub type PermitResult = Result<DispatchPermit, Refusal>;
 
-/// A request's ends of the channels to the decisions.
-struct Waiting {
-    verdict: Sender<Verdict>,
-    pull_back: Sender<()>,
+/// The sending ends of the channels to a pending request.
+struct PendingChannels {
+    result: Sender<PermitResult>,
+    revocation: Sender<()>,
 }
 
-/// A request's own ends.
-pub struct Waiter {
-    /// The request's number.
+/// A request that waits for a permit, with the receiving ends of its channels.
+pub struct PendingRequest {
+    /// Id of the request.
     pub id: RequestId,
-    /// Brings the permit or the refusal.
-    pub verdict: Receiver<Verdict>,
-    /// Brings a word when the permit is pulled back.
-    pub pull_back: Receiver<()>,
+    /// Receives the permit or the refusal.
+    pub result: Receiver<PermitResult>,
+    /// Receives a message when the permit is revoked.
+    pub revocation: Receiver<()>,
 }
 
-/// A peer that has another configuration version.
+/// The configuration version of a peer, as its heartbeat reports it.
 pub struct ConfigHint {
     /// The peer.
     pub peer: InstanceId,
-    /// Its version.
+    /// The version that it has in force.
     pub version: u64,
 }
 
-/// The shared tables of one instance.
+/// The shared state of one instance.
 pub struct Core {
-    /// The clock.
+    /// The clock of the process.
     pub timer: Timer,
-    /// Who this instance is.
+    /// Name of this instance.
     pub me: InstanceId,
-    /// Which life of it this is.
+    /// Incarnation of this instance.
     pub incarnation: Incarnation,
     members: Mutex<Membership>,
     policy: Mutex<Box<dyn Policy>>,
-    waiting: Mutex<HashMap<RequestId, Waiting>>,
+    pending: Mutex<HashMap<RequestId, PendingChannels>>,
     pauses: Mutex<PauseDetector>,
     view: Mutex<Arc<View>>,
-    /// Requests that crash targets; held alone.
+    /// Requests that crash targets. This lock is never held together with another one.
     pub(crate) quarantine: Mutex<QuarantineState>,
-    /// Shards whose ownership was logged.
+    /// Shards for which the start of the ownership was logged.
     owned: Mutex<BTreeSet<Shard>>,
     outbox: Outbox,
     config_hints: Sender<ConfigHint>,
@@ -71,7 +74,7 @@
 }
 
 impl Core {
-    /// Puts the tables together. Peers' configuration versions go to `config_hints`.
+    /// Creates the state. Configuration versions of peers are sent to `config_hints`.
     #[must_use]
     pub fn new(
         timer: Timer,
@@ -87,7 +90,7 @@
             incarnation: me.incarnation,
             members: Mutex::new(Membership::new(now, me.clone())),
             policy: Mutex::new(policy),
-            waiting: Mutex::default(),
+            pending: Mutex::default(),
             pauses: Mutex::new(PauseDetector::new(now, PAUSE_THRESHOLD)),
             view: Mutex::default(),
             quarantine: Mutex::default(),
@@ -98,24 +101,24 @@
         }
     }
 
-    /// Feeds one event to the decisions and carries out what they say.
-    pub fn decide(&self, event: Event) {
+    /// Passes one event to the policy and performs the resulting actions.
+    pub fn handle_event(&self, event: Event) {
         self.check_pause();
-        self.feed(event);
+        self.feed_policy(event);
     }
 
-    /// Feeds one input to membership, and what follows from it to the decisions.
-    pub fn member(&self, input: Input) {
+    /// Passes one input to membership, and the resulting changes to the policy.
+    pub fn handle_member_input(&self, input: Input) {
         self.check_pause();
         self.feed_members(input);
     }
 
-    /// Takes one message of a peer.
+    /// Handles one message of a peer.
     pub fn receive(&self, from: &InstanceId, incarnation: Incarnation, message: Message) {
         self.check_pause();
         match &message {
             Message::Heartbeat(heartbeat) => {
-                self.answer_mark(from, heartbeat.quarantine);
+                self.reply_to_digest(from, heartbeat.quarantine);
                 let heartbeat = heartbeat.clone();
                 self.feed_members(Input::Heartbeat {
                     from: from.clone(),
@@ -128,45 +131,46 @@
                 shard: query.shard.clone(),
                 epoch: query.epoch,
             }),
-            Message::TargetCrashed(evidence) => self.take_evidence(evidence.clone()),
-            Message::Verdicts(words) => self.learn_words(words),
+            Message::TargetCrashed(evidence) => self.record_evidence(evidence.clone()),
+            Message::Verdicts(verdicts) => self.apply_verdicts(verdicts),
             _ => {}
         }
-        self.feed(Event::Received {
+        self.feed_policy(Event::Received {
             from: from.clone(),
             incarnation,
             message,
         });
     }
 
-    /// Sends a message to a peer.
-    pub fn push(&self, to: &InstanceId, message: Message) {
+    /// Queues a message for a peer.
+    pub fn send(&self, to: &InstanceId, message: Message) {
         self.outbox.push(to, message);
     }
 
-    /// Registers a request that is about to wait; `id` is reused for another try.
-    pub fn register(&self, id: Option<RequestId>) -> Waiter {
+    /// Registers a request that is about to wait for a permit. A retry passes the `id` of the
+    /// request; otherwise a new one is assigned.
+    pub fn register(&self, id: Option<RequestId>) -> PendingRequest {
         let id = id.unwrap_or_else(|| self.next_request.fetch_add(1, Ordering::Relaxed));
-        let (verdict_tx, verdict) = bounded(1);
-        let (pull_tx, pull_back) = bounded(1);
-        let waiting = Waiting {
-            verdict: verdict_tx,
-            pull_back: pull_tx,
+        let (result_tx, result) = bounded(1);
+        let (revocation_tx, revocation) = bounded(1);
+        let channels = PendingChannels {
+            result: result_tx,
+            revocation: revocation_tx,
         };
-        self.waiting.lock().insert(id, waiting);
-        Waiter {
+        self.pending.lock().insert(id, channels);
+        PendingRequest {
             id,
-            verdict,
-            pull_back,
+            result,
+            revocation,
         }
     }
 
-    /// Forgets a request.
+    /// Removes a request.
     pub fn unregister(&self, id: RequestId) {
-        self.waiting.lock().remove(&id);
+        self.pending.lock().remove(&id);
     }
 
-    /// Whether a request may be sent now.
+    /// Whether a request still has a valid permit and may be sent now.
     pub fn may_send(&self, id: RequestId) -> bool {
         self.check_pause();
         self.policy.lock().may_send(self.timer.now(), id)
@@ -176,15 +180,15 @@
     pub fn set_view(&self, view: View) {
         let view = Arc::new(view);
         *self.view.lock() = Arc::clone(&view);
-        self.decide(Event::ViewChanged((*view).clone()));
+        self.handle_event(Event::ViewChanged((*view).clone()));
     }
 
-    /// The view in force.
+    /// Returns the view in force.
     pub fn view(&self) -> Arc<View> {
         Arc::clone(&self.view.lock())
     }
 
-    /// Reads membership.
+    /// Calls `read` with the membership locked, and the present time.
     pub fn with_members<T>(&self, read: impl FnOnce(&Membership, Moment) -> T) -> T {
         read(&self.members.lock(), self.timer.now())
     }
@@ -192,27 +196,27 @@
     /// Sends a heartbeat to every peer.
     pub fn send_heartbeats(&self, config_version: u64) {
         self.check_pause();
-        let mark = self.quarantine.lock().digest(self.timer.now());
+        let digest = self.quarantine.lock().digest(self.timer.now());
         let members = self.members.lock();
         let now = self.timer.now();
         let owned = self.policy.lock().summaries(now);
         self.outbox.set_peers(&members.peers());
         for peer in members.peers() {
             let heartbeat = Heartbeat {
-                quarantine: mark,
+                quarantine: digest,
                 ..members.heartbeat(now, &peer.id, owned.clone(), config_version)
             };
             self.outbox.push(&peer.id, heartbeat.into());
         }
         drop(members);
-        // The entry here learns of shards owned here in the same way as from a peer.
-        self.feed(Event::Summary {
+        // As an entry, this instance receives the summaries of its own shards like those of a peer.
+        self.feed_policy(Event::Summary {
             owner: self.me.clone(),
             shards: owned,
         });
     }
 
-    /// Lines for a dump: membership, then decisions.
+    /// Returns descriptions of the states of membership and of the policy for operators, in lines.
     pub fn dump(&self) -> (Vec<String>, Vec<String>) {
         let now = self.timer.now();
         let members = self.members.lock().dump(now);
@@ -220,13 +224,14 @@
         (members, policy)
     }
 
-    /// A process that was stopped must not act on what it knew before; see `PauseDetector`.
+    /// Checks whether the process was paused since the last check. After a pause it must not act
+    /// on the state from before; see [`PauseDetector`].
     fn check_pause(&self) {
         let gap = self.pauses.lock().check(self.timer.now());
         if let Some(gap) = gap {
             let gap_ms = u64::try_from(gap.as_millis()).unwrap_or(u64::MAX);
             events::emit(&Log::Paused { gap_ms });
-            self.feed(Event::Paused { gap });
+            self.feed_policy(Event::Paused { gap });
             self.feed_members(Input::Paused { gap });
         }
     }
@@ -235,13 +240,13 @@
         let mut members = self.members.lock();
         let mut changes = Vec::new();
         members.handle(self.timer.now(), input, &mut changes);
-        // Still under the lock: roles must reach the decisions in the order in which they changed.
+        // The lock is still held: roles must reach the policy in the order in which they changed.
         for change in changes {
-            self.apply(change);
+            self.apply_change(change);
         }
     }
 
-    fn apply(&self, change: Change) {
+    fn apply_change(&self, change: Change) {
         match change {
             Change::Own {
                 shard,
@@ -253,7 +258,7 @@
                     shard: shard.clone(),
                     epoch,
                 });
-                self.feed(Event::RoleChanged {
+                self.feed_policy(Event::RoleChanged {
                     shard,
                     role: ShardRole::Own {
                         epoch,
@@ -270,30 +275,30 @@
                     let shard = shard.clone();
                     events::emit(&Log::Disowned { shard });
                 }
-                self.feed(Event::RoleChanged {
+                self.feed_policy(Event::RoleChanged {
                     shard,
                     role: ShardRole::Follow { owner, epoch },
                 });
             }
             Change::ExclusivityChanged { shard, exclusive } => {
-                self.feed(Event::ExclusivityChanged { shard, exclusive });
+                self.feed_policy(Event::ExclusivityChanged { shard, exclusive });
             }
             Change::PeerAlive { peer } => events::emit(&Log::PeerHeard { peer }),
             Change::PeerUnresponsive { peer } => events::emit(&Log::PeerSilent { peer }),
-            Change::PeerGone { peer } => self.feed(Event::PeerGone { peer }),
-            Change::Summary { owner, shards } => self.feed(Event::Summary { owner, shards }),
+            Change::PeerGone { peer } => self.feed_policy(Event::PeerGone { peer }),
+            Change::Summary { owner, shards } => self.feed_policy(Event::Summary { owner, shards }),
             Change::PeerConfig { peer, version } => {
-                // A full channel loses a hint; the next heartbeat brings it again.
+                // If the channel is full the hint is lost; the next heartbeat repeats it.
                 let _ = self.config_hints.try_send(ConfigHint { peer, version });
             }
         }
     }
 
-    fn feed(&self, event: Event) {
+    fn feed_policy(&self, event: Event) {
         let mut policy = self.policy.lock();
         let mut actions = Vec::new();
         policy.handle(self.timer.now(), event, &mut actions);
-        // Still under the lock: messages to one peer must leave in the order they were decided.
+        // The lock is still held: messages to one peer must be sent in the order of the decisions.
         for action in actions {
             self.perform(action);
         }
@@ -302,27 +307,27 @@
     fn perform(&self, action: Action) {
         match action {
             Action::Send { to, message } => self.outbox.push(&to, message),
-            Action::Dispatch { request, permit } => self.tell(request, Ok(permit)),
+            Action::Dispatch { request, permit } => self.resolve(request, Ok(permit)),
             Action::Refuse { request, refusal } => {
-                self.tell(request, Err(refusal));
+                self.resolve(request, Err(refusal));
                 self.unregister(request);
             }
             Action::Revoke { request } => {
-                if let Some(waiting) = self.waiting.lock().get(&request) {
-                    // Told already if full.
-                    let _ = waiting.pull_back.try_send(());
+                if let Some(pending) = self.pending.lock().get(&request) {
+                    // If the channel is full, the request was already notified.
+                    let _ = pending.revocation.try_send(());
                 }
             }
         }
     }
 
-    fn tell(&self, request: RequestId, verdict: Verdict) {
-        if let Some(waiting) = self.waiting.lock().get(&request) {
-            // A receiver that has gone away leaves by itself.
-            let _ = waiting.verdict.try_send(verdict);
+    fn resolve(&self, request: RequestId, result: PermitResult) {
+        if let Some(pending) = self.pending.lock().get(&request) {
+            // Fails if the receiver was dropped; its guard withdraws the request.
+            let _ = pending.result.try_send(result);
         }
     }
 }
 
-/// Time between two ticks of membership and decisions.
-pub const TICK: Duration = Duration::from_millis(20);
+/// Time between two ticks of membership and of the policy.
+pub const TICK_PERIOD: Duration = Duration::from_millis(20);
--- a/components/node/src/directory.rs
+++ b/components/node/src/directory.rs
@@ -1,4 +1,4 @@
-//! Watches the platform's list and the configuration.
+//! Watches the platform's list and the configuration, and updates the policy's view from them.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,22 +10,22 @@
 
 use crate::{core::Core, view};
 
-/// Time between two readings of the platform's list.
+/// Time between two reads of the platform's list.
 const LIST_PERIOD: Duration = Duration::from_millis(500);
-/// Time between two looks at whether the view changed. A data centre taken out is in force here
-/// this long after the configuration is.
-const LOOK_PERIOD: Duration = Duration::from_millis(50);
+/// Time between two checks whether the view has changed. A data centre that operators take out is
+/// excluded from the policy's view at most this long after the new configuration is in force.
+const VIEW_CHECK_PERIOD: Duration = Duration::from_millis(50);
 
-/// The newest list, and what of it is in force.
-pub struct Watch {
+/// Polls the platform's list, and derives the view from the newest list and the configuration.
+pub struct DirectoryWatcher {
     core: Arc<Core>,
     config: Arc<dyn Config>,
     directory: Arc<dyn Directory>,
     listing: Mutex<Option<Arc<Listing>>>,
 }
 
-impl Watch {
-    /// Makes it.
+impl DirectoryWatcher {
+    /// Creates a watcher that has not read a list yet.
     #[must_use]
     pub fn new(core: Arc<Core>, config: Arc<dyn Config>, directory: Arc<dyn Directory>) -> Self {
         Self {
@@ -42,29 +42,31 @@
         self.listing.lock().is_some()
     }
 
-    /// Reads the list again and again. While it can't be read, the last one stays in force.
-    pub async fn read_lists(self: Arc<Self>) {
+    /// Reads the list periodically, and never returns. While it can't be read, the last list stays
+    /// in force.
+    pub async fn poll_directory(self: Arc<Self>) {
         let mut ticks = self.core.timer.every(LIST_PERIOD);
         loop {
             if let Ok(listing) = self.directory.list().await {
-                self.take(listing);
+                self.set_listing(listing);
             }
             ticks.next().await;
         }
     }
 
-    fn take(&self, listing: Listing) {
-        self.core.member(Input::Listed(listing.members.clone()));
+    fn set_listing(&self, listing: Listing) {
+        self.core
+            .handle_member_input(Input::Listed(listing.members.clone()));
         let mut newest = self.listing.lock();
         if newest.as_deref() != Some(&listing) {
             *newest = Some(Arc::new(listing));
         }
     }
 
-    /// Puts a new view in force whenever the list or the configuration has changed.
-    pub async fn follow(self: Arc<Self>) {
-        let mut ticks = self.core.timer.every(LOOK_PERIOD);
-        let mut seen: Option<Seen> = None;
+    /// Puts a new view in force whenever the list or the configuration has changed; never returns.
+    pub async fn watch_view(self: Arc<Self>) {
+        let mut ticks = self.core.timer.every(VIEW_CHECK_PERIOD);
+        let mut applied: Option<ViewSource> = None;
         loop {
             ticks.next().await;
             let Some(current) = self.config.current() else {
@@ -73,27 +75,29 @@
             let Some(listing) = self.listing.lock().clone() else {
                 continue;
             };
-            let now = Seen::new(&current, listing);
-            if seen.as_ref().is_some_and(|before| before.is_same(&now)) {
+            let source = ViewSource::new(&current, listing);
+            if applied.as_ref().is_some_and(|last| last.is_same(&source)) {
                 continue;
             }
-            let view = view::view(&current, &now.listing);
-            self.core.member(Input::Shards(view::shards(&view)));
+            let view = view::build_view(&current, &source.listing);
+            self.core
+                .handle_member_input(Input::Shards(view::shards(&view)));
             self.core.set_view(view);
-            seen = Some(now);
+            applied = Some(source);
         }
     }
 }
 
-/// What a view was made of.
-struct Seen {
+/// The inputs from which a view was built.
+struct ViewSource {
     version: ConfigVersion,
-    /// Operators may override which data centres are out without a new version.
+    /// Data centres that are out of service. Operators can override them without a new version of
+    /// the configuration.
     out: Vec<DataCentreId>,
     listing: Arc<Listing>,
 }
 
-impl Seen {
+impl ViewSource {
     fn new(current: &Current, listing: Arc<Listing>) -> Self {
         Self {
             version: current.snapshot.version,
--- a/components/node/src/lib.rs
+++ b/components/node/src/lib.rs
@@ -1,22 +1,22 @@
-//! One instance: all parts put together over shared tables.
+//! Runs one instance: wires the other crates together around the shared state in `core`.
 //!
-//! Lock order: membership, then decisions, then anything else. A later lock may be taken while
-//! an earlier one is held, never the other way round, and no lock is held over an await.
+//! Lock order: membership, then policy, then all others. A lock may be acquired while an earlier
+//! one in this order is held, never a later one, and no lock is held across an await.
 
-mod admitted;
+mod admission;
+mod components;
 mod core;
 mod directory;
-mod dump;
 mod liveness;
 mod outbox;
-mod parts;
 mod peers;
 mod quarantine;
 mod reports;
 mod serve;
 mod servers;
 mod shutdown;
-mod ticks;
+mod state;
+mod tasks;
 mod view;
 
 pub use serve::{Instance, serve};
--- a/components/node/src/liveness.rs
+++ b/components/node/src/liveness.rs
@@ -1,4 +1,4 @@
-//! Whether the instance that claimed an idempotency key can still be at work.
+//! Determines whether an instance that claimed an idempotency key may still be running the call.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,26 +7,27 @@
 
 use crate::core::Core;
 
-/// An instance that just started has not heard everybody yet and calls nobody gone.
-const SETTLED: Duration = Duration::from_secs(5);
+/// Grace period after the start in which no instance counts as gone, because heartbeats of some
+/// may not have arrived yet.
+const STARTUP_GRACE: Duration = Duration::from_secs(5);
 
-/// Judges by membership.
-pub struct Heard {
+/// Liveness of instances according to membership.
+pub struct MemberLiveness {
     core: Arc<Core>,
 }
 
-impl Heard {
-    /// Makes it.
+impl MemberLiveness {
+    /// Creates the liveness check.
     #[must_use]
     pub const fn new(core: Arc<Core>) -> Self {
         Self { core }
     }
 }
 
-impl Liveness for Heard {
+impl Liveness for MemberLiveness {
     fn gone(&self, instance: &InstanceId, incarnation: Incarnation) -> bool {
         self.core.with_members(|members, now| {
-            now >= SETTLED
+            now >= STARTUP_GRACE
                 && !members.is_isolated(now)
                 && !members.may_be_running(now, instance, incarnation)
         })
--- a/components/node/src/outbox.rs
+++ b/components/node/src/outbox.rs
@@ -1,7 +1,7 @@
-//! Messages on their way to peers.
+//! Queues messages to peers and sends them in envelopes.
 //!
-//! One envelope is under way to a peer at a time; what is decided meanwhile goes with the next.
-//! Under load that gathers messages by itself, and their order is kept.
+//! At most one envelope to a peer is in flight; messages queued meanwhile are sent with the next
+//! one. This keeps their order, and batches messages under load.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,17 +19,19 @@
 use types::{Incarnation, InstanceId, Member};
 use wire::{Envelope, Key, Message};
 
-/// Where peers take envelopes.
+/// Path at which an instance receives envelopes.
 pub const MESSAGES_PATH: &str = "/peer/v1/messages";
-/// A peer that does not take an envelope within this time gets the next over a new connection.
-const SEND_LIMIT: Duration = Duration::from_millis(800);
-/// Messages kept for one peer; when it takes none, the oldest are dropped.
-const KEPT: usize = 10_000;
+/// Time limit for sending an envelope. If a peer does not accept one within this time, the next is
+/// sent over a new connection.
+const SEND_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum number of messages queued for one peer. If the queue is full, the oldest is dropped.
+const MAX_QUEUED: usize = 10_000;
 
-/// What could not be delivered, for membership.
-pub type Refusals = Receiver<InstanceId>;
+/// Receives the names of peers whose address refused a connection.
+pub type RefusedPeers = Receiver<InstanceId>;
 
-struct Line {
+/// The messages to one peer that are not in flight yet.
+struct PeerQueue {
     member: Member,
     messages: Vec<Message>,
     wake: Sender<()>,
@@ -41,18 +43,18 @@
     key: Key,
     client: Client,
     timer: Timer,
-    lines: Mutex<BTreeMap<InstanceId, Line>>,
+    queues: Mutex<BTreeMap<InstanceId, PeerQueue>>,
     refused: Sender<InstanceId>,
 }
 
-/// Messages on their way to peers. Clones share them.
+/// Queues of messages to all peers. Clones share the queues.
 #[derive(Clone)]
 pub struct Outbox {
     shared: Arc<Shared>,
 }
 
 impl Outbox {
-    /// Makes an outbox without peers. Peers that refuse connections are told by the receiver.
+    /// Creates an outbox without peers. The receiver reports peers that refuse connections.
     #[must_use]
     pub fn new(
         me: InstanceId,
@@ -60,115 +62,122 @@
         key: Key,
         client: Client,
         timer: Timer,
-    ) -> (Self, Refusals) {
-        let (refused, refusals) = bounded(64);
-        let lines = Mutex::default();
+    ) -> (Self, RefusedPeers) {
+        let (refused, refused_peers) = bounded(64);
+        let queues = Mutex::default();
         let shared = Shared {
             me,
             incarnation,
             key,
             client,
             timer,
-            lines,
+            queues,
             refused,
         };
         (
             Self {
                 shared: Arc::new(shared),
             },
-            refusals,
+            refused_peers,
         )
     }
 
-    /// Sets who the peers are.
+    /// Sets the peers. Messages to removed peers, and to peers whose address has changed, are
+    /// dropped.
     pub fn set_peers(&self, peers: &[Member]) {
-        let mut lines = self.shared.lines.lock();
+        let mut queues = self.shared.queues.lock();
         let wanted: BTreeSet<&InstanceId> = peers.iter().map(|m| &m.id).collect();
-        lines.retain(|id, _| wanted.contains(id));
+        queues.retain(|id, _| wanted.contains(id));
         for member in peers {
-            if lines
+            if queues
                 .get(&member.id)
-                .is_some_and(|l| l.member.addr == member.addr)
+                .is_some_and(|q| q.member.addr == member.addr)
             {
                 continue;
             }
-            let (wake, woken) = bounded(1);
-            let line = Line {
+            let (wake, wake_rx) = bounded(1);
+            let queue = PeerQueue {
                 member: member.clone(),
                 messages: Vec::new(),
                 wake,
             };
-            lines.insert(member.id.clone(), line);
+            queues.insert(member.id.clone(), queue);
             let shared = Arc::clone(&self.shared);
-            workers::spawn(deliver(shared, member.clone(), woken)).detach();
+            workers::spawn(deliver(shared, member.clone(), wake_rx)).detach();
         }
     }
 
-    /// Adds a message for a peer; one for an unknown peer is dropped.
+    /// Queues a message for a peer. Messages to unknown peers are dropped.
     pub fn push(&self, to: &InstanceId, message: Message) {
-        let mut lines = self.shared.lines.lock();
-        let Some(line) = lines.get_mut(to) else {
+        let mut queues = self.shared.queues.lock();
+        let Some(queue) = queues.get_mut(to) else {
             return;
         };
-        if line.messages.len() >= KEPT {
-            line.messages.remove(0);
+        if queue.messages.len() >= MAX_QUEUED {
+            queue.messages.remove(0);
         }
-        line.messages.push(message);
-        // Full: the line is awake already.
-        let _ = line.wake.try_send(());
+        queue.messages.push(message);
+        // If the channel is full, the sending task has already been woken.
+        let _ = queue.wake.try_send(());
     }
 }
 
-/// Sends envelopes to one peer until its line is replaced or removed.
-async fn deliver(shared: Arc<Shared>, member: Member, woken: Receiver<()>) {
-    let mut number = 0;
-    let mut fresh = false;
-    while woken.recv().await.is_ok() {
-        let messages = take(&shared, &member);
+/// Sends envelopes to one peer until its queue is replaced or removed.
+async fn deliver(shared: Arc<Shared>, member: Member, wake_rx: Receiver<()>) {
+    let mut sequence = 0;
+    let mut use_new_connection = false;
+    while wake_rx.recv().await.is_ok() {
+        let messages = take_messages(&shared, &member);
         if messages.is_empty() {
             continue;
         }
-        number += 1;
+        sequence += 1;
         let envelope = Envelope {
             format: Envelope::FORMAT,
             from: shared.me.clone(),
             incarnation: shared.incarnation,
             to: member.id.clone(),
-            sequence: number,
+            sequence,
             messages,
         };
-        fresh = !send(&shared, &member, &envelope, fresh).await;
+        use_new_connection = !send(&shared, &member, &envelope, use_new_connection).await;
     }
 }
 
-fn take(shared: &Shared, member: &Member) -> Vec<Message> {
-    let mut lines = shared.lines.lock();
-    lines
+fn take_messages(shared: &Shared, member: &Member) -> Vec<Message> {
+    let mut queues = shared.queues.lock();
+    queues
         .get_mut(&member.id)
-        .map(|l| std::mem::take(&mut l.messages))
+        .map(|q| std::mem::take(&mut q.messages))
         .unwrap_or_default()
 }
 
-/// Sends one envelope; tells whether the peer took it. One that was not taken is lost: what it
-/// said is made good by the next report of what is held and the next heartbeat.
-async fn send(shared: &Shared, member: &Member, envelope: &Envelope, fresh: bool) -> bool {
+/// Sends one envelope; returns whether the peer accepted it. An envelope that was not accepted is
+/// not sent again: the next report of held permits and the next heartbeat repeat the state that it
+/// described.
+async fn send(
+    shared: &Shared,
+    member: &Member,
+    envelope: &Envelope,
+    use_new_connection: bool,
+) -> bool {
     let body = Bytes::from(shared.key.seal(envelope));
     let Ok(req) = Request::post(MESSAGES_PATH).body(Full::new(body)) else {
         return false;
     };
     let call = async {
-        if fresh {
+        if use_new_connection {
             shared.client.send_fresh(member.addr, req).await
         } else {
             shared.client.send(member.addr, req).await
         }
     };
-    match shared.timer.within(SEND_LIMIT, call).await {
+    match shared.timer.within(SEND_TIMEOUT, call).await {
         Some(Ok(resp)) => {
-            let taken = resp.status().is_success();
-            // Reading the empty body to its end returns the connection to the pool.
-            let _ = net::read_all(resp.into_body(), 1024, SEND_LIMIT).await;
-            taken
+            let accepted = resp.status().is_success();
+            // The connection returns to the pool only after the (empty) body was read to its end.
+            let _ = net::read_all(resp.into_body(), 1024, SEND_TIMEOUT).await;
+            accepted
         }
         Some(Err(SendError::Unsent { .. })) => {
             let _ = shared.refused.try_send(member.id.clone());
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -1,4 +1,6 @@
-//! What peers ask of this instance.
+//! Requests between instances: serves those of peers, and sends those of this instance.
+//!
+//! All bodies are sealed with the key that the instances share.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -17,77 +19,78 @@
 
 use crate::{core::Core, outbox::MESSAGES_PATH};
 
-/// Where peers ask for the configuration.
+/// Path at which an instance answers requests for the configuration.
 const CONFIG_PATH: &str = "/peer/v1/config";
-/// Where peers tell that a caller goes on with a stream there.
+/// Path at which an instance is notified that a caller has resumed a stream at another instance.
 const TAKEOVER_PATH: &str = "/peer/v1/taken-over";
-/// Where peers exchange operators' overrides.
+/// Path at which instances exchange the overrides of operators.
 const OVERRIDES_PATH: &str = "/peer/v1/overrides";
-/// Tries of telling it.
-const TAKEOVER_TRIES: u32 = 3;
-/// Time for a peer to send a whole envelope, or an answer.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// The longest configuration that is taken from a peer, in bytes.
-const CONFIG_LIMIT: usize = 64 * 1024 * 1024;
+/// Maximum number of attempts to notify an instance of a takeover.
+const TAKEOVER_ATTEMPTS: u32 = 3;
+/// Time limit for reading the body of a peer's request, and for a peer's answer to a request.
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum size of an answer to a request, in bytes. Configurations are the largest answers.
+const MAX_CONFIG_BYTES: usize = 64 * 1024 * 1024;
 
-/// A question for what is newer than a configuration version.
+/// A request for the changes of the configuration since a version.
 #[derive(Debug, Deserialize, Serialize)]
-struct ConfigQuestion {
+struct ConfigRequest {
     to: InstanceId,
     version: u64,
 }
 
-/// Word that the sender reads a stream now which the receiver held.
+/// Notifies the receiver that the sender has taken over one of its streams.
 #[derive(Debug, Deserialize, Serialize)]
-struct TakenOver {
+struct TakeoverNotice {
     to: InstanceId,
     target: TargetId,
     stream: StreamId,
 }
 
-/// The overrides that the sender knows; the answer is a list of those the receiver knows.
+/// The overrides that the sender knows; the answer is the list of those that the receiver knows.
 #[derive(Debug, Deserialize, Serialize)]
-struct Overrides {
+struct OverrideExchange {
     to: InstanceId,
     known: Vec<Override>,
 }
 
-/// A question that names its receiver, so that it can't be replayed to somebody else.
+/// A request that names its receiver, so that a recording of it can't be replayed to another
+/// instance.
 trait Addressed: DeserializeOwned {
-    /// The receiver.
+    /// Returns the receiver.
     fn to(&self) -> &InstanceId;
 }
 
-impl Addressed for ConfigQuestion {
+impl Addressed for ConfigRequest {
     fn to(&self) -> &InstanceId {
         &self.to
     }
 }
 
-impl Addressed for TakenOver {
+impl Addressed for TakeoverNotice {
     fn to(&self) -> &InstanceId {
         &self.to
     }
 }
 
-impl Addressed for Overrides {
+impl Addressed for OverrideExchange {
     fn to(&self) -> &InstanceId {
         &self.to
     }
 }
 
-/// Serves the peer address.
+/// Serves the address for peers.
 pub struct PeerServer {
     core: Arc<Core>,
     key: Key,
     config: Arc<dyn Config>,
     gateway: Gateway,
-    /// The last envelope taken of each peer.
-    last: Mutex<HashMap<InstanceId, (Incarnation, u64)>>,
+    /// Incarnation and sequence number of the last envelope that was accepted from each peer.
+    last_envelopes: Mutex<HashMap<InstanceId, (Incarnation, u64)>>,
 }
 
 impl PeerServer {
-    /// Makes the server.
+    /// Creates the server.
     #[must_use]
     pub fn new(core: Arc<Core>, key: Key, config: Arc<dyn Config>, gateway: Gateway) -> Self {
         Self {
@@ -95,11 +98,11 @@
             key,
             config,
             gateway,
-            last: Mutex::default(),
+            last_envelopes: Mutex::default(),
         }
     }
 
-    fn take(&self, sealed: &[u8]) -> Reply {
+    fn receive_envelope(&self, sealed: &[u8]) -> Reply {
         let envelope = match self.key.open_envelope(sealed, &self.core.me) {
             Ok(envelope) => envelope,
             Err(error) => return Reply::text(400, error.to_string()),
@@ -114,11 +117,15 @@
         Reply::new(204)
     }
 
-    /// An envelope that was delayed on an old connection, or recorded and sent again by somebody
-    /// else, could bring back a permit that was given back. Numbers that only grow stop both.
+    /// Whether an envelope is newer than the last one that was accepted from its sender, which it
+    /// then replaces as the last.
+    ///
+    /// An envelope that was delayed on an old connection, or recorded and replayed by an attacker,
+    /// could restore a permit that has been given back. The check of increasing sequence numbers
+    /// rejects both.
     fn is_newer(&self, envelope: &Envelope) -> bool {
         let this = (envelope.incarnation, envelope.sequence);
-        let mut last = self.last.lock();
+        let mut last = self.last_envelopes.lock();
         let newer = last.get(&envelope.from).is_none_or(|before| this > *before);
         if newer {
             last.insert(envelope.from.clone(), this);
@@ -126,30 +133,34 @@
         newer
     }
 
-    /// Answers a question that is meant for this instance.
-    fn answer<T: Addressed>(&self, sealed: &[u8], answer: impl FnOnce(T) -> Reply) -> Reply {
+    /// Opens a sealed request and answers it with `handle`, if it is addressed to this instance.
+    fn handle_addressed<T: Addressed>(
+        &self,
+        sealed: &[u8],
+        handle: impl FnOnce(T) -> Reply,
+    ) -> Reply {
         match self.key.open::<T>(sealed) {
-            Ok(question) if *question.to() == self.core.me => answer(question),
+            Ok(request) if *request.to() == self.core.me => handle(request),
             Ok(_) => Reply::text(400, WireError::OtherReceiver.to_string()),
             Err(error) => Reply::text(400, error.to_string()),
         }
     }
 
-    fn sealed(&self, content: &impl Serialize) -> Reply {
+    fn sealed_reply(&self, content: &impl Serialize) -> Reply {
         Reply::new(200).with_body(net::full(self.key.seal(content)))
     }
 
-    fn answer_config(&self, question: &ConfigQuestion) -> Reply {
-        self.sealed(&self.config.since(question.version))
+    fn reply_config(&self, request: &ConfigRequest) -> Reply {
+        self.sealed_reply(&self.config.since(request.version))
     }
 
-    fn let_go(&self, word: &TakenOver) -> Reply {
-        self.gateway.handle_takeover(&word.target, &word.stream);
+    fn handle_takeover(&self, notice: &TakeoverNotice) -> Reply {
+        self.gateway.handle_takeover(&notice.target, &notice.stream);
         Reply::new(204)
     }
 
-    fn exchange(&self, theirs: &Overrides) -> Reply {
-        self.sealed(&self.config.exchange(&theirs.known))
+    fn exchange_overrides(&self, theirs: &OverrideExchange) -> Reply {
+        self.sealed_reply(&self.config.exchange(&theirs.known))
     }
 }
 
@@ -157,22 +168,25 @@
 impl Handler for PeerServer {
     async fn handle(&self, _peer: SocketAddr, req: Request<Incoming>) -> Response<Body> {
         let path = req.uri().path().to_owned();
-        let body = match net::read_limited(req.into_body(), MAX_ENVELOPE_BYTES, PATIENCE).await {
+        let body = match net::read_limited(req.into_body(), MAX_ENVELOPE_BYTES, PEER_TIMEOUT).await
+        {
             Ok(body) => body,
             Err(error) => return Reply::text(400, error.to_string()).done(),
         };
         let reply = match path.as_str() {
-            MESSAGES_PATH => self.take(&body),
-            CONFIG_PATH => self.answer(&body, |q| self.answer_config(&q)),
-            TAKEOVER_PATH => self.answer(&body, |word| self.let_go(&word)),
-            OVERRIDES_PATH => self.answer(&body, |theirs| self.exchange(&theirs)),
+            MESSAGES_PATH => self.receive_envelope(&body),
+            CONFIG_PATH => self.handle_addressed(&body, |request| self.reply_config(&request)),
+            TAKEOVER_PATH => self.handle_addressed(&body, |notice| self.handle_takeover(&notice)),
+            OVERRIDES_PATH => {
+                self.handle_addressed(&body, |theirs| self.exchange_overrides(&theirs))
+            }
             _ => Reply::new(404),
         };
         reply.done()
     }
 }
 
-/// Asks peers for their configuration.
+/// Sends requests to peers.
 pub struct PeerClient {
     core: Arc<Core>,
     key: Key,
@@ -180,7 +194,7 @@
 }
 
 impl PeerClient {
-    /// Makes the client.
+    /// Creates the client.
     #[must_use]
     pub const fn new(core: Arc<Core>, key: Key, client: Client) -> Self {
         Self { core, key, client }
@@ -188,25 +202,26 @@
 }
 
 impl PeerClient {
-    async fn ask<T: Serialize + Sync>(
+    /// Sends a sealed request to a peer; returns the sealed answer, or `None` on any failure.
+    async fn call<T: Serialize + Sync>(
         &self,
         peer: &InstanceId,
         path: &str,
-        question: &T,
+        request: &T,
     ) -> Option<Bytes> {
         let peers = self.core.with_members(|members, _| members.peers());
         let addr = peers.iter().find(|m| m.id == *peer)?.addr;
-        let body = Full::new(Bytes::from(self.key.seal(question)));
+        let body = Full::new(Bytes::from(self.key.seal(request)));
         let req = Request::post(path).body(body).ok()?;
         let timer = self.core.timer;
         let resp = timer
-            .within(PATIENCE, self.client.send(addr, req))
+            .within(PEER_TIMEOUT, self.client.send(addr, req))
             .await?
             .ok()?;
         if !resp.status().is_success() {
             return None;
         }
-        net::read_all(resp.into_body(), CONFIG_LIMIT, PATIENCE)
+        net::read_all(resp.into_body(), MAX_CONFIG_BYTES, PEER_TIMEOUT)
             .await
             .ok()
     }
@@ -215,12 +230,13 @@
 #[async_trait]
 impl PeerConfig for PeerClient {
     async fn fetch(&self, peer: &InstanceId, version: u64) -> Option<Update> {
-        let question = ConfigQuestion {
+        let request = ConfigRequest {
             to: peer.clone(),
             version,
         };
-        let sealed = self.ask(peer, CONFIG_PATH, &question).await?;
-        // An update may be larger than an envelope; it comes from an authenticated peer.
+        let sealed = self.call(peer, CONFIG_PATH, &request).await?;
+        // An update may be larger than the limit for envelopes. The seal proves that it comes from
+        // a peer.
         self.key.open(&sealed).ok()
     }
 
@@ -230,11 +246,11 @@
     }
 
     async fn exchange(&self, peer: &InstanceId, ours: &[Override]) -> Option<Vec<Override>> {
-        let question = Overrides {
+        let request = OverrideExchange {
             to: peer.clone(),
             known: ours.to_vec(),
         };
-        let sealed = self.ask(peer, OVERRIDES_PATH, &question).await?;
+        let sealed = self.call(peer, OVERRIDES_PATH, &request).await?;
         self.key.open(&sealed).ok()
     }
 }
@@ -242,13 +258,13 @@
 #[async_trait]
 impl Takeover for PeerClient {
     async fn notify(&self, holder: &InstanceId, target: &TargetId, stream: &StreamId) {
-        let word = TakenOver {
+        let notice = TakeoverNotice {
             to: holder.clone(),
             target: target.clone(),
             stream: stream.clone(),
         };
-        for _ in 0..TAKEOVER_TRIES {
-            if self.ask(holder, TAKEOVER_PATH, &word).await.is_some() {
+        for _ in 0..TAKEOVER_ATTEMPTS {
+            if self.call(holder, TAKEOVER_PATH, &notice).await.is_some() {
                 return;
             }
         }
--- a/components/node/src/quarantine.rs
+++ b/components/node/src/quarantine.rs
@@ -1,8 +1,8 @@
-//! Requests that crash targets, as all instances know them.
+//! Shares evidence and verdicts on requests that crash targets among all instances.
 //!
-//! Evidence goes to two keepers, chosen by the request's fingerprint among those that are heard. What
-//! they make of it goes to all peers; heartbeats carry a digest of what an instance knows, and one
-//! that knows otherwise answers with its own words.
+//! Evidence is sent to two aggregators, which are chosen by the fingerprint of the request among
+//! the live instances. They send their verdicts to all peers. Heartbeats carry a digest of the
+//! verdicts that an instance has; a receiver with another digest answers with its own verdicts.
 
 use std::sync::Arc;
 
@@ -14,56 +14,56 @@
 
 use crate::core::Core;
 
-/// Instances that sum up the evidence against one request.
-const KEEPERS: usize = 2;
+/// Number of instances that sum up the evidence against one request.
+const AGGREGATORS_PER_REQUEST: usize = 2;
 
-/// What the gateway asks and tells.
-pub struct Suspects {
+/// The quarantine of the gateway, with verdicts of all instances.
+pub struct SharedQuarantine {
     core: Arc<Core>,
 }
 
-impl Suspects {
-    /// Makes it.
+impl SharedQuarantine {
+    /// Creates the quarantine on top of the shared state.
     #[must_use]
     pub const fn new(core: Arc<Core>) -> Self {
         Self { core }
     }
 }
 
-impl Quarantine for Suspects {
+impl Quarantine for SharedQuarantine {
     fn rejects(&self, fingerprint: &Fingerprint) -> bool {
         let now = self.core.timer.now();
         self.core.quarantine.lock().rejects(now, fingerprint)
     }
 
     fn record_crash(&self, evidence: Evidence) {
-        for keeper in self.core.keepers(&evidence.fingerprint) {
+        for aggregator in self.core.aggregators(&evidence.fingerprint) {
             self.core
-                .push(&keeper, Message::TargetCrashed(evidence.clone()));
+                .send(&aggregator, Message::TargetCrashed(evidence.clone()));
         }
-        self.core.take_evidence(evidence);
+        self.core.record_evidence(evidence);
     }
 
     fn record_success(&self, fingerprint: &Fingerprint) {
         let now = self.core.timer.now();
-        let served = self.core.quarantine.lock().record_success(now, fingerprint);
-        let Some((verdict, recipients)) = served else {
+        let changed = self.core.quarantine.lock().record_success(now, fingerprint);
+        let Some((verdict, recipients)) = changed else {
             return;
         };
         let to = match recipients {
-            Recipients::Aggregators => self.core.keepers(fingerprint),
-            Recipients::All => self.core.others(),
+            Recipients::Aggregators => self.core.aggregators(fingerprint),
+            Recipients::All => self.core.other_instances(),
         };
-        log(&verdict);
+        log_verdict(&verdict);
         for peer in to {
-            self.core.push(&peer, Message::Verdicts(vec![verdict]));
+            self.core.send(&peer, Message::Verdicts(vec![verdict]));
         }
     }
 }
 
 impl Core {
-    /// Takes evidence in; tells all peers what comes of it.
-    pub fn take_evidence(&self, evidence: Evidence) {
+    /// Records evidence, and sends a resulting verdict to all peers.
+    pub fn record_evidence(&self, evidence: Evidence) {
         let verdict = self
             .quarantine
             .lock()
@@ -71,55 +71,57 @@
         let Some(verdict) = verdict else {
             return;
         };
-        log(&verdict);
-        for peer in self.others() {
-            self.push(&peer, Message::Verdicts(vec![verdict]));
+        log_verdict(&verdict);
+        for peer in self.other_instances() {
+            self.send(&peer, Message::Verdicts(vec![verdict]));
         }
     }
 
-    /// Takes a peer's words.
-    pub fn learn_words(&self, words: &[Verdict]) {
+    /// Applies the verdicts of a peer.
+    pub fn apply_verdicts(&self, verdicts: &[Verdict]) {
         let now = self.timer.now();
-        for verdict in words {
+        for verdict in verdicts {
             if self.quarantine.lock().apply(now, verdict) {
-                log(verdict);
+                log_verdict(verdict);
             }
         }
     }
 
-    /// Tells a peer what is known here, if it knows otherwise.
-    pub fn answer_mark(&self, peer: &InstanceId, mark: u64) {
+    /// Sends the verdicts of this instance to a peer whose digest differs from this instance's.
+    pub fn reply_to_digest(&self, peer: &InstanceId, digest: u64) {
         let now = self.timer.now();
         let state = self.quarantine.lock();
-        let words = if state.digest(now) == mark {
+        let verdicts = if state.digest(now) == digest {
             Vec::new()
         } else {
             state.verdicts(now)
         };
         drop(state);
-        if !words.is_empty() {
-            self.push(peer, Message::Verdicts(words));
+        if !verdicts.is_empty() {
+            self.send(peer, Message::Verdicts(verdicts));
         }
     }
 
-    fn others(&self) -> Vec<InstanceId> {
+    /// Returns all listed instances except this one.
+    fn other_instances(&self) -> Vec<InstanceId> {
         let peers = self.with_members(|members, _| members.peers());
         peers.into_iter().map(|peer| peer.id).collect()
     }
 
-    fn keepers(&self, fingerprint: &Fingerprint) -> Vec<InstanceId> {
+    /// Returns the aggregators of a request, without this instance.
+    fn aggregators(&self, fingerprint: &Fingerprint) -> Vec<InstanceId> {
         let mut all = self.with_members(|members, now| members.alive_peers(now));
         all.push(Arc::clone(&self.me));
         all.sort_by_cached_key(|id| {
             Fingerprint::new(&[&fingerprint.short().to_be_bytes(), id.as_bytes()])
         });
-        all.truncate(KEEPERS);
+        all.truncate(AGGREGATORS_PER_REQUEST);
         all.retain(|id| *id != self.me);
         all
     }
 }
 
-fn log(verdict: &Verdict) {
+fn log_verdict(verdict: &Verdict) {
     let fingerprint = verdict.fingerprint.to_string().into();
     match verdict.kind {
         VerdictKind::Suspected => {}
--- a/components/node/src/reports.rs
+++ b/components/node/src/reports.rs
@@ -1,4 +1,4 @@
-//! Reads targets' load reports.
+//! Polls targets for their load reports and passes these to the policy.
 
 use std::{
     collections::{BTreeSet, HashSet},
@@ -13,48 +13,49 @@
 
 use crate::core::Core;
 
-/// Time between two reports of one target.
+/// Time between two polls of one target.
 const REPORT_PERIOD: Duration = Duration::from_millis(200);
-/// A report that takes longer is given up.
-const REPORT_LIMIT: Duration = Duration::from_secs(1);
+/// Time limit for a target to answer with its report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Which targets this instance has to watch.
+/// The targets that this instance polls.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Scope {
-    /// Those of the shards that it owns.
+pub enum ReportScope {
+    /// The targets of the shards that it owns.
     Owned,
-    /// All of them; for baselines.
+    /// All targets; for baselines.
     All,
 }
 
-/// Polls targets for their load.
-pub struct Reports {
+/// Polls targets for their load reports.
+pub struct LoadPoller {
     core: Arc<Core>,
     engine: Arc<dyn Engine>,
     plain: Arc<dyn PlainService>,
-    scope: Scope,
-    under_way: Mutex<HashSet<TargetId>>,
+    scope: ReportScope,
+    in_progress: Mutex<HashSet<TargetId>>,
 }
 
-impl Reports {
-    /// Makes it.
+impl LoadPoller {
+    /// Creates a poller.
     #[must_use]
     pub fn new(
         core: Arc<Core>,
         engine: Arc<dyn Engine>,
         plain: Arc<dyn PlainService>,
-        scope: Scope,
+        scope: ReportScope,
     ) -> Self {
         Self {
             core,
             engine,
             plain,
             scope,
-            under_way: Mutex::default(),
+            in_progress: Mutex::default(),
         }
     }
 
-    /// Polls until the process ends.
+    /// Polls periodically; never returns. A target is not polled again while an answer of it is
+    /// outstanding.
     pub async fn run(self: Arc<Self>) {
         let mut ticks = self.core.timer.every(REPORT_PERIOD);
         loop {
@@ -62,7 +63,9 @@
             let owned = self.core.with_members(|members, _| members.owned_shards());
             let view = self.core.view();
             for target in &view.targets {
-                if self.watches(target, &owned) && self.under_way.lock().insert(target.id.clone()) {
+                if self.is_watched(target, &owned)
+                    && self.in_progress.lock().insert(target.id.clone())
+                {
                     let kind = view
                         .limits
                         .get(&target.service)
@@ -74,26 +77,27 @@
         }
     }
 
-    fn watches(&self, target: &Target, owned: &BTreeSet<Shard>) -> bool {
-        self.scope == Scope::All
+    fn is_watched(&self, target: &Target, owned: &BTreeSet<Shard>) -> bool {
+        self.scope == ReportScope::All
             || owned.contains(&Shard::new(&target.service, &target.data_centre))
     }
 
     async fn poll(self: Arc<Self>, target: Target, kind: ServiceKind) {
-        let begun = self.core.timer.now();
+        let started_at = self.core.timer.now();
         let read = async {
             match kind {
                 ServiceKind::Model => self.engine.report(&target).await,
                 ServiceKind::Plain => self.plain.report(&target).await,
             }
         };
-        let result = self.core.timer.within(REPORT_LIMIT, read).await;
-        self.under_way.lock().remove(&target.id);
+        let result = self.core.timer.within(REPORT_TIMEOUT, read).await;
+        self.in_progress.lock().remove(&target.id);
         if let Some(Ok(report)) = result {
-            // The report may be older than the target says by the time of the way.
-            let way = self.core.timer.now().saturating_sub(begun);
-            let report = engine_report(&report, way);
-            self.core.decide(Event::TargetReported {
+            // The age that the target states does not include the time of the transmission, which
+            // is at most the time since the request was sent.
+            let transit = self.core.timer.now().saturating_sub(started_at);
+            let report = engine_report(&report, transit);
+            self.core.handle_event(Event::TargetReported {
                 target: target.id,
                 report,
             });
@@ -101,10 +105,10 @@
     }
 }
 
-const fn engine_report(report: &TargetReport, way: Duration) -> EngineReport {
+const fn engine_report(report: &TargetReport, transit: Duration) -> EngineReport {
     EngineReport {
         incarnation: report.incarnation,
-        age: report.age.saturating_add(way),
+        age: report.age.saturating_add(transit),
         running: report.running,
         waiting: report.waiting,
         used: report.used,
--- a/components/node/src/serve.rs
+++ b/components/node/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starting an instance, and running it until it is told to stop.
+//! Starts an instance, and runs it until the process is asked to stop.
 
 use std::{
     sync::{
@@ -18,30 +18,31 @@
 use types::Incarnation;
 
 use crate::{
+    components::Components,
     core::Core,
-    parts::Parts,
-    servers::{Servers, Serving},
+    servers::{ServerHandles, Servers},
     shutdown::{self, Signals},
 };
 
-/// After the last request, outcomes of keyed calls that the table service has not taken yet are
-/// recorded for this long. Later repeats of those calls would otherwise be told `unknown`.
-const DRAIN_CLAIMS: Duration = Duration::from_secs(10);
+/// Time limit, after the last request has ended, for writing outcomes of calls with idempotency
+/// keys that the table service has not accepted yet. Later retries of calls whose outcome is not
+/// written are answered with `unknown`.
+const CLAIMS_FLUSH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One running instance.
+/// A running instance.
 pub struct Instance {
     core: Arc<Core>,
     claims: Arc<StoreClaims>,
     gateway: Gateway,
     draining: Arc<AtomicBool>,
-    serving: Serving,
-    grace: Duration,
+    servers: ServerHandles,
+    drain_grace: Duration,
 }
 
 /// Runs an instance until SIGTERM or SIGINT, then shuts it down gracefully.
 ///
 /// # Errors
-/// Tells why it could not start.
+/// Fails if the instance can't be started.
 pub fn serve(settings: &Settings) -> Result<()> {
     workers::start(
         settings
@@ -52,62 +53,65 @@
     let signals = Signals::watch()?;
     smol::block_on(async {
         let instance = Instance::start(settings).await?;
-        signals.until_stop().await;
+        signals.wait_for_stop().await;
         instance.shut_down().await;
         Ok(())
     })
 }
 
 impl Instance {
-    /// Starts all parts. It becomes ready once it has a configuration and the platform's list and
-    /// hears another instance.
+    /// Starts all components. The instance becomes ready once it has a configuration and the
+    /// platform's list, and a heartbeat of another instance has arrived if others are listed.
     ///
     /// # Errors
-    /// Tells what could not be started.
+    /// Fails if a component can't be created or an address can't be listened on.
     pub async fn start(settings: &Settings) -> Result<Self> {
         let me = identity(settings)?;
-        let (parts, inputs) = Parts::new(settings, &me)?;
+        let (components, inputs) = Components::new(settings, &me)?;
         let draining = Arc::new(AtomicBool::new(false));
-        let state = parts.state(&draining);
+        let state = components.state(&draining);
         let mut registry = Registry::default();
-        let gateway = parts.gateway(settings, &state, &mut registry);
-        let servers = Servers::bind(settings, &parts, &gateway, state, registry).await?;
+        let gateway = components.gateway(settings, &state, &mut registry);
+        let servers = Servers::bind(settings, &components, &gateway, state, registry).await?;
         let instance = Self {
-            core: Arc::clone(&parts.core),
-            claims: Arc::clone(&parts.claims),
+            core: Arc::clone(&components.core),
+            claims: Arc::clone(&components.claims),
             gateway,
             draining,
-            serving: servers.run(),
-            grace: Duration::from_secs(settings.limits.drain_grace_seconds),
+            servers: servers.run(),
+            drain_grace: Duration::from_secs(settings.limits.drain_grace_seconds),
         };
-        parts.run(settings, inputs);
+        components.spawn_tasks(settings, inputs);
         events::emit(&Log::Started { instance: me.id });
         Ok(instance)
     }
 
-    /// Shuts down gracefully: not ready at once, still serving while the balancer's list lags,
-    /// then until the last connection of a caller has ended, and after that of an operator.
+    /// Shuts down gracefully. The instance becomes unready at once, and continues to accept
+    /// requests during the grace period, because the load balancer's list lags. After that it
+    /// waits for the last connection of a caller to close, for the last request to end and for
+    /// outcomes of calls to be written, and then for the connections of operators and peers.
     pub async fn shut_down(self) {
-        let Serving {
+        let ServerHandles {
             callers,
             peers,
             operators,
-        } = self.serving;
+        } = self.servers;
         events::emit(&Log::Draining {
             open: self.gateway.open_requests(),
         });
         self.draining.store(true, Ordering::Release);
         callers.retire();
-        self.core.member(members::Input::Drain);
-        self.core.timer.sleep(self.grace).await;
+        self.core.handle_member_input(members::Input::Drain);
+        self.core.timer.sleep(self.drain_grace).await;
         events::emit(&Log::DrainClosing {
             connections: callers.open(),
             open: self.gateway.open_requests(),
         });
         callers.stop().await;
-        shutdown::until_idle(self.core.timer, || self.gateway.open_requests()).await;
-        self.claims.drain(DRAIN_CLAIMS).await;
-        // Until here operators may look at the shutdown, and requests may need what peers send.
+        shutdown::wait_until_idle(self.core.timer, || self.gateway.open_requests()).await;
+        self.claims.drain(CLAIMS_FLUSH_TIMEOUT).await;
+        // Not stopped earlier: operators can observe the shutdown, and open requests may depend on
+        // messages of peers.
         future::zip(operators.stop(), peers.stop()).await;
         events::emit(&Log::Stopped);
     }
@@ -121,7 +125,8 @@
     })
 }
 
-/// The wall clock in milliseconds: larger at each start, and that is all it is used for.
+/// Returns the wall clock in milliseconds as the incarnation, which only has to grow with every
+/// start.
 fn incarnation() -> Result<Incarnation> {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let since = since.map_err(|_| Error::new("the system's clock is before 1970"))?;
--- a/components/node/src/servers.rs
+++ b/components/node/src/servers.rs
@@ -1,4 +1,4 @@
-//! The three addresses that an instance listens on.
+//! The servers of an instance, on an address each for callers, peers and operators.
 
 use std::{
     net::SocketAddr,
@@ -17,37 +17,37 @@
 use settings::Settings;
 use smol::Task;
 
-use crate::{dump::State, parts::Parts, peers::PeerServer};
+use crate::{components::Components, peers::PeerServer, state::InstanceState};
 
-/// Most open connections from peers, and from operators.
-const INNER_CONNECTIONS: usize = 1024;
+/// Maximum number of open connections from peers, and the same for those from operators.
+const MAX_INTERNAL_CONNECTIONS: usize = 1024;
 
-/// Listening servers, not running yet.
+/// Servers that listen but do not accept connections yet.
 pub struct Servers {
     callers: Server,
     peers: Server,
     operators: Server,
 }
 
-/// Servers that run.
-pub struct Serving {
-    /// For callers.
-    pub callers: Running,
-    /// For other instances.
-    pub peers: Running,
-    /// For operators.
-    pub operators: Running,
+/// Handles of the running servers.
+pub struct ServerHandles {
+    /// The server for callers.
+    pub callers: ServerHandle,
+    /// The server for other instances.
+    pub peers: ServerHandle,
+    /// The server for operators.
+    pub operators: ServerHandle,
 }
 
-/// One server that runs; it ends if this is dropped.
-pub struct Running {
+/// Handle of a running server, which is stopped at once if the handle is dropped.
+pub struct ServerHandle {
     retire: Arc<AtomicBool>,
     stop: Arc<AtomicBool>,
     open: Arc<AtomicUsize>,
     task: Task<()>,
 }
 
-impl Running {
+impl ServerHandle {
     fn new(server: Server) -> Self {
         Self {
             retire: server.retire(),
@@ -57,17 +57,17 @@
         }
     }
 
-    /// Asks the other side of each connection to close it after the next answer.
+    /// From now on, asks the clients to close their connections after the next answer.
     pub fn retire(&self) {
         self.retire.store(true, Ordering::Release);
     }
 
-    /// Connections that are open.
+    /// Returns the number of open connections.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::Acquire)
     }
 
-    /// Takes no further connections, and waits until each one that was taken has ended.
+    /// Stops accepting connections, and waits until all open ones are closed.
     pub async fn stop(self) {
         self.stop.store(true, Ordering::Release);
         self.task.await;
@@ -78,12 +78,12 @@
     /// Listens on all three addresses.
     ///
     /// # Errors
-    /// Tells which address can't be listened on, and why.
+    /// Fails if an address can't be listened on, and names it.
     pub async fn bind(
         settings: &Settings,
-        parts: &Parts,
+        components: &Components,
         gateway: &Gateway,
-        state: Arc<State>,
+        state: Arc<InstanceState>,
         registry: Registry,
     ) -> Result<Self> {
         let at = &settings.instance;
@@ -92,48 +92,48 @@
             header_time: Duration::from_secs(settings.limits.sender_seconds),
             connections: settings.limits.connections,
         };
-        let inner = ServeLimits {
-            connections: INNER_CONNECTIONS,
+        let internal = ServeLimits {
+            connections: MAX_INTERNAL_CONNECTIONS,
             ..ServeLimits::default()
         };
         let api = AdminApi::new(AdminParts {
             instance: at.id.clone(),
             data_centre: at.data_centre.clone(),
             key_hashes: settings.admin.key_hashes.clone(),
-            config: parts.config(),
+            config: components.config(),
             dump: Arc::clone(&state) as Arc<dyn admin::Dump>,
             readiness: state,
             registry: Arc::new(registry),
         });
         let peer_server = PeerServer::new(
-            Arc::clone(&parts.core),
-            parts.key.clone(),
-            parts.config(),
+            Arc::clone(&components.core),
+            components.key.clone(),
+            components.config(),
             gateway.clone(),
         );
         Ok(Self {
             callers: listen("callers", at.listen, callers, Arc::new(gateway.clone())).await?,
-            peers: listen("peers", at.peer, inner, Arc::new(peer_server)).await?,
-            operators: listen("operators", at.admin, inner, Arc::new(api)).await?,
+            peers: listen("peers", at.peer, internal, Arc::new(peer_server)).await?,
+            operators: listen("operators", at.admin, internal, Arc::new(api)).await?,
         })
     }
 
-    /// Serves until stopped.
-    pub fn run(self) -> Serving {
-        Serving {
-            callers: Running::new(self.callers),
-            peers: Running::new(self.peers),
-            operators: Running::new(self.operators),
+    /// Starts serving, and returns the handles.
+    pub fn run(self) -> ServerHandles {
+        ServerHandles {
+            callers: ServerHandle::new(self.callers),
+            peers: ServerHandle::new(self.peers),
+            operators: ServerHandle::new(self.operators),
         }
     }
 }
 
 async fn listen(
-    whom: &str,
+    clients: &str,
     addr: SocketAddr,
     limits: ServeLimits,
     handler: Arc<dyn Handler>,
 ) -> Result<Server> {
     let server = Server::bind(addr, limits, handler).await;
-    server.context(format!("listening for {whom} on {addr}"))
+    server.context(format!("listening for {clients} on {addr}"))
 }
--- a/components/node/src/shutdown.rs
+++ b/components/node/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Being told to stop, and waiting for the last request.
+//! Signals that ask the process to stop, and the wait for the last request.
 
 use std::{
     sync::{
@@ -16,41 +16,41 @@
 };
 use timer::Timer;
 
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(50);
-/// After the last request ended, its last messages to owners still have to leave.
-const FLUSH: Duration = Duration::from_millis(300);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Delay after the last request has ended, in which its last messages to owners are sent.
+const FLUSH_DELAY: Duration = Duration::from_millis(300);
 
-/// Switches that signals set.
+/// Flags that are set when a signal arrives.
 pub struct Signals {
     stop: Arc<AtomicBool>,
     hang_up: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// Watches SIGTERM and SIGINT, which ask the process to stop, and SIGHUP, which would end it
-    /// at once if nobody watched.
+    /// Registers handlers for SIGTERM and SIGINT, which ask the process to stop, and for SIGHUP,
+    /// which would terminate the process without a handler.
     ///
     /// # Errors
-    /// Passes on why the system does not let us watch them.
+    /// Fails if the system does not accept a handler.
     pub fn watch() -> Result<Self> {
         let signals = Self {
             stop: Arc::default(),
             hang_up: Arc::default(),
         };
-        for (signal, set) in [
+        for (signal, received) in [
             (SIGTERM, &signals.stop),
             (SIGINT, &signals.stop),
             (SIGHUP, &signals.hang_up),
         ] {
-            flag::register(signal, Arc::clone(set)).context("watching for signals")?;
+            flag::register(signal, Arc::clone(received)).context("registering signal handlers")?;
         }
         Ok(signals)
     }
 
     /// Waits until the process is asked to stop.
-    pub async fn until_stop(&self) {
-        let mut ticks = Timer::new().every(LOOK);
+    pub async fn wait_for_stop(&self) {
+        let mut ticks = Timer::new().every(POLL_INTERVAL);
         while !self.stop.load(Ordering::Acquire) {
             if self.hang_up.swap(false, Ordering::AcqRel) {
                 events::emit(&Event::HangUp);
@@ -60,14 +60,15 @@
     }
 }
 
-/// Waits until no request is open: those whose callers went away go on without a connection. It
-/// has no time limit: a planned stop cuts no request short.
+/// Waits until no request is open. Requests whose callers have disconnected may still be running
+/// without a connection. There is no time limit: a planned stop interrupts no request.
 ///
-/// Nothing may come in any more, or what does after the last look is cut.
-pub async fn until_idle(timer: Timer, open: impl Fn() -> usize) {
-    let mut ticks = timer.every(LOOK);
+/// The caller of this function must have stopped accepting requests: one that arrives after the
+/// last check would be interrupted.
+pub async fn wait_until_idle(timer: Timer, open: impl Fn() -> usize) {
+    let mut ticks = timer.every(POLL_INTERVAL);
     while open() > 0 {
         ticks.next().await;
     }
-    timer.sleep(FLUSH).await;
+    timer.sleep(FLUSH_DELAY).await;
 }
--- a/components/node/src/dump.rs
+++ b/components/node/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of the process, for operators.
+//! The state of the instance, as operators and readiness probes see it.
 
 use std::sync::{
     Arc,
@@ -11,25 +11,25 @@
 use serde_json::{Value, json};
 use stores::PacedTable;
 
-use crate::{core::Core, directory::Watch};
+use crate::{core::Core, directory::DirectoryWatcher};
 
-/// What an operator may see.
-pub struct State {
+/// Access to the state of all components.
+pub struct InstanceState {
     core: Arc<Core>,
     config: Arc<Keeper>,
-    watch: Arc<Watch>,
+    directory_watcher: Arc<DirectoryWatcher>,
     claims: Arc<StoreClaims>,
     table: Arc<PacedTable>,
     draining: Arc<AtomicBool>,
 }
 
-impl State {
-    /// Makes it.
+impl InstanceState {
+    /// Creates the access to the given components.
     #[must_use]
     pub const fn new(
         core: Arc<Core>,
         config: Arc<Keeper>,
-        watch: Arc<Watch>,
+        directory_watcher: Arc<DirectoryWatcher>,
         claims: Arc<StoreClaims>,
         table: Arc<PacedTable>,
         draining: Arc<AtomicBool>,
@@ -37,27 +37,28 @@
         Self {
             core,
             config,
-            watch,
+            directory_watcher,
             claims,
             table,
             draining,
         }
     }
 
-    /// Whether requests are taken. During a shutdown they still are: the balancer's list lags,
-    /// and its callers would be cut off.
+    /// Whether requests are accepted. They are also accepted during a shutdown, because the load
+    /// balancer's list lags: callers that it still sends here would be refused.
     #[must_use]
-    pub fn serves(&self) -> bool {
-        self.reason().is_none()
+    pub fn accepts_requests(&self) -> bool {
+        self.not_ready_reason().is_none()
     }
 
-    fn reason(&self) -> Option<&'static str> {
+    /// Returns why the instance can't serve requests, apart from a shutdown.
+    fn not_ready_reason(&self) -> Option<&'static str> {
         if self.config.current().is_none() {
             return Some(
                 "no configuration was found yet, neither at a peer nor in the table service",
             );
         }
-        if !self.watch.has_list() {
+        if !self.directory_watcher.has_list() {
             return Some("the platform's list of instances could not be read yet");
         }
         if self
@@ -70,16 +71,17 @@
     }
 }
 
-impl Readiness for State {
+impl Readiness for InstanceState {
     fn ready(&self) -> Result<(), Arc<str>> {
         if self.draining.load(Ordering::Acquire) {
             return Err("the instance is shutting down".into());
         }
-        self.reason().map_or(Ok(()), |reason| Err(reason.into()))
+        self.not_ready_reason()
+            .map_or(Ok(()), |reason| Err(reason.into()))
     }
 }
 
-impl Dump for State {
+impl Dump for InstanceState {
     fn dump(&self) -> Value {
         let (members, decisions) = self.core.dump();
         json!({
--- a/components/node/src/view.rs
+++ b/components/node/src/view.rs
@@ -1,4 +1,4 @@
-//! What the configuration and the platform's list together mean for the decisions.
+//! Builds the policy's view from the configuration and the platform's list.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,12 +10,14 @@
 use tree::RouteRule;
 use types::{Listing, Shard};
 
-/// Limits where the tree says nothing; the tree's own defaults normally fill everything in.
+/// Limit used if the configuration tree sets none. The defaults of the tree normally set all
+/// limits.
 const FALLBACK_LIMIT: u32 = 1;
 
-/// Makes the decisions' view.
+/// Builds the view from the configuration in force and the platform's list. Targets of services
+/// that are not configured are left out.
 #[must_use]
-pub fn view(current: &Current, listing: &Listing) -> View {
+pub fn build_view(current: &Current, listing: &Listing) -> View {
     let rules = &current.in_force;
     let mut limits = BTreeMap::new();
     for service in rules.services() {
@@ -36,7 +38,7 @@
     }
 }
 
-/// The shards of a view.
+/// Returns the shards of a view.
 #[must_use]
 pub fn shards(view: &View) -> BTreeSet<Shard> {
     view.targets
