--- a/components/members/src/ownership.rs
+++ b/components/members/src/ownership.rs
@@ -1,4 +1,4 @@
-//! Acquires the shards that this instance should own, and checks whether its ownership is exclusive.
+//! Acquires the shards assigned to this instance, and checks whether its ownership is exclusive.
 
 use std::{collections::BTreeSet, time::Duration};
 
