--- a/components/settings/src/fault.rs
+++ b/components/settings/src/fault.rs
@@ -1,41 +1,41 @@
-//! What is wrong with a settings file.
+//! Faults found in a settings file.
 
 use std::{
     fmt::{self, Display, Formatter},
     sync::Arc,
 };
 
-use crate::raw::Place;
+use crate::yaml::Position;
 
-/// One thing wrong with a settings file, and what would be right.
+/// One fault in a settings file: the problem and the expected form.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Fault {
-    /// Where in the file; `None` if the file as a whole is at fault.
-    pub place: Option<Place>,
-    /// The key, as `section.key`; empty for the file as a whole.
+    /// Position in the file; `None` if the fault concerns the file as a whole.
+    pub position: Option<Position>,
+    /// The key, as `section.key`; empty if the fault concerns the file as a whole.
     pub path: Arc<str>,
-    /// What is wrong.
-    pub what: Arc<str>,
-    /// What would be right.
-    pub right: Arc<str>,
+    /// What is wrong, without secret values.
+    pub problem: Arc<str>,
+    /// What to write instead.
+    pub expected: Arc<str>,
 }
 
 impl Fault {
-    /// Makes a fault of the file as a whole.
+    /// Creates a fault that concerns the file as a whole.
     #[must_use]
-    pub fn new(what: impl Into<Arc<str>>, right: impl Into<Arc<str>>) -> Self {
+    pub fn new(problem: impl Into<Arc<str>>, expected: impl Into<Arc<str>>) -> Self {
         Self {
-            place: None,
+            position: None,
             path: "".into(),
-            what: what.into(),
-            right: right.into(),
+            problem: problem.into(),
+            expected: expected.into(),
         }
     }
 
-    /// Sets where in the file it is.
+    /// Sets the position in the file.
     #[must_use]
-    pub const fn with_place(mut self, place: Place) -> Self {
-        self.place = Some(place);
+    pub const fn with_position(mut self, position: Position) -> Self {
+        self.position = Some(position);
         self
     }
 
@@ -49,13 +49,13 @@
 
 impl Display for Fault {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        if let Some(place) = self.place {
-            write!(f, "line {}, column {}: ", place.line, place.column)?;
+        if let Some(position) = self.position {
+            write!(f, "line {}, column {}: ", position.line, position.column)?;
         }
         if !self.path.is_empty() {
             write!(f, "{}: ", self.path)?;
         }
-        write!(f, "{}; {}", self.what, self.right)
+        write!(f, "{}; {}", self.problem, self.expected)
     }
 }
 
--- a/components/settings/src/keys.rs
+++ b/components/settings/src/keys.rs
@@ -1,70 +1,71 @@
-//! Every key that a settings file may have: what the checker and the reference go by.
+//! The schema of a settings file: every key that it may have. The checker and the reference page
+//! are both driven by this table.
 
-/// What a key's value must be.
+/// The type of a key's value.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
+pub enum ValueKind {
     /// A name of letters, digits, `-`, `_` and `.`.
     Name,
-    /// An address to listen on, `IP:PORT`.
+    /// A listen address, `IP:PORT`.
     Addr,
-    /// The address of a service, `http://IP:PORT`.
+    /// The URL of a service, `http://IP:PORT`.
     Url,
-    /// A secret text of at least this many characters.
+    /// A secret of at least this many characters. Its value never appears in a fault.
     Secret(usize),
     /// A list of SHA-256 hashes in hexadecimal.
     Hashes,
-    /// A whole number between two bounds, both included.
+    /// An integer between a minimum and a maximum, both inclusive.
     Int(u64, u64),
     /// One of these words.
     OneOf(&'static [&'static str]),
 }
 
-/// Whether a key must be written.
+/// Whether a key is required.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Presence {
-    /// It must.
+    /// The key must be set.
     Required,
-    /// It may be left out, which means this.
+    /// The key may be omitted; the text describes the default.
     Default(&'static str),
 }
 
-/// One key.
+/// A key of the settings file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Key {
-    /// The section it stands in.
+    /// The section that contains it.
     pub section: &'static str,
     /// Its name.
     pub name: &'static str,
-    /// What its value must be.
-    pub kind: Kind,
-    /// Whether it must be written.
+    /// The type of its value.
+    pub kind: ValueKind,
+    /// Whether it is required, and the default if not.
     pub presence: Presence,
-    /// What it means.
-    pub about: &'static str,
+    /// Its meaning, as the reference page prints it.
+    pub description: &'static str,
 }
 
-/// One section.
+/// A section of the settings file.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Section {
     /// Its name.
     pub name: &'static str,
-    /// Whether it must be written.
+    /// Whether the section must be present.
     pub required: bool,
-    /// What it holds.
-    pub about: &'static str,
+    /// Its purpose, as the reference page prints it.
+    pub description: &'static str,
 }
 
 /// All sections, in the order of the reference.
 pub const SECTIONS: &[Section] = &[
-    section("instance", true, "Who and where this instance is."),
+    section("instance", true, "Identity and addresses of this instance."),
     section(
         "platform",
         true,
-        "Where the platform's services are and how to be let in.",
+        "Addresses of the platform's services and the token that they require.",
     ),
-    section("peers", true, "How instances talk to each other."),
-    section("admin", true, "Who may use the administration API."),
-    section("limits", false, "Limits towards callers."),
+    section("peers", true, "Communication between instances."),
+    section("admin", true, "Access to the administration API."),
+    section("limits", false, "Limits on callers."),
     section("log", false, "Logs, written to standard error."),
 ];
 
@@ -73,49 +74,49 @@
     key(
         "instance",
         "id",
-        Kind::Name,
+        ValueKind::Name,
         Presence::Required,
         "Name of this instance, unique in the deployment. The platform's instance list must use the same name.",
     ),
     key(
         "instance",
         "data-centre",
-        Kind::Name,
+        ValueKind::Name,
         Presence::Required,
         "Name of the data centre it runs in.",
     ),
     key(
         "instance",
         "listen",
-        Kind::Addr,
+        ValueKind::Addr,
         Presence::Required,
-        "Where callers connect; the balancer's back end address.",
+        "Address on which callers connect; the load balancer forwards to it.",
     ),
     key(
         "instance",
         "admin",
-        Kind::Addr,
+        ValueKind::Addr,
         Presence::Required,
-        "Where operators connect: administration, health, readiness, metrics and dump. Keep it off the public network.",
+        "Address of the administration API: administration, health, readiness, metrics and dump. Keep it off the public network.",
     ),
     key(
         "instance",
         "peer",
-        Kind::Addr,
+        ValueKind::Addr,
         Presence::Required,
-        "Where other instances connect.",
+        "Address on which other instances connect.",
     ),
     key(
         "instance",
         "workers",
-        Kind::Int(1, 256),
+        ValueKind::Int(1, 256),
         Presence::Default("one for each core, at most 4"),
         "Worker threads.",
     ),
     key(
         "instance",
         "strategy",
-        Kind::OneOf(&[
+        ValueKind::OneOf(&[
             "owner",
             "oracle",
             "round-robin",
@@ -123,151 +124,151 @@
             "fixed-share",
         ]),
         Presence::Default("owner"),
-        "How requests are placed. All but `owner` are baselines for measurements and not meant for service.",
+        "How requests are placed. All values but `owner` are baselines for measurements and not meant for production.",
     ),
     key(
         "platform",
         "table",
-        Kind::Url,
+        ValueKind::Url,
         Presence::Required,
         "The transactional table service.",
     ),
     key(
         "platform",
         "objects",
-        Kind::Url,
+        ValueKind::Url,
         Presence::Required,
         "The object store. Not used yet.",
     ),
     key(
         "platform",
         "directory",
-        Kind::Url,
+        ValueKind::Url,
         Presence::Required,
         "The list of instances and targets.",
     ),
     key(
         "platform",
         "token",
-        Kind::Secret(1),
+        ValueKind::Secret(1),
         Presence::Default("no token is sent"),
-        "Bearer token for all three.",
+        "Bearer token for all three services.",
     ),
     key(
         "peers",
         "key",
-        Kind::Secret(16),
+        ValueKind::Secret(16),
         Presence::Required,
         "Shared key that authenticates the messages between instances; the same on all of them.",
     ),
     key(
         "peers",
         "heartbeat-ms",
-        Kind::Int(20, 10_000),
+        ValueKind::Int(20, 10_000),
         Presence::Default("200"),
         "Time between two heartbeats, in milliseconds.",
     ),
     key(
         "admin",
         "key-hashes",
-        Kind::Hashes,
+        ValueKind::Hashes,
         Presence::Required,
         "SHA-256 of each operator's bearer key, as `celerystand key hash` prints it. With an empty list nobody can administer this instance.",
     ),
     key(
         "limits",
         "header-bytes",
-        Kind::Int(8192, 1_048_576),
+        ValueKind::Int(8192, 1_048_576),
         Presence::Default("16384"),
         "Bytes of a request's headers.",
     ),
     key(
         "limits",
         "body-bytes",
-        Kind::Int(1024, 1_073_741_824),
+        ValueKind::Int(1024, 1_073_741_824),
         Presence::Default("1048576"),
         "Bytes of a request's body.",
     ),
     key(
         "limits",
         "connections",
-        Kind::Int(1, 1_000_000),
+        ValueKind::Int(1, 1_000_000),
         Presence::Default("4096"),
         "Open connections of callers.",
     ),
     key(
         "limits",
         "sender-seconds",
-        Kind::Int(1, 3600),
+        ValueKind::Int(1, 3600),
         Presence::Default("10"),
         "Seconds that a caller may take to send its headers, and between two parts of its body.",
     ),
     key(
         "limits",
         "drain-grace-seconds",
-        Kind::Int(0, 600),
+        ValueKind::Int(0, 600),
         Presence::Default("5"),
-        "Seconds that a shutdown goes on accepting work while the balancer's list still names this instance.",
+        "Seconds during which a shutdown still accepts requests, so that the load balancer can take this instance off its list.",
     ),
     key(
         "log",
         "level",
-        Kind::OneOf(&["error", "warn", "info", "debug"]),
+        ValueKind::OneOf(&["error", "warn", "info", "debug"]),
         Presence::Default("info"),
-        "The least severe events that are logged.",
+        "Minimum severity of the events that are logged.",
     ),
     key(
         "log",
         "format",
-        Kind::OneOf(&["text", "json"]),
+        ValueKind::OneOf(&["text", "json"]),
         Presence::Default("text"),
         "Lines of text for people, or one JSON object a line for machines.",
     ),
 ];
 
-const fn section(name: &'static str, required: bool, about: &'static str) -> Section {
+const fn section(name: &'static str, required: bool, description: &'static str) -> Section {
     Section {
         name,
         required,
-        about,
+        description,
     }
 }
 
 const fn key(
     section: &'static str,
     name: &'static str,
-    kind: Kind,
+    kind: ValueKind,
     presence: Presence,
-    about: &'static str,
+    description: &'static str,
 ) -> Key {
     Key {
         section,
         name,
         kind,
         presence,
-        about,
+        description,
     }
 }
 
 /// The keys of a section.
-pub fn of_section(section: &str) -> impl Iterator<Item = &'static Key> {
+pub fn in_section(section: &str) -> impl Iterator<Item = &'static Key> {
     KEYS.iter().filter(move |key| key.section == section)
 }
 
-impl Kind {
-    /// What a right value looks like, for a sentence.
+impl ValueKind {
+    /// The expected form of the value, as an instruction for the operator.
     #[must_use]
-    pub fn right(&self) -> String {
+    pub fn expected(&self) -> String {
         match self {
             Self::Name => "write a name of letters, digits, `-`, `_` and `.`".to_owned(),
             Self::Addr => "write IP:PORT, for instance 10.0.1.4:8080".to_owned(),
             Self::Url => "write http://IP:PORT, for instance http://10.0.1.9:8000".to_owned(),
             Self::Secret(1) => "write a text that is not empty".to_owned(),
-            Self::Secret(least) => format!("write a text of at least {least} characters"),
+            Self::Secret(min) => format!("write a text of at least {min} characters"),
             Self::Hashes => {
                 "write a list of SHA-256 hashes, each 64 hexadecimal digits, as `celerystand key hash` prints them".to_owned()
             }
-            Self::Int(least, most) => format!("write a whole number from {least} to {most}"),
+            Self::Int(min, max) => format!("write a whole number from {min} to {max}"),
             Self::OneOf(words) => format!("write one of {}", words.join(", ")),
         }
     }
--- a/components/settings/src/model.rs
+++ b/components/settings/src/model.rs
@@ -1,4 +1,4 @@
-//! The settings' shape.
+//! The settings of one instance as types.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -9,62 +9,62 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Settings {
-    /// Who and where this instance is.
+    /// Identity and addresses of this instance.
     pub instance: Instance,
-    /// Where the platform's services are.
+    /// Addresses of the platform's services.
     pub platform: Platform,
-    /// How instances talk to each other.
+    /// Communication between instances.
     pub peers: Peers,
     /// The administration API.
     pub admin: Admin,
-    /// Limits towards callers.
+    /// Limits on callers.
     #[serde(default)]
     pub limits: Limits,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: Log,
 }
 
-/// Who and where this instance is.
+/// Identity and addresses of this instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Instance {
-    /// Its name, unique in the deployment.
+    /// Name of the instance, unique in the deployment.
     pub id: InstanceId,
-    /// Its data centre.
+    /// Data centre that the instance runs in.
     pub data_centre: DataCentreId,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub listen: SocketAddr,
-    /// Where operators connect: administration, health, metrics, dump.
+    /// Address of the administration API, health, metrics and dump.
     pub admin: SocketAddr,
-    /// Where other instances connect.
+    /// Address on which other instances connect.
     pub peer: SocketAddr,
-    /// Worker threads; by default one a core, at most 4.
+    /// Worker threads; by default one for each core, at most 4.
     #[serde(default)]
     pub workers: Option<usize>,
-    /// How requests are placed; all but `owner` are baselines to measure against.
+    /// How requests are placed.
     #[serde(default)]
     pub strategy: Strategy,
 }
 
-/// How requests are placed.
+/// How requests are placed. All but [`Strategy::Owner`] are baselines to measure against.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Strategy {
-    /// Permits of each target's owner.
+    /// Each target's owner grants permits.
     #[default]
     Owner,
-    /// Permits of each target's owner, who is told the lengths.
+    /// As `Owner`, but owners know the length of each answer in advance.
     Oracle,
-    /// One target after another, without admission.
+    /// One target after another, without admission control.
     RoundRobin,
     /// The target that reported the least load.
     LeastLoaded,
-    /// Each instance alone with a fixed share of each target.
+    /// Each instance uses a fixed share of each target's capacity, without coordination.
     FixedShare,
 }
 
-/// Where the platform's services are, as `http://IP:PORT`.
+/// Addresses of the platform's services, as `http://IP:PORT`.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Platform {
@@ -74,16 +74,16 @@
     pub objects: Arc<str>,
     /// The list of instances and targets.
     pub directory: Arc<str>,
-    /// Bearer token for all three.
+    /// Bearer token for all three services.
     #[serde(default)]
     pub token: Option<Arc<str>>,
 }
 
-/// How instances talk to each other.
+/// Communication between instances.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Peers {
-    /// Shared key that authenticates their messages, at least 16 characters.
+    /// Shared key that authenticates messages between instances, at least 16 characters.
     pub key: Arc<str>,
     /// Time between heartbeats, in milliseconds.
     #[serde(default = "default_heartbeat_ms")]
@@ -110,19 +110,20 @@
     pub key_hashes: Vec<Arc<str>>,
 }
 
-/// Limits towards callers.
+/// Limits on callers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Limits {
-    /// Bytes of a request's headers.
+    /// Maximum size of a request's headers, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Open connections.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Seconds that a caller may take to send headers, and between two parts of a body.
+    /// Seconds that a caller may take to send the headers, and between two parts of a body.
     pub sender_seconds: u64,
-    /// Seconds that a shutdown waits for the balancer to notice.
+    /// Seconds during which a shutdown still accepts requests, so that the load balancer can take
+    /// the instance off its list.
     pub drain_grace_seconds: u64,
 }
 
@@ -138,38 +139,38 @@
     }
 }
 
-/// Logs.
+/// Logging.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Log {
-    /// `error`, `warn`, `info` or `debug`.
+    /// Minimum severity of the events that are logged.
     pub level: LogLevel,
-    /// Text for people or JSON for machines.
+    /// Format of log lines.
     pub format: LogFormat,
 }
 
-/// Least severity that is logged.
+/// Minimum severity of the events that are logged.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
-    /// Only what needs an operator now.
+    /// An operator is needed now.
     Error,
-    /// What may need an operator.
+    /// An operator may be needed.
     Warn,
-    /// What happened.
+    /// Normal operation.
     #[default]
     Info,
     /// Details for maintainers.
     Debug,
 }
 
-/// Form of log lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text.
     #[default]
     Text,
-    /// For machines.
+    /// One JSON object a line.
     Json,
 }
--- a/components/settings/src/reference.rs
+++ b/components/settings/src/reference.rs
@@ -1,36 +1,36 @@
-//! The settings reference, `docs/SETTINGS.md`, made from the list of keys.
+//! The settings reference, `docs/SETTINGS.md`, generated from the table of keys.
 
 use std::fmt::Write;
 
-use crate::keys::{self, Key, Kind, Presence, SECTIONS};
+use crate::keys::{self, Key, Presence, SECTIONS, ValueKind};
 
 const HEAD: &str = "# Settings
 
 One YAML file per instance, given to `celerystand serve --settings FILE`. Check it first with
 `celerystand check FILE`, which lists every fault with its line. Keys that are not listed here are
-faults. Whole examples are in `examples/`.
+rejected. Complete examples are in `examples/`.
 
-This page is made from the code: `celerystand docs settings` prints it.
+This page is generated from the code: `celerystand docs settings` prints it.
 ";
 
-/// The whole page.
+/// The reference page as Markdown.
 #[must_use]
 pub fn page() -> String {
     let mut text = HEAD.to_owned();
     for section in SECTIONS {
-        let need = if section.required {
+        let requirement = if section.required {
             "Required."
         } else {
-            "May be left out."
+            "Optional."
         };
         // Writing to a string can't fail.
         let _ = write!(
             text,
-            "\n## `{}`\n\n{} {need}\n\n",
-            section.name, section.about
+            "\n## `{}`\n\n{} {requirement}\n\n",
+            section.name, section.description
         );
         text.push_str("| Key | Value | Default | Meaning |\n|---|---|---|---|\n");
-        for key in keys::of_section(section.name) {
+        for key in keys::in_section(section.name) {
             text.push_str(&row(key));
         }
     }
@@ -42,20 +42,23 @@
         Presence::Required => "required",
         Presence::Default(text) => text,
     };
-    let value = value_of(key.kind);
-    format!("| `{}` | {value} | {default} | {} |\n", key.name, key.about)
+    let value = describe_value(key.kind);
+    format!(
+        "| `{}` | {value} | {default} | {} |\n",
+        key.name, key.description
+    )
 }
 
-fn value_of(kind: Kind) -> String {
+fn describe_value(kind: ValueKind) -> String {
     match kind {
-        Kind::Name => "name of letters, digits, `-`, `_` and `.`".to_owned(),
-        Kind::Addr => "`IP:PORT`".to_owned(),
-        Kind::Url => "`http://IP:PORT`".to_owned(),
-        Kind::Secret(1) => "text".to_owned(),
-        Kind::Secret(least) => format!("text of at least {least} characters"),
-        Kind::Hashes => "list of SHA-256 hashes in hexadecimal".to_owned(),
-        Kind::Int(least, most) => format!("whole number from {least} to {most}"),
-        Kind::OneOf(words) => {
+        ValueKind::Name => "name of letters, digits, `-`, `_` and `.`".to_owned(),
+        ValueKind::Addr => "`IP:PORT`".to_owned(),
+        ValueKind::Url => "`http://IP:PORT`".to_owned(),
+        ValueKind::Secret(1) => "text".to_owned(),
+        ValueKind::Secret(min) => format!("text of at least {min} characters"),
+        ValueKind::Hashes => "list of SHA-256 hashes in hexadecimal".to_owned(),
+        ValueKind::Int(min, max) => format!("whole number from {min} to {max}"),
+        ValueKind::OneOf(words) => {
             let quoted: Vec<String> = words.iter().map(|word| format!("`{word}`")).collect();
             quoted.join(", ")
         }
--- a/components/settings/tests/check.rs
+++ b/components/settings/tests/check.rs
@@ -1,17 +1,17 @@
-//! Reading settings: what is accepted, and what is told about the rest.
+//! Loading of settings: what is accepted, and which faults are reported for everything else.
 
 use std::{fs, path::Path};
 
 use proptest::{prelude::*, test_runner::RngSeed};
 use settings::{
     Fault, LogFormat, Settings, Strategy,
-    keys::{KEYS, Kind, Presence},
+    keys::{KEYS, Presence, ValueKind},
     load, parse,
 };
 
 const HASH: &str = "2cf24dba5fb0a30e26e83b2ac5b9e29e1b161e5c1fa7425e73043362938b9824";
 
-fn least() -> String {
+fn minimal_settings() -> String {
     format!(
         "instance:
   id: entry-1
@@ -36,14 +36,14 @@
 }
 
 /// Line and path of each fault.
-fn places(faults: &[Fault]) -> Vec<(u32, &str)> {
-    let line = |fault: &Fault| fault.place.map_or(0, |place| place.line);
+fn lines_and_paths(faults: &[Fault]) -> Vec<(u32, &str)> {
+    let line = |fault: &Fault| fault.position.map_or(0, |position| position.line);
     faults.iter().map(|f| (line(f), &*f.path)).collect()
 }
 
 #[test]
-fn the_least_settings_get_the_defaults() {
-    let settings = parse(&least()).expect("valid settings");
+fn minimal_settings_get_the_defaults() {
+    let settings = parse(&minimal_settings()).expect("valid settings");
     assert_eq!(&*settings.instance.id, "entry-1");
     assert_eq!(settings.instance.strategy, Strategy::Owner);
     assert_eq!(settings.peers.heartbeat().as_millis(), 200);
@@ -51,10 +51,10 @@
     assert_eq!(&*settings.admin.key_hashes[0], HASH);
 }
 
-// An operator starts an instance with a file that has several mistakes. Told of one at a time,
-// they would restart it once for each.
+// Guards against reporting only the first of several faults: the operator would have to restart
+// the instance once for each.
 #[test]
-fn every_fault_is_listed_at_once_with_its_line() {
+fn all_faults_are_reported_together_with_their_lines() {
     let text = format!(
         "instance:
   id: 7
@@ -89,38 +89,45 @@
         (13, "log.level"),
         (14, "logs"),
     ];
-    assert_eq!(places(&faults), expected);
+    assert_eq!(lines_and_paths(&faults), expected);
     let all: Vec<String> = faults.iter().map(ToString::to_string).collect();
     let all = all.join("\n");
-    for told in [
+    for expected in [
         "line 3, column 3: instance.data_centre: there is no such key; write data-centre",
         "is the address of instance.listen too",
         "one of owner, oracle, round-robin, least-loaded, fixed-share",
         "write a whole number from 1 to 256",
     ] {
-        assert!(all.contains(told), "{told:?} in\n{all}");
+        assert!(all.contains(expected), "{expected:?} in\n{all}");
     }
 }
 
 #[test]
-fn a_syntax_fault_tells_line_and_column() {
+fn a_syntax_fault_has_a_position() {
     let faults = faults("instance:\n  id: [1, 2\npeers:\n");
     assert_eq!(faults.len(), 1);
-    assert!(faults[0].place.is_some_and(|place| place.line >= 2));
+    assert!(
+        faults[0]
+            .position
+            .is_some_and(|position| position.line >= 2)
+    );
 }
 
-// The output of a failed start goes into logs and tickets. A key that is too short for the check
-// may still be the key of another deployment.
+// The output of a failed start goes into logs and tickets. A key that is too short to be accepted
+// may still be the key of another deployment, so a fault must not contain it.
 #[test]
-fn a_fault_never_repeats_a_secret() {
-    let text = least().replace("sixteen-letters!", "hush-hush");
-    let told = faults(&text)[0].to_string();
-    assert!(told.starts_with("line 12, column 8: peers.key"), "{told}");
-    assert!(!told.contains("hush"), "{told}");
+fn faults_contain_no_secrets() {
+    let text = minimal_settings().replace("sixteen-letters!", "hush-hush");
+    let message = faults(&text)[0].to_string();
+    assert!(
+        message.starts_with("line 12, column 8: peers.key"),
+        "{message}"
+    );
+    assert!(!message.contains("hush"), "{message}");
 }
 
 #[test]
-fn empty_and_odd_documents_are_faults() {
+fn empty_and_malformed_documents_are_rejected() {
     for text in [
         "",
         "5",
@@ -135,28 +142,28 @@
 }
 
 #[test]
-fn a_host_name_is_told_apart_from_an_address() {
-    let text = least().replace("http://10.0.0.5:8000", "http://table.local:8000");
+fn a_host_name_is_not_a_service_address() {
+    let text = minimal_settings().replace("http://10.0.0.5:8000", "http://table.local:8000");
     let faults = faults(&text);
-    assert_eq!(places(&faults), [(8, "platform.table")]);
+    assert_eq!(lines_and_paths(&faults), [(8, "platform.table")]);
 }
 
 #[test]
-fn a_file_that_is_not_there_is_a_fault() {
+fn a_missing_file_is_a_fault() {
     let faults = load(Path::new("/nowhere/settings.yml")).expect_err("no such file");
     assert!(faults[0].to_string().contains("can't be read"));
 }
 
-/// All leaves of a document, as `section.key`.
+/// The path, as `section.key`, and the value of every key of a document.
 fn leaves(settings: &Settings) -> Vec<(String, String)> {
     let text = serde_saphyr::to_string(settings).expect("YAML");
-    let document: settings::raw::RawValue = serde_saphyr::from_str(&text).expect("YAML");
+    let document: settings::yaml::YamlNode = serde_saphyr::from_str(&text).expect("YAML");
     let mut all = Vec::new();
     for section in entries(&document) {
         for entry in entries(&section.value) {
             let value = match &entry.value.value {
-                settings::raw::Raw::Text(text) => text.clone(),
-                settings::raw::Raw::Int(number) => number.to_string(),
+                settings::yaml::YamlValue::Text(text) => text.clone(),
+                settings::yaml::YamlValue::Int(number) => number.to_string(),
                 other => other.describe().to_owned(),
             };
             all.push((format!("{}.{}", section.key, entry.key), value));
@@ -165,35 +172,38 @@
     all
 }
 
-fn entries(value: &settings::raw::RawValue) -> &[settings::raw::RawEntry] {
+fn entries(value: &settings::yaml::YamlNode) -> &[settings::yaml::YamlEntry] {
     match &value.value {
-        settings::raw::Raw::Map(entries) => entries,
-        other => panic!("a section in place of {}", other.describe()),
+        settings::yaml::YamlValue::Map(entries) => entries,
+        other => panic!("expected a section, found {}", other.describe()),
     }
 }
 
-// A field that is added to the settings but not to the list of keys could never be written: the
-// checker would call it unknown. The other way round the checker would accept what is not read.
+// Guards against a mismatch of the types and the table of keys. A field that is missing in the
+// table could never be set, since the checker rejects it as unknown; a key without a field would
+// be accepted and ignored.
 #[test]
-fn the_list_of_keys_is_that_of_the_settings_with_the_same_defaults() {
-    let settings = parse(&least()).expect("valid settings");
+fn the_table_of_keys_matches_the_settings_and_their_defaults() {
+    let settings = parse(&minimal_settings()).expect("valid settings");
     let leaves = leaves(&settings);
-    let written: Vec<&str> = leaves.iter().map(|(path, _)| path.as_str()).collect();
+    let fields: Vec<&str> = leaves.iter().map(|(path, _)| path.as_str()).collect();
     let listed: Vec<String> = KEYS
         .iter()
         .map(|key| format!("{}.{}", key.section, key.name))
         .collect();
-    assert_eq!(written, listed);
+    assert_eq!(fields, listed);
     for (key, (path, value)) in KEYS.iter().zip(&leaves) {
-        let plain = matches!(key.kind, Kind::Int(..) | Kind::OneOf(_));
-        if let (true, Presence::Default(default)) = (plain && value != "nothing", key.presence) {
+        let has_literal_default = matches!(key.kind, ValueKind::Int(..) | ValueKind::OneOf(_));
+        if let (true, Presence::Default(default)) =
+            (has_literal_default && value != "nothing", key.presence)
+        {
             assert_eq!(default, value, "{path}");
         }
     }
 }
 
 #[test]
-fn the_reference_page_is_the_one_of_this_code() {
+fn the_reference_page_is_up_to_date() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/SETTINGS.md");
     let page = fs::read_to_string(path).expect("the page");
     let message = "run: cargo run -- docs settings > docs/SETTINGS.md";
@@ -209,15 +219,15 @@
     })]
 
     #[test]
-    fn no_text_makes_it_panic(text in "[a-z:{}\\[\\]&*!|>'\"%@`#, \n\t0-9.-]{0,120}") {
+    fn parsing_random_text_never_panics(text in "[a-z:{}\\[\\]&*!|>'\"%@`#, \n\t0-9.-]{0,120}") {
         prop_assert!(parse(&text).is_err());
     }
 
     #[test]
-    fn a_wrong_value_is_told_at_its_key(index in 0..KEYS.len(), value in "[!?%]{1,8}") {
+    fn an_invalid_value_is_reported_at_its_key(index in 0..KEYS.len(), value in "[!?%]{1,8}") {
         let key = KEYS[index];
-        // Any text will do as a token, and as a key if it is long enough.
-        prop_assume!(!matches!(key.kind, Kind::Secret(1)));
+        // Any text is a valid token.
+        prop_assume!(!matches!(key.kind, ValueKind::Secret(1)));
         let text = with_value(key.section, key.name, &format!("'{value}'"));
         let faults = faults(&text);
         let path = format!("{}.{}", key.section, key.name);
@@ -225,25 +235,25 @@
     }
 }
 
-/// The least settings with one value replaced or added.
+/// The minimal settings with one value replaced or added.
 fn with_value(section: &str, name: &str, value: &str) -> String {
     let mut text = String::new();
-    let mut inside = false;
-    let mut seen = false;
-    for line in least().lines() {
-        let replaced = inside && line.trim_start().starts_with(&format!("{name}:"));
+    let mut in_section = false;
+    let mut section_found = false;
+    for line in minimal_settings().lines() {
+        let replaced = in_section && line.trim_start().starts_with(&format!("{name}:"));
         if !replaced {
             text.push_str(&format!("{line}\n"));
         }
         if !line.starts_with(' ') {
-            inside = line == format!("{section}:");
+            in_section = line == format!("{section}:");
         }
-        if inside && !line.starts_with(' ') {
-            seen = true;
+        if in_section && !line.starts_with(' ') {
+            section_found = true;
             text.push_str(&format!("  {name}: {value}\n"));
         }
     }
-    if !seen {
+    if !section_found {
         text.push_str(&format!("{section}:\n  {name}: {value}\n"));
     }
     text
