--- a/components/front/src/run.rs
+++ b/components/front/src/run.rs
@@ -105,7 +105,7 @@
     let retire = callers.retire();
     let mut callers = drain::CallerServer {
         stop: callers.stop(),
-        open: callers.open(),
+        open: callers.open_connections(),
         task: workers::spawn(callers.run()),
     };
     workers::spawn(peers.run()).detach();
@@ -139,7 +139,7 @@
     let bounds = cfg.bounds;
     let serve_limits = ServeLimits {
         header_bytes: MAX_HEADER_BYTES,
-        header_time: IDLE_TIMEOUT,
+        header_timeout: IDLE_TIMEOUT,
         ..ServeLimits::default()
     };
     let metrics = Metrics::new();
@@ -149,8 +149,8 @@
         adapter: Arc::clone(&adapters.protocol),
         engines: Arc::clone(&adapters.engines),
         store: Arc::new(CountedStore::new(Arc::clone(&adapters.store), calls)),
-        client: Client::new().with_connect_limit(CONNECT_TIMEOUT),
-        peers: Peers::new(me, Client::new().with_connect_limit(CONNECT_TIMEOUT))
+        client: Client::new().with_connect_timeout(CONNECT_TIMEOUT),
+        peers: Peers::new(me, Client::new().with_connect_timeout(CONNECT_TIMEOUT))
             .with_capacity_order(cfg.decisions.features.capacity_order)
             .with_byte_counter(metrics.peer_bytes.clone()),
         placement: Placement::new(cfg.decisions.placing),
--- a/components/gateway/src/forward.rs
+++ b/components/gateway/src/forward.rs
@@ -92,7 +92,7 @@
         // An answer to `HEAD` has the length of a body that it does not contain.
         let is_length_without_body = answer.body.is_empty() && **name == *"content-length";
         if is_length_without_body || !HOP_BY_HOP.contains(&name.as_ref()) {
-            reply = reply.with_added(name, value);
+            reply = reply.with_appended_header(name, value);
         }
     }
     reply.with_header(REQUEST_ID, request_id).done()
--- a/components/net/src/body.rs
+++ b/components/net/src/body.rs
@@ -1,4 +1,4 @@
-//! Reading bodies within limits.
+//! Reads request and response bodies within limits of size, time and shared memory.
 
 use std::time::Duration;
 
@@ -13,84 +13,84 @@
 /// Why a body could not be read.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum BodyError {
-    /// It is longer than allowed.
+    /// The body is longer than allowed.
     #[display("the body is longer than allowed")]
     TooLarge,
-    /// The sender took too long between two parts.
+    /// The sender took too long for one frame or for the whole body.
     #[display("the body did not arrive in time")]
     TooSlow,
-    /// The connection broke before its end.
+    /// The connection broke before the end of the body.
     #[display("the connection broke before the end of the body")]
     Broken,
 }
 
-/// Why a body could not be read within what many bodies may hold together.
+/// Why a body could not be read within a memory budget that many bodies share.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, From, PartialEq)]
 pub enum SharedError {
-    /// It is wrong in itself.
+    /// The body itself could not be read.
     Body(BodyError),
-    /// All bodies together take as much memory as they may.
+    /// The bodies held at present use up the budget.
     #[display("too many bytes are held by other bodies")]
     #[from(ignore)]
     BudgetExhausted,
 }
 
-/// A body may take this many times the patience for one part. Without it a sender of one byte
-/// at a time, each just in time, would hold a connection and its buffers for days.
-const PARTS_PATIENCE: u32 = 6;
+/// Time limit for a whole body, as a multiple of the time limit for one frame. Without it a sender
+/// of one byte at a time, each just in time, would hold a connection and its buffers for days.
+const BODY_TIMEOUT_FACTOR: u32 = 6;
 
-/// Reads a whole body of at most `limit` bytes, waiting at most `patience` for each part and
-/// a few times that for all of it.
+/// Reads a whole body of at most `limit` bytes, waiting at most `frame_timeout` for each frame and
+/// `BODY_TIMEOUT_FACTOR` times that for the whole body.
 ///
 /// # Errors
-/// Tells what was wrong with the body.
+/// Fails if the body is too long, too slow or incomplete.
 pub async fn read_limited(
     body: Incoming,
     limit: usize,
-    patience: Duration,
+    frame_timeout: Duration,
 ) -> Result<Bytes, BodyError> {
     let mut share = Budget::new(limit).share();
-    let read = read_shared(body, limit, patience, &mut share).await;
+    let read = read_shared(body, limit, frame_timeout, &mut share).await;
     read.map_err(|e| match e {
         SharedError::Body(e) => e,
-        // A budget of its own can't be used up by others.
+        // No other body uses this budget.
         SharedError::BudgetExhausted => BodyError::TooLarge,
     })
 }
 
-/// The same, with the bytes taken from a share of what many bodies may hold together. The share
-/// must live as long as the bytes.
+/// Reads a body as [`read_limited`] does, and reserves its bytes in `share`. The caller keeps the
+/// share for as long as it keeps the bytes.
 ///
 /// # Errors
-/// Tells what was wrong with the body.
+/// Fails if the body can't be read, or if the budget of the share is used up.
 pub async fn read_shared(
     body: Incoming,
     limit: usize,
-    patience: Duration,
+    frame_timeout: Duration,
     share: &mut Share,
 ) -> Result<Bytes, SharedError> {
-    // A body that says it is too long is not read at all.
+    // A declared length over the limit is rejected before any byte is read.
     if body.size_hint().lower() > limit as u64 {
         return Err(BodyError::TooLarge.into());
     }
-    let parts = read_parts(body, limit, patience, share);
+    let frames = read_frames(body, limit, frame_timeout, share);
     Timer::new()
-        .within(patience.saturating_mul(PARTS_PATIENCE), parts)
+        .within(frame_timeout.saturating_mul(BODY_TIMEOUT_FACTOR), frames)
         .await
         .unwrap_or(Err(BodyError::TooSlow.into()))
 }
 
-async fn read_parts(
+async fn read_frames(
     mut body: Incoming,
     limit: usize,
-    patience: Duration,
+    frame_timeout: Duration,
     share: &mut Share,
 ) -> Result<Bytes, SharedError> {
-    let mut alarm = ReusableTimeout::new();
+    let mut timer = ReusableTimeout::new();
     let mut buf = BytesMut::new();
     loop {
-        let frame = alarm
-            .within(patience, body.frame())
+        let frame = timer
+            .within(frame_timeout, body.frame())
             .await
             .ok_or(BodyError::TooSlow)?;
         let Some(frame) = frame else {
@@ -110,19 +110,15 @@
     }
 }
 
-/// Reads a whole body of a trusted peer's answer, of at most `limit` bytes in at most `patience`.
+/// Reads the whole body of a trusted peer's response, of at most `limit` bytes within `timeout`.
 ///
 /// # Errors
-/// Tells what was wrong with the body.
-pub async fn read_all(
-    body: Incoming,
-    limit: usize,
-    patience: Duration,
-) -> Result<Bytes, BodyError> {
+/// Fails if the body is too long, too slow or incomplete.
+pub async fn read_all(body: Incoming, limit: usize, timeout: Duration) -> Result<Bytes, BodyError> {
     let timer = Timer::new();
-    let read = read_limited(body, limit, patience);
+    let read = read_limited(body, limit, timeout);
     timer
-        .within(patience, read)
+        .within(timeout, read)
         .await
         .unwrap_or(Err(BodyError::TooSlow))
 }
--- a/components/net/src/budget.rs
+++ b/components/net/src/budget.rs
@@ -1,35 +1,35 @@
-//! A bound on the memory that many bodies may hold together.
+//! A limit on the memory that many bodies hold together.
 
 use std::sync::{
     Arc,
     atomic::{AtomicUsize, Ordering},
 };
 
-/// Bytes that many holders share. Clones share them too.
+/// A number of bytes that many holders share. All clones refer to the same budget.
 ///
-/// Each body has its own limit, but a crowd of connections, each with a body just below it,
-/// would still take more memory than the machine has.
+/// The limit on each body does not bound their sum: many connections, each with a body just below
+/// the limit, would take more memory than the machine has.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    left: Arc<AtomicUsize>,
+    available: Arc<AtomicUsize>,
 }
 
 impl Budget {
-    /// Makes a budget of so many bytes.
+    /// Creates a budget of this many bytes.
     #[must_use]
     pub fn new(bytes: usize) -> Self {
         Self {
-            left: Arc::new(AtomicUsize::new(bytes)),
+            available: Arc::new(AtomicUsize::new(bytes)),
         }
     }
 
-    /// Bytes that nobody holds.
+    /// Bytes that no share holds.
     #[must_use]
-    pub fn left(&self) -> usize {
-        self.left.load(Ordering::Acquire)
+    pub fn available(&self) -> usize {
+        self.available.load(Ordering::Acquire)
     }
 
-    /// An empty share.
+    /// Returns a share that holds no bytes yet.
     #[must_use]
     pub fn share(&self) -> Share {
         Share {
@@ -38,16 +38,16 @@
         }
     }
 
-    fn take(&self, bytes: usize) -> bool {
-        self.left
-            .fetch_update(Ordering::AcqRel, Ordering::Acquire, |left| {
-                left.checked_sub(bytes)
+    fn try_reserve(&self, bytes: usize) -> bool {
+        self.available
+            .fetch_update(Ordering::AcqRel, Ordering::Acquire, |available| {
+                available.checked_sub(bytes)
             })
             .is_ok()
     }
 }
 
-/// What one holder has of a budget; given back when dropped.
+/// The bytes that one holder has reserved from a budget. They are released when it is dropped.
 #[derive(Debug)]
 pub struct Share {
     budget: Budget,
@@ -55,19 +55,19 @@
 }
 
 impl Share {
-    /// Takes more. On `false` the budget is used up and nothing was taken.
+    /// Reserves more bytes. Returns `false`, and reserves nothing, if the budget is used up.
     #[must_use]
     pub fn grow(&mut self, bytes: usize) -> bool {
-        let taken = self.budget.take(bytes);
-        if taken {
+        let reserved = self.budget.try_reserve(bytes);
+        if reserved {
             self.held += bytes;
         }
-        taken
+        reserved
     }
 }
 
 impl Drop for Share {
     fn drop(&mut self) {
-        self.budget.left.fetch_add(self.held, Ordering::AcqRel);
+        self.budget.available.fetch_add(self.held, Ordering::AcqRel);
     }
 }
--- a/components/net/src/client.rs
+++ b/components/net/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls over pooled connections.
+//! An HTTP client with a pool of idle connections.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -18,69 +18,69 @@
 
 use crate::pool::{Conn, Pool};
 
-/// Bytes of a connection's buffers, and so of one part of a body and of an answer's head.
-const BUFFER: usize = 16 * 1024;
-/// Time to connect.
-const CONNECT_LIMIT: Duration = Duration::from_secs(2);
+/// Limit on a connection's buffers, and so on one frame of a body and on a response's head.
+const BUFFER_BYTES: usize = 16 * 1024;
+/// How long a new connection may take to open.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a call brought no answer.
+/// Why a request got no response.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum SendError {
     /// No byte of the request left this process.
     #[display("no byte was sent: {reason}")]
     Unsent {
-        /// Why.
+        /// The cause.
         #[error(not(source))]
         reason: Arc<str>,
     },
-    /// Some of the request may have left; whether it was served is unknown.
+    /// Some bytes of the request may have been sent; whether it was served is unknown.
     #[display("the connection was lost: {reason}")]
     Lost {
-        /// Why.
+        /// The cause.
         #[error(not(source))]
         reason: Arc<str>,
     },
 }
 
-/// A connection to send on.
+/// The sending half of a connection.
 pub type Sender = SendRequest<Full<Bytes>>;
 
-/// An HTTP client that keeps idle connections. Clones share them.
+/// An HTTP client that keeps idle connections for reuse. Clones share the pool.
 #[derive(Clone)]
 pub struct Client {
     pool: Arc<Mutex<Pool>>,
-    connect_limit: Duration,
+    connect_timeout: Duration,
 }
 
 impl Default for Client {
     fn default() -> Self {
         Self {
             pool: Arc::default(),
-            connect_limit: CONNECT_LIMIT,
+            connect_timeout: CONNECT_TIMEOUT,
         }
     }
 }
 
 impl Client {
-    /// Makes a client without connections.
+    /// Creates a client without connections.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets the time to connect.
+    /// Sets how long a new connection may take to open.
     #[must_use]
-    pub const fn with_connect_limit(mut self, limit: Duration) -> Self {
-        self.connect_limit = limit;
+    pub const fn with_connect_timeout(mut self, limit: Duration) -> Self {
+        self.connect_timeout = limit;
         self
     }
 
-    /// Sends a request over an idle connection, or a new one, and waits for the answer's head.
-    /// The connection returns to the pool once the answer's body was read to its end; if the
-    /// body is dropped before, the connection is closed.
+    /// Sends a request over an idle connection, or a new one, and waits for the head of the
+    /// response. The connection returns to the pool once the response's body has been read to its
+    /// end; if the body is dropped before, the connection is closed.
     ///
     /// # Errors
-    /// Tells whether any byte of the request may have left.
+    /// The error says whether any byte of the request may have been sent.
     pub async fn send(
         &self,
         addr: SocketAddr,
@@ -93,17 +93,17 @@
         };
         match self.send_on(addr, conn, req).await {
             Ok(resp) => Ok(resp),
-            // The idle connection had been closed by the other side; nothing was sent on it.
+            // The server had closed the idle connection; nothing was sent on it.
             Err((_, Some(req))) => self.send_new(addr, req).await,
             Err((error, None)) => Err(error),
         }
     }
 
-    /// Sends a request over a connection of its own that was not used before: after a connection
-    /// fell silent, the pooled ones are suspect too.
+    /// Sends a request over a new connection. Used where the pooled connections are suspect, such
+    /// as after another connection to the address stopped responding.
     ///
     /// # Errors
-    /// Tells whether any byte of the request may have left.
+    /// The error says whether any byte of the request may have been sent.
     pub async fn send_fresh(
         &self,
         addr: SocketAddr,
@@ -112,12 +112,12 @@
         self.send_new(addr, with_host(req, addr)).await
     }
 
-    /// Closes all connections to an address: the idle ones now, those in use after it.
+    /// Closes all connections to an address: the idle ones now, those in use after their request.
     pub fn close_connections(&self, addr: SocketAddr) {
         self.pool.lock().close_connections(addr);
     }
 
-    /// Idle connections kept to an address.
+    /// Number of idle connections to an address.
     #[must_use]
     pub fn idle(&self, addr: SocketAddr) -> usize {
         self.pool.lock().count(addr)
@@ -128,7 +128,7 @@
         addr: SocketAddr,
         req: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, SendError> {
-        let conn = connect(addr, self.connect_limit).await?;
+        let conn = connect(addr, self.connect_timeout).await?;
         self.send_on(addr, conn, req)
             .await
             .map_err(|(error, _)| error)
@@ -142,7 +142,7 @@
     ) -> Result<Response<Incoming>, (SendError, Option<Request<Full<Bytes>>>)> {
         match conn.sender.try_send_request(req).await {
             Ok(resp) => {
-                self.keep_when_ready(addr, conn);
+                self.return_when_ready(addr, conn);
                 Ok(resp)
             }
             Err(mut error) => {
@@ -156,43 +156,43 @@
         }
     }
 
-    fn keep_when_ready(&self, addr: SocketAddr, mut conn: Conn) {
+    fn return_when_ready(&self, addr: SocketAddr, mut conn: Conn) {
         let pool = Arc::clone(&self.pool);
-        let keep = async move {
+        let put_back = async move {
             if conn.sender.ready().await.is_ok() {
-                pool.lock().keep(addr, conn);
+                pool.lock().put(addr, conn);
             }
         };
-        workers::spawn(keep).detach();
+        workers::spawn(put_back).detach();
     }
 }
 
-async fn connect(addr: SocketAddr, limit: Duration) -> Result<Conn, SendError> {
+async fn connect(addr: SocketAddr, timeout: Duration) -> Result<Conn, SendError> {
     let unsent = |reason: String| SendError::Unsent {
         reason: reason.into(),
     };
     let stream = Timer::new()
-        .within(limit, TcpStream::connect(addr))
+        .within(timeout, TcpStream::connect(addr))
         .await
-        .ok_or_else(|| unsent(format!("no connection to {addr} within {limit:?}")))?
+        .ok_or_else(|| unsent(format!("no connection to {addr} within {timeout:?}")))?
         .map_err(|e| unsent(format!("no connection to {addr}: {e}")))?;
     stream
         .set_nodelay(true)
         .map_err(|e| unsent(e.to_string()))?;
     let (sender, conn) = http1::Builder::new()
-        .max_buf_size(BUFFER)
+        .max_buf_size(BUFFER_BYTES)
         .handshake(FuturesIo::new(stream))
         .await
         .map_err(|e| unsent(format!("no HTTP connection to {addr}: {e}")))?;
     let drive = async move {
-        // Its error reaches whoever waits for the answer.
+        // An error is reported to the sender that waits for the response.
         let _ = conn.await;
     };
     workers::spawn(drive).detach();
     Ok(Conn::new(sender))
 }
 
-/// Names the address as host, unless the request names one already.
+/// Sets the `Host` header to the address, unless the request has one.
 fn with_host(mut req: Request<Full<Bytes>>, addr: SocketAddr) -> Request<Full<Bytes>> {
     if req.headers().contains_key(HOST) {
         return req;
--- a/components/net/src/connection.rs
+++ b/components/net/src/connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection, from its first request to its close.
+//! Serves one accepted connection, from its first request to its close.
 
 use std::{
     convert::Infallible,
@@ -25,99 +25,99 @@
     linger, panics,
     reply::Body,
     serve::{Handler, ServeLimits},
-    stall::Watched,
+    write_timeout::WriteTimeoutStream,
 };
 
-/// Time for a request that is on its way when the server stops: for the first one of a connection from
-/// its making, for the rest of a head that has begun to arrive from the stop.
-const LAST_REQUEST: Duration = Duration::from_millis(300);
-/// Time beyond that for the head of a connection's first request.
-const LAST_HEAD: Duration = Duration::from_secs(1);
-/// Bytes of a connection's buffers at least; the library takes no less.
-const LEAST_BUFFER: usize = 8192;
+/// How long a stopping server waits for a request in transit: for the first request of a
+/// connection, counted from its acceptance; for the rest of a head that has begun to arrive, from
+/// the stop.
+const REQUEST_GRACE: Duration = Duration::from_millis(300);
+/// How long it waits beyond that for the complete head of a connection's first request.
+const HEAD_GRACE: Duration = Duration::from_secs(1);
+/// Smallest buffer limit that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8192;
 
-/// What is left to do for a connection that has been served.
-enum Left {
-    /// To close it.
-    Nothing,
-    /// To close it once the other side has sent what it still sends.
-    Sending,
-    /// To break it, since its last answer is not whole.
-    Cut,
+/// How to close a connection that has been served.
+enum CloseMode {
+    /// Close it now.
+    Immediate,
+    /// Read what the peer is still sending first.
+    Drain,
+    /// Reset it, because its last response is incomplete.
+    Reset,
 }
 
-/// One connection and the terms it is served on.
+/// An accepted connection and what is needed to serve it.
 pub struct Connection {
     pub peer: SocketAddr,
     pub limits: ServeLimits,
-    pub write_stall: Duration,
+    pub write_timeout: Duration,
     pub handler: Arc<dyn Handler>,
     pub stop: Arc<AtomicBool>,
     pub retire: Arc<AtomicBool>,
     pub closing: Receiver<()>,
-    /// When it was accepted.
-    pub made: Instant,
-    /// What has come so far.
+    pub accepted_at: Instant,
     pub progress: Arc<Progress>,
 }
 
-/// What has come over a connection so far.
+/// What has been received over a connection so far.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// A request.
-    asked: AtomicBool,
-    /// Bytes since the last request was answered.
-    heard: Arc<AtomicBool>,
+    /// The head of at least one request has arrived.
+    has_request: AtomicBool,
+    /// Bytes have arrived since the last request was answered.
+    has_new_bytes: Arc<AtomicBool>,
     /// The last request has a body.
     has_body: AtomicBool,
-    /// The last request is of HTTP/1.0.
-    old: AtomicBool,
+    /// The last request uses HTTP/1.0.
+    is_http_1_0: AtomicBool,
 }
 
 impl Progress {
-    fn begin(&self, req: &Request<Incoming>) {
-        self.asked.store(true, Ordering::Release);
-        let old = req.version() < Version::HTTP_11;
-        self.old.store(old, Ordering::Release);
+    fn request_started(&self, req: &Request<Incoming>) {
+        self.has_request.store(true, Ordering::Release);
+        let is_http_1_0 = req.version() < Version::HTTP_11;
+        self.is_http_1_0.store(is_http_1_0, Ordering::Release);
         self.has_body
             .store(!req.body().is_end_stream(), Ordering::Release);
     }
 
-    fn answered(&self) {
-        self.heard.store(false, Ordering::Release);
+    fn request_answered(&self) {
+        self.has_new_bytes.store(false, Ordering::Release);
     }
 }
 
 impl Connection {
-    /// Serves it to its end. A caller that breaks the protocol or goes away hurts only its own
-    /// connection.
+    /// Serves the connection until it is closed. A caller that violates the protocol or
+    /// disconnects affects only its own connection.
     pub async fn serve(self, stream: TcpStream) {
-        match self.converse(stream.clone()).await {
-            Left::Nothing => linger::close(stream, false).await,
-            Left::Sending => linger::close(stream, true).await,
-            Left::Cut => linger::reset(&stream),
+        match self.serve_requests(stream.clone()).await {
+            CloseMode::Immediate => linger::close(stream, false).await,
+            CloseMode::Drain => linger::close(stream, true).await,
+            CloseMode::Reset => linger::reset(&stream),
         }
     }
 
-    /// Answers all its requests; tells what is left to do.
-    async fn converse(&self, stream: TcpStream) -> Left {
+    /// Answers all requests of the connection. Returns how to close it.
+    async fn serve_requests(&self, stream: TcpStream) -> CloseMode {
         let progress = &self.progress;
-        let stream = Watched::new(stream, self.write_stall).with_heard(&progress.heard);
+        let stream = WriteTimeoutStream::new(stream, self.write_timeout)
+            .with_read_flag(&progress.has_new_bytes);
         let service = service_fn(|req| self.answer(req));
         let conn = http1::Builder::new()
             .timer(SmolTimer::new())
-            .header_read_timeout(self.limits.header_time)
-            .max_buf_size(self.limits.header_bytes.max(LEAST_BUFFER))
-            // A caller that closes its side has gone: the handler is dropped, and with it
-            // whatever waits or runs for this caller.
+            .header_read_timeout(self.limits.header_timeout)
+            .max_buf_size(self.limits.header_bytes.max(MIN_BUFFER_BYTES))
+            // A caller that closes its side of the connection has left: the handler's future is
+            // dropped, and with it what waits or runs for this caller.
             .half_close(false)
             .serve_connection(FuturesIo::new(stream), service);
         let mut conn = pin!(conn);
         let ended = async { Some(conn.as_mut().await) };
         let closing = async {
-            // Nothing is ever sent; it fails once the server closes.
+            // Nothing is ever sent on the channel; `recv` fails once the server closes it.
             let _ = self.closing.recv().await;
-            self.last_request().await;
+            self.await_request_in_transit().await;
             None
         };
         let ended = match future::or(ended, closing).await {
@@ -125,49 +125,53 @@
             None => {
                 conn.as_mut().graceful_shutdown();
                 let ended = async { Some(conn.as_mut().await) };
-                match future::or(ended, self.no_head()).await {
+                match future::or(ended, self.first_head_timeout()).await {
                     Some(ended) => ended,
-                    None => return Left::Nothing,
+                    None => return CloseMode::Immediate,
                 }
             }
         };
         match ended {
-            // Such a caller takes the end of the connection for the end of the body.
-            Err(e) if e.is_user() && progress.old.load(Ordering::Acquire) => Left::Cut,
-            Err(_) => Left::Sending,
-            Ok(()) if progress.has_body.load(Ordering::Acquire) => Left::Sending,
-            Ok(()) => Left::Nothing,
+            // To an HTTP/1.0 caller the end of the connection is the end of the body, so that an
+            // aborted body would look complete after an ordinary close.
+            Err(e) if e.is_user() && progress.is_http_1_0.load(Ordering::Acquire) => {
+                CloseMode::Reset
+            }
+            Err(_) => CloseMode::Drain,
+            Ok(()) if progress.has_body.load(Ordering::Acquire) => CloseMode::Drain,
+            Ok(()) => CloseMode::Immediate,
         }
     }
 
-    /// Waits for a request that is on its way as the server stops. The library closes a connection
-    /// at once on which no request is being answered, be it that a part of one has arrived.
-    async fn last_request(&self) {
-        if self.progress.heard.load(Ordering::Acquire) {
-            Timer::after(LAST_REQUEST).await;
-        } else if !self.progress.asked.load(Ordering::Acquire) {
-            Timer::at(self.made + LAST_REQUEST).await;
+    /// Gives a request that is in transit as the server stops the time to arrive. On a graceful
+    /// shutdown hyper at once closes a connection on which no request is being answered, even if
+    /// a part of one has arrived.
+    async fn await_request_in_transit(&self) {
+        if self.progress.has_new_bytes.load(Ordering::Acquire) {
+            Timer::after(REQUEST_GRACE).await;
+        } else if !self.progress.has_request.load(Ordering::Acquire) {
+            Timer::at(self.accepted_at + REQUEST_GRACE).await;
         }
     }
 
-    /// Completes once the server has waited long enough for the rest of a first request's head,
-    /// which the library goes on waiting for.
-    async fn no_head<T>(&self) -> Option<T> {
-        Timer::after(LAST_HEAD).await;
-        if self.progress.asked.load(Ordering::Acquire) {
+    /// Completes if the head of the connection's first request is still incomplete after
+    /// `HEAD_GRACE`; hyper itself would go on waiting for the rest of it.
+    async fn first_head_timeout<T>(&self) -> Option<T> {
+        Timer::after(HEAD_GRACE).await;
+        if self.progress.has_request.load(Ordering::Acquire) {
             future::pending().await
         }
         None
     }
 
     async fn answer(&self, req: Request<Incoming>) -> Result<Response<Body>, Infallible> {
-        self.progress.begin(&req);
-        let mut resp = panics::caught(self.handler.as_ref(), self.peer, req).await;
+        self.progress.request_started(&req);
+        let mut resp = panics::handle_catching_panics(self.handler.as_ref(), self.peer, req).await;
         if self.stop.load(Ordering::Acquire) || self.retire.load(Ordering::Acquire) {
             let close = HeaderValue::from_static("close");
             resp.headers_mut().insert(CONNECTION, close);
         }
-        self.progress.answered();
+        self.progress.request_answered();
         Ok(resp)
     }
 }
--- a/components/net/src/lib.rs
+++ b/components/net/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP over `hyper` and `smol`: serving with limits, calling with pooled connections.
+//! HTTP over `hyper` and `smol`: a server with limits, and a client with pooled connections.
 
 pub mod body;
 pub mod budget;
@@ -9,7 +9,7 @@
 mod pool;
 pub mod reply;
 pub mod serve;
-mod stall;
+mod write_timeout;
 
 pub use body::{BodyError, SharedError, read_all, read_limited, read_shared};
 pub use budget::{Budget, Share};
--- a/components/net/src/linger.rs
+++ b/components/net/src/linger.rs
@@ -1,41 +1,40 @@
-//! Closing connections whose other side may still be sending.
+//! Closes connections whose peer may still be sending.
 
 use std::{net::Shutdown, time::Duration};
 
 use smol::{future, io::AsyncReadExt, net::TcpStream};
 use timer::Timer;
 
-/// Longest time for which the other side may send on.
-const LIMIT: Duration = Duration::from_secs(1);
-/// Bytes read at once.
-const BUFFER: usize = 2 * 1024;
+/// Longest time for which the peer may go on sending.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+const BUFFER_BYTES: usize = 2 * 1024;
 
-/// Closes a connection. What still comes in is read and thrown away until the other side closes
-/// too, for a while at most; `owed` tells that some is expected.
+/// Closes a connection. Bytes that still arrive are read and discarded until the peer closes its
+/// side, at most for `LINGER_TIMEOUT`; `expects_more` says that some are expected.
 ///
-/// Closed with unread bytes, or while more arrive, a connection is reset, and the reset may reach
-/// the other side before it has read its answer.
-pub async fn close(mut stream: TcpStream, owed: bool) {
-    // Fails only where there is no connection left to close.
+/// The kernel resets a connection that is closed with unread bytes or while more arrive, and the
+/// reset may reach the peer before it has read its response.
+pub async fn close(mut stream: TcpStream, expects_more: bool) {
+    // Fails only if the connection is already closed.
     let _ = stream.shutdown(Shutdown::Write);
     let read = future::poll_once(stream.read(&mut [0])).await;
     let more = match read {
         Some(read) => read.is_ok_and(|len| len > 0),
-        None => owed,
+        None => expects_more,
     };
     if !more {
         return;
     }
     let rest = async {
-        let mut buf = vec![0; BUFFER];
+        let mut buf = vec![0; BUFFER_BYTES];
         while stream.read(&mut buf).await.is_ok_and(|len| len > 0) {}
     };
-    // Whoever sends for longer loses its answer with the connection.
-    let _ = Timer::new().within(LIMIT, rest).await;
+    // A peer that sends for longer may lose its response to the reset.
+    let _ = Timer::new().within(LINGER_TIMEOUT, rest).await;
 }
 
-/// Breaks a connection off, so that the other side does not take its end for the end of an answer.
+/// Resets a connection, so that the peer does not take its end for the end of a response.
 pub fn reset(stream: &TcpStream) {
-    // Fails only where there is no connection left to break.
+    // Fails only if the connection is already closed.
     let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
 }
--- a/components/net/src/panics.rs
+++ b/components/net/src/panics.rs
@@ -1,4 +1,4 @@
-//! Handlers that panic.
+//! Turns a panic of a handler into a response.
 
 use std::{any::Any, net::SocketAddr, panic::AssertUnwindSafe};
 
@@ -14,19 +14,19 @@
     serve::Handler,
 };
 
-/// Lets a handler answer. If it panics the handler is told, the caller gets the answer that it
-/// has for this, and the connection is given up: what is left of the request is unknown.
-pub async fn caught(
+/// Calls a handler. If it panics, [`Handler::panicked`] supplies the response, and the connection
+/// is closed after it, because how much of the request was read is unknown.
+pub async fn handle_catching_panics(
     handler: &dyn Handler,
     peer: SocketAddr,
     req: Request<Incoming>,
 ) -> Response<Body> {
-    // Nothing of the handler's future is used after it broke off.
-    let answer = AssertUnwindSafe(async { handler.handle(peer, req).await });
-    match answer.catch_unwind().await {
+    // The handler's future is not used after it has panicked.
+    let response = AssertUnwindSafe(async { handler.handle(peer, req).await });
+    match response.catch_unwind().await {
         Ok(resp) => resp,
         Err(panic) => {
-            let mut resp = handler.panicked(reason(panic.as_ref()));
+            let mut resp = handler.panicked(message(panic.as_ref()));
             let close = HeaderValue::from_static("close");
             resp.headers_mut().insert(CONNECTION, close);
             resp
@@ -34,15 +34,15 @@
     }
 }
 
-/// What a panic says.
-fn reason(panic: &(dyn Any + Send)) -> &str {
+/// Returns the message of a panic.
+fn message(panic: &(dyn Any + Send)) -> &str {
     let text = panic.downcast_ref::<&str>().copied();
     text.or_else(|| panic.downcast_ref::<String>().map(String::as_str))
         .unwrap_or("no reason given")
 }
 
-/// The answer to a request whose handler panicked: whether it ran can't be told.
-pub fn refusal() -> Response<Body> {
+/// The default response to a request whose handler panicked. Whether the request ran is unknown.
+pub fn internal_error() -> Response<Body> {
     let problem = r#"{"type":"about:blank","title":"Internal error","status":500,"detail":"The request may have run.","code":"internal-error","run":"unknown"}"#;
     Reply::new(500)
         .with_header("content-type", "application/problem+json")
--- a/components/net/src/pool.rs
+++ b/components/net/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections kept for later requests.
+//! A pool of idle connections for later requests.
 
 use std::{
     collections::HashMap,
@@ -8,43 +8,42 @@
 
 use crate::client::Sender;
 
-/// An idle connection older than this is not used again: something on the way may have lost
-/// track of it. It is also below the five seconds after which widespread servers close idle
-/// connections; a request sent just then would be lost, and nobody could tell whether it ran.
-const IDLE_LIMIT: Duration = Duration::from_secs(4);
-/// Idle connections kept to one address.
-const IDLE_PER_ADDR: usize = 64;
-/// Time between two sweeps.
+/// A connection that has been idle for longer is not reused: a NAT device or firewall on the path
+/// may have dropped its state. The time is below the five seconds after which common servers close
+/// idle connections; a request sent at that moment would be lost without a way to tell whether it
+/// ran.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+const MAX_IDLE_PER_ADDR: usize = 64;
 const SWEEP_PERIOD: Duration = Duration::from_secs(2);
-/// A connection that still works so long after its address was forgotten has proved itself.
-const FORGOTTEN_FOR: Duration = Duration::from_secs(60);
+/// How long after [`Pool::close_connections`] older connections are still closed. One that still
+/// works after that time is not suspect.
+const SUSPECT_FOR: Duration = Duration::from_secs(60);
 
-/// A connection.
+/// An open connection.
 pub struct Conn {
-    /// Where requests go in.
+    /// Sends requests over the connection.
     pub sender: Sender,
-    /// When it was made.
-    made: Instant,
+    created_at: Instant,
 }
 
 impl Conn {
-    /// Notes that a connection was made just now.
+    /// Wraps a connection that has just been opened.
     pub fn new(sender: Sender) -> Self {
         Self {
             sender,
-            made: Instant::now(),
+            created_at: Instant::now(),
         }
     }
 }
 
 struct Idle {
     conn: Conn,
-    since: Instant,
+    idle_since: Instant,
 }
 
 impl Idle {
-    fn is_good(&self) -> bool {
-        self.since.elapsed() < IDLE_LIMIT && self.conn.sender.is_ready()
+    fn is_reusable(&self) -> bool {
+        self.idle_since.elapsed() < IDLE_TIMEOUT && self.conn.sender.is_ready()
     }
 }
 
@@ -52,17 +51,17 @@
 #[derive(Default)]
 pub struct Pool {
     idle: HashMap<SocketAddr, Vec<Idle>>,
-    /// When all connections to an address became suspect.
-    forgotten: HashMap<SocketAddr, Instant>,
-    swept: Option<Instant>,
+    /// By address, when all connections that existed then became suspect.
+    suspect_since: HashMap<SocketAddr, Instant>,
+    last_sweep: Option<Instant>,
 }
 
 impl Pool {
-    /// Takes the connection that was used last.
+    /// Takes the most recently used connection.
     pub fn take(&mut self, addr: SocketAddr) -> Option<Conn> {
         let list = self.idle.get_mut(&addr)?;
         while let Some(last) = list.pop() {
-            if last.is_good() {
+            if last.is_reusable() {
                 return Some(last.conn);
             }
         }
@@ -70,44 +69,49 @@
         None
     }
 
-    /// Keeps a connection, unless its address was forgotten since it was made.
-    pub fn keep(&mut self, addr: SocketAddr, conn: Conn) {
+    /// Stores an idle connection, or closes it if its address became suspect after it was opened.
+    pub fn put(&mut self, addr: SocketAddr, conn: Conn) {
         self.sweep();
-        let forgotten = self.forgotten.get(&addr);
-        if forgotten.is_some_and(|at| conn.made <= *at) {
+        let suspect_since = self.suspect_since.get(&addr);
+        if suspect_since.is_some_and(|at| conn.created_at <= *at) {
             return;
         }
         let list = self.idle.entry(addr).or_default();
-        if list.len() < IDLE_PER_ADDR {
+        if list.len() < MAX_IDLE_PER_ADDR {
             list.push(Idle {
                 conn,
-                since: Instant::now(),
+                idle_since: Instant::now(),
             });
         }
     }
 
-    /// Closes all connections to an address. Those in use are closed after it: they may be as
-    /// lost as the one that made them suspect.
+    /// Closes all connections to an address. Those in use are closed after their request: they may
+    /// have failed in the same way as the one that made them suspect.
     pub fn close_connections(&mut self, addr: SocketAddr) {
         self.idle.remove(&addr);
-        self.forgotten.insert(addr, Instant::now());
+        self.suspect_since.insert(addr, Instant::now());
     }
 
-    /// Connections kept to an address.
+    /// Number of idle connections to an address.
     pub fn count(&self, addr: SocketAddr) -> usize {
         self.idle.get(&addr).map_or(0, Vec::len)
     }
 
-    /// Closes what is too old. The last used go first, so the oldest would otherwise stay open
-    /// for good, as would those to targets that are gone; one would run out of descriptors.
+    /// Closes connections that have been idle for too long. [`Pool::take`] prefers the most recently
+    /// used ones, so the oldest, and those to targets that no longer exist, would otherwise stay
+    /// open until the process runs out of file descriptors.
     fn sweep(&mut self) {
-        if self.swept.is_some_and(|at| at.elapsed() < SWEEP_PERIOD) {
+        if self
+            .last_sweep
+            .is_some_and(|at| at.elapsed() < SWEEP_PERIOD)
+        {
             return;
         }
-        self.swept = Some(Instant::now());
-        self.forgotten.retain(|_, at| at.elapsed() < FORGOTTEN_FOR);
+        self.last_sweep = Some(Instant::now());
+        self.suspect_since
+            .retain(|_, at| at.elapsed() < SUSPECT_FOR);
         self.idle.retain(|_, list| {
-            list.retain(Idle::is_good);
+            list.retain(Idle::is_reusable);
             !list.is_empty()
         });
     }
--- a/components/net/src/reply.rs
+++ b/components/net/src/reply.rs
@@ -1,4 +1,4 @@
-//! Bodies and answers.
+//! Response bodies, and a builder for responses.
 
 use std::{
     panic::AssertUnwindSafe,
@@ -27,18 +27,18 @@
     stream::{self, Stream, StreamExt},
 };
 
-/// The body can't be continued. The connection is closed without the body's end, so that the
-/// receiver can tell that something is missing.
+/// The body can't be continued. The connection is closed without the end of the body, so that the
+/// receiver can tell that it is incomplete.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 #[display("the body was cut before its end")]
 pub struct BodyAborted;
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = UnsyncBoxBody<Bytes, BodyAborted>;
 
-/// Pieces of a streamed body that may wait for a slow receiver. With the client's buffers it
-/// bounds what one receiver that does not read can hold.
-const CHANNEL_DEPTH: usize = 16;
+/// Chunks of a streamed body that may wait for a slow receiver. Together with the buffers of the
+/// connection it bounds the memory that a receiver which does not read can occupy.
+const CHANNEL_CAPACITY: usize = 16;
 
 /// A body of known content.
 #[must_use]
@@ -54,41 +54,45 @@
     full(Bytes::new())
 }
 
-/// A body fed through a channel; it ends where the sender says so, and is cut if the sender is
-/// dropped before. A full channel makes the sender wait, a receiver that went away makes it fail.
+/// A body that is sent through a channel. It ends with [`BodySender::finish`], and is aborted if the
+/// sender is dropped before. A full channel makes the sender wait; if the receiver has left, sending
+/// fails.
 #[must_use]
 pub fn channel() -> (BodySender, Body) {
-    let (tx, rx) = bounded(CHANNEL_DEPTH);
-    let whole = Arc::<AtomicBool>::default();
-    let end = Arc::clone(&whole);
-    // Asked only once the channel has ended.
-    let cut = move |()| (!end.load(Ordering::Acquire)).then_some(Err(BodyAborted));
-    let rx = Box::pin(rx.map(Ok).chain(stream::once(()).filter_map(cut)));
-    (BodySender { tx, whole }, Fed::new(rx, None).boxed_unsync())
+    let (tx, rx) = bounded(CHANNEL_CAPACITY);
+    let finished = Arc::<AtomicBool>::default();
+    let has_finished = Arc::clone(&finished);
+    // Evaluated only once the channel has been closed.
+    let abort = move |()| (!has_finished.load(Ordering::Acquire)).then_some(Err(BodyAborted));
+    let rx = Box::pin(rx.map(Ok).chain(stream::once(()).filter_map(abort)));
+    (
+        BodySender { tx, finished },
+        StreamedBody::new(rx, None).boxed_unsync(),
+    )
 }
 
-/// The sending end of a body.
+/// The sending end of a body made by [`channel`].
 #[derive(Debug)]
 pub struct BodySender {
     tx: Sender<Bytes>,
-    whole: Arc<AtomicBool>,
+    finished: Arc<AtomicBool>,
 }
 
 impl BodySender {
-    /// Sends a piece, and waits for a receiver that is slow.
+    /// Sends a chunk. Waits while the channel is full.
     ///
     /// # Errors
-    /// Gives the piece back if the receiver went away or the body was ended.
-    pub async fn send(&self, piece: Bytes) -> Result<(), SendError<Bytes>> {
-        self.tx.send(piece).await
+    /// Returns the chunk if the receiver has left or the body has ended.
+    pub async fn send(&self, chunk: Bytes) -> Result<(), SendError<Bytes>> {
+        self.tx.send(chunk).await
     }
 
-    /// Sends a piece if it need not wait.
+    /// Sends a chunk if the channel has room.
     ///
     /// # Errors
-    /// Gives the piece back, and tells why.
-    pub fn try_send(&self, piece: Bytes) -> Result<(), TrySendError<Bytes>> {
-        self.tx.try_send(piece)
+    /// Returns the chunk if the channel is full, the receiver has left or the body has ended.
+    pub fn try_send(&self, chunk: Bytes) -> Result<(), TrySendError<Bytes>> {
+        self.tx.try_send(chunk)
     }
 
     /// Whether nothing can be sent any more.
@@ -97,43 +101,43 @@
         self.tx.is_closed()
     }
 
-    /// Ends the body after what was sent: it is whole.
+    /// Ends the body after the chunks sent so far; it is complete.
     pub fn finish(&self) {
-        self.whole.store(true, Ordering::Release);
+        self.finished.store(true, Ordering::Release);
         self.tx.close();
     }
 
-    /// Cuts the body after what was sent, unless it was ended.
+    /// Aborts the body after the chunks sent so far, unless it has been finished.
     pub fn abort(&self) {
         self.tx.close();
     }
 }
 
-/// A body fed by a task, which gets the sending end. It ends once the task has returned; a [`BodyAborted`]
-/// ends the connection with it, and so does a panic. The task is dropped with the body: when the
-/// receiver goes away, nothing works on for nobody.
+/// A body that is sent by a task, which gets the sending end of a channel. The body ends once the
+/// task has returned. If the task sends [`BodyAborted`] or panics, the body is aborted and the
+/// connection closed. The task is dropped with the body, so that it stops when the receiver leaves.
 #[must_use]
 pub fn task_body<F>(feed: impl FnOnce(Sender<Result<Bytes, BodyAborted>>) -> F) -> Body
 where
     F: Future<Output = ()> + Send + 'static,
 {
-    let (tx, rx) = bounded(CHANNEL_DEPTH);
-    // Caught, so that a panic ends in the body and not in whoever sends it.
+    let (tx, rx) = bounded(CHANNEL_CAPACITY);
+    // A panic aborts the body. Without this it would continue in the code that polls the body.
     let feed = AssertUnwindSafe(feed(tx)).catch_unwind();
     let feeder = Some(workers::spawn(feed));
     let rx = Box::pin(rx);
-    Fed::new(rx, feeder).boxed_unsync()
+    StreamedBody::new(rx, feeder).boxed_unsync()
 }
 
-struct Fed {
+struct StreamedBody {
     rx: Pin<Box<dyn Stream<Item = Result<Bytes, BodyAborted>> + Send>>,
-    /// Dropping it ends the task.
+    /// The task that sends the chunks; dropping it stops the task.
     feeder: Option<Task<thread::Result<()>>>,
-    /// It is cut as soon as what went before has been written.
-    cut: bool,
+    /// The next poll aborts the body; the chunks before have been handed out.
+    aborted: bool,
 }
 
-impl Fed {
+impl StreamedBody {
     fn new(
         rx: Pin<Box<dyn Stream<Item = Result<Bytes, BodyAborted>> + Send>>,
         feeder: Option<Task<thread::Result<()>>>,
@@ -141,18 +145,18 @@
         Self {
             rx,
             feeder,
-            cut: false,
+            aborted: false,
         }
     }
 
-    fn poll_piece(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyAborted>>> {
+    fn poll_chunk(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyAborted>>> {
         match ready!(self.rx.as_mut().poll_next(cx)) {
             None => self.poll_end(cx),
-            piece => Poll::Ready(piece),
+            chunk => Poll::Ready(chunk),
         }
     }
 
-    /// What comes after the last piece: the end, if the feeder came to its own.
+    /// Ends the body after its last chunk, or aborts it if the feeder panicked.
     fn poll_end(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyAborted>>> {
         let Some(feeder) = &mut self.feeder else {
             return Poll::Ready(None);
@@ -163,7 +167,7 @@
     }
 }
 
-impl HttpBody for Fed {
+impl HttpBody for StreamedBody {
     type Data = Bytes;
     type Error = BodyAborted;
 
@@ -171,30 +175,30 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
-        if self.cut {
+        if self.aborted {
             return Poll::Ready(Some(Err(BodyAborted)));
         }
-        match ready!(self.poll_piece(cx)) {
+        match ready!(self.poll_chunk(cx)) {
             Some(Err(BodyAborted)) => {
-                // The connection drops what it holds once it hears of the cut, be it the head. It
-                // writes whenever a body has nothing more for now.
-                self.cut = true;
+                // On an error hyper discards what it has buffered, even the response's head, but it
+                // flushes its buffer when a body is pending. So the error is held back by one poll.
+                self.aborted = true;
                 cx.waker().wake_by_ref();
                 Poll::Pending
             }
-            piece => Poll::Ready(piece.map(|buf| buf.map(Frame::data))),
+            chunk => Poll::Ready(chunk.map(|buf| buf.map(Frame::data))),
         }
     }
 }
 
-/// An answer under construction.
+/// A builder for a response.
 #[derive(Debug)]
 pub struct Reply {
     inner: Response<Body>,
 }
 
 impl Reply {
-    /// An answer with an empty body. An impossible status becomes 500.
+    /// Starts a response with an empty body. An invalid status code becomes 500.
     #[must_use]
     pub fn new(status: u16) -> Self {
         let mut inner = Response::new(empty());
@@ -203,17 +207,17 @@
         Self { inner }
     }
 
-    /// A JSON answer.
+    /// Starts a JSON response.
     #[must_use]
     pub fn json(status: u16, content: &impl Serialize) -> Self {
-        // Our own types have string keys only, so this can't fail for them.
+        // Serializing fails only for maps with keys that are not strings; our types have none.
         let text = serde_json::to_vec(content).unwrap_or_default();
         Self::new(status)
             .with_header("content-type", "application/json")
             .with_body(full(text))
     }
 
-    /// A plain text answer.
+    /// Starts a plain text response.
     #[must_use]
     pub fn text(status: u16, content: impl Into<Bytes>) -> Self {
         Self::new(status)
@@ -221,7 +225,7 @@
             .with_body(full(content))
     }
 
-    /// Sets a header; one that HTTP does not allow is left out.
+    /// Sets a header. An invalid name or value is ignored.
     #[must_use]
     pub fn with_header(mut self, name: &str, value: &str) -> Self {
         let name = HeaderName::from_bytes(name.as_bytes());
@@ -231,10 +235,10 @@
         self
     }
 
-    /// Adds a header beside those of the same name, as `Set-Cookie` may need; one that HTTP does
-    /// not allow is left out.
+    /// Adds a header beside those of the same name, as `Set-Cookie` needs. An invalid name or value
+    /// is ignored.
     #[must_use]
-    pub fn with_added(mut self, name: &str, value: &str) -> Self {
+    pub fn with_appended_header(mut self, name: &str, value: &str) -> Self {
         let name = HeaderName::from_bytes(name.as_bytes());
         if let (Ok(name), Ok(value)) = (name, HeaderValue::from_str(value)) {
             self.inner.headers_mut().append(name, value);
@@ -249,7 +253,7 @@
         self
     }
 
-    /// The finished answer.
+    /// Returns the finished response.
     #[must_use]
     pub fn done(self) -> Response<Body> {
         self.inner
--- a/components/net/src/serve.rs
+++ b/components/net/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serving HTTP with limits.
+//! An HTTP server with limits on connections, headers and stalled writes.
 
 use std::{
     io::{self, ErrorKind},
@@ -24,11 +24,11 @@
     reply::{Body, Reply},
 };
 
-/// Time between two looks at whether to stop accepting.
-const ACCEPT_POLL: Duration = Duration::from_millis(50);
+/// How often an accepting server checks whether it has been stopped.
+const STOP_POLL_PERIOD: Duration = Duration::from_millis(50);
 
-/// Time that the other side may read nothing while there is something to write.
-const WRITE_STALL: Duration = Duration::from_secs(30);
+/// How long a peer may read nothing while there is something to write.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Answers requests.
 #[async_trait]
@@ -36,22 +36,22 @@
     /// Answers one request. `peer` is the other end of the connection.
     async fn handle(&self, peer: SocketAddr, req: Request<Incoming>) -> Response<Body>;
 
-    /// Told that [`Self::handle`] panicked, with the panic's message; answers in its place. The
-    /// connection is closed after it.
-    fn panicked(&self, _reason: &str) -> Response<Body> {
-        panics::refusal()
+    /// Called when [`Self::handle`] has panicked, with the panic's message, to answer in its place.
+    /// The connection is closed after the response.
+    fn panicked(&self, _message: &str) -> Response<Body> {
+        panics::internal_error()
     }
 }
 
 /// Limits on what one server accepts.
 #[derive(Clone, Copy, Debug)]
 pub struct ServeLimits {
-    /// Bytes of headers.
+    /// Largest head of a request, in bytes.
     pub header_bytes: usize,
-    /// Time for all headers to arrive.
-    pub header_time: Duration,
-    /// Open connections; one more is told 503 and closed, and from twice as many on it is closed
-    /// without a word.
+    /// How long the head of a request may take to arrive; also how long a connection may be idle.
+    pub header_timeout: Duration,
+    /// Open connections. Those beyond are answered with 503 and closed; those beyond twice as many
+    /// are closed without a response.
     pub connections: usize,
 }
 
@@ -59,40 +59,41 @@
     fn default() -> Self {
         Self {
             header_bytes: 16 * 1024,
-            header_time: Duration::from_secs(10),
+            header_timeout: Duration::from_secs(10),
             connections: 4096,
         }
     }
 }
 
-/// Limits that may change while a server runs: connections made from then on get the new ones.
+/// Limits that may change while a server runs. They apply to connections accepted afterwards.
 #[derive(Debug, Default)]
 pub struct DynamicLimits {
     header_bytes: AtomicUsize,
-    header_millis: AtomicU64,
+    header_timeout_ms: AtomicU64,
 }
 
 impl DynamicLimits {
-    /// Takes the limits of some settings.
+    /// Starts with the values of `limits`.
     #[must_use]
     pub fn new(limits: &ServeLimits) -> Self {
-        let terms = Self::default();
-        terms.set(limits.header_bytes, limits.header_time);
-        terms
+        let dynamic = Self::default();
+        dynamic.set(limits.header_bytes, limits.header_timeout);
+        dynamic
     }
 
-    /// Sets bytes of headers, and the time that a connection may be idle or take for its headers.
-    pub fn set(&self, header_bytes: usize, header_time: Duration) {
-        let millis = u64::try_from(header_time.as_millis()).unwrap_or(u64::MAX);
+    /// Sets the largest size of a request's head in bytes, and how long a connection may be idle or
+    /// take to send a head.
+    pub fn set(&self, header_bytes: usize, header_timeout: Duration) {
+        let millis = u64::try_from(header_timeout.as_millis()).unwrap_or(u64::MAX);
         self.header_bytes.store(header_bytes, Ordering::Release);
-        self.header_millis.store(millis, Ordering::Release);
+        self.header_timeout_ms.store(millis, Ordering::Release);
     }
 
-    /// The limits for a connection that is made now.
-    fn now(&self, connections: usize) -> ServeLimits {
+    /// Returns the limits for a connection that is accepted now.
+    fn current(&self, connections: usize) -> ServeLimits {
         ServeLimits {
             header_bytes: self.header_bytes.load(Ordering::Acquire),
-            header_time: Duration::from_millis(self.header_millis.load(Ordering::Acquire)),
+            header_timeout: Duration::from_millis(self.header_timeout_ms.load(Ordering::Acquire)),
             connections,
         }
     }
@@ -102,36 +103,36 @@
 pub struct Server {
     listener: TcpListener,
     limits: ServeLimits,
-    terms: Arc<DynamicLimits>,
-    write_stall: Duration,
+    dynamic_limits: Arc<DynamicLimits>,
+    write_timeout: Duration,
     handler: Arc<dyn Handler>,
-    open: Arc<AtomicUsize>,
+    open_connections: Arc<AtomicUsize>,
     stop: Arc<AtomicBool>,
     retire: Arc<AtomicBool>,
-    /// Closed with the server: tells the connections to finish what they do and close.
+    /// Closed when the server closes, which makes the connections finish their requests and close.
     closing: (Sender<()>, Receiver<()>),
-    /// Each connection holds a sender, so that the receiver tells when the last one has ended.
+    /// Each connection holds a sender, so that the receiver fails once the last one has ended.
     alive: (Sender<()>, Receiver<()>),
 }
 
-/// Counts one open connection for as long as it lives.
+/// Counts one open connection until it is dropped.
 pub struct ConnectionGuard {
-    open: Arc<AtomicUsize>,
-    /// Held for its drop.
-    _alive: Sender<()>,
+    open_connections: Arc<AtomicUsize>,
+    /// Dropping it signals the end of the connection.
+    _connection_alive: Sender<()>,
 }
 
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.open.fetch_sub(1, Ordering::AcqRel);
+        self.open_connections.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 impl Server {
-    /// Listens on an address; port 0 picks a free one.
+    /// Listens on an address; port 0 picks a free port.
     ///
     /// # Errors
-    /// Passes on why the address can't be listened on.
+    /// Fails if the address can't be bound.
     pub async fn bind(
         addr: SocketAddr,
         limits: ServeLimits,
@@ -141,10 +142,10 @@
         Ok(Self {
             listener,
             limits,
-            terms: Arc::new(DynamicLimits::new(&limits)),
-            write_stall: WRITE_STALL,
+            dynamic_limits: Arc::new(DynamicLimits::new(&limits)),
+            write_timeout: WRITE_TIMEOUT,
             handler,
-            open: Arc::default(),
+            open_connections: Arc::default(),
             stop: Arc::default(),
             retire: Arc::default(),
             closing: bounded(1),
@@ -152,53 +153,53 @@
         })
     }
 
-    /// Sets how long the other side of a connection may read nothing while there is something
-    /// to write; after that it is closed.
+    /// Sets how long a peer may read nothing while there is something to write before its connection
+    /// is closed.
     #[must_use]
-    pub const fn with_write_stall(mut self, limit: Duration) -> Self {
-        self.write_stall = limit;
+    pub const fn with_write_timeout(mut self, limit: Duration) -> Self {
+        self.write_timeout = limit;
         self
     }
 
-    /// Shares limits that may change while it runs, in place of its own.
+    /// Uses limits that may change while the server runs.
     #[must_use]
-    pub fn with_dynamic_limits(mut self, terms: Arc<DynamicLimits>) -> Self {
-        self.terms = terms;
+    pub fn with_dynamic_limits(mut self, dynamic_limits: Arc<DynamicLimits>) -> Self {
+        self.dynamic_limits = dynamic_limits;
         self
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     ///
     /// # Errors
-    /// Passes on why the system does not tell.
+    /// Fails if the system does not return the address.
     pub fn addr(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// The number of open connections, kept up to date.
+    /// Returns the number of open connections, which is kept up to date.
     #[must_use]
-    pub fn open(&self) -> Arc<AtomicUsize> {
-        Arc::clone(&self.open)
+    pub fn open_connections(&self) -> Arc<AtomicUsize> {
+        Arc::clone(&self.open_connections)
     }
 
-    /// A switch: once true, no further connection is accepted and idle ones are closed.
+    /// Returns a flag. Once it is set, no more connections are accepted and idle ones are closed.
     #[must_use]
     pub fn stop(&self) -> Arc<AtomicBool> {
         Arc::clone(&self.stop)
     }
 
-    /// A switch: once true, each answer asks the other side to close its connection.
+    /// Returns a flag. Once it is set, each response has the header `connection: close`.
     ///
-    /// A caller that keeps connections may send a request on an idle one just as it is closed,
-    /// and can't tell then whether the request was read. If the connections in use are given up
-    /// well before the server stops, there is none left to which that could happen.
+    /// A caller that keeps connections open may send a request on an idle one just as the server
+    /// closes it, and then can't tell whether the request was read. If the flag is set well before
+    /// the server stops, no such connections are left by then.
     #[must_use]
     pub fn retire(&self) -> Arc<AtomicBool> {
         Arc::clone(&self.retire)
     }
 
-    /// Accepts connections until stopped, then waits until each one that it took has ended. A
-    /// process that ends before it returns cuts requests that were read.
+    /// Accepts connections until stopped, then waits until all of them have ended. A process that
+    /// exits before this returns drops requests that have been read.
     pub async fn run(self) {
         self.accept().await;
         let Self {
@@ -210,64 +211,65 @@
         drop(listener);
         closing.close();
         drop(alive);
-        // Nothing is ever sent; it fails once the last connection has ended.
+        // Nothing is ever sent on the channel; `recv` fails once the last connection has ended.
         let _ = ended.recv().await;
     }
 
     async fn accept(&self) {
         let timer = timer::Timer::new();
         while !self.stop.load(Ordering::Acquire) {
-            match timer.within(ACCEPT_POLL, self.listener.accept()).await {
-                Some(Ok((stream, peer))) => self.take(stream, peer),
-                // Out of descriptors, or the peer has gone again; the next may do better.
-                Some(Err(_)) => timer.sleep(ACCEPT_POLL).await,
+            match timer.within(STOP_POLL_PERIOD, self.listener.accept()).await {
+                Some(Ok((stream, peer))) => self.serve_connection(stream, peer),
+                // The process is out of file descriptors, or the peer has disconnected again.
+                Some(Err(_)) => timer.sleep(STOP_POLL_PERIOD).await,
                 None => {}
             }
         }
-        self.take_waiting().await;
+        self.accept_backlog().await;
     }
 
-    /// Takes the connections that the system has made already. Closing the listener would reset
-    /// them, and their callers may have sent their requests.
-    async fn take_waiting(&self) {
+    /// Accepts the connections in the listener's backlog. Closing the listener would reset them, and
+    /// their callers may already have sent requests.
+    async fn accept_backlog(&self) {
         while let Some(accepted) = future::poll_once(self.listener.accept()).await {
             match accepted {
-                Ok((stream, peer)) => self.take(stream, peer),
-                // That one has gone again; others still wait.
+                Ok((stream, peer)) => self.serve_connection(stream, peer),
+                // The peer has disconnected again; others may be in the backlog.
                 Err(e) if e.kind() == ErrorKind::ConnectionAborted => {}
                 Err(_) => return,
             }
         }
     }
 
-    fn take(&self, stream: TcpStream, peer: SocketAddr) {
-        // Before the connection counts: whoever sees it counted may set other limits, and its task
-        // may begin only after that.
-        let limits = self.terms.now(self.limits.connections);
-        let open = self.open.fetch_add(1, Ordering::AcqRel) + 1;
+    fn serve_connection(&self, stream: TcpStream, peer: SocketAddr) {
+        // Read before the connection is counted: code that has seen it counted may change the
+        // limits before the connection's task starts.
+        let limits = self.dynamic_limits.current(self.limits.connections);
+        let open_connections = self.open_connections.fetch_add(1, Ordering::AcqRel) + 1;
         let guard = ConnectionGuard {
-            open: Arc::clone(&self.open),
-            _alive: self.alive.0.clone(),
+            open_connections: Arc::clone(&self.open_connections),
+            _connection_alive: self.alive.0.clone(),
         };
-        if open > self.limits.connections.saturating_mul(2) {
+        if open_connections > self.limits.connections.saturating_mul(2) {
             return;
         }
-        // Without it each event of a stream may wait for the acknowledgement of the one before.
+        // With Nagle's algorithm each event of a stream may wait until the one before has been
+        // acknowledged.
         let _ = stream.set_nodelay(true);
-        let handler: Arc<dyn Handler> = if open > self.limits.connections {
-            Arc::new(Full)
+        let handler: Arc<dyn Handler> = if open_connections > self.limits.connections {
+            Arc::new(TooManyConnections)
         } else {
             Arc::clone(&self.handler)
         };
         let conn = Connection {
             peer,
             limits,
-            write_stall: self.write_stall,
+            write_timeout: self.write_timeout,
             handler,
             stop: Arc::clone(&self.stop),
             retire: Arc::clone(&self.retire),
             closing: self.closing.1.clone(),
-            made: Instant::now(),
+            accepted_at: Instant::now(),
             progress: Arc::default(),
         };
         workers::spawn(async move {
@@ -278,11 +280,11 @@
     }
 }
 
-/// Answers in place of the real handler when there are too many connections.
-struct Full;
+/// The handler for connections beyond the limit.
+struct TooManyConnections;
 
 #[async_trait]
-impl Handler for Full {
+impl Handler for TooManyConnections {
     async fn handle(&self, _peer: SocketAddr, _req: Request<Incoming>) -> Response<Body> {
         let problem = r#"{"type":"about:blank","title":"Too many connections","status":503,"run":"not-run","code":"too-many-connections"}"#;
         Reply::new(503)
--- a/components/net/tests/endings.rs
+++ b/components/net/tests/endings.rs
@@ -1,4 +1,4 @@
-//! Requests and connections that end before their time.
+//! Requests, response bodies and connections that end early.
 
 use std::{
     io,
@@ -18,32 +18,33 @@
     net::TcpStream,
 };
 
-/// Answers by path: `/panic` breaks off, `/slow` answers a little later, `/fed` begins a body
-/// whose feeder panics, `/ends` one whose feeder ends, `/cut` one that is cut, `/dropped` one whose
-/// sender is dropped, any other at once, and none of them reads the request's body.
+/// PathHandler by path, and never reads the request's body: `/panic` panics, `/slow` answers after
+/// 200 ms, `/task-panics` starts a body whose task panics, `/complete` one whose task returns,
+/// `/aborted` one that is aborted, `/dropped` one whose sender is dropped; any other path is
+/// answered at once.
 #[derive(Default)]
-struct Answers {
-    /// What panics said.
+struct PathHandler {
+    /// Messages of the handler's panics.
     panics: Mutex<Vec<String>>,
 }
 
 #[async_trait::async_trait]
-impl Handler for Answers {
+impl Handler for PathHandler {
     async fn handle(&self, _: SocketAddr, req: Request<Incoming>) -> Response<Body> {
         match req.uri().path() {
-            "/panic" => panic!("a handler broke off"),
+            "/panic" => panic!("the handler fails"),
             "/slow" => {
                 smol::Timer::after(Duration::from_millis(200)).await;
                 Reply::text(200, "slow").done()
             }
-            "/fed" => {
+            "/task-panics" => {
                 let body = task_body(|tx| async move {
                     let _ = tx.send(Ok("a part".into())).await;
-                    panic!("a feeder broke off");
+                    panic!("the task fails");
                 });
                 Reply::new(200).with_body(body).done()
             }
-            "/cut" => {
+            "/aborted" => {
                 let body = task_body(|tx| async move {
                     let _ = tx.send(Ok("a part".into())).await;
                     let _ = tx.send(Err(BodyAborted)).await;
@@ -58,9 +59,9 @@
                 workers::spawn(feed).detach();
                 Reply::new(200).with_body(body).done()
             }
-            "/ends" => {
+            "/complete" => {
                 let body = task_body(|tx| async move {
-                    let _ = tx.send(Ok("a whole".into())).await;
+                    let _ = tx.send(Ok("everything".into())).await;
                 });
                 Reply::new(200).with_body(body).done()
             }
@@ -68,33 +69,36 @@
         }
     }
 
-    fn panicked(&self, reason: &str) -> Response<Body> {
-        self.panics.lock().push(reason.to_owned());
-        Plain.panicked(reason)
+    fn panicked(&self, message: &str) -> Response<Body> {
+        self.panics.lock().push(message.to_owned());
+        DefaultHandler.panicked(message)
     }
 }
 
-/// A handler that leaves everything to the defaults.
-struct Plain;
+/// A handler that panics and does not override [`Handler::panicked`].
+struct DefaultHandler;
 
 #[async_trait::async_trait]
-impl Handler for Plain {
+impl Handler for DefaultHandler {
     async fn handle(&self, _: SocketAddr, _: Request<Incoming>) -> Response<Body> {
-        panic!("another handler broke off")
+        panic!("the default handler fails")
     }
 }
 
-/// A running server: its address and its open connections.
+/// Starts a server. Returns its address and its number of open connections.
 async fn serve(handler: Arc<dyn Handler>) -> (SocketAddr, Arc<AtomicUsize>) {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let server = Server::bind(any, ServeLimits::default(), handler).await;
     let server = server.expect("a port");
-    let (addr, open) = (server.addr().expect("an address"), server.open());
+    let (addr, open) = (
+        server.addr().expect("an address"),
+        server.open_connections(),
+    );
     workers::spawn(server.run()).detach();
     (addr, open)
 }
 
-async fn until(condition: impl Fn() -> bool) {
+async fn wait_until(condition: impl Fn() -> bool) {
     for _ in 0..4000 {
         if condition() {
             return;
@@ -104,34 +108,34 @@
     panic!("the condition never came true");
 }
 
-/// Bytes of a request's body that do not fit into the buffers on its way.
-const LONG: usize = 8 * 1024 * 1024;
-/// What ends a body of unknown length.
-const END: &str = "\r\n0\r\n\r\n";
+/// Bytes of a body that is larger than the buffers between client and server.
+const LONG_BODY: usize = 8 * 1024 * 1024;
+/// The end of a chunked body.
+const CHUNKED_END: &str = "\r\n0\r\n\r\n";
 
-/// Sends a request for a path, and gives the connection.
-async fn ask(addr: SocketAddr, path: &str) -> TcpStream {
+/// Sends a request for a path. Returns the connection.
+async fn send_request(addr: SocketAddr, path: &str) -> TcpStream {
     let mut stream = TcpStream::connect(addr).await.expect("a connection");
     let head = format!("GET {path} HTTP/1.1\r\nhost: x\r\n\r\n");
     stream.write_all(head.as_bytes()).await.expect("it is sent");
     stream
 }
 
-/// Reads to the end of the connection.
-async fn rest(mut stream: TcpStream) -> String {
+/// Reads wait_until the connection ends.
+async fn read_to_end_lossy(mut stream: TcpStream) -> String {
     let mut buf = Vec::new();
     // A connection that is reset has ended too.
     let _ = stream.read_to_end(&mut buf).await;
     String::from_utf8_lossy(&buf).into_owned()
 }
 
-/// A fault in one handler closes its caller's connection without an answer.
+/// Guards against a panic in a handler that closes the caller's connection without a response.
 #[test]
-fn a_handler_that_panics_is_answered_and_hurts_no_other_request() {
+fn a_panic_in_a_handler_is_answered_and_affects_no_other_request() {
     smol::block_on(async {
-        let (addr, open) = serve(Arc::new(Answers::default())).await;
-        let mut other = ask(addr, "/slow").await;
-        let answer = rest(ask(addr, "/panic").await).await;
+        let (addr, open) = serve(Arc::new(PathHandler::default())).await;
+        let mut other = send_request(addr, "/slow").await;
+        let answer = read_to_end_lossy(send_request(addr, "/panic").await).await;
         assert!(answer.starts_with("HTTP/1.1 500 "), "{answer:?}");
         assert!(answer.contains("content-type: application/problem+json\r\n"));
         assert!(answer.contains("connection: close\r\n"), "{answer}");
@@ -140,113 +144,118 @@
         other.read_exact(&mut buf).await.expect("an answer");
         assert_eq!(&buf, b"HTTP/1.1 200");
         drop(other);
-        until(|| open.load(Ordering::Acquire) == 0).await;
+        wait_until(|| open.load(Ordering::Acquire) == 0).await;
     });
 }
 
-/// A panic that nobody hears of stays a mystery to the operators.
+/// Guards against panics that are not reported, so that operators can't find their cause.
 #[test]
-fn a_panic_of_a_handler_is_reported_to_it() {
+fn a_panic_in_a_handler_is_reported_to_it() {
     smol::block_on(async {
-        let answers = Arc::new(Answers::default());
-        let handler: Arc<dyn Handler> = Arc::<Answers>::clone(&answers);
+        let answers = Arc::new(PathHandler::default());
+        let handler: Arc<dyn Handler> = Arc::<PathHandler>::clone(&answers);
         let (addr, _) = serve(handler).await;
-        rest(ask(addr, "/panic").await).await;
-        assert_eq!(*answers.panics.lock(), ["a handler broke off"]);
-        let (addr, _) = serve(Arc::new(Plain)).await;
-        let answer = rest(ask(addr, "/").await).await;
+        read_to_end_lossy(send_request(addr, "/panic").await).await;
+        assert_eq!(*answers.panics.lock(), ["the handler fails"]);
+        let (addr, _) = serve(Arc::new(DefaultHandler)).await;
+        let answer = read_to_end_lossy(send_request(addr, "/").await).await;
         assert!(answer.starts_with("HTTP/1.1 500 "), "{answer:?}");
     });
 }
 
-/// A caller takes half an answer for the whole one.
+/// Guards against a caller that takes a truncated body for a complete one because the task that
+/// sends it panicked.
 #[test]
-fn a_body_whose_feeder_panics_does_not_look_complete() {
+fn a_body_whose_task_panics_does_not_look_complete() {
     smol::block_on(async {
-        let (addr, _) = serve(Arc::new(Answers::default())).await;
-        let answer = rest(ask(addr, "/fed").await).await;
-        assert!(!answer.contains(END), "{answer:?}");
-        let mut whole = ask(addr, "/ends").await;
+        let (addr, _) = serve(Arc::new(PathHandler::default())).await;
+        let answer = read_to_end_lossy(send_request(addr, "/task-panics").await).await;
+        assert!(!answer.contains(CHUNKED_END), "{answer:?}");
+        let mut complete = send_request(addr, "/complete").await;
         let mut answer = String::new();
-        while !answer.ends_with(END) {
+        while !answer.ends_with(CHUNKED_END) {
             let mut buf = [0; 1024];
-            let len = whole.read(&mut buf).await.expect("more of the answer");
+            let len = complete.read(&mut buf).await.expect("more of the answer");
             assert!(len > 0, "{answer:?}");
             answer.push_str(&String::from_utf8_lossy(&buf[..len]));
         }
-        assert!(answer.contains("a whole"), "{answer:?}");
+        assert!(answer.contains("everything"), "{answer:?}");
     });
 }
 
-/// An answer that is cut right after its first part ends without an answer at all.
+/// Guards against losing the head and the chunks of a response that is aborted right after its
+/// first chunk: the server would discard them with its buffer.
 #[test]
-fn what_went_before_a_cut_reaches_the_caller() {
+fn chunks_before_an_abort_reach_the_caller() {
     smol::block_on(async {
-        let (addr, _) = serve(Arc::new(Answers::default())).await;
+        let (addr, _) = serve(Arc::new(PathHandler::default())).await;
         for _ in 0..20 {
-            let answer = rest(ask(addr, "/cut").await).await;
+            let answer = read_to_end_lossy(send_request(addr, "/aborted").await).await;
             assert!(answer.starts_with("HTTP/1.1 200 "), "{answer:?}");
             assert!(answer.contains("a part"), "{answer:?}");
-            assert!(!answer.contains(END), "{answer:?}");
+            assert!(!answer.contains(CHUNKED_END), "{answer:?}");
         }
     });
 }
 
-/// The task that feeds an answer goes away, and the caller takes half of it for the whole.
+/// Guards against a caller that takes a truncated body for a complete one because the sender was
+/// dropped.
 #[test]
-fn a_body_whose_sender_is_dropped_without_a_word_does_not_look_complete() {
+fn a_body_whose_sender_is_dropped_unfinished_does_not_look_complete() {
     smol::block_on(async {
-        let (addr, _) = serve(Arc::new(Answers::default())).await;
-        let answer = rest(ask(addr, "/dropped").await).await;
+        let (addr, _) = serve(Arc::new(PathHandler::default())).await;
+        let answer = read_to_end_lossy(send_request(addr, "/dropped").await).await;
         assert!(answer.contains("a part"), "{answer:?}");
-        assert!(!answer.contains(END), "{answer:?}");
+        assert!(!answer.contains(CHUNKED_END), "{answer:?}");
     });
 }
 
-/// Sends a request with a long body, the body only once the answer has come.
+/// Sends a request with a long body; the body only once the response has arrived.
 async fn send_late(addr: SocketAddr) -> (TcpStream, io::Result<()>) {
     let mut stream = TcpStream::connect(addr).await.expect("a connection");
-    let head = format!("POST / HTTP/1.1\r\nhost: x\r\ncontent-length: {LONG}\r\n\r\n");
+    let head = format!("POST / HTTP/1.1\r\nhost: x\r\ncontent-length: {LONG_BODY}\r\n\r\n");
     stream.write_all(head.as_bytes()).await.expect("it is sent");
     stream.peek(&mut [0]).await.expect("an answer");
-    let sent = stream.write_all(&vec![0; LONG]).await;
+    let sent = stream.write_all(&vec![0; LONG_BODY]).await;
     (stream, sent)
 }
 
-/// A caller sends a body that is refused unread, and finds its connection reset in place of the
-/// refusal.
+/// Guards against a reset instead of a response when the server answers without reading the body.
 #[test]
-fn a_caller_that_still_sends_gets_its_answer() {
+fn a_caller_that_is_still_sending_gets_its_response() {
     smol::block_on(async {
-        let (addr, open) = serve(Arc::new(Answers::default())).await;
+        let (addr, open) = serve(Arc::new(PathHandler::default())).await;
         let (stream, sent) = send_late(addr).await;
         sent.expect("nobody breaks the connection");
-        let answer = rest(stream).await;
+        let answer = read_to_end_lossy(stream).await;
         assert!(answer.ends_with("\r\n\r\nok"), "{answer:?}");
-        until(|| open.load(Ordering::Acquire) == 0).await;
+        wait_until(|| open.load(Ordering::Acquire) == 0).await;
     });
 }
 
-/// Callers that are refused and hold their connections take the places of others.
+/// Guards against callers that were answered, send no body and keep their connections, which count
+/// against the limit.
 #[test]
-fn a_caller_that_owes_a_body_does_not_keep_its_connection() {
+fn a_caller_that_never_sends_its_body_loses_its_connection() {
     smol::block_on(async {
-        let (addr, open) = serve(Arc::new(Answers::default())).await;
+        let (addr, open) = serve(Arc::new(PathHandler::default())).await;
         let mut stream = TcpStream::connect(addr).await.expect("a connection");
         let head = b"POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\n";
         stream.write_all(head).await.expect("it is sent");
         stream.peek(&mut [0]).await.expect("an answer");
-        until(|| open.load(Ordering::Acquire) == 0).await;
+        wait_until(|| open.load(Ordering::Acquire) == 0).await;
         drop(stream);
     });
 }
-/// A caller of HTTP/1.0, as some proxies are, takes half an answer for the whole one.
+
+/// Guards against an HTTP/1.0 caller, as some proxies are, that takes a truncated body for a
+/// complete one: for it the end of the connection marks the end of the body.
 #[test]
-fn a_cut_body_does_not_look_complete_where_the_connection_marks_its_end() {
+fn an_aborted_body_does_not_look_complete_to_an_http_1_0_caller() {
     smol::block_on(async {
-        let (addr, _) = serve(Arc::new(Answers::default())).await;
+        let (addr, _) = serve(Arc::new(PathHandler::default())).await;
         let mut stream = TcpStream::connect(addr).await.expect("a connection");
-        let head = b"GET /cut HTTP/1.0\r\n\r\n";
+        let head = b"GET /aborted HTTP/1.0\r\n\r\n";
         stream.write_all(head).await.expect("it is sent");
         let mut buf = Vec::new();
         let read = stream.read_to_end(&mut buf).await;
--- a/components/net/tests/serving.rs
+++ b/components/net/tests/serving.rs
@@ -1,4 +1,4 @@
-//! Serving and calling under limits.
+//! The server and the client under limits.
 
 use std::{
     convert::Infallible,
@@ -24,25 +24,27 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Answers by path: `/echo` the body, `/endless` more than anybody reads, `/wait` never.
+/// PathHandler by path: `/endless` with an endless body, `/wait` never, any other with the request's
+/// body.
 #[derive(Default)]
-struct Answers {
-    /// Requests for `/wait` that are waiting.
+struct PathHandler {
+    /// Number of requests for `/wait` that are being handled.
     waiting: Arc<AtomicUsize>,
-    /// Set once the endless answer noticed that nobody reads it.
+    /// Set once sending the endless body has failed.
     stopped: Arc<AtomicBool>,
 }
 
-struct Waiting(Arc<AtomicUsize>);
+/// Decrements the counter of waiting requests when the handler's future is dropped.
+struct WaitingGuard(Arc<AtomicUsize>);
 
-impl Drop for Waiting {
+impl Drop for WaitingGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 #[async_trait::async_trait]
-impl Handler for Answers {
+impl Handler for PathHandler {
     async fn handle(&self, _: SocketAddr, req: Request<Incoming>) -> Response<Body> {
         match req.uri().path() {
             "/endless" => {
@@ -57,7 +59,7 @@
             }
             "/wait" => {
                 self.waiting.fetch_add(1, Ordering::AcqRel);
-                let _waiting = Waiting(Arc::clone(&self.waiting));
+                let _waiting = WaitingGuard(Arc::clone(&self.waiting));
                 std::future::pending().await
             }
             _ => match read_limited(req.into_body(), 100, SECOND).await {
@@ -68,8 +70,8 @@
     }
 }
 
-/// What of a server a test looks at.
-struct Watch {
+/// A running server as the tests observe it.
+struct ServerProbe {
     addr: SocketAddr,
     open: Arc<AtomicUsize>,
     stop: Arc<AtomicBool>,
@@ -77,24 +79,24 @@
     stopped: Arc<AtomicBool>,
 }
 
-async fn serve(limits: ServeLimits) -> Watch {
-    let answers = Answers::default();
-    let (waiting, stopped) = (Arc::clone(&answers.waiting), Arc::clone(&answers.stopped));
+async fn serve(limits: ServeLimits) -> ServerProbe {
+    let handler = PathHandler::default();
+    let (waiting, stopped) = (Arc::clone(&handler.waiting), Arc::clone(&handler.stopped));
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let server = Server::bind(any, limits, Arc::new(answers)).await;
-    let server = server.expect("a port").with_write_stall(SECOND);
-    let watch = Watch {
+    let server = Server::bind(any, limits, Arc::new(handler)).await;
+    let server = server.expect("a port").with_write_timeout(SECOND);
+    let probe = ServerProbe {
         addr: server.addr().expect("an address"),
-        open: server.open(),
+        open: server.open_connections(),
         stop: server.stop(),
         waiting,
         stopped,
     };
     workers::spawn(server.run()).detach();
-    watch
+    probe
 }
 
-async fn until(condition: impl Fn() -> bool) {
+async fn wait_until(condition: impl Fn() -> bool) {
     for _ in 0..4000 {
         if condition() {
             return;
@@ -110,11 +112,11 @@
 }
 
 async fn text(resp: Response<Incoming>) -> String {
-    let body = resp.into_body().collect().await.expect("a whole body");
+    let body = resp.into_body().collect().await.expect("a complete body");
     String::from_utf8_lossy(&body.to_bytes()).into_owned()
 }
 
-/// Sends raw bytes and reads to the end of the connection.
+/// Sends raw bytes and reads wait_until the connection ends.
 async fn raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).await.expect("a connection");
     stream.write_all(bytes).await.expect("it is sent");
@@ -125,103 +127,106 @@
 }
 
 #[test]
-fn a_connection_is_used_again_after_its_answer_was_read() {
+fn a_connection_is_reused_after_its_response_was_read() {
     smol::block_on(async {
-        let watch = serve(ServeLimits::default()).await;
+        let server = serve(ServeLimits::default()).await;
         let client = Client::new();
         for _ in 0..20 {
-            let resp = client.send(watch.addr, request("/echo", "hello")).await;
+            let resp = client.send(server.addr, request("/echo", "hello")).await;
             assert_eq!(text(resp.expect("an answer")).await, "hello");
-            until(|| client.idle(watch.addr) == 1).await;
+            wait_until(|| client.idle(server.addr) == 1).await;
         }
-        assert_eq!(watch.open.load(Ordering::Acquire), 1);
+        assert_eq!(server.open.load(Ordering::Acquire), 1);
     });
 }
 
 #[test]
 fn a_body_over_its_limit_is_not_read() {
     smol::block_on(async {
-        let watch = serve(ServeLimits::default()).await;
+        let server = serve(ServeLimits::default()).await;
         let long = "POST /echo HTTP/1.1\r\nhost: x\r\ncontent-length: 5000000\r\n\r\n";
-        let answer = raw(watch.addr, long.as_bytes()).await;
+        let answer = raw(server.addr, long.as_bytes()).await;
         assert!(answer.contains("longer than allowed"), "{answer}");
         let chunks = "POST /echo HTTP/1.1\r\nhost: x\r\nconnection: close\r\ntransfer-encoding: chunked\r\n\r\n";
         let chunk = format!("{chunks}65\r\n{}\r\n0\r\n\r\n", "x".repeat(0x65));
-        let answer = raw(watch.addr, chunk.as_bytes()).await;
+        let answer = raw(server.addr, chunk.as_bytes()).await;
         assert!(answer.contains("longer than allowed"), "{answer}");
     });
 }
 
 #[test]
 fn headers_that_are_too_long_or_too_slow_end_the_connection() {
-    // A hostile caller sends headers without end, or one byte now and then. Each such connection
-    // would hold memory for as long as it likes.
+    // Guards against hostile callers that send endless headers, or one byte at a time, to occupy
+    // connections and memory.
     smol::block_on(async {
         let limits = ServeLimits {
-            header_time: SECOND,
+            header_timeout: SECOND,
             ..ServeLimits::default()
         };
-        let watch = serve(limits).await;
+        let server = serve(limits).await;
         let long = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "y".repeat(64 * 1024));
-        let answer = raw(watch.addr, long.as_bytes()).await;
+        let answer = raw(server.addr, long.as_bytes()).await;
         assert!(
             answer.is_empty() || answer.starts_with("HTTP/1.1 431 "),
             "{answer}"
         );
-        raw(watch.addr, b"GET / HTTP/1.1\r\nx: ").await;
-        until(|| watch.open.load(Ordering::Acquire) == 0).await;
+        raw(server.addr, b"GET / HTTP/1.1\r\nx: ").await;
+        wait_until(|| server.open.load(Ordering::Acquire) == 0).await;
     });
 }
 
-// The operators shorten the time that connections may be idle while the server runs. A server that
-// went by its first settings would hold connections that callers gave up, or close ones that they
-// still use.
+// Operators shorten the time that connections may be idle while the server runs. A server that
+// kept its initial limits would hold connections that callers no longer use, or close ones that
+// they still use.
 #[test]
-fn limits_that_change_hold_for_connections_made_later() {
+fn changed_limits_apply_to_connections_accepted_later() {
     smol::block_on(async {
         let limits = ServeLimits {
-            header_time: 60 * SECOND,
+            header_timeout: 60 * SECOND,
             ..ServeLimits::default()
         };
         let terms = Arc::new(DynamicLimits::new(&limits));
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let server = Server::bind(any, limits, Arc::new(Answers::default())).await;
+        let server = Server::bind(any, limits, Arc::new(PathHandler::default())).await;
         let server = server
             .expect("a port")
             .with_dynamic_limits(Arc::clone(&terms));
-        let (addr, open) = (server.addr().expect("an address"), server.open());
+        let (addr, open) = (
+            server.addr().expect("an address"),
+            server.open_connections(),
+        );
         workers::spawn(server.run()).detach();
         let _early = TcpStream::connect(addr).await.expect("a connection");
-        until(|| open.load(Ordering::Acquire) == 1).await;
+        wait_until(|| open.load(Ordering::Acquire) == 1).await;
         terms.set(limits.header_bytes, Duration::from_millis(50));
         let mut late = TcpStream::connect(addr).await.expect("a connection");
         let mut buf = Vec::new();
-        // It ends by itself, without a byte having been sent.
+        // The server closes the connection although no byte was sent.
         let _ = late.read_to_end(&mut buf).await;
-        until(|| open.load(Ordering::Acquire) == 1).await;
+        wait_until(|| open.load(Ordering::Acquire) == 1).await;
     });
 }
 
 #[test]
-fn one_connection_too_many_is_told_and_closed() {
-    // A crowd of callers opens more connections than the instance can hold. The ones beyond are
-    // told to come back, and those inside are served on.
+fn connections_over_the_limit_are_answered_503_and_closed() {
+    // Callers open more connections than the instance accepts. Those beyond the limit are asked to
+    // retry later, and the others are still served.
     smol::block_on(async {
         let limits = ServeLimits {
             connections: 1,
             ..ServeLimits::default()
         };
-        let watch = serve(limits).await;
-        let _first = TcpStream::connect(watch.addr).await.expect("a connection");
-        until(|| watch.open.load(Ordering::Acquire) == 1).await;
-        let answer = raw(watch.addr, b"GET /echo HTTP/1.1\r\nhost: x\r\n\r\n").await;
+        let server = serve(limits).await;
+        let _first = TcpStream::connect(server.addr).await.expect("a connection");
+        wait_until(|| server.open.load(Ordering::Acquire) == 1).await;
+        let answer = raw(server.addr, b"GET /echo HTTP/1.1\r\nhost: x\r\n\r\n").await;
         assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
         assert!(answer.contains("retry-after: 1") && answer.contains("not-run"));
-        until(|| watch.open.load(Ordering::Acquire) == 1).await;
-        let _second = TcpStream::connect(watch.addr).await.expect("a connection");
-        until(|| watch.open.load(Ordering::Acquire) == 2).await;
+        wait_until(|| server.open.load(Ordering::Acquire) == 1).await;
+        let _second = TcpStream::connect(server.addr).await.expect("a connection");
+        wait_until(|| server.open.load(Ordering::Acquire) == 2).await;
         assert_eq!(
-            raw(watch.addr, b"GET /echo HTTP/1.1\r\nhost: x\r\n\r\n").await,
+            raw(server.addr, b"GET /echo HTTP/1.1\r\nhost: x\r\n\r\n").await,
             ""
         );
     });
@@ -229,47 +234,47 @@
 
 #[test]
 fn a_caller_that_stops_reading_loses_its_connection() {
-    // A caller asks for a long answer and reads nothing of it. Its answer would stay in memory
-    // for good.
+    // Guards against a caller that requests a long response and reads nothing of it, so that the
+    // response stays in memory.
     smol::block_on(async {
-        let watch = serve(ServeLimits::default()).await;
-        let mut stream = TcpStream::connect(watch.addr).await.expect("a connection");
-        let ask = b"POST /endless HTTP/1.1\r\nhost: x\r\ncontent-length: 0\r\n\r\n";
-        stream.write_all(ask).await.expect("it is sent");
-        until(|| watch.stopped.load(Ordering::Acquire)).await;
-        until(|| watch.open.load(Ordering::Acquire) == 0).await;
+        let server = serve(ServeLimits::default()).await;
+        let mut stream = TcpStream::connect(server.addr).await.expect("a connection");
+        let raw_request = b"POST /endless HTTP/1.1\r\nhost: x\r\ncontent-length: 0\r\n\r\n";
+        stream.write_all(raw_request).await.expect("it is sent");
+        wait_until(|| server.stopped.load(Ordering::Acquire)).await;
+        wait_until(|| server.open.load(Ordering::Acquire) == 0).await;
         drop(stream);
     });
 }
 
 #[test]
-fn whatever_waits_for_a_caller_is_dropped_when_it_goes_away() {
-    // A viewer closes the page while its request waits in the queue. Without a notice the
-    // request would keep its place.
+fn a_waiting_request_is_dropped_when_its_caller_disconnects() {
+    // A user closes the page while the request waits in the queue. If the handler were not dropped,
+    // the request would keep its place in the queue.
     smol::block_on(async {
-        let watch = serve(ServeLimits::default()).await;
-        let mut stream = TcpStream::connect(watch.addr).await.expect("a connection");
-        let ask = b"POST /wait HTTP/1.1\r\nhost: x\r\ncontent-length: 0\r\n\r\n";
-        stream.write_all(ask).await.expect("it is sent");
-        until(|| watch.waiting.load(Ordering::Acquire) == 1).await;
+        let server = serve(ServeLimits::default()).await;
+        let mut stream = TcpStream::connect(server.addr).await.expect("a connection");
+        let raw_request = b"POST /wait HTTP/1.1\r\nhost: x\r\ncontent-length: 0\r\n\r\n";
+        stream.write_all(raw_request).await.expect("it is sent");
+        wait_until(|| server.waiting.load(Ordering::Acquire) == 1).await;
         drop(stream);
-        until(|| watch.waiting.load(Ordering::Acquire) == 0).await;
-        until(|| watch.open.load(Ordering::Acquire) == 0).await;
+        wait_until(|| server.waiting.load(Ordering::Acquire) == 0).await;
+        wait_until(|| server.open.load(Ordering::Acquire) == 0).await;
     });
 }
 
 #[test]
 fn a_stopped_server_closes_idle_connections_and_finishes_the_others() {
-    // An instance is shut down. Idle connections would keep it waiting, and cutting the busy
-    // ones would break answers.
+    // An instance is shut down. Idle connections must not delay it, and busy ones must still get
+    // their responses.
     smol::block_on(async {
-        let watch = serve(ServeLimits::default()).await;
-        let mut idle = TcpStream::connect(watch.addr).await.expect("a connection");
-        let mut busy = TcpStream::connect(watch.addr).await.expect("a connection");
-        let ask = b"POST /echo HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\na";
-        busy.write_all(ask).await.expect("it is sent");
-        until(|| watch.open.load(Ordering::Acquire) == 2).await;
-        watch.stop.store(true, Ordering::Release);
+        let server = serve(ServeLimits::default()).await;
+        let mut idle = TcpStream::connect(server.addr).await.expect("a connection");
+        let mut busy = TcpStream::connect(server.addr).await.expect("a connection");
+        let raw_request = b"POST /echo HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\na";
+        busy.write_all(raw_request).await.expect("it is sent");
+        wait_until(|| server.open.load(Ordering::Acquire) == 2).await;
+        server.stop.store(true, Ordering::Release);
         let mut buf = Vec::new();
         idle.read_to_end(&mut buf).await.expect("it is closed");
         assert!(buf.is_empty());
@@ -280,22 +285,27 @@
             answer.starts_with("HTTP/1.1 200 ") && answer.ends_with("ab"),
             "{answer}"
         );
-        until(|| watch.open.load(Ordering::Acquire) == 0).await;
+        wait_until(|| server.open.load(Ordering::Acquire) == 0).await;
     });
 }
 
-/// Guards against a server that counts as ended while a request that it took is still at work.
+/// Guards against a server whose `run` returns while a request is still being handled.
 #[test]
-fn a_server_has_ended_once_its_last_connection_has() {
+fn a_server_ends_only_after_its_last_connection() {
     smol::block_on(async {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let server = Server::bind(any, ServeLimits::default(), Arc::new(Answers::default())).await;
+        let server = Server::bind(
+            any,
+            ServeLimits::default(),
+            Arc::new(PathHandler::default()),
+        )
+        .await;
         let server = server.expect("a port");
         let (addr, stop) = (server.addr().expect("an address"), server.stop());
         let served = workers::spawn(server.run());
         let mut busy = TcpStream::connect(addr).await.expect("a connection");
-        let ask = b"POST /echo HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\na";
-        busy.write_all(ask).await.expect("it is sent");
+        let raw_request = b"POST /echo HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\na";
+        busy.write_all(raw_request).await.expect("it is sent");
         smol::Timer::after(Duration::from_millis(50)).await;
         stop.store(true, Ordering::Release);
         smol::Timer::after(Duration::from_millis(300)).await;
@@ -304,23 +314,23 @@
         let mut buf = Vec::new();
         busy.read_to_end(&mut buf).await.expect("an answer");
         assert!(buf.ends_with(b"ab"), "{}", String::from_utf8_lossy(&buf));
-        // A connection that brought a body is read until its caller closes it.
+        // After a request with a body the server reads wait_until the caller closes the connection.
         drop(busy);
         let ended = timer::Timer::new().within(SECOND, served).await;
         assert!(ended.is_some());
     });
 }
 
-/// Guards against a connection that is closed in the face of a caller that has just made it.
+/// Guards against closing a connection that a caller has just opened and is about to use.
 #[test]
-fn a_connection_made_as_the_server_stops_gets_its_first_request_answered() {
+fn a_connection_opened_as_the_server_stops_gets_its_first_request_answered() {
     smol::block_on(async {
-        let watch = serve(ServeLimits::default()).await;
-        let mut new = TcpStream::connect(watch.addr).await.expect("a connection");
-        watch.stop.store(true, Ordering::Release);
+        let server = serve(ServeLimits::default()).await;
+        let mut new = TcpStream::connect(server.addr).await.expect("a connection");
+        server.stop.store(true, Ordering::Release);
         smol::Timer::after(Duration::from_millis(150)).await;
-        let ask = b"POST /echo HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\nab";
-        let sent = new.write_all(ask).await;
+        let raw_request = b"POST /echo HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\nab";
+        let sent = new.write_all(raw_request).await;
         let mut buf = Vec::new();
         let read = new.read_to_end(&mut buf).await;
         assert!(
@@ -328,25 +338,25 @@
             "{sent:?} {read:?} {}",
             String::from_utf8_lossy(&buf)
         );
-        until(|| watch.open.load(Ordering::Acquire) == 0).await;
+        wait_until(|| server.open.load(Ordering::Acquire) == 0).await;
     });
 }
 
-/// Guards against closing a connection in the middle of the head of a request.
+/// Guards against closing a connection while the head of a request is arriving.
 #[test]
-fn a_request_whose_head_has_begun_to_arrive_on_a_kept_connection_is_answered() {
+fn a_request_whose_head_has_begun_to_arrive_on_a_reused_connection_is_answered() {
     smol::block_on(async {
-        let watch = serve(ServeLimits::default()).await;
-        let mut kept = TcpStream::connect(watch.addr).await.expect("a connection");
-        let ask = b"POST /echo HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\nab";
-        kept.write_all(ask).await.expect("it is sent");
+        let server = serve(ServeLimits::default()).await;
+        let mut kept = TcpStream::connect(server.addr).await.expect("a connection");
+        let raw_request = b"POST /echo HTTP/1.1\r\nhost: x\r\ncontent-length: 2\r\n\r\nab";
+        kept.write_all(raw_request).await.expect("it is sent");
         let mut first = [0; 512];
         let len = kept.read(&mut first).await.expect("an answer");
         assert!(first[..len].ends_with(b"ab"));
-        let (begun, rest) = ask.split_at(20);
+        let (begun, rest) = raw_request.split_at(20);
         kept.write_all(begun).await.expect("it is sent");
         smol::Timer::after(Duration::from_millis(50)).await;
-        watch.stop.store(true, Ordering::Release);
+        server.stop.store(true, Ordering::Release);
         smol::Timer::after(Duration::from_millis(150)).await;
         let sent = kept.write_all(rest).await;
         let mut buf = Vec::new();
@@ -359,25 +369,25 @@
     });
 }
 
-/// Guards against a stop that a caller prolongs who began a request and sends no more of it.
+/// Guards against a caller that delays a shutdown by sending only a part of a request's head.
 #[test]
-fn half_a_head_does_not_hold_a_stop() {
+fn an_incomplete_head_does_not_delay_a_stop() {
     smol::block_on(async {
-        let watch = serve(ServeLimits::default()).await;
-        let mut slow = TcpStream::connect(watch.addr).await.expect("a connection");
+        let server = serve(ServeLimits::default()).await;
+        let mut slow = TcpStream::connect(server.addr).await.expect("a connection");
         slow.write_all(b"POST /echo HTT").await.expect("it is sent");
-        until(|| watch.open.load(Ordering::Acquire) == 1).await;
-        watch.stop.store(true, Ordering::Release);
-        let ended = until(|| watch.open.load(Ordering::Acquire) == 0);
+        wait_until(|| server.open.load(Ordering::Acquire) == 1).await;
+        server.stop.store(true, Ordering::Release);
+        let ended = wait_until(|| server.open.load(Ordering::Acquire) == 0);
         let ended = timer::Timer::new().within(3 * SECOND, ended).await;
         assert!(ended.is_some());
     });
 }
 
 #[test]
-fn a_fresh_connection_is_not_an_idle_one() {
-    // Something on the way has lost track of the pooled connections: they look fine and lead
-    // nowhere. A resumption over one of them would hang again.
+fn a_fresh_connection_is_not_taken_from_the_pool() {
+    // A device on the path has dropped the state of the pooled connections: they look open, but no
+    // bytes arrive. A stream resumed over one of them would hang again.
     smol::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
--- a/components/node/src/servers.rs
+++ b/components/node/src/servers.rs
@@ -52,7 +52,7 @@
         Self {
             retire: server.retire(),
             stop: server.stop(),
-            open: server.open(),
+            open: server.open_connections(),
             task: workers::spawn(server.run()),
         }
     }
@@ -89,7 +89,7 @@
         let at = &settings.instance;
         let callers = ServeLimits {
             header_bytes: settings.limits.header_bytes,
-            header_time: Duration::from_secs(settings.limits.sender_seconds),
+            header_timeout: Duration::from_secs(settings.limits.sender_seconds),
             connections: settings.limits.connections,
         };
         let internal = ServeLimits {
