--- a/components/claims/examples/measure_claims.rs
+++ b/components/claims/examples/measure_claims.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use claims::{Claimed, Claims, KeyedCall, Liveness, Recorded, StoreClaims};
+use claims::{ClaimOutcome, Claims, KeyedCall, Liveness, RecordedAnswer, StoreClaims};
 use net::Client;
 use standins::platform::{Faults, start};
 use stores::{DynamoTable, MemoryTable, Table};
@@ -23,7 +23,7 @@
 struct Nobody;
 
 impl Liveness for Nobody {
-    fn gone(&self, _: &InstanceId, _: Incarnation) -> bool {
+    fn has_ended(&self, _: &InstanceId, _: Incarnation) -> bool {
         false
     }
 }
@@ -100,9 +100,9 @@
         };
         let start = Instant::now();
         let claimed = claims.claim(&call, Duration::ZERO).await;
-        assert_eq!(claimed, Ok(Claimed::Mine), "a new key");
+        assert_eq!(claimed, Ok(ClaimOutcome::Acquired), "a new key");
         times.push(start.elapsed());
-        let answer = Recorded {
+        let answer = RecordedAnswer {
             status: 201,
             content_type: "application/json".into(),
             body: "{\"granted\":true}".into(),
--- a/components/claims/src/answer.rs
+++ b/components/claims/src/answer.rs
@@ -1,6 +1,6 @@
 //! Answers too large to be kept.
 
-use crate::{api::Recorded, row::State};
+use crate::{api::RecordedAnswer, row::State};
 
 /// Most bytes of a kept answer; a row of the table service holds 400 KB.
 pub const ANSWER_LIMIT: usize = 100 * 1024;
@@ -8,7 +8,7 @@
 /// Puts a truthful note in place of an answer that is too large to be kept: the call ran, with
 /// this status, and its answer can't be had again.
 #[must_use]
-pub fn fitting(answer: Recorded) -> Recorded {
+pub fn fitting(answer: RecordedAnswer) -> RecordedAnswer {
     if answer.body.len() <= ANSWER_LIMIT {
         return answer;
     }
@@ -24,7 +24,7 @@
     }
 }
 
-fn note(status: u16) -> Recorded {
+fn note(status: u16) -> RecordedAnswer {
     let problem = serde_json::json!({
         "type": "about:blank",
         "title": "The call ran; its answer was not kept",
@@ -34,7 +34,7 @@
         "run": "partial",
         "code": "answer-not-kept",
     });
-    Recorded {
+    RecordedAnswer {
         status,
         content_type: "application/problem+json".into(),
         body: problem.to_string().into(),
--- a/components/claims/src/api.rs
+++ b/components/claims/src/api.rs
@@ -20,7 +20,7 @@
 
 /// The recorded answer to a keyed call.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Recorded {
+pub struct RecordedAnswer {
     /// HTTP status of the answer.
     pub status: u16,
     /// Content type of the answer.
@@ -33,11 +33,11 @@
 
 /// What a claim came to.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Claimed {
+pub enum ClaimOutcome {
     /// The key is this caller's to run, once. Finish with `record` or `release`.
-    Mine,
+    Acquired,
     /// The call ran before; this is its answer.
-    Before(Recorded),
+    Completed(RecordedAnswer),
     /// The call was sent, and its outcome is not and will not be known.
     Unknown,
 }
@@ -50,7 +50,7 @@
     OtherCall,
     /// The table service is down.
     #[display("the table service can't be reached")]
-    StoreDown,
+    StoreUnavailable,
     /// Somebody else still runs it and the wait is over.
     #[display("the call is still running under this key")]
     StillRunning,
@@ -61,17 +61,18 @@
 pub trait Claims: Send + Sync {
     /// Claims a key before anything is sent, or finds what became of it. Waits up to `patience`
     /// for another claimant's outcome.
-    async fn claim(&self, call: &KeyedCall, patience: Duration) -> Result<Claimed, ClaimError>;
+    async fn claim(&self, call: &KeyedCall, patience: Duration)
+    -> Result<ClaimOutcome, ClaimError>;
 
     /// Records the answer of a call claimed before. Keeps trying while the store is down, for a
     /// bounded time.
-    async fn record(&self, call: &KeyedCall, answer: Recorded);
+    async fn record(&self, call: &KeyedCall, answer: RecordedAnswer);
 
     /// Gives a key back whose call provably did not run, so that a repeat may run it.
     async fn release(&self, call: &KeyedCall);
 
     /// Marks a call whose outcome can't be known any more.
-    async fn give_up(&self, call: &KeyedCall);
+    async fn abandon(&self, call: &KeyedCall);
 
     /// Writes the state for a dump.
     fn dump(&self) -> Vec<String>;
--- a/components/claims/src/settle.rs
+++ b/components/claims/src/finalize.rs
@@ -24,7 +24,7 @@
 ///
 /// # Errors
 /// Tells why it could not be settled now.
-pub async fn settle(
+pub async fn finalize(
     table: &dyn Table,
     group: &Arc<Group>,
     open: &Open,
--- a/components/claims/src/lib.rs
+++ b/components/claims/src/lib.rs
@@ -2,16 +2,16 @@
 
 mod answer;
 pub mod api;
-mod desk;
+mod finalize;
 mod group;
 pub mod liveness;
+mod manager;
 mod open;
 mod row;
-mod settle;
 pub mod store;
 pub mod sweep;
 
-pub use api::{ClaimError, Claimed, Claims, KeyedCall, Recorded};
+pub use api::{ClaimError, ClaimOutcome, Claims, KeyedCall, RecordedAnswer};
 pub use liveness::Liveness;
 pub use store::StoreClaims;
 pub use sweep::RETENTION_SECONDS;
--- a/components/claims/src/liveness.rs
+++ b/components/claims/src/liveness.rs
@@ -6,5 +6,5 @@
 pub trait Liveness: Send + Sync {
     /// Whether this life of the instance has ended for certain; `false` in doubt. A repeat whose
     /// claimant is gone is told `unknown`; while in doubt it waits.
-    fn gone(&self, instance: &InstanceId, incarnation: Incarnation) -> bool;
+    fn has_ended(&self, instance: &InstanceId, incarnation: Incarnation) -> bool;
 }
--- a/components/claims/src/desk.rs
+++ b/components/claims/src/manager.rs
@@ -14,13 +14,13 @@
 use types::{Incarnation, InstanceId};
 
 use crate::{
-    api::{ClaimError, Claimed, KeyedCall},
+    api::{ClaimError, ClaimOutcome, KeyedCall},
+    finalize::finalize,
     group::Group,
     liveness::Liveness,
     open::{OPEN_LIMIT, Open, OpenClaims},
     row::{ClaimRow, State, row_key},
-    settle::settle,
-    sweep::Sweep,
+    sweep::ExpirySweep,
 };
 
 /// First pause between two looks for another claimant's outcome; it doubles.
@@ -41,7 +41,7 @@
 /// Makes and ends the claims of one instance.
 ///
 /// Locks: `open` is held shortly and never over an await.
-pub struct Desk {
+pub struct ClaimManager {
     me: InstanceId,
     incarnation: Incarnation,
     table: Arc<dyn Table>,
@@ -69,12 +69,12 @@
     /// Nobody has it; claim it by a write against this version, 0 for no row.
     Free { base: u64 },
     /// It has come to this.
-    Ended(Claimed),
+    Ended(ClaimOutcome),
     /// Somebody runs it.
     Running,
 }
 
-impl Desk {
+impl ClaimManager {
     /// Makes the claims of one life of an instance.
     #[must_use]
     pub fn new(
@@ -99,7 +99,7 @@
     /// Settles what the table service did not take at once, and deletes old claims, for as long
     /// as the process lives.
     pub async fn run(&self) {
-        let mut sweep = Sweep::new(&self.me, Arc::clone(&self.table));
+        let mut sweep = ExpirySweep::new(&self.me, Arc::clone(&self.table));
         loop {
             self.timer.sleep(SETTLE_PERIOD).await;
             self.give_up_overdue();
@@ -131,7 +131,7 @@
     async fn settle_pending(&self) {
         let pending = self.open.lock().pending();
         for open in pending {
-            match settle(&*self.table, &self.group, &open).await {
+            match finalize(&*self.table, &self.group, &open).await {
                 Ok(()) => self.open.lock().settled(&open),
                 // The next one would fail as well; the next round tries again.
                 Err(
@@ -151,7 +151,7 @@
             digest: Arc::clone(&call.digest),
             instance: Arc::clone(&self.me),
             incarnation: self.incarnation,
-            at: 0,
+            written_at: 0,
             state: State::Claimed,
         }
     }
@@ -160,7 +160,11 @@
     ///
     /// # Errors
     /// Tells why neither could be done; nothing was sent on behalf of this request.
-    pub async fn make(&self, call: &KeyedCall, patience: Duration) -> Result<Claimed, ClaimError> {
+    pub async fn make(
+        &self,
+        call: &KeyedCall,
+        patience: Duration,
+    ) -> Result<ClaimOutcome, ClaimError> {
         let end = self.timer.now() + patience;
         let key = row_key(call);
         let mut pause = LOOK_PAUSE;
@@ -173,7 +177,7 @@
                 Look::Ended(claimed) => return Ok(claimed),
                 Look::Free { base } => {
                     if self.claim_free(call, &key, base).await? {
-                        return Ok(Claimed::Mine);
+                        return Ok(ClaimOutcome::Acquired);
                     }
                 }
                 Look::Running => {
@@ -197,7 +201,7 @@
         base: u64,
     ) -> Result<bool, ClaimError> {
         if self.open.lock().is_full() {
-            return Err(ClaimError::StoreDown);
+            return Err(ClaimError::StoreUnavailable);
         }
         let open = Open {
             key: key.clone(),
@@ -211,13 +215,13 @@
                 Ok(true)
             }
             Tried::Taken => Ok(false),
-            Tried::Down => Err(ClaimError::StoreDown),
+            Tried::Down => Err(ClaimError::StoreUnavailable),
             Tried::Lost => {
                 // It may stand, now or later, and nobody will run it: it must be released, or
                 // each repeat of the key would wait for an outcome that never comes.
                 let row = open.row.with_state(State::Released);
                 self.open.lock().add(Open { row, ..open });
-                Err(ClaimError::StoreDown)
+                Err(ClaimError::StoreUnavailable)
             }
         }
     }
@@ -262,7 +266,7 @@
             return Err(ClaimError::OtherCall);
         }
         Ok(Some(match &row.state {
-            State::Done(answer) => Look::Ended(Claimed::Before(answer.clone())),
+            State::Done(answer) => Look::Ended(ClaimOutcome::Completed(answer.clone())),
             _ => Look::Running,
         }))
     }
@@ -271,7 +275,7 @@
         if let Some(look) = self.look_here(call, key)? {
             return Ok(look);
         }
-        let down = |_| ClaimError::StoreDown;
+        let down = |_| ClaimError::StoreUnavailable;
         let Some(row) = self.table.read(key).await.map_err(down)? else {
             return Ok(Look::Free { base: 0 });
         };
@@ -280,8 +284,8 @@
             return Err(ClaimError::OtherCall);
         }
         match found.state {
-            State::Done(answer) => Ok(Look::Ended(Claimed::Before(answer))),
-            State::Unknown => Ok(Look::Ended(Claimed::Unknown)),
+            State::Done(answer) => Ok(Look::Ended(ClaimOutcome::Completed(answer))),
+            State::Unknown => Ok(Look::Ended(ClaimOutcome::Unknown)),
             State::Released => Ok(Look::Free { base: row.version }),
             State::Claimed => self.look_at_claimant(&row, &found).await,
         }
@@ -292,7 +296,7 @@
     /// may still put the true outcome in place of the mark, since nobody else runs the call.
     async fn look_at_claimant(&self, row: &Row, found: &ClaimRow) -> Result<Look, ClaimError> {
         let earlier_life = found.instance == self.me && found.incarnation < self.incarnation;
-        let gone = earlier_life || self.alive.gone(&found.instance, found.incarnation);
+        let gone = earlier_life || self.alive.has_ended(&found.instance, found.incarnation);
         if !gone {
             return Ok(Look::Running);
         }
@@ -302,10 +306,10 @@
             body: found.with_state(State::Unknown).body(),
         };
         match self.group.commit(write).await {
-            Ok(()) => Ok(Look::Ended(Claimed::Unknown)),
+            Ok(()) => Ok(Look::Ended(ClaimOutcome::Unknown)),
             // Somebody was faster; the next look tells what it is now.
             Err(PlatformError::Conflict) => Ok(Look::Running),
-            Err(_) => Err(ClaimError::StoreDown),
+            Err(_) => Err(ClaimError::StoreUnavailable),
         }
     }
 
--- a/components/claims/src/row.rs
+++ b/components/claims/src/row.rs
@@ -11,7 +11,7 @@
 use stores::{PlatformError, Row, RowKey};
 use types::{Incarnation, InstanceId};
 
-use crate::api::{KeyedCall, Recorded};
+use crate::api::{KeyedCall, RecordedAnswer};
 
 /// Partitions that claims are spread over.
 pub const PARTITIONS: u16 = 256;
@@ -27,7 +27,7 @@
     /// It provably did not run; the next repeat may run it.
     Released,
     /// It ran, and this was the answer.
-    Done(Recorded),
+    Done(RecordedAnswer),
 }
 
 impl State {
@@ -54,7 +54,8 @@
     /// Which life of the claimant.
     pub incarnation: Incarnation,
     /// When it was last written, in seconds since 1970 by the writer's clock.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub written_at: u64,
     /// What is known.
     pub state: State,
 }
@@ -74,7 +75,7 @@
     #[must_use]
     pub fn body(&self) -> Arc<str> {
         let stamped = Self {
-            at: now_seconds(),
+            written_at: now_seconds(),
             ..self.clone()
         };
         // Text keys and plain values only: this can't fail.
--- a/components/claims/src/sweep.rs
+++ b/components/claims/src/sweep.rs
@@ -18,7 +18,7 @@
 const PAGE: usize = 100;
 
 /// Goes through all claims page by page, at a pace that leaves the table service its budget.
-pub struct Sweep {
+pub struct ExpirySweep {
     table: Arc<dyn Table>,
     partition: u16,
     after: Arc<str>,
@@ -28,7 +28,7 @@
     newest: u64,
 }
 
-impl Sweep {
+impl ExpirySweep {
     /// Begins at a place that differs between instances.
     #[must_use]
     pub fn new(me: &InstanceId, table: Arc<dyn Table>) -> Self {
@@ -73,13 +73,13 @@
         let read = |row| ClaimRow::read(row).ok().map(|claim| (row, claim));
         let claims: Vec<(&Row, ClaimRow)> = rows.iter().filter_map(read).collect();
         let others = claims.iter().filter(|(_, claim)| claim.instance != self.me);
-        let newest = others.map(|(_, claim)| claim.at).max();
+        let newest = others.map(|(_, claim)| claim.written_at).max();
         self.newest = self.newest.max(newest.unwrap_or(0));
         if clock.saturating_sub(self.newest) > TRUST_SECONDS {
             return Vec::new();
         }
         let old = clock.saturating_sub(RETENTION_SECONDS);
-        let old = claims.iter().filter(|(_, claim)| claim.at < old);
+        let old = claims.iter().filter(|(_, claim)| claim.written_at < old);
         old.map(|(row, _)| delete(row)).collect()
     }
 
--- a/components/claims/tests/claiming/common.rs
+++ b/components/claims/tests/claiming/common.rs
@@ -6,7 +6,7 @@
     time::{Duration, Instant},
 };
 
-use claims::{Claimed, Claims, KeyedCall, Liveness, Recorded, StoreClaims};
+use claims::{ClaimOutcome, Claims, KeyedCall, Liveness, RecordedAnswer, StoreClaims};
 use parking_lot::Mutex;
 use smol::Task;
 use stores::MemoryTable;
@@ -29,7 +29,7 @@
 }
 
 impl Liveness for Gone {
-    fn gone(&self, instance: &InstanceId, incarnation: Incarnation) -> bool {
+    fn has_ended(&self, instance: &InstanceId, incarnation: Incarnation) -> bool {
         let life = (Arc::clone(instance), incarnation);
         self.lives.lock().contains(&life)
     }
@@ -59,16 +59,19 @@
 }
 
 impl Instance {
-    pub async fn claim(&self, call: &KeyedCall) -> Result<Claimed, claims::ClaimError> {
+    pub async fn claim(&self, call: &KeyedCall) -> Result<ClaimOutcome, claims::ClaimError> {
         self.claims.claim(call, PATIENCE).await
     }
 
     /// Claims again while the table service is said to be down: it may take a while to settle.
-    pub async fn claim_when_up(&self, call: &KeyedCall) -> Result<Claimed, claims::ClaimError> {
+    pub async fn claim_when_up(
+        &self,
+        call: &KeyedCall,
+    ) -> Result<ClaimOutcome, claims::ClaimError> {
         let end = Instant::now() + PATIENCE;
         loop {
             let result = self.claim(call).await;
-            if result != Err(claims::ClaimError::StoreDown) || Instant::now() > end {
+            if result != Err(claims::ClaimError::StoreUnavailable) || Instant::now() > end {
                 return result;
             }
             Timer::new().sleep(Duration::from_millis(20)).await;
@@ -95,8 +98,8 @@
     }
 }
 
-pub fn answer(text: &str) -> Recorded {
-    Recorded {
+pub fn answer(text: &str) -> RecordedAnswer {
+    RecordedAnswer {
         status: 201,
         content_type: "text/plain".into(),
         body: text.into(),
--- a/components/claims/tests/claiming/one.rs
+++ b/components/claims/tests/claiming/one.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::common::{Deployment, PATIENCE, answer, call};
-use claims::{ClaimError, Claimed, Claims};
+use claims::{ClaimError, ClaimOutcome, Claims};
 use stores::memory::Fault;
 use timer::Timer;
 
@@ -17,7 +17,7 @@
         let all = Deployment::default();
         let (a, b, c) = (all.start("a", 1), all.start("b", 1), all.start("c", 1));
         let call = call("k", "d");
-        assert_eq!(a.claim(&call).await, Ok(Claimed::Mine));
+        assert_eq!(a.claim(&call).await, Ok(ClaimOutcome::Acquired));
         let waits = b.claims.claim(&call, SHORT).await;
         assert_eq!(waits, Err(ClaimError::StillRunning));
         let (b_claims, c_claims) = (b.claims.clone(), c.claims.clone());
@@ -25,7 +25,7 @@
         let at_b = workers::spawn(async move { b_claims.claim(&b_call, PATIENCE).await });
         let at_c = workers::spawn(async move { c_claims.claim(&c_call, PATIENCE).await });
         a.claims.record(&call, answer("granted")).await;
-        let granted = Ok(Claimed::Before(answer("granted")));
+        let granted = Ok(ClaimOutcome::Completed(answer("granted")));
         assert_eq!(at_b.await, granted);
         assert_eq!(at_c.await, granted);
         assert_eq!(a.claim(&call).await, granted);
@@ -43,14 +43,18 @@
             let (a, b) = (all.start("a", 1), all.start("b", 1));
             let call = call("k", "d");
             all.table.add_faults([fault]);
-            assert_eq!(a.claim(&call).await, Ok(Claimed::Mine), "{fault:?}");
+            assert_eq!(
+                a.claim(&call).await,
+                Ok(ClaimOutcome::Acquired),
+                "{fault:?}"
+            );
             assert_eq!(
                 all.table.apply_late_commits(),
                 0,
                 "{fault:?}: a late claim took effect"
             );
             a.claims.record(&call, answer("1")).await;
-            let before = Ok(Claimed::Before(answer("1")));
+            let before = Ok(ClaimOutcome::Completed(answer("1")));
             assert_eq!(b.claim(&call).await, before, "{fault:?}");
         }
     });
@@ -65,10 +69,10 @@
         let a = all.start("a", 1);
         let call = call("k", "d");
         all.table.set_down(true);
-        assert_eq!(a.claim(&call).await, Err(ClaimError::StoreDown));
+        assert_eq!(a.claim(&call).await, Err(ClaimError::StoreUnavailable));
         all.table.set_down(false);
         assert_eq!(all.table.rows(), []);
-        assert_eq!(a.claim(&call).await, Ok(Claimed::Mine));
+        assert_eq!(a.claim(&call).await, Ok(ClaimOutcome::Acquired));
     });
 }
 
@@ -84,14 +88,14 @@
             let call = call("k", "d");
             all.table
                 .add_faults([Fault::Late, Fault::Late, Fault::Late]);
-            assert_eq!(a.claim(&call).await, Err(ClaimError::StoreDown));
+            assert_eq!(a.claim(&call).await, Err(ClaimError::StoreUnavailable));
             if land_first {
                 all.table.apply_late_commits();
             }
-            assert_eq!(b.claim_when_up(&call).await, Ok(Claimed::Mine));
+            assert_eq!(b.claim_when_up(&call).await, Ok(ClaimOutcome::Acquired));
             all.table.apply_late_commits();
             b.claims.record(&call, answer("1")).await;
-            let before = Ok(Claimed::Before(answer("1")));
+            let before = Ok(ClaimOutcome::Completed(answer("1")));
             assert_eq!(a.claim_when_up(&call).await, before);
         }
     });
@@ -108,7 +112,7 @@
             let (a, b) = (all.start("a", 1), all.start("b", 1));
             let call = call("k", "d");
             if released_before {
-                assert_eq!(b.claim(&call).await, Ok(Claimed::Mine));
+                assert_eq!(b.claim(&call).await, Ok(ClaimOutcome::Acquired));
                 b.claims.release(&call).await;
             }
             // Over a released row the first write of a claim fails its condition.
@@ -116,14 +120,14 @@
                 .add_faults([Fault::None].repeat(usize::from(released_before)));
             all.table
                 .add_faults([Fault::Late, Fault::Late, Fault::Late]);
-            assert_eq!(a.claim(&call).await, Err(ClaimError::StoreDown));
+            assert_eq!(a.claim(&call).await, Err(ClaimError::StoreUnavailable));
             a.until_settled().await;
             assert_eq!(
                 all.table.apply_late_commits(),
                 0,
                 "a late claim took effect"
             );
-            assert_eq!(b.claim(&call).await, Ok(Claimed::Mine));
+            assert_eq!(b.claim(&call).await, Ok(ClaimOutcome::Acquired));
         }
     });
 }
@@ -137,16 +141,16 @@
         let all = Deployment::default();
         let (a, b, c) = (all.start("a", 1), all.start("b", 1), all.start("c", 1));
         let call = call("k", "d");
-        assert_eq!(a.claim(&call).await, Ok(Claimed::Mine));
+        assert_eq!(a.claim(&call).await, Ok(ClaimOutcome::Acquired));
         all.gone.add("a", 1);
-        assert_eq!(b.claim(&call).await, Ok(Claimed::Unknown));
-        assert_eq!(c.claim(&call).await, Ok(Claimed::Unknown));
+        assert_eq!(b.claim(&call).await, Ok(ClaimOutcome::Unknown));
+        assert_eq!(c.claim(&call).await, Ok(ClaimOutcome::Unknown));
         a.claims.record(&call, answer("placed")).await;
         let end = std::time::Instant::now() + PATIENCE;
-        while c.claim(&call).await == Ok(Claimed::Unknown) && std::time::Instant::now() < end {
+        while c.claim(&call).await == Ok(ClaimOutcome::Unknown) && std::time::Instant::now() < end {
             Timer::new().sleep(SHORT).await;
         }
-        let placed = Ok(Claimed::Before(answer("placed")));
+        let placed = Ok(ClaimOutcome::Completed(answer("placed")));
         assert_eq!(c.claim(&call).await, placed);
         assert_eq!(b.claim(&call).await, placed);
     });
@@ -159,9 +163,9 @@
         let all = Deployment::default();
         let call = call("k", "d");
         let before = all.start("a", 1);
-        assert_eq!(before.claim(&call).await, Ok(Claimed::Mine));
+        assert_eq!(before.claim(&call).await, Ok(ClaimOutcome::Acquired));
         let after = all.start("a", 2);
-        assert_eq!(after.claim(&call).await, Ok(Claimed::Unknown));
+        assert_eq!(after.claim(&call).await, Ok(ClaimOutcome::Unknown));
     });
 }
 
@@ -172,14 +176,14 @@
     smol::block_on(async {
         let all = Deployment::default();
         let (a, b) = (all.start("a", 1), all.start("b", 1));
-        assert_eq!(a.claim(&call("k", "d")).await, Ok(Claimed::Mine));
+        assert_eq!(a.claim(&call("k", "d")).await, Ok(ClaimOutcome::Acquired));
         assert_eq!(a.claim(&call("k", "e")).await, Err(ClaimError::OtherCall));
         assert_eq!(b.claim(&call("k", "e")).await, Err(ClaimError::OtherCall));
         a.claims.record(&call("k", "d"), answer("1")).await;
         assert_eq!(b.claim(&call("k", "e")).await, Err(ClaimError::OtherCall));
         let mut elsewhere = call("k", "e");
         elsewhere.workspace = "other".into();
-        assert_eq!(b.claim(&elsewhere).await, Ok(Claimed::Mine));
+        assert_eq!(b.claim(&elsewhere).await, Ok(ClaimOutcome::Acquired));
     });
 }
 
@@ -189,11 +193,11 @@
         let all = Deployment::default();
         let (a, b) = (all.start("a", 1), all.start("b", 1));
         let call = call("k", "d");
-        assert_eq!(a.claim(&call).await, Ok(Claimed::Mine));
+        assert_eq!(a.claim(&call).await, Ok(ClaimOutcome::Acquired));
         a.claims.release(&call).await;
-        assert_eq!(b.claim(&call).await, Ok(Claimed::Mine));
-        b.claims.give_up(&call).await;
-        assert_eq!(a.claim(&call).await, Ok(Claimed::Unknown));
+        assert_eq!(b.claim(&call).await, Ok(ClaimOutcome::Acquired));
+        b.claims.abandon(&call).await;
+        assert_eq!(a.claim(&call).await, Ok(ClaimOutcome::Unknown));
     });
 }
 
@@ -215,7 +219,7 @@
             assert!(std::time::Instant::now() < end, "the claim never arrives");
             timer.sleep(Duration::from_millis(10)).await;
         }
-        assert_eq!(b.claim(&call).await, Ok(Claimed::Mine));
+        assert_eq!(b.claim(&call).await, Ok(ClaimOutcome::Acquired));
     });
 }
 
@@ -227,12 +231,12 @@
         let all = Deployment::default();
         let (a, b) = (all.start("a", 1), all.start("b", 1));
         let call = call("k", "d");
-        assert_eq!(a.claim(&call).await, Ok(Claimed::Mine));
+        assert_eq!(a.claim(&call).await, Ok(ClaimOutcome::Acquired));
         all.table.set_down(true);
         a.claims.record(&call, answer("placed")).await;
-        let placed = Ok(Claimed::Before(answer("placed")));
+        let placed = Ok(ClaimOutcome::Completed(answer("placed")));
         assert_eq!(a.claim(&call).await, placed);
-        assert_eq!(b.claim(&call).await, Err(ClaimError::StoreDown));
+        assert_eq!(b.claim(&call).await, Err(ClaimError::StoreUnavailable));
         all.table.set_down(false);
         assert_eq!(b.claim_when_up(&call).await, placed);
     });
@@ -246,7 +250,7 @@
         let all = Deployment::default();
         let (a, b) = (all.start("a", 1), all.start("b", 1));
         let call = call("k", "d");
-        assert_eq!(a.claim(&call).await, Ok(Claimed::Mine));
+        assert_eq!(a.claim(&call).await, Ok(ClaimOutcome::Acquired));
         all.table.set_down(true);
         a.claims.record(&call, answer("placed")).await;
         assert_eq!(a.claims.drain(SHORT).await, 1);
@@ -254,7 +258,10 @@
         assert_eq!(a.claims.drain(PATIENCE).await, 0);
         drop(a);
         all.gone.add("a", 1);
-        assert_eq!(b.claim(&call).await, Ok(Claimed::Before(answer("placed"))));
+        assert_eq!(
+            b.claim(&call).await,
+            Ok(ClaimOutcome::Completed(answer("placed")))
+        );
     });
 }
 
@@ -264,10 +271,10 @@
         let all = Deployment::default();
         let (a, b) = (all.start("a", 1), all.start("b", 1));
         let call = call("k", "d");
-        assert_eq!(a.claim(&call).await, Ok(Claimed::Mine));
+        assert_eq!(a.claim(&call).await, Ok(ClaimOutcome::Acquired));
         let large = "x".repeat(200_000);
         a.claims.record(&call, answer(&large)).await;
-        let Ok(Claimed::Before(kept)) = b.claim(&call).await else {
+        let Ok(ClaimOutcome::Completed(kept)) = b.claim(&call).await else {
             panic!("the call ran before");
         };
         assert_eq!(kept.status, 201);
@@ -284,7 +291,7 @@
         let all = Deployment::default();
         let (a, b) = (all.start("a", 1), all.start("b", 1));
         let taken = call("7", "other call");
-        assert_eq!(b.claim(&taken).await, Ok(Claimed::Mine));
+        assert_eq!(b.claim(&taken).await, Ok(ClaimOutcome::Acquired));
         // Long enough for all of them to arrive while the first are under way.
         all.table.set_delay(Duration::from_secs(1));
         let before = all.table.commits();
@@ -299,7 +306,7 @@
         for (key, task) in tasks.into_iter().enumerate() {
             let expected = match key {
                 7 => Err(ClaimError::OtherCall),
-                _ => Ok(Claimed::Mine),
+                _ => Ok(ClaimOutcome::Acquired),
             };
             assert_eq!(task.await, expected, "key {key}");
         }
--- a/components/claims/tests/claiming/platform.rs
+++ b/components/claims/tests/claiming/platform.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use crate::common::{Gone, PATIENCE, answer, call};
-use claims::{ClaimError, Claimed, Claims, StoreClaims};
+use claims::{ClaimError, ClaimOutcome, Claims, StoreClaims};
 use net::Client;
 use smol::Task;
 use standins::{
@@ -35,7 +35,7 @@
         }
     }
 
-    async fn claim(&self, key: &str) -> Result<Claimed, ClaimError> {
+    async fn claim(&self, key: &str) -> Result<ClaimOutcome, ClaimError> {
         self.claims.claim(&call(key, "d"), PATIENCE).await
     }
 
@@ -70,10 +70,13 @@
             });
         };
         lose(1);
-        assert_eq!(a.claim("k").await, Ok(Claimed::Mine));
+        assert_eq!(a.claim("k").await, Ok(ClaimOutcome::Acquired));
         lose(1);
         a.claims.record(&call("k", "d"), answer("placed")).await;
-        assert_eq!(b.claim("k").await, Ok(Claimed::Before(answer("placed"))));
+        assert_eq!(
+            b.claim("k").await,
+            Ok(ClaimOutcome::Completed(answer("placed")))
+        );
         assert_eq!(platform.standin.log().lost, 2);
     });
 }
@@ -88,7 +91,7 @@
             Instance::start("a", &platform),
             Instance::start("b", &platform),
         );
-        assert_eq!(a.claim("before").await, Ok(Claimed::Mine));
+        assert_eq!(a.claim("before").await, Ok(ClaimOutcome::Acquired));
         let down = |down| {
             platform.standin.set(Faults {
                 table_down: Some(down),
@@ -97,11 +100,11 @@
         };
         down(true);
         a.claims.record(&call("before", "d"), answer("1")).await;
-        let before = Ok(Claimed::Before(answer("1")));
+        let before = Ok(ClaimOutcome::Completed(answer("1")));
         assert_eq!(a.claim("before").await, before);
         for key in ["x", "y", "z"] {
-            assert_eq!(a.claim(key).await, Err(ClaimError::StoreDown));
-            assert_eq!(b.claim(key).await, Err(ClaimError::StoreDown));
+            assert_eq!(a.claim(key).await, Err(ClaimError::StoreUnavailable));
+            assert_eq!(b.claim(key).await, Err(ClaimError::StoreUnavailable));
         }
         assert!(!a.table.is_up());
         down(false);
@@ -109,7 +112,7 @@
         b.until_up().await;
         assert_eq!(b.claim("before").await, before);
         for key in ["x", "y", "z"] {
-            assert_eq!(b.claim(key).await, Ok(Claimed::Mine), "{key}");
+            assert_eq!(b.claim(key).await, Ok(ClaimOutcome::Acquired), "{key}");
         }
     });
 }
@@ -132,8 +135,8 @@
         let mut mine = 0;
         for task in (0..400).map(start).collect::<Vec<_>>() {
             match task.await {
-                Ok(Claimed::Mine) => mine += 1,
-                other => assert_eq!(other, Err(ClaimError::StoreDown)),
+                Ok(ClaimOutcome::Acquired) => mine += 1,
+                other => assert_eq!(other, Err(ClaimError::StoreUnavailable)),
             }
         }
         let rows = platform.standin.log().rows.len();
--- a/components/claims/tests/claiming/random.rs
+++ b/components/claims/tests/claiming/random.rs
@@ -12,7 +12,7 @@
 };
 
 use crate::common::{Deployment, Instance, PATIENCE, answer, call};
-use claims::{ClaimError, Claimed, Claims, KeyedCall};
+use claims::{ClaimError, ClaimOutcome, Claims, KeyedCall};
 use parking_lot::Mutex;
 use proptest::prelude::*;
 use stores::memory::Fault;
@@ -127,10 +127,10 @@
 impl Request {
     async fn serve(self, then: Then, runs: Duration, patience: Duration) {
         match self.instance.claims.claim(&self.call, patience).await {
-            Ok(Claimed::Mine) => self.act(then, runs).await,
-            Ok(Claimed::Before(answer)) => self.outside.told(self.key, &answer.body),
+            Ok(ClaimOutcome::Acquired) => self.act(then, runs).await,
+            Ok(ClaimOutcome::Completed(answer)) => self.outside.told(self.key, &answer.body),
             // Nothing is said about the outcome, or nothing ran on behalf of this request.
-            Ok(Claimed::Unknown) | Err(_) => {}
+            Ok(ClaimOutcome::Unknown) | Err(_) => {}
         }
     }
 
@@ -149,7 +149,7 @@
             }
             Then::GiveUp => {
                 self.outside.run(self.key);
-                claims.give_up(&self.call).await;
+                claims.abandon(&self.call).await;
             }
             Then::Record | Then::PausedThenRecord => {
                 if matches!(then, Then::PausedThenRecord) {
@@ -204,7 +204,7 @@
                 tasks.push(workers::spawn(async move {
                     let claim = request.instance.claims.claim(&request.call, PATIENCE);
                     let after = Duration::from_millis(after_ms);
-                    if Timer::new().within(after, claim).await == Some(Ok(Claimed::Mine)) {
+                    if Timer::new().within(after, claim).await == Some(Ok(ClaimOutcome::Acquired)) {
                         request.instance.claims.release(&request.call).await;
                     }
                 }));
@@ -240,23 +240,26 @@
     for key in 0..KEYS {
         let call = call(&key.to_string(), "d");
         match late.claim_when_up(&call).await {
-            Ok(Claimed::Mine) => {
+            Ok(ClaimOutcome::Acquired) => {
                 let text = outside.run(key);
                 outside.told(key, &text);
                 late.claims.record(&call, answer(&text)).await;
             }
-            Ok(Claimed::Before(answer)) => outside.told(key, &answer.body),
-            Ok(Claimed::Unknown) => {}
-            Err(error @ (ClaimError::StillRunning | ClaimError::StoreDown)) => {
+            Ok(ClaimOutcome::Completed(answer)) => outside.told(key, &answer.body),
+            Ok(ClaimOutcome::Unknown) => {}
+            Err(error @ (ClaimError::StillRunning | ClaimError::StoreUnavailable)) => {
                 panic!("key {key} is blocked: {error}");
             }
             Err(ClaimError::OtherCall) => panic!("there is one call for key {key}"),
         }
         all.table.apply_late_commits();
         let again = late.claim_when_up(&call).await;
-        let ended = matches!(again, Ok(Claimed::Before(_) | Claimed::Unknown));
+        let ended = matches!(
+            again,
+            Ok(ClaimOutcome::Completed(_) | ClaimOutcome::Unknown)
+        );
         assert!(ended, "key {key} could run again: {again:?}");
-        if let Ok(Claimed::Before(answer)) = again {
+        if let Ok(ClaimOutcome::Completed(answer)) = again {
             outside.told(key, &answer.body);
             assert_eq!(
                 outside.effects(key),
--- a/components/claims/tests/claiming/sweep.rs
+++ b/components/claims/tests/claiming/sweep.rs
@@ -5,7 +5,7 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-use claims::{RETENTION_SECONDS, sweep::Sweep};
+use claims::{RETENTION_SECONDS, sweep::ExpirySweep};
 use stores::{MemoryTable, RowKey, Table, Write};
 
 const HOUR: u64 = 3600;
@@ -28,7 +28,7 @@
 
 /// Goes through all claims twice.
 async fn sweep(table: &Arc<MemoryTable>) -> Vec<Arc<str>> {
-    let mut sweep = Sweep::new(&"me".into(), table.clone());
+    let mut sweep = ExpirySweep::new(&"me".into(), table.clone());
     for page in 1..PAGES {
         sweep.step(Duration::from_secs(60 * page)).await;
     }
--- a/components/gateway/src/idempotency.rs
+++ b/components/gateway/src/idempotency.rs
@@ -10,7 +10,7 @@
 
 use base64::{Engine as _, engine::general_purpose::STANDARD};
 use bytes::Bytes;
-use claims::{ClaimError, Claimed, KeyedCall, Recorded};
+use claims::{ClaimError, ClaimOutcome, KeyedCall, RecordedAnswer};
 use hyper::{Response, header::ACCEPT_ENCODING};
 use net::Body;
 use sha2::{Digest, Sha256};
@@ -86,7 +86,7 @@
     let claims = Arc::clone(&request.core.claims);
     let timeout = request.core.time_left(request.admission_request.deadline);
     let claimed = claims.claim(&call, timeout).await;
-    if !matches!(claimed, Ok(Claimed::Mine)) {
+    if !matches!(claimed, Ok(ClaimOutcome::Acquired)) {
         let result = unclaimed_result(claimed);
         request.record_result(&result);
         reply(&tx, result).await;
@@ -105,7 +105,7 @@
     match resolution {
         ClaimResolution::Record(recorded) => claims.record(&call, recorded).await,
         ClaimResolution::Release => claims.release(&call).await,
-        ClaimResolution::Abandon => claims.give_up(&call).await,
+        ClaimResolution::Abandon => claims.abandon(&call).await,
     }
     // The request counts as in flight until here, so that a shutdown waits for the record.
     drop(request);
@@ -114,7 +114,7 @@
 /// How a claim is settled.
 enum ClaimResolution {
     /// The answer is recorded.
-    Record(Recorded),
+    Record(RecordedAnswer),
     /// The call certainly did not run: the key becomes free.
     Release,
     /// It is unknown whether the call ran: the key must not be used again.
@@ -136,17 +136,17 @@
     let _ = tx.send(result).await;
 }
 
-fn unclaimed_result(claimed: Result<Claimed, ClaimError>) -> CallResult {
+fn unclaimed_result(claimed: Result<ClaimOutcome, ClaimError>) -> CallResult {
     match claimed {
-        Ok(Claimed::Before(recorded)) => Ok(replay(&recorded)),
-        Ok(Claimed::Mine | Claimed::Unknown) => Err(refusals::outcome_unknown()),
+        Ok(ClaimOutcome::Completed(recorded)) => Ok(replay(&recorded)),
+        Ok(ClaimOutcome::Acquired | ClaimOutcome::Unknown) => Err(refusals::outcome_unknown()),
         Err(ClaimError::OtherCall) => Err(refusals::key_reused()),
-        Err(ClaimError::StoreDown) => Err(refusals::store_down()),
+        Err(ClaimError::StoreUnavailable) => Err(refusals::store_down()),
         Err(ClaimError::StillRunning) => Err(refusals::still_running()),
     }
 }
 
-fn record(answer: &PlainAnswer) -> Recorded {
+fn record(answer: &PlainAnswer) -> RecordedAnswer {
     let content_type = answer
         .headers
         .iter()
@@ -156,7 +156,7 @@
             |(_, value)| Arc::clone(value),
         );
     let text = std::str::from_utf8(&answer.body);
-    Recorded {
+    RecordedAnswer {
         status: answer.status,
         content_type,
         base64: text.is_err(),
@@ -165,7 +165,7 @@
 }
 
 /// Returns the recorded answer, with a header that marks it as replayed.
-fn replay(recorded: &Recorded) -> PlainAnswer {
+fn replay(recorded: &RecordedAnswer) -> PlainAnswer {
     let body = if recorded.base64 {
         STANDARD
             .decode(recorded.body.as_bytes())
--- a/components/gateway/tests/fakes/plain.rs
+++ b/components/gateway/tests/fakes/plain.rs
@@ -3,7 +3,7 @@
 use std::{collections::VecDeque, time::Duration};
 
 use async_trait::async_trait;
-use claims::{ClaimError, Claimed, Claims, KeyedCall, Recorded};
+use claims::{ClaimError, ClaimOutcome, Claims, KeyedCall, RecordedAnswer};
 use parking_lot::Mutex;
 use targets::{PlainAnswer, PlainCall, PlainService, TargetError, TargetReport};
 use types::Target;
@@ -59,20 +59,20 @@
 /// How a claim was settled.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Settlement {
-    Recorded(Recorded),
+    Recorded(RecordedAnswer),
     Released,
     Abandoned,
 }
 
 #[derive(Default)]
 pub struct FakeClaims {
-    pub script: Mutex<VecDeque<Result<Claimed, ClaimError>>>,
+    pub script: Mutex<VecDeque<Result<ClaimOutcome, ClaimError>>>,
     pub calls: Mutex<Vec<KeyedCall>>,
     pub settlements: Mutex<Vec<Settlement>>,
 }
 
 impl FakeClaims {
-    pub fn script(&self, result: Result<Claimed, ClaimError>) {
+    pub fn script(&self, result: Result<ClaimOutcome, ClaimError>) {
         self.script.lock().push_back(result);
     }
 
@@ -83,13 +83,13 @@
 
 #[async_trait]
 impl Claims for FakeClaims {
-    async fn claim(&self, call: &KeyedCall, _: Duration) -> Result<Claimed, ClaimError> {
+    async fn claim(&self, call: &KeyedCall, _: Duration) -> Result<ClaimOutcome, ClaimError> {
         self.calls.lock().push(call.clone());
         let next = self.script.lock().pop_front();
-        next.unwrap_or(Ok(Claimed::Mine))
+        next.unwrap_or(Ok(ClaimOutcome::Acquired))
     }
 
-    async fn record(&self, _: &KeyedCall, answer: Recorded) {
+    async fn record(&self, _: &KeyedCall, answer: RecordedAnswer) {
         self.settlements.lock().push(Settlement::Recorded(answer));
     }
 
@@ -97,7 +97,7 @@
         self.settlements.lock().push(Settlement::Released);
     }
 
-    async fn give_up(&self, _: &KeyedCall) {
+    async fn abandon(&self, _: &KeyedCall) {
         self.settlements.lock().push(Settlement::Abandoned);
     }
 
--- a/components/gateway/tests/plain_calls.rs
+++ b/components/gateway/tests/plain_calls.rs
@@ -2,7 +2,7 @@
 
 mod fakes;
 
-use claims::{ClaimError, Claimed, Recorded};
+use claims::{ClaimError, ClaimOutcome, RecordedAnswer};
 use fakes::{
     TestBed,
     admission::{AdmissionEvent, AdmissionStep},
@@ -151,7 +151,7 @@
         let sent = bed.plain.calls.lock()[0].headers.clone();
         assert!(sent.iter().all(|(name, _)| **name != *"accept-encoding"));
         bed.wait_until_idle().await;
-        let recorded = Recorded {
+        let recorded = RecordedAnswer {
             status: 200,
             content_type: "text/plain".into(),
             body: "fine".into(),
@@ -188,12 +188,13 @@
     // answer of the first.
     smol::block_on(async {
         let bed = TestBed::new().await;
-        bed.claims.script(Ok(Claimed::Before(Recorded {
-            status: 201,
-            content_type: "image/png".into(),
-            body: "/wA=".into(),
-            base64: true,
-        })));
+        bed.claims
+            .script(Ok(ClaimOutcome::Completed(RecordedAnswer {
+                status: 201,
+                content_type: "image/png".into(),
+                body: "/wA=".into(),
+                base64: true,
+            })));
         let resp = bed.open(fakes::KEY_A, "POST", ORDER, &KEY, "sheet").await;
         assert_eq!(resp.status().as_u16(), 201);
         assert_eq!(resp.headers()["content-type"], "image/png");
@@ -209,13 +210,19 @@
     // The table service is unavailable, or the key is in use. Without a claim the call could run
     // twice, so it must not be sent.
     let cases = [
-        (Err(ClaimError::StoreDown), (503, "store-down", "not-run")),
+        (
+            Err(ClaimError::StoreUnavailable),
+            (503, "store-down", "not-run"),
+        ),
         (Err(ClaimError::OtherCall), (422, "key-reused", "not-run")),
         (
             Err(ClaimError::StillRunning),
             (409, "still-running", "unknown"),
         ),
-        (Ok(Claimed::Unknown), (504, "outcome-unknown", "unknown")),
+        (
+            Ok(ClaimOutcome::Unknown),
+            (504, "outcome-unknown", "unknown"),
+        ),
     ];
     smol::block_on(async {
         for (claim, (status, code, run)) in cases {
--- a/components/node/src/liveness.rs
+++ b/components/node/src/liveness.rs
@@ -25,7 +25,7 @@
 }
 
 impl Liveness for MemberLiveness {
-    fn gone(&self, instance: &InstanceId, incarnation: Incarnation) -> bool {
+    fn has_ended(&self, instance: &InstanceId, incarnation: Incarnation) -> bool {
         self.core.with_members(|members, now| {
             now >= STARTUP_GRACE
                 && !members.is_isolated(now)
