--- a/components/admin/src/api.rs
+++ b/components/admin/src/api.rs
@@ -129,7 +129,7 @@
             ready: reason.is_none(),
             reason,
             config_version: current.as_ref().map(|current| current.snapshot.version),
-            out: current.map_or_else(Vec::new, |current| current.in_force.out()),
+            out: current.map_or_else(Vec::new, |current| current.effective.data_centres_out()),
             overrides: data_centre::overrides(&*self.parts.config),
         }
     }
--- a/components/admin/src/data_centre.rs
+++ b/components/admin/src/data_centre.rs
@@ -2,7 +2,9 @@
 
 use std::{sync::Arc, time::Duration};
 
-use config::{Change, Config, Override, OverrideError, OverrideOrder, overrides::OVERRIDE_LIMIT};
+use config::{
+    Change, Config, Override, OverrideError, OverrideOrder, overrides::MAX_OVERRIDE_DURATION,
+};
 use events::{Event, emit};
 use hyper::{HeaderMap, Response};
 use net::{Body, Reply};
@@ -45,8 +47,8 @@
         let change = Change {
             path: Arc::clone(&path),
             node: Some(node),
-            seen: before.version,
-            who: who(headers),
+            expected_version: before.version,
+            operator: who(headers),
         };
         attempts_left -= 1;
         match commit(config, change).await {
@@ -80,7 +82,7 @@
     ask: &OverrideAsk,
 ) -> Result<Response<Body>, Problem> {
     let within = Duration::from_secs(MINUTE * u64::from(ask.minutes));
-    if within.is_zero() || within > OVERRIDE_LIMIT {
+    if within.is_zero() || within > MAX_OVERRIDE_DURATION {
         return Err(bad_minutes(ask.minutes));
     }
     let overridden = give_order(config, headers, id, within).await?;
@@ -114,8 +116,8 @@
 pub fn overrides(config: &dyn Config) -> Vec<OverrideView> {
     let view = |order: Override| OverrideView {
         data_centre: order.data_centre,
-        who: order.who,
-        seconds_left: order.left.as_secs(),
+        who: order.operator,
+        seconds_left: order.time_left.as_secs(),
     };
     let all = config.overrides().into_iter();
     all.filter(|order| order.out).map(view).collect()
@@ -131,27 +133,30 @@
     let order = OverrideOrder {
         data_centre: Arc::clone(id),
         out: !within.is_zero(),
-        within,
-        who: who(headers),
+        duration: within,
+        operator: who(headers),
     };
-    let told = config.override_out(order).await.map_err(|e| match e {
-        OverrideError::NoSuchDataCentre => unknown_data_centre(config, id),
-        OverrideError::NotReady => not_loaded(),
-        OverrideError::NotTaken => {
-            Problem::new(409, "not-taken", "The order was not taken", e.to_string())
-        }
-    })?;
+    let told = config
+        .override_data_centre(order)
+        .await
+        .map_err(|e| match e {
+            OverrideError::NoSuchDataCentre => unknown_data_centre(config, id),
+            OverrideError::NotReady => not_loaded(),
+            OverrideError::Rejected => {
+                Problem::new(409, "not-taken", "The order was not taken", e.to_string())
+            }
+        })?;
     Ok(Overridden {
         data_centre: told.order.data_centre,
         out: told.order.out,
         seconds_left: within.as_secs(),
-        taken: told.taken,
-        missed: told.missed,
+        taken: told.accepted_by,
+        missed: told.unanswered_by,
     })
 }
 
 fn bad_minutes(minutes: u32) -> Problem {
-    let most = OVERRIDE_LIMIT.as_secs() / MINUTE;
+    let most = MAX_OVERRIDE_DURATION.as_secs() / MINUTE;
     let detail = format!("{minutes} minutes are out of range; give 1 to {most}");
     Problem::new(400, "malformed", "The time is out of range", detail)
 }
--- a/components/admin/src/document.rs
+++ b/components/admin/src/document.rs
@@ -55,8 +55,8 @@
         let change = Change {
             path: Arc::clone(&path),
             node: Some(node),
-            seen: before.version,
-            who: who(headers),
+            expected_version: before.version,
+            operator: who(headers),
         };
         commit(config, change)
             .await
--- a/components/admin/src/metrics.rs
+++ b/components/admin/src/metrics.rs
@@ -37,7 +37,7 @@
         "Version of the configuration in force, 0 before the first",
         gauge(i64::try_from(version).unwrap_or(i64::MAX)),
     );
-    let out = current.map_or(0, |c| c.in_force.out().len());
+    let out = current.map_or(0, |c| c.effective.data_centres_out().len());
     registry.register(
         "data_centres_out",
         "Data centres that operators have taken out",
--- a/components/admin/src/problem.rs
+++ b/components/admin/src/problem.rs
@@ -90,7 +90,7 @@
                 let title = "The node is not as you saw it";
                 Self::new(CONFLICT, "conflict", title, detail).with_now(now)
             }
-            ChangeError::StoreDown => {
+            ChangeError::StoreUnavailable => {
                 Self::new(503, "store-down", "The table service is down", detail)
             }
             ChangeError::Unknown => Self::new(
--- a/components/admin/src/tree_api.rs
+++ b/components/admin/src/tree_api.rs
@@ -37,7 +37,7 @@
     let current = config.current();
     let node = current.and_then(|current| current.snapshot.nodes.get(path).cloned());
     Now {
-        version: node.as_ref().and_then(|_| config.changed(path)),
+        version: node.as_ref().and_then(|_| config.node_version(path)),
         node,
     }
 }
@@ -86,8 +86,8 @@
     let change = Change {
         path: Arc::clone(&path),
         node,
-        seen: seen(headers)?,
-        who: who(headers),
+        expected_version: seen(headers)?,
+        operator: who(headers),
     };
     let version = commit(config, change).await?;
     let reply = Reply::json(200, &Accepted { version });
@@ -99,7 +99,7 @@
 /// # Errors
 /// As [`write()`].
 pub async fn commit(config: &dyn Config, change: Change) -> Result<ConfigVersion, Problem> {
-    let (path, who) = (Arc::clone(&change.path), Arc::clone(&change.who));
+    let (path, who) = (Arc::clone(&change.path), Arc::clone(&change.operator));
     match config.change(change).await {
         Ok(version) => {
             emit(&Event::ChangeAccepted { who, path, version });
--- a/components/admin/tests/api/support.rs
+++ b/components/admin/tests/api/support.rs
@@ -11,8 +11,8 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use config::{
-    Change, ChangeError, Config, Current, Entry, Fault, Override, OverrideError, OverrideOrder,
-    Told, Update,
+    Change, ChangeError, Config, CurrentConfig, Fault, HistoryEntry, Override, OverrideError,
+    OverrideOrder, OverrideReport, Update,
 };
 use http_body_util::Full;
 use hyper::{HeaderMap, Request};
@@ -33,7 +33,7 @@
 struct State {
     snapshot: Snapshot,
     changed: BTreeMap<NodePath, ConfigVersion>,
-    entries: Vec<Entry>,
+    entries: Vec<HistoryEntry>,
     loaded: bool,
     next_error: Option<ChangeError>,
     rival: Option<(NodePath, Node)>,
@@ -108,17 +108,17 @@
 
 #[async_trait]
 impl Config for FakeConfig {
-    fn current(&self) -> Option<Arc<Current>> {
+    fn current(&self) -> Option<Arc<CurrentConfig>> {
         let state = self.state.lock();
         state.loaded.then(|| {
-            Arc::new(Current {
-                in_force: Box::new(Rules::new(&state.snapshot)),
+            Arc::new(CurrentConfig {
+                effective: Box::new(Rules::new(&state.snapshot)),
                 snapshot: state.snapshot.clone(),
             })
         })
     }
 
-    fn changed(&self, path: &str) -> Option<ConfigVersion> {
+    fn node_version(&self, path: &str) -> Option<ConfigVersion> {
         self.state.lock().changed.get(path).copied()
     }
 
@@ -144,14 +144,14 @@
         if let Some((path, node)) = rival {
             self.put(&path, Some(node));
         }
-        let now = self.changed(&change.path);
-        if now != change.seen {
+        let now = self.node_version(&change.path);
+        if now != change.expected_version {
             return Err(ChangeError::Conflict { now });
         }
         self.check(&change)
             .map_err(|faults| ChangeError::Invalid { faults })?;
         let version = self.put(&change.path, change.node.clone());
-        let entry = Entry {
+        let entry = HistoryEntry {
             version,
             at: SystemTime::UNIX_EPOCH,
             change,
@@ -161,14 +161,17 @@
         Ok(version)
     }
 
-    async fn history(&self, limit: usize) -> Result<Vec<Entry>, ChangeError> {
+    async fn history(&self, limit: usize) -> Result<Vec<HistoryEntry>, ChangeError> {
         let entries = self.state.lock().entries.clone();
         Ok(entries.into_iter().take(limit).collect())
     }
 
-    async fn heard(&self, _peer: &InstanceId, _version: ConfigVersion) {}
+    async fn receive_version(&self, _peer: &InstanceId, _version: ConfigVersion) {}
 
-    async fn override_out(&self, order: OverrideOrder) -> Result<Told, OverrideError> {
+    async fn override_data_centre(
+        &self,
+        order: OverrideOrder,
+    ) -> Result<OverrideReport, OverrideError> {
         let path = format!("/data-centres/{}", order.data_centre);
         if self.node(&path).is_none() {
             return Err(OverrideError::NoSuchDataCentre);
@@ -176,17 +179,17 @@
         let order = Override {
             data_centre: order.data_centre,
             out: order.out,
-            number: 1,
-            by: "entry-1".into(),
-            who: order.who,
-            base: self.version(),
-            left: order.within,
+            sequence: 1,
+            issued_by: "entry-1".into(),
+            operator: order.operator,
+            base_version: self.version(),
+            time_left: order.duration,
         };
         self.state.lock().overrides = vec![order.clone()];
-        Ok(Told {
+        Ok(OverrideReport {
             order,
-            taken: vec!["entry-1".into()],
-            missed: vec!["entry-2".into()],
+            accepted_by: vec!["entry-1".into()],
+            unanswered_by: vec!["entry-2".into()],
         })
     }
 
--- a/components/admin/tests/api/tree.rs
+++ b/components/admin/tests/api/tree.rs
@@ -8,7 +8,7 @@
     },
     problem::Problem,
 };
-use config::{ChangeError, Entry};
+use config::{ChangeError, HistoryEntry};
 use proptest::prelude::*;
 use serde_json::json;
 
@@ -35,9 +35,9 @@
     assert_eq!(accepted.version, config.version());
     assert_eq!(api.get(SERVICE).header("etag"), answer.header("etag"));
 
-    let history: Vec<Entry> = api.get("/v1/history?limit=1").read();
+    let history: Vec<HistoryEntry> = api.get("/v1/history?limit=1").read();
     assert_eq!(history[0].version, accepted.version);
-    assert_eq!(&*history[0].change.who, "mona");
+    assert_eq!(&*history[0].change.operator, "mona");
 
     let route = format!("{SERVICE}/routes/tags");
     let etag = api.get(&route).header("etag").to_owned();
@@ -134,7 +134,7 @@
     let api = Api::start(&config);
     let etag = api.get(SERVICE).header("etag").to_owned();
     let headers = [("if-match", etag.as_str())];
-    config.fail_next(ChangeError::StoreDown);
+    config.fail_next(ChangeError::StoreUnavailable);
     let down = api.ask("PUT", SERVICE, &headers, r#"{"kind":"model"}"#);
     assert_eq!((down.status, down.header("retry-after")), (503, "5"));
     config.fail_next(ChangeError::Unknown);
@@ -272,7 +272,7 @@
     let config = FakeConfig::with_tree();
     let api = Api::start(&config);
     let body = r#"{"nodes":{"/data-centres/east":{},"/data-centres/west":{}}}"#;
-    config.fail_next(ChangeError::StoreDown);
+    config.fail_next(ChangeError::StoreUnavailable);
     let answer = api.ask("PUT", "/v1/tree", &[], body);
     assert_eq!(answer.status, 503);
     let detail = answer.read::<Problem>().detail;
--- a/components/admin/tests/openapi.rs
+++ b/components/admin/tests/openapi.rs
@@ -14,7 +14,7 @@
     problem::{Now, Problem},
     route::{ROUTES, Route},
 };
-use config::{Change, Entry, Fault};
+use config::{Change, Fault, HistoryEntry};
 use hyper::Method;
 use serde::Serialize;
 use serde_json::Value;
@@ -110,8 +110,8 @@
 fn full_problem() -> Problem {
     let fault = Fault {
         path: "/".into(),
-        what: "".into(),
-        right: "".into(),
+        problem: "".into(),
+        expected: "".into(),
     };
     Problem::new(412, "conflict", "", "")
         .with_faults(vec![fault])
@@ -125,8 +125,8 @@
     Change {
         path: "/".into(),
         node: Some(full_node()),
-        seen: None,
-        who: "".into(),
+        expected_version: None,
+        operator: "".into(),
     }
 }
 
@@ -174,7 +174,7 @@
         version: Some(1),
         nodes: BTreeMap::new(),
     };
-    let entry = Entry {
+    let entry = HistoryEntry {
         version: 1,
         at: std::time::SystemTime::UNIX_EPOCH,
         change: change(),
--- a/components/config/examples/measure_config.rs
+++ b/components/config/examples/measure_config.rs
@@ -10,13 +10,13 @@
 
 use async_trait::async_trait;
 use config::{
-    Change, Config, Entry, Keeper, Override, OverrideOrder, PeerConfig, Update,
-    held::{Held, Whole},
+    Change, Config, ConfigUpdater, HistoryEntry, Override, OverrideOrder, PeerConfig, Update,
+    cache::{ConfigCache, VersionedTree},
 };
 use parking_lot::Mutex;
 use stores::MemoryTable;
 use timer::Timer;
-use tree::{InForce, Knobs, Node, Rules, Snapshot};
+use tree::{EffectiveConfig, Knobs, Node, Rules, Snapshot};
 use types::{ConfigVersion, InstanceId};
 
 /// Look-ups timed for each size.
@@ -73,11 +73,14 @@
     let snapshot = snapshot(workspaces);
     let count = snapshot.nodes.len();
     let changed = snapshot.nodes.keys().map(|p| (p.clone(), 1)).collect();
-    let whole = Whole { snapshot, changed };
-    let update = Update::Whole(whole.snapshot.clone(), whole.changed.clone());
+    let whole = VersionedTree {
+        snapshot,
+        node_versions: changed,
+    };
+    let update = Update::Full(whole.snapshot.clone(), whole.node_versions.clone());
     let whole_bytes = serde_json::to_string(&update).map_or(0, |text| text.len());
     let before = resident();
-    let mut held = Held::default();
+    let mut held = ConfigCache::default();
     held.take_whole(whole);
     let memory = resident().saturating_sub(before);
 
@@ -113,15 +116,15 @@
     );
 }
 
-fn entry(version: ConfigVersion) -> Entry {
-    Entry {
+fn entry(version: ConfigVersion) -> HistoryEntry {
+    HistoryEntry {
         version,
         at: SystemTime::now(),
         change: Change {
             path: "/services/s3".into(),
             node: Some(Node::default()),
-            seen: Some(version - 1),
-            who: "operator".into(),
+            expected_version: Some(version - 1),
+            operator: "operator".into(),
         },
         id: "instance-17a5b3c2-0".into(),
     }
@@ -137,7 +140,7 @@
 
 #[derive(Default)]
 struct Links {
-    keepers: Mutex<BTreeMap<InstanceId, Weak<Keeper>>>,
+    updaters: Mutex<BTreeMap<InstanceId, Weak<ConfigUpdater>>>,
     names: Mutex<Vec<InstanceId>>,
     messages: Mutex<usize>,
 }
@@ -150,16 +153,20 @@
 #[async_trait]
 impl PeerConfig for Peers {
     async fn fetch(&self, peer: &InstanceId, version: ConfigVersion) -> Option<Update> {
-        let keeper = self.links.keepers.lock().get(peer)?.upgrade()?;
-        Some(keeper.since(version))
+        let updater = self.links.updaters.lock().get(peer)?.upgrade()?;
+        Some(updater.since(version))
     }
 
-    async fn exchange(&self, peer: &InstanceId, ours: &[Override]) -> Option<Vec<Override>> {
+    async fn exchange_overrides(
+        &self,
+        peer: &InstanceId,
+        ours: &[Override],
+    ) -> Option<Vec<Override>> {
         *self.links.messages.lock() += 1;
         // The way there and back between data centres.
         Timer::new().sleep(Duration::from_millis(3)).await;
-        let keeper = self.links.keepers.lock().get(peer)?.upgrade()?;
-        Some(keeper.exchange(ours))
+        let updater = self.links.updaters.lock().get(peer)?.upgrade()?;
+        Some(updater.exchange_overrides(ours))
     }
 
     fn peers(&self) -> Vec<InstanceId> {
@@ -183,53 +190,56 @@
     let table = Arc::new(MemoryTable::new());
     let links = Arc::new(Links::default());
     let timer = Timer::new();
-    let mut keepers = Vec::new();
+    let mut updaters = Vec::new();
     for number in 0..instances {
         let me: InstanceId = format!("i{number}").into();
         let peers = Peers {
             me: me.clone(),
             links: links.clone(),
         };
-        let keeper = Keeper::new(me.clone(), table.clone(), Arc::new(peers), timer);
-        let weak = Arc::downgrade(&keeper);
-        links.keepers.lock().insert(me.clone(), weak);
+        let updater = ConfigUpdater::new(me.clone(), table.clone(), Arc::new(peers), timer);
+        let weak = Arc::downgrade(&updater);
+        links.updaters.lock().insert(me.clone(), weak);
         links.names.lock().push(me);
-        keepers.push(keeper);
+        updaters.push(updater);
     }
     smol::block_on(async {
-        keepers[0].catch_up().await.expect("the table is up");
-        let added = keepers[0].change(Change {
+        updaters[0].catch_up().await.expect("the table is up");
+        let added = updaters[0].change(Change {
             path: "/data-centres/d".into(),
             node: Some(Node::default()),
-            seen: None,
-            who: "operator".into(),
+            expected_version: None,
+            operator: "operator".into(),
         });
         added.await.expect("it is accepted");
-        for keeper in &keepers {
-            keeper.catch_up().await.expect("the table is up");
+        for updater in &updaters {
+            updater.catch_up().await.expect("the table is up");
         }
         table.set_down(true);
-        let tasks: Vec<_> = keepers
+        let tasks: Vec<_> = updaters
             .iter()
-            .map(|keeper| workers::spawn(Arc::clone(keeper).run()))
+            .map(|updater| workers::spawn(Arc::clone(updater).run()))
             .collect();
         quiet(&links, timer).await;
         let start = Instant::now();
-        let told = keepers[0].override_out(OverrideOrder {
+        let told = updaters[0].override_data_centre(OverrideOrder {
             data_centre: "d".into(),
             out: true,
-            within: Duration::from_secs(600),
-            who: "operator".into(),
+            duration: Duration::from_secs(600),
+            operator: "operator".into(),
         });
         let told = told.await.expect("it is taken");
         let answered = start.elapsed();
-        while keepers.iter().any(|keeper| keeper.overrides().is_empty()) {
+        while updaters
+            .iter()
+            .any(|updater| updater.overrides().is_empty())
+        {
             timer.sleep(Duration::from_millis(10)).await;
         }
         println!(
             "{instances} instances: the operator's answer in {answered:?} with {} names, known to \
              all in {:?} with {} messages",
-            told.taken.len(),
+            told.accepted_by.len(),
             start.elapsed(),
             links.messages.lock(),
         );
--- a/components/config/src/api.rs
+++ b/components/config/src/api.rs
@@ -10,17 +10,17 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de, ser};
 pub use tree::Fault;
-use tree::{InForce, Node, NodePath, Snapshot};
+use tree::{EffectiveConfig, Node, NodePath, Snapshot};
 use types::{ConfigVersion, DataCentreId, InstanceId};
 
 use crate::overrides::Override;
 
 /// A configuration in force.
-pub struct Current {
+pub struct CurrentConfig {
     /// The nodes as written.
     pub snapshot: Snapshot,
     /// The same, ready for look-ups.
-    pub in_force: Box<dyn InForce>,
+    pub effective: Box<dyn EffectiveConfig>,
 }
 
 /// A change of one node.
@@ -32,14 +32,16 @@
     pub node: Option<Node>,
     /// The configuration version that last wrote the node, as the operator saw it; `None` if the
     /// node must not exist yet.
-    pub seen: Option<ConfigVersion>,
+    #[serde(rename = "seen")]
+    pub expected_version: Option<ConfigVersion>,
     /// Who changes it.
-    pub who: Arc<str>,
+    #[serde(rename = "who")]
+    pub operator: Arc<str>,
 }
 
 /// An accepted change, as history keeps it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Entry {
+pub struct HistoryEntry {
     /// The version that the change made.
     pub version: ConfigVersion,
     /// When, by the clock of the instance that took it.
@@ -69,7 +71,7 @@
     },
     /// The table service is down; nothing was changed.
     #[display("the table service can't be reached; nothing was changed")]
-    StoreDown,
+    StoreUnavailable,
     /// The table service's answer was lost and it is down since: the change may be in force.
     #[display("the table service's answer was lost; the change may have been accepted")]
     Unknown,
@@ -79,10 +81,10 @@
 #[async_trait]
 pub trait Config: Send + Sync {
     /// What is in force here; `None` before the first was found.
-    fn current(&self) -> Option<Arc<Current>>;
+    fn current(&self) -> Option<Arc<CurrentConfig>>;
 
     /// The version that last wrote a node.
-    fn changed(&self, path: &str) -> Option<ConfigVersion>;
+    fn node_version(&self, path: &str) -> Option<ConfigVersion>;
 
     /// Checks a change without applying it.
     ///
@@ -94,10 +96,10 @@
     async fn change(&self, change: Change) -> Result<ConfigVersion, ChangeError>;
 
     /// Lists accepted changes up to a version, newest first.
-    async fn history(&self, limit: usize) -> Result<Vec<Entry>, ChangeError>;
+    async fn history(&self, limit: usize) -> Result<Vec<HistoryEntry>, ChangeError>;
 
     /// A peer has a newer version in force: fetch it from there, or from the table service.
-    async fn heard(&self, peer: &InstanceId, version: ConfigVersion);
+    async fn receive_version(&self, peer: &InstanceId, version: ConfigVersion);
 
     /// Answers a peer: all changes after `version`, or the whole snapshot if they are no longer
     /// kept.
@@ -109,7 +111,10 @@
     ///
     /// # Errors
     /// Tells why the order can't be taken.
-    async fn override_out(&self, _order: OverrideOrder) -> Result<Told, OverrideError> {
+    async fn override_data_centre(
+        &self,
+        _order: OverrideOrder,
+    ) -> Result<OverrideReport, OverrideError> {
         Err(OverrideError::NotReady)
     }
 
@@ -119,7 +124,7 @@
     }
 
     /// Takes a peer's overrides and answers with those known here.
-    fn exchange(&self, _theirs: &[Override]) -> Vec<Override> {
+    fn exchange_overrides(&self, _theirs: &[Override]) -> Vec<Override> {
         Vec::new()
     }
 }
@@ -131,21 +136,25 @@
     pub data_centre: DataCentreId,
     /// `true` keeps it out, `false` withdraws an override.
     pub out: bool,
-    /// How long it is to hold, at most `OVERRIDE_LIMIT`.
-    pub within: Duration,
+    /// How long it is to hold, at most `MAX_OVERRIDE_DURATION`.
+    #[serde(rename = "within")]
+    pub duration: Duration,
     /// The operator.
-    pub who: Arc<str>,
+    #[serde(rename = "who")]
+    pub operator: Arc<str>,
 }
 
 /// An override and how far it got.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Told {
+pub struct OverrideReport {
     /// The override.
     pub order: Override,
     /// Instances that have taken it.
-    pub taken: Vec<InstanceId>,
+    #[serde(rename = "taken")]
+    pub accepted_by: Vec<InstanceId>,
     /// Instances that are heard but did not answer; they are told again.
-    pub missed: Vec<InstanceId>,
+    #[serde(rename = "missed")]
+    pub unanswered_by: Vec<InstanceId>,
 }
 
 /// Why an override can't be taken.
@@ -159,7 +168,7 @@
     NoSuchDataCentre,
     /// There are too many overrides, or a newer one for this data centre.
     #[display("there is a newer override, or there are too many")]
-    NotTaken,
+    Rejected,
 }
 
 /// What a peer needs to come up to date.
@@ -170,9 +179,10 @@
 #[serde(remote = "Self")]
 pub enum Update {
     /// The changes, in order.
-    Changes(Vec<Entry>),
+    Changes(Vec<HistoryEntry>),
     /// All of it, with the version that last wrote each node.
-    Whole(Snapshot, BTreeMap<NodePath, ConfigVersion>),
+    #[serde(rename = "Whole")]
+    Full(Snapshot, BTreeMap<NodePath, ConfigVersion>),
 }
 
 impl Serialize for Update {
@@ -205,7 +215,11 @@
     fn peers(&self) -> Vec<InstanceId>;
 
     /// Tells a peer of overrides and asks for its own; `None` if it can't be reached.
-    async fn exchange(&self, _peer: &InstanceId, _ours: &[Override]) -> Option<Vec<Override>> {
+    async fn exchange_overrides(
+        &self,
+        _peer: &InstanceId,
+        _ours: &[Override],
+    ) -> Option<Vec<Override>> {
         None
     }
 }
--- a/components/config/src/held.rs
+++ b/components/config/src/cache.rs
@@ -5,11 +5,11 @@
     sync::Arc,
 };
 
-use tree::{Delta, DeltaError, InForce, NodePath, RouteRule, Rules, Snapshot};
+use tree::{Delta, DeltaError, EffectiveConfig, NodePath, RouteRule, Rules, Snapshot};
 use types::{ConfigVersion, DataCentreId, Moment, ServiceId, WorkspaceId};
 
 use crate::{
-    api::{Current, Entry, Update},
+    api::{CurrentConfig, HistoryEntry, Update},
     overrides::{Override, Overrides},
 };
 
@@ -18,35 +18,35 @@
 
 /// A whole tree as read from the table service or a peer.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Whole {
+pub struct VersionedTree {
     /// The nodes.
     pub snapshot: Snapshot,
     /// The version that last wrote each node.
-    pub changed: BTreeMap<NodePath, ConfigVersion>,
+    pub node_versions: BTreeMap<NodePath, ConfigVersion>,
 }
 
-impl Whole {
+impl VersionedTree {
     /// Puts the next accepted change in.
     ///
     /// # Errors
     /// Tells that the change is not the next one.
-    pub fn apply(&mut self, entry: &Entry) -> Result<(), DeltaError> {
+    pub fn apply(&mut self, entry: &HistoryEntry) -> Result<(), DeltaError> {
         self.snapshot.apply(&delta(entry))?;
         self.note(entry);
         Ok(())
     }
 
     /// Takes note of which version wrote the node.
-    pub fn note(&mut self, entry: &Entry) {
+    pub fn note(&mut self, entry: &HistoryEntry) {
         let path = &entry.change.path;
         match entry.change.node {
-            Some(_) => self.changed.insert(Arc::clone(path), entry.version),
-            None => self.changed.remove(path),
+            Some(_) => self.node_versions.insert(Arc::clone(path), entry.version),
+            None => self.node_versions.remove(path),
         };
     }
 }
 
-fn delta(entry: &Entry) -> Delta {
+fn delta(entry: &HistoryEntry) -> Delta {
     Delta {
         version: entry.version,
         path: Arc::clone(&entry.change.path),
@@ -56,11 +56,11 @@
 
 /// The configuration of one instance.
 #[derive(Default)]
-pub struct Held {
-    whole: Arc<Whole>,
+pub struct ConfigCache {
+    whole: Arc<VersionedTree>,
     rules: Option<Arc<Rules>>,
-    current: Option<Arc<Current>>,
-    kept: VecDeque<Entry>,
+    current: Option<Arc<CurrentConfig>>,
+    kept: VecDeque<HistoryEntry>,
     overrides: Overrides,
 }
 
@@ -70,7 +70,7 @@
     out: Vec<DataCentreId>,
 }
 
-impl InForce for Overridden {
+impl EffectiveConfig for Overridden {
     fn version(&self) -> ConfigVersion {
         self.rules.version()
     }
@@ -95,7 +95,7 @@
         self.rules.services()
     }
 
-    fn out(&self) -> Vec<DataCentreId> {
+    fn data_centres_out(&self) -> Vec<DataCentreId> {
         self.out.clone()
     }
 }
@@ -106,10 +106,10 @@
     format!("/data-centres/{data_centre}").into()
 }
 
-impl Held {
+impl ConfigCache {
     /// What is in force; `None` before the first was found.
     #[must_use]
-    pub fn current(&self) -> Option<Arc<Current>> {
+    pub fn current(&self) -> Option<Arc<CurrentConfig>> {
         self.current.clone()
     }
 
@@ -139,14 +139,14 @@
     /// Data centres that overrides keep out at present.
     #[must_use]
     pub fn overridden(&self) -> Vec<DataCentreId> {
-        let changed = |id: &DataCentreId| self.changed(&data_centre_path(id));
-        self.overrides.out(changed)
+        let changed = |id: &DataCentreId| self.node_version(&data_centre_path(id));
+        self.overrides.data_centres_out(changed)
     }
 
     /// The accepted version that last wrote a node.
     #[must_use]
-    pub fn changed(&self, path: &str) -> Option<ConfigVersion> {
-        self.whole.changed.get(path).copied()
+    pub fn node_version(&self, path: &str) -> Option<ConfigVersion> {
+        self.whole.node_versions.get(path).copied()
     }
 
     /// The version in force; `None` before the first was found.
@@ -157,7 +157,7 @@
 
     /// The tree as written.
     #[must_use]
-    pub fn whole(&self) -> Arc<Whole> {
+    pub fn whole(&self) -> Arc<VersionedTree> {
         Arc::clone(&self.whole)
     }
 
@@ -165,7 +165,7 @@
     ///
     /// # Errors
     /// Tells that changes are missing in between. Those before the gap are in force then.
-    pub fn take_changes(&mut self, entries: &[Entry]) -> Result<bool, DeltaError> {
+    pub fn take_changes(&mut self, entries: &[HistoryEntry]) -> Result<bool, DeltaError> {
         let mut taken = false;
         let mut result = Ok(());
         for entry in entries {
@@ -189,7 +189,7 @@
     }
 
     /// Puts a whole tree in force if it is newer; tells whether it was.
-    pub fn take_whole(&mut self, whole: Whole) -> bool {
+    pub fn take_whole(&mut self, whole: VersionedTree) -> bool {
         if self.version().is_some_and(|v| whole.snapshot.version <= v) {
             return false;
         }
@@ -211,10 +211,13 @@
             let newer = self.kept.iter().filter(|e| e.version > version);
             return Update::Changes(newer.cloned().collect());
         }
-        Update::Whole(self.whole.snapshot.clone(), self.whole.changed.clone())
+        Update::Full(
+            self.whole.snapshot.clone(),
+            self.whole.node_versions.clone(),
+        )
     }
 
-    fn keep(&mut self, entry: &Entry) {
+    fn keep(&mut self, entry: &HistoryEntry) {
         self.kept.push_back(entry.clone());
         if self.kept.len() > KEPT_CHANGES {
             self.kept.pop_front();
@@ -239,13 +242,13 @@
         let Some(rules) = self.rules.clone() else {
             return;
         };
-        let mut out = rules.out();
+        let mut out = rules.data_centres_out();
         out.extend(self.overridden());
         out.sort();
         out.dedup();
-        self.current = Some(Arc::new(Current {
+        self.current = Some(Arc::new(CurrentConfig {
             snapshot: self.whole.snapshot.clone(),
-            in_force: Box::new(Overridden { rules, out }),
+            effective: Box::new(Overridden { rules, out }),
         }));
     }
 }
--- a/components/config/src/commit.rs
+++ b/components/config/src/commit.rs
@@ -11,8 +11,8 @@
 use types::ConfigVersion;
 
 use crate::{
-    api::{Change, ChangeError, Entry, Fault},
-    held::Whole,
+    api::{Change, ChangeError, Fault, HistoryEntry},
+    cache::VersionedTree,
     store::Store,
 };
 
@@ -39,7 +39,7 @@
 /// # Errors
 /// All that is wrong with the tree as it would be and was not wrong before. Faults that stood
 /// there already must not keep an operator from changing something else.
-pub fn fits(whole: &Whole, change: &Change) -> Result<(), Vec<Fault>> {
+pub fn fits(whole: &VersionedTree, change: &Change) -> Result<(), Vec<Fault>> {
     let mut next: Snapshot = whole.snapshot.clone();
     next.write(&change.path, change.node.as_ref());
     let before = check(&whole.snapshot);
@@ -61,9 +61,9 @@
 ///
 /// # Errors
 /// A conflict that names the version that last wrote the node.
-pub fn seen(whole: &Whole, change: &Change) -> Result<(), ChangeError> {
-    let now = whole.changed.get(&change.path).copied();
-    if now == change.seen {
+pub fn seen(whole: &VersionedTree, change: &Change) -> Result<(), ChangeError> {
+    let now = whole.node_versions.get(&change.path).copied();
+    if now == change.expected_version {
         Ok(())
     } else {
         Err(ChangeError::Conflict { now })
@@ -72,8 +72,8 @@
 
 /// Makes the entry that would be the next one.
 #[must_use]
-pub fn entry(version: ConfigVersion, change: &Change, id: Arc<str>) -> Entry {
-    Entry {
+pub fn entry(version: ConfigVersion, change: &Change, id: Arc<str>) -> HistoryEntry {
+    HistoryEntry {
         version,
         at: SystemTime::now(),
         change: change.clone(),
@@ -90,18 +90,22 @@
 /// Tries to make `entry` the newest change.
 ///
 /// # Errors
-/// `StoreDown` if it certainly was not accepted, `Unknown` if that can't be told.
-pub async fn attempt(store: &Store, timer: &Timer, entry: &Entry) -> Result<Attempt, ChangeError> {
+/// `StoreUnavailable` if it certainly was not accepted, `Unknown` if that can't be told.
+pub async fn attempt(
+    store: &Store,
+    timer: &Timer,
+    entry: &HistoryEntry,
+) -> Result<Attempt, ChangeError> {
     let writes = match store.writes(entry).await {
         Ok(writes) => writes,
         Err(PlatformError::Conflict) => return Ok(Attempt::Overtaken),
-        Err(_) => return Err(ChangeError::StoreDown),
+        Err(_) => return Err(ChangeError::StoreUnavailable),
     };
     match store.commit(&writes).await {
         Ok(()) => Ok(Attempt::Accepted),
         Err(PlatformError::Conflict) => Ok(Attempt::Overtaken),
         Err(PlatformError::Busy { .. } | PlatformError::Unavailable { .. }) => {
-            Err(ChangeError::StoreDown)
+            Err(ChangeError::StoreUnavailable)
         }
         Err(PlatformError::Unknown { .. } | PlatformError::Malformed { .. }) => {
             settle(store, timer, entry, &writes).await
@@ -118,7 +122,7 @@
 async fn settle(
     store: &Store,
     timer: &Timer,
-    entry: &Entry,
+    entry: &HistoryEntry,
     writes: &[Write],
 ) -> Result<Attempt, ChangeError> {
     let end = timer.now() + SETTLE_TIME;
--- a/components/config/src/fetching.rs
+++ b/components/config/src/fetching.rs
@@ -6,7 +6,7 @@
 use stores::PlatformError;
 use types::{ConfigVersion, InstanceId};
 
-use crate::{api::Update, held::Whole, keeper::Keeper, pollers};
+use crate::{api::Update, cache::VersionedTree, pollers, updater::ConfigUpdater};
 
 /// Time between two looks at the table service by an instance that polls it.
 pub const POLL_PERIOD: Duration = Duration::from_secs(2);
@@ -21,7 +21,7 @@
 /// Changes read at once when catching up; more of them cost more than the whole tree.
 const CATCH_UP_LIMIT: usize = 256;
 
-impl Keeper {
+impl ConfigUpdater {
     /// Looks at the table service for news, if this instance is one of those that do.
     pub(crate) async fn poll(&self) {
         let mut pruned = self.timer.now();
@@ -94,9 +94,13 @@
                 Ok(news) => (held.version().is_some(), news),
                 Err(_) => (false, true),
             },
-            Update::Whole(snapshot, changed) => {
-                (true, held.take_whole(Whole { snapshot, changed }))
-            }
+            Update::Full(snapshot, changed) => (
+                true,
+                held.take_whole(VersionedTree {
+                    snapshot,
+                    node_versions: changed,
+                }),
+            ),
         });
         let version = self.version().unwrap_or(0);
         if news {
@@ -148,7 +152,7 @@
 
     async fn take_whole_from_store(&self) -> Result<(), PlatformError> {
         let whole = self.store.whole().await?;
-        self.take(Update::Whole(whole.snapshot, whole.changed));
+        self.take(Update::Full(whole.snapshot, whole.node_versions));
         Ok(())
     }
 }
--- a/components/config/src/spread.rs
+++ b/components/config/src/gossip.rs
@@ -11,10 +11,10 @@
 use types::InstanceId;
 
 use crate::{
-    api::Told,
-    keeper::Keeper,
+    api::OverrideReport,
     overrides::Override,
     pollers::{jittered, some},
+    updater::ConfigUpdater,
 };
 
 /// Time between two rounds.
@@ -30,11 +30,11 @@
 const FIRST_PEERS: usize = 32;
 
 /// Spreads overrides for as long as the process lives.
-pub async fn run(keeper: &Keeper) {
+pub async fn run(updater: &ConfigUpdater) {
     let mut quiet = 0;
     loop {
-        keeper.timer.sleep(jittered(ROUND)).await;
-        let what = keeper.to_spread();
+        updater.timer.sleep(jittered(ROUND)).await;
+        let what = updater.to_spread();
         quiet += 1;
         let count = match (what.fresh, what.any) {
             (true, _) => FAN_OUT,
@@ -42,24 +42,24 @@
             _ => continue,
         };
         quiet = 0;
-        let peers = some(&keeper.heard_peers(), count);
-        join_all(peers.iter().map(|peer| keeper.exchange_with(peer))).await;
+        let peers = some(&updater.heard_peers(), count);
+        join_all(peers.iter().map(|peer| updater.exchange_with(peer))).await;
     }
 }
 
 /// Tells peers of an order, and tells who has taken it.
-pub async fn tell(keeper: &Keeper, order: Override) -> Told {
-    let peers = some(&keeper.heard_peers(), FIRST_PEERS);
-    let answers = join_all(peers.iter().map(|peer| keeper.exchange_with(peer))).await;
-    let mut told = Told {
+pub async fn tell(updater: &ConfigUpdater, order: Override) -> OverrideReport {
+    let peers = some(&updater.heard_peers(), FIRST_PEERS);
+    let answers = join_all(peers.iter().map(|peer| updater.exchange_with(peer))).await;
+    let mut told = OverrideReport {
         order,
-        taken: Vec::new(),
-        missed: Vec::new(),
+        accepted_by: Vec::new(),
+        unanswered_by: Vec::new(),
     };
     for (peer, answered) in peers.into_iter().zip(answers) {
         let list: &mut Vec<InstanceId> = match answered {
-            true => &mut told.taken,
-            false => &mut told.missed,
+            true => &mut told.accepted_by,
+            false => &mut told.unanswered_by,
         };
         list.push(peer);
     }
--- a/components/config/src/lib.rs
+++ b/components/config/src/lib.rs
@@ -1,20 +1,20 @@
 //! Keeping the configuration: commits to the table service, spreading between instances.
 
 pub mod api;
+pub mod cache;
 mod commit;
 mod fetching;
-pub mod held;
-pub mod keeper;
+mod gossip;
 pub mod overrides;
 mod overriding;
 pub mod pollers;
 mod rows;
-mod spread;
 mod store;
+pub mod updater;
 
 pub use api::{
-    Change, ChangeError, Config, Current, Entry, Fault, OverrideError, OverrideOrder, PeerConfig,
-    Told, Update,
+    Change, ChangeError, Config, CurrentConfig, Fault, HistoryEntry, OverrideError, OverrideOrder,
+    OverrideReport, PeerConfig, Update,
 };
-pub use keeper::Keeper;
 pub use overrides::Override;
+pub use updater::ConfigUpdater;
--- a/components/config/src/overrides.rs
+++ b/components/config/src/overrides.rs
@@ -11,7 +11,7 @@
 use types::{ConfigVersion, DataCentreId, InstanceId, Moment};
 
 /// Longest life of an override. An operator who needs more repeats the order.
-pub const OVERRIDE_LIMIT: Duration = Duration::from_secs(3600);
+pub const MAX_OVERRIDE_DURATION: Duration = Duration::from_secs(3600);
 /// Most overrides at once.
 pub const OVERRIDES: usize = 64;
 
@@ -23,15 +23,20 @@
     /// Whether it is kept out; `false` withdraws an earlier override.
     pub out: bool,
     /// Grows with each order for this data centre; the larger one holds.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub sequence: u64,
     /// The instance that took the order; decides between equal numbers.
-    pub by: InstanceId,
+    #[serde(rename = "by")]
+    pub issued_by: InstanceId,
     /// The operator.
-    pub who: Arc<str>,
+    #[serde(rename = "who")]
+    pub operator: Arc<str>,
     /// The accepted configuration that the operator saw.
-    pub base: ConfigVersion,
+    #[serde(rename = "base")]
+    pub base_version: ConfigVersion,
     /// Time left. Clocks of instances differ, so no point in time is told.
-    pub left: Duration,
+    #[serde(rename = "left")]
+    pub time_left: Duration,
 }
 
 /// An override and when it ends by our clock.
@@ -43,7 +48,7 @@
 
 impl Kept {
     fn rank(&self) -> (u64, &InstanceId) {
-        (self.order.number, &self.order.by)
+        (self.order.sequence, &self.order.issued_by)
     }
 }
 
@@ -64,7 +69,7 @@
     #[must_use]
     pub fn next_number(&self, data_centre: &str) -> u64 {
         let last = self.kept.get(data_centre);
-        last.map_or(1, |kept| kept.order.number.saturating_add(1))
+        last.map_or(1, |kept| kept.order.sequence.saturating_add(1))
     }
 
     /// Takes an order; tells whether it was new. The same orders in any sequence lead to the
@@ -72,7 +77,7 @@
     pub fn take(&mut self, order: &Override, now: Moment) -> bool {
         let kept = Kept {
             order: order.clone(),
-            end: now.saturating_add(order.left.min(OVERRIDE_LIMIT)),
+            end: now.saturating_add(order.time_left.min(MAX_OVERRIDE_DURATION)),
         };
         if kept.end <= now {
             return false;
@@ -96,13 +101,13 @@
     /// Data centres kept out; `changed` tells the accepted version that last wrote a data centre.
     /// One that is not in the accepted tree was there when the order was given, so it has been
     /// deleted since.
-    pub fn out(
+    pub fn data_centres_out(
         &self,
         changed: impl Fn(&DataCentreId) -> Option<ConfigVersion>,
     ) -> Vec<DataCentreId> {
         let holds = |kept: &&Kept| {
             let order = &kept.order;
-            order.out && changed(&order.data_centre).is_some_and(|v| v <= order.base)
+            order.out && changed(&order.data_centre).is_some_and(|v| v <= order.base_version)
         };
         let out = self.kept.values().filter(holds);
         out.map(|kept| Arc::clone(&kept.order.data_centre))
@@ -113,7 +118,7 @@
     #[must_use]
     pub fn list(&self, now: Moment) -> Vec<Override> {
         let told = |kept: &Kept| Override {
-            left: kept.end.saturating_sub(now),
+            time_left: kept.end.saturating_sub(now),
             ..kept.order.clone()
         };
         self.kept.values().map(told).collect()
--- a/components/config/src/overriding.rs
+++ b/components/config/src/overriding.rs
@@ -7,10 +7,10 @@
 
 use crate::{
     api::{Change, Config, OverrideError, OverrideOrder},
-    held::data_centre_path,
-    keeper::Keeper,
-    overrides::{OVERRIDE_LIMIT, Override},
-    spread,
+    cache::data_centre_path,
+    gossip,
+    overrides::{MAX_OVERRIDE_DURATION, Override},
+    updater::ConfigUpdater,
 };
 
 /// What there is to spread.
@@ -22,7 +22,7 @@
     pub fresh: bool,
 }
 
-impl Keeper {
+impl ConfigUpdater {
     /// Turns overrides into accepted changes once the table service answers. Several instances
     /// try; the version that they saw lets one win, and the others find it done.
     pub(crate) async fn commit_overrides(&self) {
@@ -52,17 +52,17 @@
         let orders = held.overrides().list(self.timer.now());
         let order = orders.into_iter().find(|o| o.data_centre == *data_centre)?;
         Some(Change {
-            seen: held.changed(&path),
+            expected_version: held.node_version(&path),
             path,
             node: Some(node),
-            who: order.who,
+            operator: order.operator,
         })
     }
 
     /// Tells a peer of our overrides and takes its own; tells whether it answered.
     pub(crate) async fn exchange_with(&self, peer: &InstanceId) -> bool {
         let ours = self.overrides();
-        let Some(theirs) = self.peers.exchange(peer, &ours).await else {
+        let Some(theirs) = self.peers.exchange_overrides(peer, &ours).await else {
             return false;
         };
         self.take_overrides(&theirs);
@@ -75,12 +75,12 @@
             emit(&Event::Overridden {
                 data_centre: Arc::clone(&order.data_centre),
                 out: order.out,
-                who: Arc::clone(&order.who),
-                seconds: order.left.as_secs(),
+                who: Arc::clone(&order.operator),
+                seconds: order.time_left.as_secs(),
             });
         }
         if !news.is_empty() {
-            self.news.store(spread::NEWS_ROUNDS, Ordering::Release);
+            self.news.store(gossip::NEWS_ROUNDS, Ordering::Release);
         }
         !news.is_empty()
     }
@@ -116,18 +116,18 @@
         }
         // A withdrawal must outlive every copy of what it withdraws.
         let left = if order.out {
-            order.within.min(OVERRIDE_LIMIT)
+            order.duration.min(MAX_OVERRIDE_DURATION)
         } else {
-            OVERRIDE_LIMIT
+            MAX_OVERRIDE_DURATION
         };
         Ok(Override {
-            number: held.overrides().next_number(&order.data_centre),
+            sequence: held.overrides().next_number(&order.data_centre),
             data_centre: order.data_centre,
             out: order.out,
-            by: Arc::clone(&self.me),
-            who: order.who,
-            base,
-            left,
+            issued_by: Arc::clone(&self.me),
+            operator: order.operator,
+            base_version: base,
+            time_left: left,
         })
     }
 }
--- a/components/config/src/store.rs
+++ b/components/config/src/store.rs
@@ -6,8 +6,8 @@
 use types::ConfigVersion;
 
 use crate::{
-    api::Entry,
-    held::Whole,
+    api::HistoryEntry,
+    cache::VersionedTree,
     rows::{
         CHANGES, Head, NODES, StoredNode, body, change_key, change_sort, head_key, node_key,
         read_body,
@@ -49,7 +49,10 @@
     ///
     /// # Errors
     /// Tells why it can't be read.
-    pub async fn change(&self, version: ConfigVersion) -> Result<Option<Entry>, PlatformError> {
+    pub async fn change(
+        &self,
+        version: ConfigVersion,
+    ) -> Result<Option<HistoryEntry>, PlatformError> {
         let row = self.table.read(&change_key(version)).await?;
         row.as_ref().map(read_body).transpose()
     }
@@ -62,7 +65,7 @@
         &self,
         after: ConfigVersion,
         limit: usize,
-    ) -> Result<Vec<Entry>, PlatformError> {
+    ) -> Result<Vec<HistoryEntry>, PlatformError> {
         let after = change_sort(after);
         let rows = self.table.list(CHANGES, &after, limit).await?;
         rows.iter().map(read_body).collect()
@@ -77,7 +80,7 @@
     ///
     /// # Errors
     /// Tells why it can't be read.
-    pub async fn whole(&self) -> Result<Whole, PlatformError> {
+    pub async fn whole(&self) -> Result<VersionedTree, PlatformError> {
         let before = self.head().await?;
         let mut whole = self.nodes().await?;
         let after = self.head().await?;
@@ -91,8 +94,8 @@
         Ok(whole)
     }
 
-    async fn nodes(&self) -> Result<Whole, PlatformError> {
-        let mut whole = Whole::default();
+    async fn nodes(&self) -> Result<VersionedTree, PlatformError> {
+        let mut whole = VersionedTree::default();
         let mut after: Arc<str> = "".into();
         loop {
             let rows = self.table.list(NODES, &after, PAGE).await?;
@@ -100,7 +103,7 @@
                 let stored: StoredNode = read_body(row)?;
                 let path = &row.key.sort;
                 whole.snapshot.nodes.insert(Arc::clone(path), stored.node);
-                whole.changed.insert(Arc::clone(path), stored.changed);
+                whole.node_versions.insert(Arc::clone(path), stored.changed);
             }
             match rows.last() {
                 Some(last) if rows.len() == PAGE => after = Arc::clone(&last.key.sort),
@@ -114,7 +117,7 @@
         &self,
         after: ConfigVersion,
         upto: ConfigVersion,
-    ) -> Result<Vec<Entry>, PlatformError> {
+    ) -> Result<Vec<HistoryEntry>, PlatformError> {
         let mut all = Vec::new();
         let mut last = after;
         while last < upto {
@@ -157,7 +160,7 @@
     ///
     /// # Errors
     /// `Conflict` if its version is taken already, otherwise why the rows can't be read.
-    pub async fn writes(&self, entry: &Entry) -> Result<Vec<Write>, PlatformError> {
+    pub async fn writes(&self, entry: &HistoryEntry) -> Result<Vec<Write>, PlatformError> {
         let head = self.table.read(&head_key()).await?;
         let newest = match &head {
             Some(row) => read_body::<Head>(row)?.version,
@@ -188,7 +191,7 @@
     }
 }
 
-fn head_write(head: Option<&Row>, entry: &Entry) -> Result<Write, PlatformError> {
+fn head_write(head: Option<&Row>, entry: &HistoryEntry) -> Result<Write, PlatformError> {
     let body = body(&Head {
         version: entry.version,
         id: Arc::clone(&entry.id),
@@ -204,7 +207,7 @@
     })
 }
 
-fn node_write(row: Option<&Row>, entry: &Entry) -> Result<Option<Write>, PlatformError> {
+fn node_write(row: Option<&Row>, entry: &HistoryEntry) -> Result<Option<Write>, PlatformError> {
     let key = node_key(&entry.change.path);
     let Some(node) = &entry.change.node else {
         return Ok(row.map(|row| Write::Delete {
--- a/components/config/src/keeper.rs
+++ b/components/config/src/updater.rs
@@ -17,13 +17,14 @@
 
 use crate::{
     api::{
-        Change, ChangeError, Config, Current, Entry, Fault, OverrideError, OverrideOrder,
-        PeerConfig, Told, Update,
+        Change, ChangeError, Config, CurrentConfig, Fault, HistoryEntry, OverrideError,
+        OverrideOrder, OverrideReport, PeerConfig, Update,
     },
+    cache::ConfigCache,
     commit::{self, Attempt},
-    held::Held,
+    gossip,
     overrides::Override,
-    pollers, spread,
+    pollers,
     store::Store,
 };
 
@@ -39,15 +40,15 @@
 /// Locks: `reading` or `asking`, then `held`, then `shown`; the last two are never held over an
 /// await. The first two are apart so that a read that waits for a dead table service does not keep
 /// news of peers waiting.
-pub struct Keeper {
+pub struct ConfigUpdater {
     pub(crate) me: InstanceId,
     pub(crate) store: Store,
     pub(crate) peers: Arc<dyn PeerConfig>,
     pub(crate) timer: Timer,
-    pub(crate) held: Mutex<Held>,
+    pub(crate) held: Mutex<ConfigCache>,
     /// What `held` has in force, for the path of requests: a change of a large tree takes some
     /// milliseconds, and requests must not wait for it.
-    pub(crate) shown: Mutex<Option<Arc<Current>>>,
+    pub(crate) shown: Mutex<Option<Arc<CurrentConfig>>>,
     pub(crate) reading: AsyncMutex<()>,
     pub(crate) asking: AsyncMutex<()>,
     pub(crate) attempts: AtomicU64,
@@ -57,8 +58,8 @@
     pub(crate) news: AtomicU32,
 }
 
-impl Keeper {
-    /// Makes a keeper that holds nothing yet.
+impl ConfigUpdater {
+    /// Makes an updater that holds nothing yet.
     #[must_use]
     pub fn new(
         me: InstanceId,
@@ -84,7 +85,7 @@
     /// Finds the first configuration, then looks for news for as long as the process lives.
     pub async fn run(self: Arc<Self>) {
         self.start().await;
-        smol::future::zip(self.poll(), spread::run(&self)).await;
+        smol::future::zip(self.poll(), gossip::run(&self)).await;
     }
 
     /// Peers that are heard.
@@ -108,7 +109,7 @@
     }
 
     /// Changes what is held and shows the result.
-    pub(crate) fn update<T>(&self, act: impl FnOnce(&mut Held) -> T) -> T {
+    pub(crate) fn update<T>(&self, act: impl FnOnce(&mut ConfigCache) -> T) -> T {
         let mut held = self.held.lock();
         let result = act(&mut held);
         *self.shown.lock() = held.current();
@@ -126,7 +127,7 @@
     }
 
     /// Checks a change against what is in force and makes its entry.
-    fn prepare(&self, change: &Change) -> Result<Entry, ChangeError> {
+    fn prepare(&self, change: &Change) -> Result<HistoryEntry, ChangeError> {
         let whole = self.held.lock().whole();
         commit::seen(&whole, change)?;
         commit::fits(&whole, change).map_err(|faults| ChangeError::Invalid { faults })?;
@@ -147,13 +148,13 @@
 }
 
 #[async_trait]
-impl Config for Keeper {
-    fn current(&self) -> Option<Arc<Current>> {
+impl Config for ConfigUpdater {
+    fn current(&self) -> Option<Arc<CurrentConfig>> {
         self.shown.lock().clone()
     }
 
-    fn changed(&self, path: &str) -> Option<ConfigVersion> {
-        self.held.lock().changed(path)
+    fn node_version(&self, path: &str) -> Option<ConfigVersion> {
+        self.held.lock().node_version(path)
     }
 
     fn check(&self, change: &Change) -> Result<(), Vec<Fault>> {
@@ -163,7 +164,9 @@
 
     async fn change(&self, change: Change) -> Result<ConfigVersion, ChangeError> {
         for _ in 0..commit::attempts() {
-            self.catch_up().await.map_err(|_| ChangeError::StoreDown)?;
+            self.catch_up()
+                .await
+                .map_err(|_| ChangeError::StoreUnavailable)?;
             let entry = self.prepare(&change)?;
             let attempt = commit::attempt(&self.store, &self.timer, &entry).await?;
             if attempt == Attempt::Accepted {
@@ -177,12 +180,12 @@
             }
             self.timer.sleep(pollers::jittered(RETRY_PAUSE)).await;
         }
-        let now = self.changed(&change.path);
+        let now = self.node_version(&change.path);
         Err(ChangeError::Conflict { now })
     }
 
-    async fn history(&self, limit: usize) -> Result<Vec<Entry>, ChangeError> {
-        let down = |_| ChangeError::StoreDown;
+    async fn history(&self, limit: usize) -> Result<Vec<HistoryEntry>, ChangeError> {
+        let down = |_| ChangeError::StoreUnavailable;
         let head = self.store.head().await.map_err(down)?;
         let limit = limit.min(HISTORY_PAGE);
         let after = head.version.saturating_sub(limit as u64);
@@ -191,7 +194,7 @@
         Ok(entries)
     }
 
-    async fn heard(&self, peer: &InstanceId, version: ConfigVersion) {
+    async fn receive_version(&self, peer: &InstanceId, version: ConfigVersion) {
         if self.knows(version) {
             return;
         }
@@ -214,19 +217,22 @@
         self.held.lock().since(version)
     }
 
-    async fn override_out(&self, order: OverrideOrder) -> Result<Told, OverrideError> {
+    async fn override_data_centre(
+        &self,
+        order: OverrideOrder,
+    ) -> Result<OverrideReport, OverrideError> {
         let order = self.make_order(order)?;
         if !self.take_overrides(std::slice::from_ref(&order)) {
-            return Err(OverrideError::NotTaken);
+            return Err(OverrideError::Rejected);
         }
-        Ok(spread::tell(self, order).await)
+        Ok(gossip::tell(self, order).await)
     }
 
     fn overrides(&self) -> Vec<Override> {
         self.held.lock().overrides().list(self.timer.now())
     }
 
-    fn exchange(&self, theirs: &[Override]) -> Vec<Override> {
+    fn exchange_overrides(&self, theirs: &[Override]) -> Vec<Override> {
         self.take_overrides(theirs);
         self.overrides()
     }
--- a/components/config/tests/keeping/held.rs
+++ b/components/config/tests/keeping/cache.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use config::{
-    Entry, Override,
-    held::{Held, Whole},
+    HistoryEntry, Override,
+    cache::{ConfigCache, VersionedTree},
 };
 use proptest::prelude::*;
 
@@ -13,7 +13,7 @@
 const VERSIONS: u64 = 12;
 
 /// The one true history.
-fn history() -> Vec<Entry> {
+fn history() -> Vec<HistoryEntry> {
     let entry = |version: u64| {
         let path = format!("/services/s{}", version % 3);
         let node = if version.is_multiple_of(5) {
@@ -21,7 +21,7 @@
         } else {
             service(version)
         };
-        Entry {
+        HistoryEntry {
             version,
             at: std::time::SystemTime::UNIX_EPOCH,
             change: change(&path, node, None),
@@ -31,8 +31,8 @@
     (1..=VERSIONS).map(entry).collect()
 }
 
-fn whole_at(version: u64) -> Whole {
-    let mut whole = Whole::default();
+fn whole_at(version: u64) -> VersionedTree {
+    let mut whole = VersionedTree::default();
     for entry in history().iter().filter(|e| e.version <= version) {
         whole.apply(entry).expect("the next one");
     }
@@ -42,13 +42,13 @@
 #[derive(Clone, Debug)]
 enum Update {
     Changes(u64, u64),
-    Whole(u64),
+    Full(u64),
 }
 
 fn update() -> impl Strategy<Value = Update> {
     prop_oneof![
         (0..VERSIONS, 1..5_u64).prop_map(|(after, count)| Update::Changes(after, count)),
-        (0..=VERSIONS).prop_map(Update::Whole),
+        (0..=VERSIONS).prop_map(Update::Full),
     ]
 }
 
@@ -61,7 +61,7 @@
         sent in prop_oneof![Just(u64::MAX), any::<u64>(), 0..20_u64],
         left in any::<u64>(),
     ) {
-        let mut held = Held::default();
+        let mut held = ConfigCache::default();
         prop_assert!(held.take_whole(whole_at(5)));
         let mut strange = history();
         for entry in &mut strange {
@@ -75,11 +75,11 @@
         let order = Override {
             data_centre: "d".into(),
             out: true,
-            number: sent,
-            by: "peer".into(),
-            who: "operator".into(),
-            base: sent,
-            left: Duration::from_secs(left),
+            sequence: sent,
+            issued_by: "peer".into(),
+            operator: "operator".into(),
+            base_version: sent,
+            time_left: Duration::from_secs(left),
         };
         held.take_overrides(&[order], Duration::from_secs(1));
         let next = held.overrides().next_number("d");
@@ -97,12 +97,12 @@
         updates in prop::collection::vec(update(), 1..30),
     ) {
         let history = history();
-        let mut held = Held::default();
+        let mut held = ConfigCache::default();
         for update in updates {
             let before = held.version();
             match update {
                 Update::Changes(after, count) => {
-                    let some: Vec<Entry> = history
+                    let some: Vec<HistoryEntry> = history
                         .iter()
                         .filter(|e| e.version > after && e.version <= after + count)
                         .cloned()
@@ -112,7 +112,7 @@
                     let have = before.unwrap_or(0);
                     prop_assert_eq!(gap, !some.is_empty() && after > have);
                 }
-                Update::Whole(version) => {
+                Update::Full(version) => {
                     let newer = before.is_none_or(|have| version > have);
                     prop_assert_eq!(held.take_whole(whole_at(version)), newer);
                 }
@@ -120,7 +120,7 @@
             prop_assert!(held.version() >= before);
             let expected = whole_at(held.version().unwrap_or(0));
             prop_assert_eq!(&*held.whole(), &expected);
-            let in_force = held.current().map(|current| current.in_force.version());
+            let in_force = held.current().map(|current| current.effective.version());
             prop_assert_eq!(in_force, held.version());
         }
     }
--- a/components/config/tests/keeping/common.rs
+++ b/components/config/tests/keeping/common.rs
@@ -7,7 +7,7 @@
 };
 
 use async_trait::async_trait;
-use config::{Change, Config, Keeper, Override, PeerConfig, Update};
+use config::{Change, Config, ConfigUpdater, Override, PeerConfig, Update};
 use parking_lot::Mutex;
 use stores::MemoryTable;
 use timer::Timer;
@@ -20,7 +20,7 @@
 /// Who reaches whom.
 #[derive(Default)]
 pub struct Links {
-    keepers: Mutex<BTreeMap<InstanceId, Weak<Keeper>>>,
+    updaters: Mutex<BTreeMap<InstanceId, Weak<ConfigUpdater>>>,
     cut_off: Mutex<HashSet<InstanceId>>,
 }
 
@@ -50,21 +50,25 @@
         if !self.links.reaches(&self.me, peer) {
             return None;
         }
-        let keeper = self.links.keepers.lock().get(peer)?.upgrade()?;
-        Some(keeper.since(version))
+        let updater = self.links.updaters.lock().get(peer)?.upgrade()?;
+        Some(updater.since(version))
     }
 
-    async fn exchange(&self, peer: &InstanceId, ours: &[Override]) -> Option<Vec<Override>> {
+    async fn exchange_overrides(
+        &self,
+        peer: &InstanceId,
+        ours: &[Override],
+    ) -> Option<Vec<Override>> {
         if !self.links.reaches(&self.me, peer) {
             return None;
         }
-        let keeper = self.links.keepers.lock().get(peer)?.upgrade()?;
-        Some(keeper.exchange(ours))
+        let updater = self.links.updaters.lock().get(peer)?.upgrade()?;
+        Some(updater.exchange_overrides(ours))
     }
 
     fn peers(&self) -> Vec<InstanceId> {
-        let keepers = self.links.keepers.lock();
-        let others = keepers.keys().filter(|id| **id != self.me);
+        let updaters = self.links.updaters.lock();
+        let others = updaters.keys().filter(|id| **id != self.me);
         let heard = others.filter(|id| self.links.reaches(&self.me, id));
         heard.cloned().collect()
     }
@@ -78,33 +82,33 @@
 
 impl Deployment {
     /// Starts an instance in place of an earlier one of this name; `run` is up to the test.
-    pub fn start(&self, name: &str) -> Arc<Keeper> {
+    pub fn start(&self, name: &str) -> Arc<ConfigUpdater> {
         let me: InstanceId = name.into();
         let peers = Peers {
             me: me.clone(),
             links: self.links.clone(),
         };
-        let keeper = Keeper::new(
+        let updater = ConfigUpdater::new(
             me.clone(),
             self.table.clone(),
             Arc::new(peers),
             Timer::new(),
         );
-        let mut keepers = self.links.keepers.lock();
-        keepers.insert(me, Arc::downgrade(&keeper));
-        keeper
+        let mut updaters = self.links.updaters.lock();
+        updaters.insert(me, Arc::downgrade(&updater));
+        updater
     }
 
     /// Starts an instance that comes up to date from the table service.
-    pub async fn start_up_to_date(&self, name: &str) -> Arc<Keeper> {
-        let keeper = self.start(name);
-        keeper.catch_up().await.expect("the table is up");
-        keeper
+    pub async fn start_up_to_date(&self, name: &str) -> Arc<ConfigUpdater> {
+        let updater = self.start(name);
+        updater.catch_up().await.expect("the table is up");
+        updater
     }
 }
 
-pub fn version(keeper: &Keeper) -> Option<ConfigVersion> {
-    keeper.current().map(|current| current.snapshot.version)
+pub fn version(updater: &ConfigUpdater) -> Option<ConfigVersion> {
+    updater.current().map(|current| current.snapshot.version)
 }
 
 pub async fn until(what: &str, holds: impl Fn() -> bool) {
@@ -130,7 +134,7 @@
     Change {
         path: path.into(),
         node,
-        seen,
-        who: "operator".into(),
+        expected_version: seen,
+        operator: "operator".into(),
     }
 }
--- a/components/config/tests/keeping/main.rs
+++ b/components/config/tests/keeping/main.rs
@@ -1,8 +1,8 @@
 //! Keeping the configuration under failures, one at a time and at random.
 
+mod cache;
 mod common;
-mod held;
-mod keeper;
 mod overrides;
 mod random;
+mod updater;
 mod wire;
--- a/components/config/tests/keeping/overrides.rs
+++ b/components/config/tests/keeping/overrides.rs
@@ -3,8 +3,8 @@
 use std::{sync::Arc, time::Duration};
 
 use config::{
-    Config, Keeper, Override, OverrideError, OverrideOrder,
-    overrides::{OVERRIDE_LIMIT, Overrides},
+    Config, ConfigUpdater, Override, OverrideError, OverrideOrder,
+    overrides::{MAX_OVERRIDE_DURATION, Overrides},
 };
 use proptest::prelude::*;
 use smol::Task;
@@ -19,22 +19,26 @@
     OverrideOrder {
         data_centre: "amman-1".into(),
         out,
-        within,
-        who: "operator".into(),
+        duration: within,
+        operator: "operator".into(),
     }
 }
 
-fn is_out(keeper: &Keeper) -> bool {
-    let current = keeper.current().expect("it is in force");
-    current.in_force.out().iter().any(|id| &**id == "amman-1")
+fn is_out(updater: &ConfigUpdater) -> bool {
+    let current = updater.current().expect("it is in force");
+    current
+        .effective
+        .data_centres_out()
+        .iter()
+        .any(|id| &**id == "amman-1")
 }
 
-fn run(keeper: &Arc<Keeper>) -> Task<()> {
-    workers::spawn(Arc::clone(keeper).run())
+fn run(updater: &Arc<ConfigUpdater>) -> Task<()> {
+    workers::spawn(Arc::clone(updater).run())
 }
 
 /// Three running instances with one data centre, and the table service down.
-async fn outage() -> (Deployment, Vec<Arc<Keeper>>, Vec<Task<()>>) {
+async fn outage() -> (Deployment, Vec<Arc<ConfigUpdater>>, Vec<Task<()>>) {
     let all = Deployment::default();
     let author = all.start_up_to_date("a").await;
     let added = author
@@ -43,10 +47,10 @@
     assert_eq!(added, Ok(1));
     let b = all.start_up_to_date("b").await;
     let c = all.start_up_to_date("c").await;
-    let keepers = vec![author, b, c];
-    let tasks = keepers.iter().map(run).collect();
+    let updaters = vec![author, b, c];
+    let tasks = updaters.iter().map(run).collect();
     all.table.set_down(true);
-    (all, keepers, tasks)
+    (all, updaters, tasks)
 }
 
 // A data centre fails and the table service with it. Without an override new work would go there
@@ -55,15 +59,17 @@
 #[test]
 fn an_override_is_in_force_everywhere_and_is_not_called_accepted() {
     smol::block_on(async {
-        let (_all, keepers, _tasks) = outage().await;
-        let told = keepers[0].override_out(order(true, OVERRIDE_LIMIT)).await;
-        let mut taken = told.expect("it is taken").taken;
+        let (_all, updaters, _tasks) = outage().await;
+        let told = updaters[0]
+            .override_data_centre(order(true, MAX_OVERRIDE_DURATION))
+            .await;
+        let mut taken = told.expect("it is taken").accepted_by;
         taken.sort();
         assert_eq!(taken, ["b".into(), "c".into()]);
-        for keeper in &keepers {
-            assert!(is_out(keeper));
-            assert_eq!(version(keeper), Some(1));
-            let snapshot = &keeper.current().expect("it is in force").snapshot;
+        for updater in &updaters {
+            assert!(is_out(updater));
+            assert_eq!(version(updater), Some(1));
+            let snapshot = &updater.current().expect("it is in force").snapshot;
             assert_eq!(snapshot.nodes[PATH].out, None);
         }
     });
@@ -74,24 +80,26 @@
 #[test]
 fn an_override_is_committed_when_the_store_is_back_and_then_gives_way() {
     smol::block_on(async {
-        let (all, keepers, _tasks) = outage().await;
-        let told = keepers[1].override_out(order(true, OVERRIDE_LIMIT)).await;
+        let (all, updaters, _tasks) = outage().await;
+        let told = updaters[1]
+            .override_data_centre(order(true, MAX_OVERRIDE_DURATION))
+            .await;
         assert!(told.is_ok(), "{told:?}");
         all.table.set_down(false);
         until("it is accepted everywhere", || {
-            keepers.iter().all(|k| version(k) == Some(2) && is_out(k))
+            updaters.iter().all(|k| version(k) == Some(2) && is_out(k))
         })
         .await;
         let back = change(PATH, Some(Node::default()), Some(2));
-        assert_eq!(keepers[2].change(back).await, Ok(3));
-        assert!(!is_out(&keepers[2]));
+        assert_eq!(updaters[2].change(back).await, Ok(3));
+        assert!(!is_out(&updaters[2]));
         until("it is back everywhere", || {
-            keepers.iter().all(|k| !is_out(k))
+            updaters.iter().all(|k| !is_out(k))
         })
         .await;
-        let history = keepers[0].history(10).await.expect("the table is up");
+        let history = updaters[0].history(10).await.expect("the table is up");
         assert_eq!(history.len(), 3);
-        assert_eq!(&*history[1].change.who, "operator");
+        assert_eq!(&*history[1].change.operator, "operator");
     });
 }
 
@@ -111,11 +119,13 @@
         };
         assert_eq!(a.change(change(PATH, Some(node), Some(1))).await, Ok(2));
         all.table.set_down(true);
-        let told = stale.override_out(order(true, OVERRIDE_LIMIT)).await;
+        let told = stale
+            .override_data_centre(order(true, MAX_OVERRIDE_DURATION))
+            .await;
         assert!(told.is_ok(), "{told:?}");
         assert!(is_out(&stale));
         assert!(!is_out(&a), "an accepted change was reverted");
-        stale.heard(&"a".into(), 2).await;
+        stale.receive_version(&"a".into(), 2).await;
         assert!(!is_out(&stale));
     });
 }
@@ -129,7 +139,9 @@
         let a = all.start_up_to_date("a").await;
         let added = a.change(change(PATH, Some(Node::default()), None)).await;
         assert_eq!(added, Ok(1));
-        let told = a.override_out(order(true, OVERRIDE_LIMIT)).await;
+        let told = a
+            .override_data_centre(order(true, MAX_OVERRIDE_DURATION))
+            .await;
         assert!(told.is_ok(), "{told:?}");
         assert!(is_out(&a));
         assert_eq!(a.change(change(PATH, None, Some(1))).await, Ok(2));
@@ -140,20 +152,22 @@
 #[test]
 fn an_override_ends_by_itself_and_can_be_withdrawn() {
     smol::block_on(async {
-        let (_all, keepers, _tasks) = outage().await;
+        let (_all, updaters, _tasks) = outage().await;
         let short = order(true, Duration::from_secs(2));
-        assert!(keepers[0].override_out(short).await.is_ok());
-        assert!(is_out(&keepers[1]));
-        until("it has ended", || keepers.iter().all(|k| !is_out(k))).await;
+        assert!(updaters[0].override_data_centre(short).await.is_ok());
+        assert!(is_out(&updaters[1]));
+        until("it has ended", || updaters.iter().all(|k| !is_out(k))).await;
         assert!(
-            keepers[0]
-                .override_out(order(true, OVERRIDE_LIMIT))
+            updaters[0]
+                .override_data_centre(order(true, MAX_OVERRIDE_DURATION))
                 .await
                 .is_ok()
         );
-        let withdrawn = keepers[2].override_out(order(false, Duration::ZERO)).await;
+        let withdrawn = updaters[2]
+            .override_data_centre(order(false, Duration::ZERO))
+            .await;
         assert!(withdrawn.is_ok(), "{withdrawn:?}");
-        assert!(keepers.iter().all(|k| !is_out(k)));
+        assert!(updaters.iter().all(|k| !is_out(k)));
     });
 }
 
@@ -162,13 +176,15 @@
 #[test]
 fn an_instance_that_was_cut_off_or_just_started_learns_of_an_override() {
     smol::block_on(async {
-        let (all, keepers, _tasks) = outage().await;
+        let (all, updaters, _tasks) = outage().await;
         all.links.cut("c");
-        let told = keepers[0].override_out(order(true, OVERRIDE_LIMIT)).await;
-        assert_eq!(told.expect("it is taken").taken, ["b".into()]);
-        assert!(!is_out(&keepers[2]));
+        let told = updaters[0]
+            .override_data_centre(order(true, MAX_OVERRIDE_DURATION))
+            .await;
+        assert_eq!(told.expect("it is taken").accepted_by, ["b".into()]);
+        assert!(!is_out(&updaters[2]));
         all.links.heal();
-        until("the one cut off knows", || is_out(&keepers[2])).await;
+        until("the one cut off knows", || is_out(&updaters[2])).await;
         let late = all.start("late");
         let _late = run(&late);
         until("the new one is ready", || version(&late).is_some()).await;
@@ -179,16 +195,18 @@
 #[test]
 fn an_override_of_an_unknown_data_centre_is_refused() {
     smol::block_on(async {
-        let (all, keepers, _tasks) = outage().await;
-        let mut unknown = order(true, OVERRIDE_LIMIT);
+        let (all, updaters, _tasks) = outage().await;
+        let mut unknown = order(true, MAX_OVERRIDE_DURATION);
         unknown.data_centre = "amman-9".into();
-        let refused = keepers[0].override_out(unknown).await;
+        let refused = updaters[0].override_data_centre(unknown).await;
         assert_eq!(refused, Err(OverrideError::NoSuchDataCentre));
         let unready = all.start("unready");
-        let refused = unready.override_out(order(true, OVERRIDE_LIMIT)).await;
+        let refused = unready
+            .override_data_centre(order(true, MAX_OVERRIDE_DURATION))
+            .await;
         assert_eq!(refused, Err(OverrideError::NotReady));
         Timer::new().sleep(Duration::from_millis(1)).await;
-        assert!(keepers.iter().all(|k| !is_out(k)));
+        assert!(updaters.iter().all(|k| !is_out(k)));
     });
 }
 
@@ -199,11 +217,11 @@
         Override {
             data_centre: data_centre.to_string().into(),
             out: out || number == 2,
-            number,
-            by: by.to_string().into(),
-            who: "operator".into(),
-            base: 1,
-            left: Duration::from_secs(60),
+            sequence: number,
+            issued_by: by.to_string().into(),
+            operator: "operator".into(),
+            base_version: 1,
+            time_left: Duration::from_secs(60),
         }
     })
 }
@@ -217,10 +235,10 @@
         seed in any::<u64>(),
     ) {
         let mut orders = orders;
-        orders.dedup_by_key(|o| (o.data_centre.clone(), o.number, o.by.clone()));
+        orders.dedup_by_key(|o| (o.data_centre.clone(), o.sequence, o.issued_by.clone()));
         let mut unique: Vec<Override> = Vec::new();
         for order in orders {
-            let key = |o: &Override| (o.data_centre.clone(), o.number, o.by.clone());
+            let key = |o: &Override| (o.data_centre.clone(), o.sequence, o.issued_by.clone());
             if unique.iter().all(|known| key(known) != key(&order)) {
                 unique.push(order);
             }
@@ -236,8 +254,8 @@
         for order in &shuffled {
             there.take(order, now);
         }
-        prop_assert_eq!(here.out(|_| Some(1)), there.out(|_| Some(1)));
+        prop_assert_eq!(here.data_centres_out(|_| Some(1)), there.data_centres_out(|_| Some(1)));
         prop_assert_eq!(here.list(now), there.list(now));
-        prop_assert_eq!(here.out(|_| Some(2)), Vec::<types::DataCentreId>::new());
+        prop_assert_eq!(here.data_centres_out(|_| Some(2)), Vec::<types::DataCentreId>::new());
     }
 }
--- a/components/config/tests/keeping/random.rs
+++ b/components/config/tests/keeping/random.rs
@@ -10,7 +10,10 @@
 };
 
 use crate::common::{Deployment, PATIENCE, change, service, version};
-use config::{ChangeError, Config, Entry, Keeper, OverrideOrder, overrides::OVERRIDE_LIMIT};
+use config::{
+    ChangeError, Config, ConfigUpdater, HistoryEntry, OverrideOrder,
+    overrides::MAX_OVERRIDE_DURATION,
+};
 use parking_lot::Mutex;
 use proptest::prelude::*;
 use stores::memory::Fault;
@@ -104,28 +107,28 @@
 
 /// What operators were told; each change carries a mark of its own.
 #[derive(Default)]
-struct Told {
+struct OverrideReport {
     accepted: BTreeMap<u64, u64>,
     refused: BTreeSet<u64>,
 }
 
 struct Run {
     all: Deployment,
-    keepers: Mutex<Vec<Arc<Keeper>>>,
-    told: Mutex<Told>,
+    updaters: Mutex<Vec<Arc<ConfigUpdater>>>,
+    told: Mutex<OverrideReport>,
 }
 
 impl Run {
-    fn keeper(&self, instance: usize) -> Arc<Keeper> {
-        self.keepers.lock()[instance].clone()
+    fn updater(&self, instance: usize) -> Arc<ConfigUpdater> {
+        self.updaters.lock()[instance].clone()
     }
 
     async fn operator(&self, instance: usize, node: usize, mark: u64, delete: bool, stale: bool) {
-        let keeper = self.keeper(instance);
+        let updater = self.updater(instance);
         let path = path(node);
         let seen = match stale {
             true => Some(1),
-            false => keeper.changed(&path),
+            false => updater.node_version(&path),
         };
         let content = if delete && seen.is_some() {
             None
@@ -133,8 +136,8 @@
             content(node, mark)
         };
         let mut wanted = change(&path, content, seen);
-        wanted.who = mark.to_string().into();
-        let result = keeper.change(wanted).await;
+        wanted.operator = mark.to_string().into();
+        let result = updater.change(wanted).await;
         let mut told = self.told.lock();
         match result {
             Ok(version) => {
@@ -165,35 +168,35 @@
                 peer,
                 ahead,
             } => {
-                let (keeper, from, peer) = (self.keeper(instance), peer, self.keeper(peer));
+                let (updater, from, peer) = (self.updater(instance), peer, self.updater(peer));
                 let heard = version(&peer).unwrap_or(0) + ahead;
                 let name = format!("i{from}").into();
-                return Some(workers::spawn(
-                    async move { keeper.heard(&name, heard).await },
-                ));
+                return Some(workers::spawn(async move {
+                    updater.receive_version(&name, heard).await
+                }));
             }
             Step::Override { instance, out } => {
-                let keeper = self.keeper(instance);
+                let updater = self.updater(instance);
                 let order = OverrideOrder {
                     data_centre: DATA_CENTRE.into(),
                     out,
-                    within: OVERRIDE_LIMIT,
-                    who: "operator".into(),
+                    duration: MAX_OVERRIDE_DURATION,
+                    operator: "operator".into(),
                 };
                 // Without a configuration or the data centre in it, it is refused.
-                let _ = keeper.override_out(order).await;
+                let _ = updater.override_data_centre(order).await;
             }
             Step::Exchange { instance, peer } => {
-                let (keeper, peer) = (self.keeper(instance), self.keeper(peer));
-                keeper.exchange(&peer.overrides());
+                let (updater, peer) = (self.updater(instance), self.updater(peer));
+                updater.exchange_overrides(&peer.overrides());
             }
             Step::CatchUp(instance) => {
                 // During an outage it fails, and what is in force stays.
-                let _ = self.keeper(instance).catch_up().await;
+                let _ = self.updater(instance).catch_up().await;
             }
             Step::Restart(instance) => {
                 let fresh = self.all.start(&format!("i{instance}"));
-                self.keepers.lock()[instance] = fresh;
+                self.updaters.lock()[instance] = fresh;
             }
             Step::Cut(instance) => self.all.links.cut(&format!("i{instance}")),
             Step::Heal => self.all.links.heal(),
@@ -210,12 +213,12 @@
 
 async fn play(steps: Vec<Step>) {
     let all = Deployment::default();
-    let keepers = (0..INSTANCES)
+    let updaters = (0..INSTANCES)
         .map(|n| all.start(&format!("i{n}")))
         .collect();
     let run = Arc::new(Run {
         all,
-        keepers: Mutex::new(keepers),
+        updaters: Mutex::new(updaters),
         told: Mutex::default(),
     });
     let mut tasks = Vec::new();
@@ -235,8 +238,8 @@
 
 /// Everybody has the same, and it is what operators were told.
 async fn check(run: &Run) {
-    let keepers = run.keepers.lock().clone();
-    let history = keepers[0].history(1000).await.expect("the table is up");
+    let updaters = run.updaters.lock().clone();
+    let history = updaters[0].history(1000).await.expect("the table is up");
     let mut expected = Snapshot::default();
     for entry in history.iter().rev() {
         assert_eq!(
@@ -247,47 +250,49 @@
         expected.write(&entry.change.path, entry.change.node.as_ref());
         expected.version = entry.version;
     }
-    for keeper in &keepers {
-        keeper.catch_up().await.expect("the table is up");
-        let current = keeper.current().expect("it is in force");
+    for updater in &updaters {
+        updater.catch_up().await.expect("the table is up");
+        let current = updater.current().expect("it is in force");
         assert_eq!(current.snapshot, expected);
     }
     check_told(&run.told.lock(), &history);
-    check_overrides(&keepers, &expected);
+    check_overrides(&updaters, &expected);
 }
 
 /// All agree on the data centre, and no override stands against a later accepted change.
-fn check_overrides(keepers: &[Arc<Keeper>], accepted: &Snapshot) {
-    for keeper in keepers {
-        for peer in keepers {
-            keeper.exchange(&peer.overrides());
+fn check_overrides(updaters: &[Arc<ConfigUpdater>], accepted: &Snapshot) {
+    for updater in updaters {
+        for peer in updaters {
+            updater.exchange_overrides(&peer.overrides());
         }
     }
-    for keeper in keepers {
-        keeper.exchange(&keepers[0].overrides());
+    for updater in updaters {
+        updater.exchange_overrides(&updaters[0].overrides());
     }
     let path = format!("/data-centres/{DATA_CENTRE}");
     let written = accepted.nodes.get(&*path).and_then(|node| node.out);
-    let orders = keepers[0].overrides();
+    let orders = updaters[0].overrides();
     let order = orders.first();
     let overridden = order.is_some_and(|order| {
-        let changed = keepers[0].changed(&path);
-        order.out && changed.is_some_and(|version| version <= order.base)
+        let changed = updaters[0].node_version(&path);
+        order.out && changed.is_some_and(|version| version <= order.base_version)
     });
-    for keeper in keepers {
-        let current = keeper.current().expect("it is in force");
-        let out = !current.in_force.out().is_empty();
+    for updater in updaters {
+        let current = updater.current().expect("it is in force");
+        let out = !current.effective.data_centres_out().is_empty();
         assert_eq!(out, written == Some(true) || overridden, "{orders:?}");
     }
 }
 
-fn check_told(told: &Told, history: &[Entry]) {
-    let mark = |entry: &Entry| entry.change.who.parse::<u64>().unwrap_or(0);
+fn check_told(told: &OverrideReport, history: &[HistoryEntry]) {
+    let mark = |entry: &HistoryEntry| entry.change.operator.parse::<u64>().unwrap_or(0);
     let marks: Vec<u64> = history.iter().map(mark).collect();
     let unique: BTreeSet<u64> = marks.iter().copied().collect();
     assert_eq!(unique.len(), marks.len(), "a change was accepted twice");
     for (mark, version) in &told.accepted {
-        let found = history.iter().find(|e| e.change.who.parse() == Ok(*mark));
+        let found = history
+            .iter()
+            .find(|e| e.change.operator.parse() == Ok(*mark));
         let found = found.map(|e| e.version);
         assert_eq!(found, Some(*version), "an accepted change is not there");
     }
--- a/components/config/tests/keeping/keeper.rs
+++ b/components/config/tests/keeping/updater.rs
@@ -4,7 +4,7 @@
 
 use crate::common::{Deployment, change, service, until, version};
 use async_trait::async_trait;
-use config::{ChangeError, Config, Keeper, PeerConfig, Update};
+use config::{ChangeError, Config, ConfigUpdater, PeerConfig, Update};
 use parking_lot::Mutex;
 use stores::{MemoryTable, PlatformError, Row, RowKey, Table, Write, memory::Fault};
 use timer::Timer;
@@ -12,8 +12,8 @@
 
 const S: &str = "/services/s";
 
-fn deadline(keeper: &Keeper, path: &str) -> Option<u64> {
-    let current = keeper.current()?;
+fn deadline(updater: &ConfigUpdater, path: &str) -> Option<u64> {
+    let current = updater.current()?;
     current.snapshot.nodes.get(path)?.knobs.deadline_ms
 }
 
@@ -25,15 +25,15 @@
         assert_eq!(version(&a), Some(0));
         assert_eq!(a.change(change(S, service(5), None)).await, Ok(1));
         assert_eq!(deadline(&a, S), Some(5));
-        assert_eq!(a.changed(S), Some(1));
+        assert_eq!(a.node_version(S), Some(1));
         assert_eq!(a.change(change(S, service(6), Some(1))).await, Ok(2));
         assert_eq!(a.change(change(S, None, Some(2))).await, Ok(3));
-        assert_eq!(a.changed(S), None);
+        assert_eq!(a.node_version(S), None);
         let history = a.history(2).await.expect("the table is up");
         let versions: Vec<u64> = history.iter().map(|e| e.version).collect();
         assert_eq!(versions, [3, 2]);
         let current = a.current().expect("it is in force");
-        assert_eq!(current.in_force.version(), 3);
+        assert_eq!(current.effective.version(), 3);
     });
 }
 
@@ -124,7 +124,7 @@
         let a = all.start_up_to_date("a").await;
         all.table.set_down(true);
         let refused = a.change(change(S, service(1), None)).await;
-        assert_eq!(refused, Err(ChangeError::StoreDown));
+        assert_eq!(refused, Err(ChangeError::StoreUnavailable));
         assert_eq!(version(&a), Some(0));
         all.table.set_down(false);
         assert_eq!(all.table.rows(), []);
@@ -157,7 +157,7 @@
         let stale = all.start_up_to_date("stale").await;
         let newest = all.start_up_to_date("newest").await;
         for mark in 1..4 {
-            let seen = newest.changed(S);
+            let seen = newest.node_version(S);
             assert_eq!(
                 newest.change(change(S, service(mark), seen)).await,
                 Ok(mark)
@@ -169,7 +169,7 @@
         let _run = workers::spawn(Arc::clone(&restarted).run());
         until("the newest is in force", || version(&restarted) == Some(3)).await;
         assert_eq!(deadline(&restarted, S), Some(3));
-        assert_eq!(restarted.changed(S), Some(3));
+        assert_eq!(restarted.node_version(S), Some(3));
     });
 }
 
@@ -200,13 +200,13 @@
             all.start_up_to_date("p").await,
         );
         assert_eq!(a.change(change(S, service(1), None)).await, Ok(1));
-        paused.heard(&"a".into(), 1).await;
+        paused.receive_version(&"a".into(), 1).await;
         assert_eq!(a.change(change(S, service(2), Some(1))).await, Ok(2));
         // A peer that says it has version 9 and delivers what it has: version 1.
-        a.heard(&"p".into(), 9).await;
+        a.receive_version(&"p".into(), 9).await;
         assert_eq!(version(&a), Some(2));
         assert_eq!(deadline(&a, S), Some(2));
-        paused.heard(&"a".into(), 2).await;
+        paused.receive_version(&"a".into(), 2).await;
         assert_eq!(version(&paused), Some(2));
     });
 }
@@ -223,16 +223,16 @@
         );
         let mut last = 0;
         for mark in 1..600 {
-            let seen = a.changed(S);
+            let seen = a.node_version(S);
             last = a
                 .change(change(S, service(mark), seen))
                 .await
                 .expect("accepted");
         }
-        assert!(matches!(a.since(0), Update::Whole(..)));
+        assert!(matches!(a.since(0), Update::Full(..)));
         assert!(matches!(a.since(last - 1), Update::Changes(_)));
         let reads = all.table.reads();
-        behind.heard(&"a".into(), last).await;
+        behind.receive_version(&"a".into(), last).await;
         assert_eq!(version(&behind), Some(last));
         assert_eq!(all.table.reads(), reads, "the peer alone could tell");
         let cut_off = all.start_up_to_date("c").await;
@@ -241,7 +241,7 @@
             .change(change(S, service(1), Some(last)))
             .await
             .expect("accepted");
-        cut_off.heard(&"a".into(), next).await;
+        cut_off.receive_version(&"a".into(), next).await;
         assert_eq!(version(&cut_off), Some(next));
     });
 }
@@ -255,7 +255,7 @@
         let mut all = Deployment::default();
         let a = all.start_up_to_date("a").await;
         for mark in 1..4 {
-            let seen = a.changed(S);
+            let seen = a.node_version(S);
             assert_eq!(a.change(change(S, service(mark), seen)).await, Ok(mark));
         }
         let backup = Deployment::default();
@@ -263,11 +263,11 @@
         assert_eq!(old.change(change(S, service(1), None)).await, Ok(1));
         all.table = backup.table.clone();
         let b = all.start("b");
-        b.heard(&"a".into(), 3).await;
+        b.receive_version(&"a".into(), 3).await;
         assert_eq!(version(&b), Some(3));
         assert!(b.catch_up().await.is_err());
         let refused = b.change(change(S, service(9), Some(3))).await;
-        assert_eq!(refused, Err(ChangeError::StoreDown));
+        assert_eq!(refused, Err(ChangeError::StoreUnavailable));
         assert_eq!((version(&b), deadline(&b, S)), (Some(3), Some(3)));
         assert_eq!(version(&old), Some(1));
     });
@@ -278,7 +278,7 @@
 fn news_heard_from_many_peers_are_fetched_once() {
     smol::block_on(async {
         struct Counted {
-            inner: Arc<Keeper>,
+            inner: Arc<ConfigUpdater>,
             fetches: Mutex<usize>,
         }
         #[async_trait]
@@ -299,12 +299,12 @@
             inner: a.clone(),
             fetches: Mutex::new(0),
         });
-        let b = Keeper::new("b".into(), all.table.clone(), counted.clone(), Timer::new());
+        let b = ConfigUpdater::new("b".into(), all.table.clone(), counted.clone(), Timer::new());
         b.catch_up().await.expect("the table is up");
         assert_eq!(a.change(change(S, service(1), None)).await, Ok(1));
         let hear = |peer: usize| {
             let b = b.clone();
-            workers::spawn(async move { b.heard(&format!("p{peer}").into(), 1).await })
+            workers::spawn(async move { b.receive_version(&format!("p{peer}").into(), 1).await })
         };
         for heard in (0..20).map(hear).collect::<Vec<_>>() {
             heard.await;
@@ -316,7 +316,7 @@
 
 /// Hangs when asked for `silent`, until it is let go; answers for all others.
 struct Half {
-    inner: Arc<Keeper>,
+    inner: Arc<ConfigUpdater>,
     let_go: smol::channel::Receiver<()>,
 }
 
@@ -348,13 +348,13 @@
             inner: a.clone(),
             let_go,
         };
-        let b = Keeper::new("b".into(), all.table.clone(), Arc::new(half), Timer::new());
+        let b = ConfigUpdater::new("b".into(), all.table.clone(), Arc::new(half), Timer::new());
         b.catch_up().await.expect("the table is up");
         assert_eq!(a.change(change(S, service(1), None)).await, Ok(1));
         all.table.set_down(true);
         let hear = |peer: &'static str| {
             let b = b.clone();
-            workers::spawn(async move { b.heard(&peer.into(), 1).await })
+            workers::spawn(async move { b.receive_version(&peer.into(), 1).await })
         };
         let _silent = hear("silent");
         let heard = hear("a");
@@ -382,7 +382,7 @@
 /// Commits changes while somebody reads the nodes page by page.
 struct Busy {
     inner: Arc<MemoryTable>,
-    author: Mutex<Option<Arc<Keeper>>>,
+    author: Mutex<Option<Arc<ConfigUpdater>>>,
 }
 
 #[async_trait]
@@ -401,12 +401,12 @@
         let author = self.author.lock().take();
         if let Some(author) = author {
             for (path, mark) in [("/services/s0001", 7_001), ("/services/s0505", 7_999)] {
-                let seen = author.changed(path);
+                let seen = author.node_version(path);
                 let changed = author.change(change(path, service(mark), seen)).await;
                 assert!(changed.is_ok(), "{changed:?}");
             }
             let gone = "/services/s0002";
-            let seen = author.changed(gone);
+            let seen = author.node_version(gone);
             let changed = author.change(change(gone, None, seen)).await;
             assert!(changed.is_ok(), "{changed:?}");
         }
@@ -447,7 +447,7 @@
                 Vec::new()
             }
         }
-        let started = Keeper::new("n".into(), busy, Arc::new(Nobody), Timer::new());
+        let started = ConfigUpdater::new("n".into(), busy, Arc::new(Nobody), Timer::new());
         started.catch_up().await.expect("the table is up");
         assert_eq!(version(&started), Some(513));
         let (ours, theirs) = (started.current(), author.current());
--- a/components/config/tests/keeping/wire.rs
+++ b/components/config/tests/keeping/wire.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use config::{Entry, Update};
+use config::{HistoryEntry, Update};
 use tree::{Knobs, Node, Snapshot};
 use types::Class;
 
@@ -28,7 +28,7 @@
 // instance and not on the others.
 #[test]
 fn a_node_that_leaves_values_out_arrives_as_it_was_sent() {
-    let entry = Entry {
+    let entry = HistoryEntry {
         version: 3,
         at: std::time::SystemTime::UNIX_EPOCH,
         change: change("/services/s", Some(sparse()), Some(2)),
@@ -36,7 +36,7 @@
     };
     let nodes = BTreeMap::from([("/services/s".into(), sparse())]);
     let changed = BTreeMap::from([("/services/s".into(), 3)]);
-    let whole = Update::Whole(Snapshot { version: 3, nodes }, changed);
+    let whole = Update::Full(Snapshot { version: 3, nodes }, changed);
     for update in [Update::Changes(vec![entry]), whole] {
         let sent = rmp_serde::to_vec(&update).expect("it can be encoded");
         let arrived: Update = rmp_serde::from_slice(&sent).expect("it is well formed");
--- a/components/gateway/src/auth.rs
+++ b/components/gateway/src/auth.rs
@@ -4,13 +4,16 @@
 
 use hyper::{HeaderMap, header::AUTHORIZATION};
 use sha2::{Digest, Sha256};
-use tree::InForce;
+use tree::EffectiveConfig;
 use types::{Refusal, WorkspaceId};
 
 use crate::refusals;
 
 /// Returns the workspace to which the caller's bearer key belongs.
-pub fn workspace(headers: &HeaderMap, in_force: &dyn InForce) -> Result<WorkspaceId, Refusal> {
+pub fn workspace(
+    headers: &HeaderMap,
+    in_force: &dyn EffectiveConfig,
+) -> Result<WorkspaceId, Refusal> {
     let key = bearer(headers).ok_or_else(refusals::bad_key)?;
     in_force
         .workspace(&hex(&Sha256::digest(key)))
--- a/components/gateway/src/gateway.rs
+++ b/components/gateway/src/gateway.rs
@@ -10,7 +10,7 @@
 
 use async_trait::async_trait;
 use claims::Claims;
-use config::{Config, Current};
+use config::{Config, CurrentConfig};
 use futures_lite::future;
 use net::Budget;
 use relay::Relay;
@@ -188,13 +188,13 @@
     }
 
     /// Returns the configuration in force, or a refusal while no requests are accepted.
-    pub fn current(&self) -> Result<Arc<Current>, Refusal> {
+    pub fn current(&self) -> Result<Arc<CurrentConfig>, Refusal> {
         if !self.admission.is_ready() {
             return Err(refusals::not_ready());
         }
         let current = self.config.current().ok_or_else(refusals::not_ready)?;
         // Version 0 has no workspaces: refusing every key as unknown would be misleading.
-        if current.in_force.version() == 0 {
+        if current.effective.version() == 0 {
             return Err(refusals::not_ready());
         }
         Ok(current)
--- a/components/gateway/src/generate.rs
+++ b/components/gateway/src/generate.rs
@@ -65,7 +65,7 @@
     let completion = CompletionRequest::parse(api, &body.bytes)?;
     let rule = caller
         .current
-        .in_force
+        .effective
         .model(&caller.workspace, &completion.model, &options.route)
         .ok_or_else(|| refusals::no_model(&completion.model, &options.route))?;
     let limit = rule.knobs.in_flight.unwrap_or(DEFAULT_IN_FLIGHT);
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -53,7 +53,7 @@
     let path = forward::path(req.uri())?;
     let rule = caller
         .current
-        .in_force
+        .effective
         .plain(&caller.workspace, method.as_str(), req.uri().path())
         .ok_or_else(|| refusals::no_route("no route of this workspace leads to this path"))?;
     let limit = rule.knobs.in_flight.unwrap_or(DEFAULT_IN_FLIGHT);
--- a/components/gateway/src/request.rs
+++ b/components/gateway/src/request.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use bytes::Bytes;
-use config::Current;
+use config::CurrentConfig;
 use hyper::{HeaderMap, Request, body::Incoming};
 use net::{BodyError, Share, SharedError, read_shared};
 use types::{Class, Moment, Refusal, WorkspaceId};
@@ -26,7 +26,7 @@
     /// The workspace.
     pub workspace: WorkspaceId,
     /// The configuration in force when the request arrived; it applies to the whole request.
-    pub current: Arc<Current>,
+    pub current: Arc<CurrentConfig>,
     /// When the request arrived, on this process's clock.
     pub arrived: Moment,
 }
@@ -45,7 +45,7 @@
     pub fn identify(core: &Core, headers: &HeaderMap) -> Result<Self, Refusal> {
         let arrived = core.admission.now();
         let current = core.current()?;
-        let workspace = auth::workspace(headers, current.in_force.as_ref())?;
+        let workspace = auth::workspace(headers, current.effective.as_ref())?;
         Ok(Self {
             workspace,
             current,
--- a/components/gateway/src/streams.rs
+++ b/components/gateway/src/streams.rs
@@ -139,7 +139,7 @@
         .admission
         .find_target(&handle.target)
         .ok_or_else(refusals::stream_gone)?;
-    let rule = caller.current.in_force.service(&target.service);
+    let rule = caller.current.effective.service(&target.service);
     let rule = rule.ok_or_else(refusals::stream_gone)?;
     let limit = rule.knobs.in_flight.unwrap_or(DEFAULT_IN_FLIGHT);
     let in_flight = core
--- a/components/gateway/tests/fakes/mod.rs
+++ b/components/gateway/tests/fakes/mod.rs
@@ -8,7 +8,7 @@
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
 use bytes::Bytes;
-use config::{Change, ChangeError, Config, Current, Entry, Fault, Update};
+use config::{Change, ChangeError, Config, CurrentConfig, Fault, HistoryEntry, Update};
 use gateway::{Gateway, GatewayParts, Metrics, Quarantine, Takeover};
 use http_body_util::{BodyExt, Full};
 use hyper::{HeaderMap, Request, body::Incoming};
@@ -19,7 +19,7 @@
 use sha2::{Digest, Sha256};
 use targets::StreamId;
 use timer::Timer;
-use tree::{InForce, Knobs, RouteRule, Snapshot};
+use tree::{EffectiveConfig, Knobs, RouteRule, Snapshot};
 use types::{
     Class, ConfigVersion, DataCentreId, InstanceId, ServiceId, ServiceKind, ServingState, Target,
     TargetId, WorkspaceId,
@@ -254,14 +254,14 @@
 
 #[async_trait::async_trait]
 impl Config for FakeConfig {
-    fn current(&self) -> Option<Arc<Current>> {
-        Some(Arc::new(Current {
+    fn current(&self) -> Option<Arc<CurrentConfig>> {
+        Some(Arc::new(CurrentConfig {
             snapshot: Snapshot::default(),
-            in_force: Box::new(FakeInForce),
+            effective: Box::new(FakeInForce),
         }))
     }
 
-    fn changed(&self, _: &str) -> Option<ConfigVersion> {
+    fn node_version(&self, _: &str) -> Option<ConfigVersion> {
         None
     }
 
@@ -270,14 +270,14 @@
     }
 
     async fn change(&self, _: Change) -> Result<ConfigVersion, ChangeError> {
-        Err(ChangeError::StoreDown)
+        Err(ChangeError::StoreUnavailable)
     }
 
-    async fn history(&self, _: usize) -> Result<Vec<Entry>, ChangeError> {
+    async fn history(&self, _: usize) -> Result<Vec<HistoryEntry>, ChangeError> {
         Ok(Vec::new())
     }
 
-    async fn heard(&self, _: &InstanceId, _: ConfigVersion) {}
+    async fn receive_version(&self, _: &InstanceId, _: ConfigVersion) {}
 
     fn since(&self, _: ConfigVersion) -> Update {
         Update::Changes(Vec::new())
@@ -304,7 +304,7 @@
     }
 }
 
-impl InForce for FakeInForce {
+impl EffectiveConfig for FakeInForce {
     fn version(&self) -> ConfigVersion {
         1
     }
@@ -346,7 +346,7 @@
         vec!["svc".into()]
     }
 
-    fn out(&self) -> Vec<DataCentreId> {
+    fn data_centres_out(&self) -> Vec<DataCentreId> {
         Vec::new()
     }
 }
--- a/components/node/src/components.rs
+++ b/components/node/src/components.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, atomic::AtomicBool};
 
 use claims::{Claims, StoreClaims};
-use config::{Config, Keeper, PeerConfig};
+use config::{Config, ConfigUpdater, PeerConfig};
 use errors::Result;
 use gateway::{Gateway, GatewayParts, Metrics};
 use net::Client;
@@ -51,7 +51,7 @@
     pub key: Key,
     /// The claims of idempotency keys.
     pub claims: Arc<StoreClaims>,
-    config: Arc<Keeper>,
+    config: Arc<ConfigUpdater>,
     table: Arc<PacedTable>,
     directory_watcher: Arc<DirectoryWatcher>,
     peers: Arc<PeerClient>,
@@ -81,7 +81,7 @@
         let peers = PeerClient::new(Arc::clone(&core), key.clone(), client.clone());
         let peers = Arc::new(peers);
         let peer_config = Arc::clone(&peers) as Arc<dyn PeerConfig>;
-        let keeper = Keeper::new(me.id.clone(), Arc::clone(&store), peer_config, timer);
+        let keeper = ConfigUpdater::new(me.id.clone(), Arc::clone(&store), peer_config, timer);
         let liveness = Arc::new(MemberLiveness::new(Arc::clone(&core)));
         let claims = StoreClaims::new(me.id.clone(), me.incarnation, store, liveness, timer);
         let config = Arc::clone(&keeper) as Arc<dyn Config>;
--- a/components/node/src/directory.rs
+++ b/components/node/src/directory.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use config::{Config, Current};
+use config::{Config, CurrentConfig};
 use members::Input;
 use parking_lot::Mutex;
 use stores::Directory;
@@ -98,10 +98,10 @@
 }
 
 impl ViewSource {
-    fn new(current: &Current, listing: Arc<Listing>) -> Self {
+    fn new(current: &CurrentConfig, listing: Arc<Listing>) -> Self {
         Self {
             version: current.snapshot.version,
-            out: current.in_force.out(),
+            out: current.effective.data_centres_out(),
             listing,
         }
     }
--- a/components/node/src/peers.rs
+++ b/components/node/src/peers.rs
@@ -160,7 +160,7 @@
     }
 
     fn exchange_overrides(&self, theirs: &OverrideExchange) -> Reply {
-        self.sealed_reply(&self.config.exchange(&theirs.known))
+        self.sealed_reply(&self.config.exchange_overrides(&theirs.known))
     }
 }
 
@@ -245,7 +245,11 @@
             .with_members(|members, now| members.alive_peers(now))
     }
 
-    async fn exchange(&self, peer: &InstanceId, ours: &[Override]) -> Option<Vec<Override>> {
+    async fn exchange_overrides(
+        &self,
+        peer: &InstanceId,
+        ours: &[Override],
+    ) -> Option<Vec<Override>> {
         let request = OverrideExchange {
             to: peer.clone(),
             known: ours.to_vec(),
--- a/components/node/src/state.rs
+++ b/components/node/src/state.rs
@@ -7,7 +7,7 @@
 
 use admin::{Dump, Readiness};
 use claims::{Claims, StoreClaims};
-use config::{Config, Keeper};
+use config::{Config, ConfigUpdater};
 use serde_json::{Value, json};
 use stores::PacedTable;
 
@@ -16,7 +16,7 @@
 /// Access to the state of all components.
 pub struct InstanceState {
     core: Arc<Core>,
-    config: Arc<Keeper>,
+    config: Arc<ConfigUpdater>,
     directory_watcher: Arc<DirectoryWatcher>,
     claims: Arc<StoreClaims>,
     table: Arc<PacedTable>,
@@ -28,7 +28,7 @@
     #[must_use]
     pub const fn new(
         core: Arc<Core>,
-        config: Arc<Keeper>,
+        config: Arc<ConfigUpdater>,
         directory_watcher: Arc<DirectoryWatcher>,
         claims: Arc<StoreClaims>,
         table: Arc<PacedTable>,
--- a/components/node/src/tasks.rs
+++ b/components/node/src/tasks.rs
@@ -43,6 +43,6 @@
 /// Passes the configuration versions of peers to the configuration, which fetches newer ones.
 pub async fn forward_hints(config: Arc<dyn Config>, hints: Receiver<ConfigHint>) {
     while let Ok(hint) = hints.recv().await {
-        config.heard(&hint.peer, hint.version).await;
+        config.receive_version(&hint.peer, hint.version).await;
     }
 }
--- a/components/node/src/view.rs
+++ b/components/node/src/view.rs
@@ -5,7 +5,7 @@
     sync::Arc,
 };
 
-use config::Current;
+use config::CurrentConfig;
 use policy::{TargetLimits, View};
 use tree::RouteRule;
 use types::{Listing, Shard};
@@ -17,8 +17,8 @@
 /// Builds the view from the configuration in force and the platform's list. Targets of services
 /// that are not configured are left out.
 #[must_use]
-pub fn build_view(current: &Current, listing: &Listing) -> View {
-    let rules = &current.in_force;
+pub fn build_view(current: &CurrentConfig, listing: &Listing) -> View {
+    let rules = &current.effective;
     let mut limits = BTreeMap::new();
     for service in rules.services() {
         if let Some(rule) = rules.service(&service) {
@@ -33,7 +33,7 @@
     View {
         targets,
         limits,
-        data_centres_out: rules.out(),
+        data_centres_out: rules.data_centres_out(),
         instances: u32::try_from(listing.members.len()).unwrap_or(u32::MAX),
     }
 }
--- a/components/tree/src/api.rs
+++ b/components/tree/src/api.rs
@@ -102,7 +102,7 @@
 }
 
 /// A snapshot made ready for look-ups on the path of requests.
-pub trait InForce: Send + Sync {
+pub trait EffectiveConfig: Send + Sync {
     /// The version.
     fn version(&self) -> ConfigVersion;
 
@@ -124,5 +124,5 @@
     fn services(&self) -> Vec<ServiceId>;
 
     /// Data centres that operators have taken out.
-    fn out(&self) -> Vec<DataCentreId>;
+    fn data_centres_out(&self) -> Vec<DataCentreId>;
 }
--- a/components/tree/src/check.rs
+++ b/components/tree/src/check.rs
@@ -8,8 +8,8 @@
 
 use crate::{
     api::{Knobs, Node, Snapshot},
-    knobs::in_force_at,
-    path::Place,
+    knobs::effective_knobs,
+    path::ParsedPath,
     rules::{DEFAULT_ROUTE, read_hash},
 };
 
@@ -28,14 +28,16 @@
 
 /// One thing wrong with a tree.
 #[derive(Clone, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
-#[display("{path}: {what}; {right}")]
+#[display("{path}: {problem}; {expected}")]
 pub struct Fault {
     /// The node, and the field within it.
     pub path: Arc<str>,
     /// What is wrong.
-    pub what: Arc<str>,
+    #[serde(rename = "what")]
+    pub problem: Arc<str>,
     /// What would be right.
-    pub right: Arc<str>,
+    #[serde(rename = "right")]
+    pub expected: Arc<str>,
 }
 
 /// Finds all faults of a tree.
@@ -47,7 +49,7 @@
     };
     check.size();
     for (path, node) in &snapshot.nodes {
-        match Place::read(path) {
+        match ParsedPath::parse(path) {
             Some(place) => check.node(path, &place, node),
             None => check.fault(
                 path,
@@ -73,8 +75,8 @@
     fn fault(&mut self, path: &str, what: &str, right: &str) {
         self.faults.push(Fault {
             path: path.into(),
-            what: what.into(),
-            right: right.into(),
+            problem: what.into(),
+            expected: right.into(),
         });
     }
 
@@ -86,7 +88,7 @@
         }
     }
 
-    fn node(&mut self, path: &str, place: &Place, node: &Node) {
+    fn node(&mut self, path: &str, place: &ParsedPath, node: &Node) {
         self.parents(path, place);
         self.fields(path, place, node);
         self.ranges(path, &node.knobs);
@@ -95,19 +97,19 @@
         self.keys(path, node);
     }
 
-    fn exists(&self, place: &Place) -> bool {
+    fn exists(&self, place: &ParsedPath) -> bool {
         self.snapshot.nodes.contains_key(&place.path())
     }
 
-    fn parents(&mut self, path: &str, place: &Place) {
+    fn parents(&mut self, path: &str, place: &ParsedPath) {
         let mut needed = Vec::new();
         match place {
-            Place::Route(service, _) => needed.push(Place::Service(Arc::clone(service))),
-            Place::WorkspaceRoute(id, service, route) => {
-                needed.push(Place::Workspace(Arc::clone(id)));
-                needed.push(Place::Service(Arc::clone(service)));
+            ParsedPath::Route(service, _) => needed.push(ParsedPath::Service(Arc::clone(service))),
+            ParsedPath::WorkspaceRoute(id, service, route) => {
+                needed.push(ParsedPath::Workspace(Arc::clone(id)));
+                needed.push(ParsedPath::Service(Arc::clone(service)));
                 if &**route != DEFAULT_ROUTE {
-                    needed.push(Place::Route(Arc::clone(service), Arc::clone(route)));
+                    needed.push(ParsedPath::Route(Arc::clone(service), Arc::clone(route)));
                 }
             }
             _ => {}
@@ -127,10 +129,10 @@
         }
     }
 
-    fn fields(&mut self, path: &str, place: &Place, node: &Node) {
-        let of_service = matches!(place, Place::Service(_));
+    fn fields(&mut self, path: &str, place: &ParsedPath, node: &Node) {
+        let of_service = matches!(place, ParsedPath::Service(_));
         let of_plain_route = match place {
-            Place::Route(service, _) => self.kind(service) != Some(ServiceKind::Model),
+            ParsedPath::Route(service, _) => self.kind(service) != Some(ServiceKind::Model),
             _ => false,
         };
         let checks = [
@@ -151,19 +153,19 @@
             (
                 "key-hashes",
                 !node.key_hashes.is_empty(),
-                matches!(place, Place::Workspace(_)),
+                matches!(place, ParsedPath::Workspace(_)),
                 "workspaces",
             ),
             (
                 "out",
                 node.out.is_some(),
-                matches!(place, Place::DataCentre(_)),
+                matches!(place, ParsedPath::DataCentre(_)),
                 "data centres",
             ),
             (
                 "knobs",
                 node.knobs != Knobs::default(),
-                !matches!(place, Place::DataCentre(_)),
+                !matches!(place, ParsedPath::DataCentre(_)),
                 "nodes other than data centres",
             ),
         ];
@@ -204,11 +206,11 @@
     }
 
     /// A cold target must not be allowed more than a warm one, wherever the two were written.
-    fn limits_in_order(&mut self, path: &str, place: &Place) {
-        if matches!(place, Place::DataCentre(_)) {
+    fn limits_in_order(&mut self, path: &str, place: &ParsedPath) {
+        if matches!(place, ParsedPath::DataCentre(_)) {
             return;
         }
-        let knobs = in_force_at(self.snapshot, place);
+        let knobs = effective_knobs(self.snapshot, place);
         if let (Some(cold), Some(warm)) = (knobs.cold_limit, knobs.warm_limit)
             && cold > warm
         {
@@ -269,7 +271,7 @@
     fn unique_models(&mut self) {
         let mut seen = BTreeMap::new();
         for (path, node) in &self.snapshot.nodes {
-            let Some(Place::Service(service)) = Place::read(path) else {
+            let Some(ParsedPath::Service(service)) = ParsedPath::parse(path) else {
                 continue;
             };
             if node.kind.unwrap_or_default() != ServiceKind::Model {
@@ -289,7 +291,8 @@
     fn unique_routes(&mut self) {
         let mut seen = BTreeMap::new();
         for (path, node) in &self.snapshot.nodes {
-            let (Some(Place::Route(..)), Some(prefix)) = (Place::read(path), &node.path) else {
+            let (Some(ParsedPath::Route(..)), Some(prefix)) = (ParsedPath::parse(path), &node.path)
+            else {
                 continue;
             };
             if let Some(first) = seen.insert((prefix, &node.method), path) {
--- a/components/tree/src/knobs.rs
+++ b/components/tree/src/knobs.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     api::{Knobs, NodePath, Snapshot},
-    path::Place,
+    path::ParsedPath,
 };
 
 /// Time a caller waits where nobody wrote one, in milliseconds.
@@ -93,7 +93,7 @@
 /// node can stand there. The node itself need not exist.
 #[must_use]
 pub fn origins(snapshot: &Snapshot, path: &str) -> Option<Vec<Origin>> {
-    let chain = Place::read(path)?.chain();
+    let chain = ParsedPath::parse(path)?.inheritance_chain();
     let mut found: Vec<Origin> = Knobs::defaults()
         .written()
         .into_iter()
@@ -122,9 +122,9 @@
 
 /// The values in force at a place.
 #[must_use]
-pub fn in_force_at(snapshot: &Snapshot, place: &Place) -> Knobs {
+pub fn effective_knobs(snapshot: &Snapshot, place: &ParsedPath) -> Knobs {
     place
-        .chain()
+        .inheritance_chain()
         .iter()
         .fold(Knobs::defaults(), |knobs, place| {
             match snapshot.nodes.get(&place.path()) {
--- a/components/tree/src/lib.rs
+++ b/components/tree/src/lib.rs
@@ -8,10 +8,10 @@
 pub mod path;
 pub mod rules;
 
-pub use api::{InForce, Knobs, Node, NodePath, RouteRule, Snapshot};
+pub use api::{EffectiveConfig, Knobs, Node, NodePath, RouteRule, Snapshot};
 pub use check::{Fault, check};
 pub use delta::{Delta, DeltaError};
 pub use document::{Document, Step};
 pub use knobs::{Origin, origins};
-pub use path::Place;
+pub use path::ParsedPath;
 pub use rules::{DEFAULT_ROUTE, Rules};
--- a/components/tree/src/path.rs
+++ b/components/tree/src/path.rs
@@ -11,7 +11,7 @@
 
 /// What a path names.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum Place {
+pub enum ParsedPath {
     /// `/`
     Root,
     /// `/data-centres/D`
@@ -26,10 +26,10 @@
     WorkspaceRoute(WorkspaceId, ServiceId, RouteId),
 }
 
-impl Place {
+impl ParsedPath {
     /// Reads a path; `None` if no node can stand there.
     #[must_use]
-    pub fn read(path: &str) -> Option<Self> {
+    pub fn parse(path: &str) -> Option<Self> {
         if path == "/" {
             return Some(Self::Root);
         }
@@ -64,7 +64,7 @@
 
     /// The places whose values hold here, the last one winning; this place comes last.
     #[must_use]
-    pub fn chain(&self) -> Vec<Self> {
+    pub fn inheritance_chain(&self) -> Vec<Self> {
         let mut chain = vec![Self::Root];
         match self {
             Self::Root => {}
--- a/components/tree/src/rules.rs
+++ b/components/tree/src/rules.rs
@@ -6,9 +6,9 @@
 use types::{ConfigVersion, DataCentreId, RouteId, ServiceId, ServiceKind, WorkspaceId};
 
 use crate::{
-    api::{InForce, Knobs, Node, RouteRule, Snapshot},
-    knobs::in_force_at,
-    path::Place,
+    api::{EffectiveConfig, Knobs, Node, RouteRule, Snapshot},
+    knobs::effective_knobs,
+    path::ParsedPath,
 };
 
 /// The route of requests that name none.
@@ -83,7 +83,7 @@
         };
         // Services come before their routes in the order of paths, workspaces likewise.
         for (path, node) in &snapshot.nodes {
-            if let Some(place) = Place::read(path) {
+            if let Some(place) = ParsedPath::parse(path) {
                 rules.add(snapshot, &place, node);
             }
         }
@@ -91,18 +91,20 @@
         rules
     }
 
-    fn add(&mut self, snapshot: &Snapshot, place: &Place, node: &Node) {
+    fn add(&mut self, snapshot: &Snapshot, place: &ParsedPath, node: &Node) {
         match place {
-            Place::Root => {}
-            Place::DataCentre(id) => {
+            ParsedPath::Root => {}
+            ParsedPath::DataCentre(id) => {
                 if node.out == Some(true) {
                     self.out.push(Arc::clone(id));
                 }
             }
-            Place::Service(service) => self.add_service(snapshot, place, service, node),
-            Place::Route(service, route) => self.add_route(snapshot, place, service, route, node),
-            Place::Workspace(id) => self.add_workspace(id, node),
-            Place::WorkspaceRoute(id, service, route) => {
+            ParsedPath::Service(service) => self.add_service(snapshot, place, service, node),
+            ParsedPath::Route(service, route) => {
+                self.add_route(snapshot, place, service, route, node)
+            }
+            ParsedPath::Workspace(id) => self.add_workspace(id, node),
+            ParsedPath::WorkspaceRoute(id, service, route) => {
                 let workspace = self.workspaces.entry(Arc::clone(id)).or_default();
                 let routes = workspace.routes.entry(Arc::clone(service)).or_default();
                 routes.insert(Arc::clone(route), node.knobs.clone());
@@ -113,7 +115,7 @@
     fn add_service(
         &mut self,
         snapshot: &Snapshot,
-        place: &Place,
+        place: &ParsedPath,
         service: &ServiceId,
         node: &Node,
     ) {
@@ -126,7 +128,7 @@
             service: Arc::clone(service),
             kind,
             route: DEFAULT_ROUTE.into(),
-            knobs: in_force_at(snapshot, place),
+            knobs: effective_knobs(snapshot, place),
         };
         let routes = HashMap::new();
         self.services
@@ -136,7 +138,7 @@
     fn add_route(
         &mut self,
         snapshot: &Snapshot,
-        place: &Place,
+        place: &ParsedPath,
         service: &ServiceId,
         route: &RouteId,
         node: &Node,
@@ -146,7 +148,7 @@
         };
         let rule = RouteRule {
             route: Arc::clone(route),
-            knobs: in_force_at(snapshot, place),
+            knobs: effective_knobs(snapshot, place),
             ..of.rule.clone()
         };
         if let (ServiceKind::Plain, Some(prefix)) = (rule.kind, &node.path) {
@@ -193,7 +195,7 @@
     }
 }
 
-impl InForce for Rules {
+impl EffectiveConfig for Rules {
     fn version(&self) -> ConfigVersion {
         self.version
     }
@@ -232,7 +234,7 @@
         all
     }
 
-    fn out(&self) -> Vec<DataCentreId> {
+    fn data_centres_out(&self) -> Vec<DataCentreId> {
         self.out.clone()
     }
 }
--- a/components/tree/tests/tree/checks.rs
+++ b/components/tree/tests/tree/checks.rs
@@ -10,7 +10,10 @@
     };
     let all = check(&snapshot);
     for fault in &all {
-        assert!(!fault.what.is_empty() && !fault.right.is_empty(), "{fault}");
+        assert!(
+            !fault.problem.is_empty() && !fault.expected.is_empty(),
+            "{fault}"
+        );
     }
     all.iter().map(|fault| fault.path.to_string()).collect()
 }
--- a/components/tree/tests/tree/laws.rs
+++ b/components/tree/tests/tree/laws.rs
@@ -4,8 +4,8 @@
 
 use proptest::prelude::*;
 use tree::{
-    Delta, DeltaError, Document, InForce, Knobs, Node, NodePath, Place, Rules, Snapshot, check,
-    origins,
+    Delta, DeltaError, Document, EffectiveConfig, Knobs, Node, NodePath, ParsedPath, Rules,
+    Snapshot, check, origins,
 };
 use types::Class;
 
@@ -135,10 +135,10 @@
 
     #[test]
     fn a_path_that_is_read_is_written_the_same(text in "(/[a-z]{0,11}){1,6}|/(services|workspaces|data-centres)/[-a-zA-Z0-9._]{1,5}(/routes(/[a-z0-9]{1,3}){1,2})?") {
-        if let Some(place) = Place::read(&text) {
+        if let Some(place) = ParsedPath::parse(&text) {
             prop_assert_eq!(&*place.path(), &*text);
-            let chain = place.chain();
-            prop_assert_eq!(chain.first(), Some(&Place::Root));
+            let chain = place.inheritance_chain();
+            prop_assert_eq!(chain.first(), Some(&ParsedPath::Root));
             prop_assert_eq!(chain.last(), Some(&place));
         }
     }
@@ -161,7 +161,7 @@
             let faults = check(&snapshot);
             let rules = Rules::new(&snapshot);
             prop_assert_eq!(rules.version(), snapshot.version);
-            prop_assert!(faults.iter().all(|fault| !fault.what.is_empty()));
+            prop_assert!(faults.iter().all(|fault| !fault.problem.is_empty()));
         }
     }
 }
--- a/components/tree/tests/tree/lookups.rs
+++ b/components/tree/tests/tree/lookups.rs
@@ -1,6 +1,6 @@
 //! What is in force for a request.
 
-use tree::{Document, InForce, Rules, Snapshot, check, origins};
+use tree::{Document, EffectiveConfig, Rules, Snapshot, check, origins};
 use types::{Class, ServiceKind};
 
 /// Two hashes that differ in the last digit only.
@@ -48,7 +48,7 @@
     assert_eq!(check(&snapshot), []);
     let rules = Rules::new(&snapshot);
     assert_eq!(rules.version(), 3);
-    assert_eq!(rules.out(), ["amman-1".into()]);
+    assert_eq!(rules.data_centres_out(), ["amman-1".into()]);
     assert_eq!(rules.services(), ["catalogue".into(), "viewer".into()]);
 }
 
--- a/src/cmd/state.rs
+++ b/src/cmd/state.rs
@@ -4,7 +4,7 @@
 
 use admin::message::{OverrideView, Status};
 use clap::ArgMatches;
-use config::Entry;
+use config::HistoryEntry;
 use serde_json::Value;
 
 use crate::{
@@ -67,7 +67,7 @@
 pub fn history(args: &ArgMatches) -> Outcome {
     let limit = args.get_one::<u32>("limit").copied().unwrap_or_default();
     let path = format!("/v1/history?limit={limit}");
-    let entries: Vec<Entry> = operator::client(args)?.get(&path)?;
+    let entries: Vec<HistoryEntry> = operator::client(args)?.get(&path)?;
     if print::wants_json(args) {
         return Ok(print::json(&entries)?);
     }
@@ -77,12 +77,12 @@
     Ok(())
 }
 
-fn history_line(entry: &Entry, now: SystemTime) -> String {
+fn history_line(entry: &HistoryEntry, now: SystemTime) -> String {
     let age = now.duration_since(entry.at).unwrap_or_default().as_secs();
     let what = match &entry.change.node {
         None => "deleted".to_owned(),
         Some(node) => serde_json::to_string(node).unwrap_or_default(),
     };
-    let (version, who, path) = (entry.version, &entry.change.who, &entry.change.path);
+    let (version, who, path) = (entry.version, &entry.change.operator, &entry.change.path);
     format!("{version:>6}  {age:>8} s ago  {who}  {path}  {what}")
 }
