--- a/components/placing/tests/lengths.rs
+++ b/components/placing/tests/lengths.rs
@@ -1,4 +1,4 @@
-//! What is expected of lengths, and of memory.
+//! Estimates of lengths and of peak memory.
 
 use placing::{
     LengthEstimator,
@@ -10,7 +10,7 @@
 const MAX_TOKENS: Tokens = 2_236;
 
 #[test]
-fn what_ended_moves_the_expectation_of_its_route_only() {
+fn a_finished_generation_changes_the_estimate_of_its_route_only() {
     let mut lengths = LengthEstimator::default();
     let before = lengths
         .estimate("drafts", MAX_TOKENS, None)
@@ -31,17 +31,17 @@
     );
 }
 
-/// Callers' estimates are off by a factor of three either way. Believed in full, an engine is
-/// overfilled by those that are too low, and left empty for those that are too high.
+/// Callers' hints are wrong by a factor of three either way. If they were taken at face value, low
+/// ones would overfill engines and high ones would leave them empty.
 #[test]
-fn an_estimate_moves_the_expectation_a_little() {
+fn a_length_hint_shifts_the_estimate_partially() {
     let mut lengths = LengthEstimator::default();
     for tokens_generated in [200, 400, 600, 800, 1_200] {
         for _ in 0..40 {
             lengths.record(&"drafts".into(), MAX_TOKENS, tokens_generated);
         }
     }
-    let plain = lengths
+    let without_hint = lengths
         .estimate("drafts", MAX_TOKENS, None)
         .expected_remaining(0);
     let low = lengths
@@ -50,14 +50,20 @@
     let high = lengths
         .estimate("drafts", MAX_TOKENS, Some(20_000))
         .expected_remaining(0);
-    assert!(low < plain && plain < high, "{low} {plain} {high}");
-    assert!(low > plain / 3 && high < plain * 3, "{low} {plain} {high}");
+    assert!(
+        low < without_hint && without_hint < high,
+        "{low} {without_hint} {high}"
+    );
+    assert!(
+        low > without_hint / 3 && high < without_hint * 3,
+        "{low} {without_hint} {high}"
+    );
 }
 
-/// Generations that began together are at their longest together; those that began one after the
-/// other are not, and more of them fit.
+/// Generations that started together reach their final sizes together. Those that started one after
+/// the other do not, so more of them fit.
 #[test]
-fn generations_of_different_ages_take_less_than_the_sum_of_their_ends() {
+fn staggered_generations_need_less_than_the_sum_of_their_final_sizes() {
     let mut lengths = LengthEstimator::default();
     for _ in 0..200 {
         lengths.record(&"drafts".into(), MAX_TOKENS, 1_000);
@@ -68,34 +74,34 @@
         tokens_generated,
         length,
     };
-    let together: Vec<Allocation> = (0..8).map(|_| allocation(0)).collect();
-    let spread: Vec<Allocation> = (0..8).map(|n| allocation(n * 120)).collect();
-    let ends = 8.0 * 1_100.0;
+    let simultaneous: Vec<Allocation> = (0..8).map(|_| allocation(0)).collect();
+    let staggered: Vec<Allocation> = (0..8).map(|n| allocation(n * 120)).collect();
+    let final_tokens = 8.0 * 1_100.0;
     assert!(
-        peak_tokens(&together) > 0.8 * ends,
+        peak_tokens(&simultaneous) > 0.8 * final_tokens,
         "{}",
-        peak_tokens(&together)
+        peak_tokens(&simultaneous)
     );
     assert!(
-        peak_tokens(&spread) < 0.8 * ends,
+        peak_tokens(&staggered) < 0.8 * final_tokens,
         "{}",
-        peak_tokens(&spread)
+        peak_tokens(&staggered)
     );
 }
 
 proptest! {
-    /// Chances are chances, they only fall with the distance, and a rest is never more than what
-    /// is allowed.
+    /// Probabilities stay between 0 and 1 and never rise with the distance, and the expected
+    /// remaining length stays within the maximum.
     #[test]
-    fn expectations_stay_within_bounds(
-        ended in prop::collection::vec(1..5_000_u64, 0..60),
+    fn estimates_stay_within_bounds(
+        finished in prop::collection::vec(1..5_000_u64, 0..60),
         length_hint in prop::option::of(0..100_000_u64),
         tokens_generated in 0..5_000_u64,
         more in 0..5_000_u64,
         max_tokens in 1..5_000_u64,
     ) {
         let mut lengths = LengthEstimator::default();
-        for tokens_generated in ended {
+        for tokens_generated in finished {
             lengths.record(&"r".into(), max_tokens, tokens_generated);
         }
         let length = lengths.estimate("r", max_tokens, length_hint);
@@ -105,9 +111,10 @@
         prop_assert!(length.expected_remaining(tokens_generated) <= max_tokens.saturating_sub(tokens_generated));
     }
 
-    /// The worst moment is never better than now, and one more never makes it better.
+    /// The projected peak is never below the current use, and never falls when a generation is
+    /// added.
     #[test]
-    fn one_more_never_takes_less(sizes in prop::collection::vec((1..6_000_u64, 0..2_000_u64), 1..12)) {
+    fn the_peak_never_falls_with_one_more_generation(sizes in prop::collection::vec((1..6_000_u64, 0..2_000_u64), 1..12)) {
         let length = LengthEstimator::default().estimate("r", MAX_TOKENS, None);
         let all: Vec<Allocation> = sizes
             .iter()
--- a/components/placing/tests/migration.rs
+++ b/components/placing/tests/migration.rs
@@ -1,23 +1,23 @@
-//! Moving generations off an engine that leaves.
+//! Migration of generations off an engine that shuts down.
 
 mod support;
 
 use std::time::Duration;
 
 use placing::{Engine, GenerationUpdate, MigrationOutcome, Owner};
-use support::{engine, owner, request, sent};
+use support::{assigned, engine, owner, request};
 use types::Moment;
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Generations of these lengths, all begun on the engine `old`.
-fn running(owner: &mut Owner, now: Moment, lengths: &[u64]) {
+/// Starts generations of the given lengths on the engine `old`.
+fn start_generations(owner: &mut Owner, now: Moment, lengths: &[u64]) {
     let old = [engine("old", "dc-1")];
     for (number, length) in lengths.iter().enumerate() {
         let mut request = request(&format!("run-{number}"));
         request.length_hint = Some(*length);
         request.objective_left = Duration::from_secs(60);
-        assert!(sent(owner.place(now, &request, &old)).is_some());
+        assert!(assigned(owner.place(now, &request, &old)).is_some());
         owner.apply_update(
             now,
             &GenerationUpdate::Started {
@@ -27,56 +27,61 @@
     }
 }
 
-fn next(owner: &mut Owner, now: Moment, engines: &[Engine]) -> Option<placing::Migration> {
+fn next_migration(
+    owner: &mut Owner,
+    now: Moment,
+    engines: &[Engine],
+) -> Option<placing::Migration> {
     owner.next_migration(now, &"old".into(), &"dc-1".into(), engines, &|_, _| false)
 }
 
-/// An engine has two seconds left, and its link copies one generation after the other. Those with
-/// the longest rest are surely lost if they stay; a short rest may end by itself.
+/// The engine stops in two seconds, and its link copies one generation at a time. Generations with
+/// a long remaining time are certain to be cut off if they stay; those with a short one may finish.
 #[test]
-fn the_longest_rest_is_moved_first() {
+fn generations_with_the_longest_remaining_time_migrate_first() {
     let (mut owner, now) = owner();
-    running(&mut owner, now, &[100, 2_000, 800]);
-    let new = [engine("new", "dc-1")];
-    let mut order = Vec::new();
-    while let Some(migration) = next(&mut owner, now, &new) {
+    start_generations(&mut owner, now, &[100, 2_000, 800]);
+    let destinations = [engine("new", "dc-1")];
+    let mut migrated = Vec::new();
+    while let Some(migration) = next_migration(&mut owner, now, &destinations) {
         owner.finish_migration(&migration, MigrationOutcome::Done);
-        order.push(migration.generation.to_string());
+        migrated.push(migration.generation.to_string());
     }
-    assert_eq!(order, ["run-1", "run-2", "run-0"]);
+    assert_eq!(migrated, ["run-1", "run-2", "run-0"]);
 }
 
-/// Copies between data centres take twice as long, and time is what a leaving engine lacks.
+/// A copy between data centres takes twice as long, and the engine stops soon.
 #[test]
-fn a_destination_in_the_same_data_centre_goes_first() {
+fn a_destination_in_the_same_data_centre_is_preferred() {
     let (mut owner, now) = owner();
-    running(&mut owner, now, &[1_000]);
-    let new = [engine("far", "dc-2"), engine("near", "dc-1")];
-    let migration = next(&mut owner, now, &new).expect("a move");
+    start_generations(&mut owner, now, &[1_000]);
+    let destinations = [engine("far", "dc-2"), engine("near", "dc-1")];
+    let migration = next_migration(&mut owner, now, &destinations).expect("a migration");
     assert_eq!(&*migration.to, "near");
 }
 
-/// Two engines leave at once. Their copies would queue behind each other at one destination.
+/// Two engines shut down at once. At a common destination, their copies would queue behind each
+/// other.
 #[test]
-fn moves_under_way_keep_off_each_others_links() {
+fn concurrent_migrations_use_different_destinations() {
     let (mut owner, now) = owner();
-    running(&mut owner, now, &[1_000, 1_000]);
-    let new = [engine("new-1", "dc-1"), engine("new-2", "dc-1")];
-    let first = next(&mut owner, now, &new).expect("a move");
-    let second = next(&mut owner, now, &new).expect("a move");
+    start_generations(&mut owner, now, &[1_000, 1_000]);
+    let destinations = [engine("new-1", "dc-1"), engine("new-2", "dc-1")];
+    let first = next_migration(&mut owner, now, &destinations).expect("a migration");
+    let second = next_migration(&mut owner, now, &destinations).expect("a migration");
     assert_ne!(first.generation, second.generation);
     assert_ne!(first.to, second.to);
 }
 
-/// A generation that has not begun can't be moved: the engine knows no such run. Its caller loses
-/// nothing as long as it is looked at again once it has begun.
+/// The engine does not know a generation that has not started, so it cannot be migrated yet. It
+/// must be considered again once it has started.
 #[test]
-fn what_has_not_begun_is_moved_once_it_has() {
+fn a_generation_migrates_only_once_it_has_started() {
     let (mut owner, now) = owner();
     let old = [engine("old", "dc-1")];
     owner.place(now, &request("a"), &old);
-    let new = [engine("new", "dc-1")];
-    assert!(next(&mut owner, now, &new).is_none());
+    let destinations = [engine("new", "dc-1")];
+    assert!(next_migration(&mut owner, now, &destinations).is_none());
     let later = now + 450 * MS;
     owner.apply_update(
         later,
@@ -84,17 +89,17 @@
             generation: "a".into(),
         },
     );
-    assert!(next(&mut owner, later, &new).is_some());
+    assert!(next_migration(&mut owner, later, &destinations).is_some());
 }
 
-/// The destination has no room after all. The generation still runs where it was, and the next
-/// best destination is tried.
+/// The planned destination turns out to have no room. The generation still runs on its engine, and
+/// the next best destination is tried.
 #[test]
 fn a_destination_without_room_is_not_tried_again() {
     let (mut owner, now) = owner();
-    running(&mut owner, now, &[1_000]);
-    let new = [engine("near", "dc-1"), engine("far", "dc-2")];
-    let first = next(&mut owner, now, &new).expect("a move");
+    start_generations(&mut owner, now, &[1_000]);
+    let destinations = [engine("near", "dc-1"), engine("far", "dc-2")];
+    let first = next_migration(&mut owner, now, &destinations).expect("a migration");
     owner.finish_migration(&first, MigrationOutcome::NoRoom);
     assert_eq!(
         owner
@@ -105,17 +110,23 @@
     );
     let is_excluded = |_: &placing::GenerationId, to: &types::TargetId| *to == first.to;
     let second = owner
-        .next_migration(now, &"old".into(), &"dc-1".into(), &new, &is_excluded)
-        .expect("a move");
+        .next_migration(
+            now,
+            &"old".into(),
+            &"dc-1".into(),
+            &destinations,
+            &is_excluded,
+        )
+        .expect("a migration");
     assert_eq!(&*second.to, "far");
 }
 
 #[test]
-fn a_moved_generation_counts_where_it_runs_now() {
+fn a_migrated_generation_counts_on_its_destination() {
     let (mut owner, now) = owner();
-    running(&mut owner, now, &[1_000]);
-    let new = [engine("new", "dc-1")];
-    let migration = next(&mut owner, now, &new).expect("a move");
+    start_generations(&mut owner, now, &[1_000]);
+    let destinations = [engine("new", "dc-1")];
+    let migration = next_migration(&mut owner, now, &destinations).expect("a migration");
     owner.finish_migration(&migration, MigrationOutcome::Done);
     assert!(!owner.has_generations_on(&"old".into()));
     assert!(owner.has_generations_on(&"new".into()));
--- a/components/placing/tests/overload.rs
+++ b/components/placing/tests/overload.rs
@@ -1,8 +1,8 @@
-//! More load than engines can take: who waits, who is refused, and who is told to come back when.
+//! Overload: which requests wait, which are rejected, and when rejected callers retry.
 //!
-//! The pattern is a service at a multiple of what it can serve, with callers that come back once.
-//! A server that lets everybody in a little too late serves nobody in time; one that keeps its
-//! order serves as many in time as before, and tells the others at once.
+//! The scenario is a service under a multiple of its capacity, with callers that retry once. A
+//! server that admits slightly too much serves no request in time. One that keeps the order of
+//! requests, and rejects at once what it cannot serve, serves as many in time as before.
 
 mod support;
 
@@ -10,85 +10,89 @@
 
 use placing::{Engine, GenerationUpdate, Owner, PlacementAnswer, PlacementRequest, Tuning};
 use support::{
-    engine,
-    load::{AIM, Caller, Fate, Workload, count, play},
-    owner, request, sent,
+    assigned, engine,
+    load::{Caller, OBJECTIVE, Outcome, Workload, count, simulate},
+    owner, request,
 };
 use types::Moment;
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Ten engines, and callers that come so much more often than ten engines can serve.
-fn overload(every: Duration) -> Vec<Caller> {
+/// Simulates ten engines and callers that arrive at the given interval.
+fn overload(interval: Duration) -> Vec<Caller> {
     let load = Workload {
         engines: 10,
-        every,
-        lasts: Duration::from_secs(40),
+        interval,
+        duration: Duration::from_secs(40),
         prompt_range: (1_200, 4_800),
-        answers: (100, 1_700),
+        answer_range: (100, 1_700),
     };
-    play(&load, Tuning::default())
+    simulate(&load, Tuning::default())
 }
 
-/// Twice as many callers come as at a load that engines just can't take. Callers notice a server
-/// that gives in under load by a first event that comes late for all of them.
+/// The load is doubled from a level that already exceeds capacity. If the server gives way under
+/// load, the first events of all callers are late.
 #[test]
-fn twice_the_load_serves_as_many_in_time() {
-    let some = overload(100 * MS);
-    let many = overload(50 * MS);
-    let (some, many) = (count(&some, Fate::InTime), count(&many, Fate::InTime));
-    assert!(many >= some, "{some} of 400, {many} of 800");
+fn doubling_the_load_does_not_reduce_what_is_served_in_time() {
+    let base = overload(100 * MS);
+    let doubled = overload(50 * MS);
+    let (base, doubled) = (
+        count(&base, Outcome::InTime),
+        count(&doubled, Outcome::InTime),
+    );
+    assert!(doubled >= base, "{base} of 400, {doubled} of 800");
 }
 
-/// A caller that is refused has lost the time that it was kept. One that can't be served is told so
-/// at once, within a quarter of the time in which it hoped for its first event.
+/// A rejected caller has lost the time that it waited. It must be told within a quarter of the
+/// objective.
 #[test]
-fn nobody_waits_long_to_be_refused() {
-    for every in [100 * MS, 50 * MS] {
-        let callers = overload(every);
-        let longest_wait = callers.iter().map(|it| it.kept).max();
-        assert!(longest_wait <= Some(AIM / 4), "{longest_wait:?}");
+fn rejections_come_early() {
+    for interval in [100 * MS, 50 * MS] {
+        let callers = overload(interval);
+        let longest_wait = callers.iter().map(|caller| caller.longest_wait).max();
+        assert!(longest_wait <= Some(OBJECTIVE / 4), "{longest_wait:?}");
     }
 }
 
-/// Engines that are busy with late work make the next caller late too. While more come than can be
-/// served, at most five in a hundred first events are late.
+/// Engines that are busy with late requests make the following ones late too. While the load
+/// exceeds capacity, at most five percent of the first events may be late.
 #[test]
-fn late_work_waits_for_engines_that_would_idle() {
+fn late_requests_only_use_idle_engines() {
     let callers = overload(50 * MS);
-    let end = callers.last().map_or(Duration::ZERO, |it| it.came);
-    // Those that come back after the load find idle engines.
+    let end = callers
+        .last()
+        .map_or(Duration::ZERO, |caller| caller.arrived_at);
+    // Callers that retry after the end of the load find idle engines.
     let during: Vec<Caller> = callers
         .into_iter()
-        .filter(|it| it.told.is_none_or(|back| back < end))
+        .filter(|caller| caller.retry_at.is_none_or(|retry_at| retry_at < end))
         .collect();
-    let (can_meet_objective, late) = (count(&during, Fate::InTime), count(&during, Fate::Late));
-    assert!(
-        late * 20 <= can_meet_objective + late,
-        "{late} of {}",
-        can_meet_objective + late
+    let (in_time, late) = (
+        count(&during, Outcome::InTime),
+        count(&during, Outcome::Late),
     );
+    assert!(late * 20 <= in_time + late, "{late} of {}", in_time + late);
 }
 
-/// A gap that comes free fits a small prompt sooner than a large one. Judged each by its own size,
-/// callers with large prompts are refused again and again.
+/// Freed memory is more likely to fit a small prompt than a large one. If each request is judged by
+/// its own size, large prompts are rejected again and again.
 #[test]
-fn large_prompts_are_served_half_as_often_as_all_at_least() {
+fn large_prompts_are_served_at_least_half_as_often_as_all() {
     let load = Workload {
         engines: 10,
-        every: 12 * MS,
-        lasts: Duration::from_secs(40),
+        interval: 12 * MS,
+        duration: Duration::from_secs(40),
         prompt_range: (600, 6_000),
-        answers: (4, 40),
+        answer_range: (4, 40),
     };
-    let callers = play(&load, Tuning::default());
-    let served = |it: &&Caller| it.fate != Some(Fate::RejectedRequest);
-    let mut sizes: Vec<_> = callers.iter().map(|it| it.prompt_tokens).collect();
+    let callers = simulate(&load, Tuning::default());
+    let served = |caller: &&Caller| caller.outcome != Some(Outcome::Rejected);
+    let mut sizes: Vec<_> = callers.iter().map(|caller| caller.prompt_tokens).collect();
     sizes.sort_unstable();
     let large_from = sizes[sizes.len() * 9 / 10];
     let large: Vec<&Caller> = callers
         .iter()
-        .filter(|it| it.prompt_tokens >= large_from)
+        .filter(|caller| caller.prompt_tokens >= large_from)
         .collect();
     let of_large = large.iter().copied().filter(served).count();
     let of_all = callers.iter().filter(served).count();
@@ -100,7 +104,7 @@
     );
 }
 
-/// Engines whose reading is taken for seconds.
+/// Gives the engines a prefill backlog of several seconds.
 fn fill_prefill_queue(owner: &mut Owner, now: Moment, engines: &[Engine]) {
     for number in 0..engines.len() * 3 {
         let long = PlacementRequest {
@@ -108,44 +112,46 @@
             objective_left: Duration::from_secs(600),
             ..request(&format!("before-{number}"))
         };
-        assert!(sent(owner.place(now, &long, engines)).is_some());
+        assert!(assigned(owner.place(now, &long, engines)).is_some());
     }
 }
 
-fn told(answer: PlacementAnswer) -> Option<Duration> {
+fn retry_delay(answer: PlacementAnswer) -> Option<Duration> {
     match answer {
         PlacementAnswer::Rejected { after } => Some(after),
         PlacementAnswer::Assigned { .. } | PlacementAnswer::Wait { .. } => None,
     }
 }
 
-/// Many callers are refused at the same moment. Told the same time to come back, they would be a
-/// crowd again, and most of them refused a second time.
+/// Many callers are rejected at the same moment. If all retried at the same time, most would be
+/// rejected again.
 #[test]
-fn callers_that_are_refused_together_come_back_one_after_the_other() {
+fn callers_rejected_together_retry_at_different_times() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1"), engine("e-2", "dc-1")];
     fill_prefill_queue(&mut owner, now, &engines);
     let times: BTreeSet<Duration> = (0..20)
-        .filter_map(|n| told(owner.place(now, &request(&format!("c-{n}")), &engines)))
+        .filter_map(|n| retry_delay(owner.place(now, &request(&format!("c-{n}")), &engines)))
         .collect();
     assert_eq!(times.len(), 20);
     let latest = Duration::from_secs(36) / 3;
     assert!(times.iter().all(|after| *after <= latest), "{times:?}");
 }
 
-/// A caller comes back under another id, with all the time of its aim as far as its entry can tell.
-/// Taken for new, it would get the place of one that can still be in time.
+/// A caller retries under another request id, and its entry grants it the whole objective. If the
+/// retry counted as a new request, it would take the place of one that can still meet its
+/// objective.
 #[test]
-fn a_caller_that_comes_back_is_late_from_its_first_request() {
+fn lateness_of_a_retry_counts_from_the_first_attempt() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1")];
     fill_prefill_queue(&mut owner, now, &engines);
     let first = request("first");
-    let after = told(owner.place(now, &first, &engines)).expect("a refusal");
+    let after =
+        retry_delay(owner.place(now, &first, &engines)).expect("the first request is rejected");
     let later = after.max(2_500 * MS);
     let now = now + later;
-    // The engine reads for another second: in time for one that comes now, and late for this one.
+    // The prefill backlog is one second: in time for a new request, too late for the retry.
     let again = |generation: &str, deadline_left| PlacementRequest {
         digest: first.digest,
         deadline_left,
@@ -161,38 +167,38 @@
             },
         );
     }
-    let reading = PlacementRequest {
+    let other_prompt = PlacementRequest {
         prompt_tokens: 5_000,
         objective_left: Duration::from_secs(600),
         ..request("reading")
     };
-    assert!(sent(owner.place(now, &reading, &engines)).is_some());
-    let back = again("back", first.deadline_left - later);
-    assert_eq!(sent(owner.place(now, &back, &engines)), None);
-    // Another caller asks for the very same.
+    assert!(assigned(owner.place(now, &other_prompt, &engines)).is_some());
+    let retry = again("back", first.deadline_left - later);
+    assert_eq!(assigned(owner.place(now, &retry, &engines)), None);
+    // Another caller sends an identical request.
     let other = again("other", first.deadline_left);
-    assert!(sent(owner.place(now, &other, &engines)).is_some());
+    assert!(assigned(owner.place(now, &other, &engines)).is_some());
 }
 
-/// Everything that engines hold is taken, and more callers wait than generations will end in time.
-/// The last of them would wait only to be refused.
+/// All memory is occupied, and more callers wait than generations will end in time. The last of
+/// them would wait only to be rejected.
 #[test]
-fn no_more_wait_for_memory_than_will_find_some() {
+fn no_more_requests_wait_than_memory_is_expected_for() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1")];
     let mut number = 0;
     loop {
-        let patient = PlacementRequest {
+        let relaxed = PlacementRequest {
             objective_left: Duration::from_secs(600),
             ..request(&format!("before-{number}"))
         };
-        if sent(owner.place(now, &patient, &engines)).is_none() {
+        if assigned(owner.place(now, &relaxed, &engines)).is_none() {
             break;
         }
         owner.apply_update(
             now,
             &GenerationUpdate::Started {
-                generation: patient.generation,
+                generation: relaxed.generation,
             },
         );
         number += 1;
@@ -212,35 +218,35 @@
     ));
 }
 
-/// Lets an owner refuse many callers of the route, on another engine.
-fn refuse_many(owner: &mut Owner, now: Moment) {
+/// Makes an owner reject many requests of the route, on another engine.
+fn reject_many(owner: &mut Owner, now: Moment) {
     let engines = [engine("e-busy", "dc-1")];
     fill_prefill_queue(owner, now, &engines);
     for number in 0..60 {
-        let refused = request(&format!("refused-{number}"));
-        assert!(told(owner.place(now, &refused, &engines)).is_some());
+        let rejected = request(&format!("refused-{number}"));
+        assert!(retry_delay(owner.place(now, &rejected, &engines)).is_some());
     }
 }
 
-/// Fills an engine so far that two more generations fit.
+/// Fills an engine until two more generations fit.
 fn nearly_fill(owner: &mut Owner, now: Moment, engines: &[Engine]) {
     for number in 0..7 {
-        let known = PlacementRequest {
+        let hinted = PlacementRequest {
             length_hint: Some(600),
             objective_left: Duration::from_secs(600),
             ..request(&format!("held-{number}"))
         };
-        assert!(sent(owner.place(now, &known, engines)).is_some());
+        assert!(assigned(owner.place(now, &hinted, engines)).is_some());
         owner.apply_update(
             now,
             &GenerationUpdate::Started {
-                generation: known.generation,
+                generation: hinted.generation,
             },
         );
     }
 }
 
-/// An ask that can't be in time any more.
+/// A request that can no longer meet its objective.
 fn late(generation: &str) -> PlacementRequest {
     PlacementRequest {
         objective_left: Duration::ZERO,
@@ -248,31 +254,31 @@
     }
 }
 
-/// Many callers are refused, and an engine has room for two more generations. A caller that is late
-/// already is better off a little later; the next one can still be in time, if there is room.
+/// Many requests are rejected, and an engine has room for two more generations. The request that is
+/// late already has to wait, so that the next one can meet its objective.
 #[test]
-fn late_work_leaves_room_for_what_can_be_in_time() {
+fn late_requests_leave_room_for_those_that_can_meet_the_objective() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1")];
-    refuse_many(&mut owner, now);
+    reject_many(&mut owner, now);
     nearly_fill(&mut owner, now, &engines);
-    assert_eq!(sent(owner.place(now, &late("late"), &engines)), None);
-    assert!(sent(owner.place(now, &request("new"), &engines)).is_some());
+    assert_eq!(assigned(owner.place(now, &late("late"), &engines)), None);
+    assert!(assigned(owner.place(now, &request("new"), &engines)).is_some());
 }
 
-/// Hardly anybody is refused, and a caller that came back is late. Kept out of the last room it would
-/// be refused a second time and give up, though nobody else needs that room.
+/// Hardly any requests are rejected, and a caller that retried is late. Without the remaining
+/// memory it would be rejected again and give up, although no other request needs that memory.
 #[test]
-fn late_work_takes_the_room_that_nobody_else_needs() {
+fn late_requests_use_all_memory_while_few_are_rejected() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1")];
     nearly_fill(&mut owner, now, &engines);
-    assert!(sent(owner.place(now, &late("late"), &engines)).is_some());
+    assert!(assigned(owner.place(now, &late("late"), &engines)).is_some());
 }
 
-/// A long generation is moved when its engine is reclaimed, and the engine is gone before it has
-/// handed over more than a few. One engine begins 0.2 s sooner and holds more of them: the caller
-/// does not notice the 0.2 s, and does notice a stream that is cut.
+/// Long generations migrate when their engine is reclaimed, and the engine stops before it has
+/// handed over more than a few. The engine that would start 0.2 s sooner holds more of them.
+/// Callers do not notice 0.2 s, but they do notice a stream that is cut off.
 #[test]
 fn long_generations_are_spread_over_engines() {
     let (mut owner, now) = owner();
@@ -281,7 +287,8 @@
     for number in 0..5 {
         let generation = format!("before-{number}");
         assert!(
-            sent(owner.place(now, &request(&generation), std::slice::from_ref(&full))).is_some()
+            assigned(owner.place(now, &request(&generation), std::slice::from_ref(&full)))
+                .is_some()
                 || number > 2
         );
         owner.apply_update(
@@ -291,13 +298,13 @@
             },
         );
     }
-    let reading = PlacementRequest {
+    let other_prompt = PlacementRequest {
         prompt_tokens: 1_400,
         max_tokens: 10,
         length_hint: Some(4),
         ..request("reading")
     };
-    assert!(sent(owner.place(now, &reading, std::slice::from_ref(&free))).is_some());
-    let got = sent(owner.place(now, &request("next"), &[full, free]));
-    assert_eq!(got.as_deref(), Some("free"));
+    assert!(assigned(owner.place(now, &other_prompt, std::slice::from_ref(&free))).is_some());
+    let target = assigned(owner.place(now, &request("next"), &[full, free]));
+    assert_eq!(target.as_deref(), Some("free"));
 }
--- a/components/placing/tests/placement.rs
+++ b/components/placing/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which engine a generation gets, and when it is told to wait or to come back.
+//! Choice of an engine, and when a request is told to wait or is rejected.
 
 mod support;
 
@@ -9,53 +9,53 @@
     rank_owners,
 };
 use proptest::prelude::*;
-use support::{MEMORY, engine, owner, request, sent};
+use support::{MEMORY, assigned, engine, owner, request};
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Two callers come at the same moment. On one engine the second prompt would be read after the
-/// first, and its caller wait twice as long, while another engine idles.
+/// Two callers arrive at the same moment. On one engine, the second prompt would be processed after
+/// the first, while another engine is idle.
 #[test]
-fn prompts_that_come_together_go_to_different_engines() {
+fn concurrent_prompts_go_to_different_engines() {
     let (mut owner, now) = owner();
     let engines = [
         engine("e-1", "dc-1"),
         engine("e-2", "dc-1"),
         engine("e-3", "dc-1"),
     ];
-    let got: BTreeSet<_> = ["a", "b", "c"]
+    let targets: BTreeSet<_> = ["a", "b", "c"]
         .into_iter()
-        .filter_map(|generation| sent(owner.place(now, &request(generation), &engines)))
+        .filter_map(|generation| assigned(owner.place(now, &request(generation), &engines)))
         .collect();
-    assert_eq!(got.len(), 3);
+    assert_eq!(targets.len(), 3);
 }
 
 #[test]
-fn an_engine_near_by_goes_first_while_it_is_as_free() {
+fn an_engine_in_the_same_data_centre_is_preferred_at_equal_load() {
     let (mut owner, now) = owner();
     let engines = [engine("far", "dc-2"), engine("near", "dc-1")];
-    let first = sent(owner.place(now, &request("a"), &engines));
+    let first = assigned(owner.place(now, &request("a"), &engines));
     assert_eq!(first.as_deref(), Some("near"));
-    let second = sent(owner.place(now, &request("b"), &engines));
+    let second = assigned(owner.place(now, &request("b"), &engines));
     assert_eq!(second.as_deref(), Some("far"));
 }
 
-/// Generations of one route get 2,000 tokens long, as the owner has learned, and all begin together.
-/// An engine that takes more of them than it can hold at their ends runs out in the middle and
-/// reads prompts anew, and callers see pauses of seconds.
+/// The answers of a route are 2,000 tokens long, as the owner has measured, and all start together.
+/// An engine that admits more of them than fit at their final size runs out of memory, preempts
+/// generations and processes prompts again; callers see pauses of seconds.
 #[test]
-fn an_engine_does_not_get_more_than_it_can_hold_at_the_worst_moment() {
+fn the_projected_peak_fits_into_the_memory_of_an_engine() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1")];
-    let patient = |generation: String| placing::PlacementRequest {
+    let relaxed = |generation: String| placing::PlacementRequest {
         length_hint: Some(2_000),
         max_tokens: 3_000,
         objective_left: Duration::from_secs(600),
         ..request(&generation)
     };
     for number in 0..200 {
-        let request = patient(format!("before-{number}"));
-        assert!(sent(owner.place(now, &request, &engines)).is_some());
+        let request = relaxed(format!("before-{number}"));
+        assert!(assigned(owner.place(now, &request, &engines)).is_some());
         let tokens_generated = Some(2_000);
         owner.apply_update(
             now,
@@ -66,11 +66,11 @@
             },
         );
     }
-    let mut taken = 0;
+    let mut admitted = 0;
     for number in 0..20 {
-        let request = patient(format!("run-{number}"));
-        if sent(owner.place(now, &request, &engines)).is_some() {
-            taken += 1;
+        let request = relaxed(format!("run-{number}"));
+        if assigned(owner.place(now, &request, &engines)).is_some() {
+            admitted += 1;
             owner.apply_update(
                 now,
                 &GenerationUpdate::Started {
@@ -79,28 +79,28 @@
             );
         }
     }
-    assert!(taken >= 5, "{taken}");
-    assert!(taken * 5_000 <= MEMORY, "{taken}");
+    assert!(admitted >= 5, "{admitted}");
+    assert!(admitted * 5_000 <= MEMORY, "{admitted}");
 }
 
-/// A queue of prompts is so long that one more can't be read in time. Its caller is told at once,
-/// for waiting would not help: its own time runs as fast as the queue shrinks.
+/// The prefill backlog is so long that one more prompt cannot be processed in time. The caller is
+/// told at once, because its time left shrinks as fast as the backlog.
 #[test]
-fn a_prompt_that_cannot_be_read_in_time_is_refused_at_once() {
+fn a_prompt_that_cannot_be_processed_in_time_is_rejected_at_once() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1")];
     let answers: Vec<PlacementAnswer> = (0..6)
         .map(|n| owner.place(now, &request(&format!("run-{n}")), &engines))
         .collect();
-    let refused = |answer: &PlacementAnswer| matches!(answer, PlacementAnswer::Rejected { after } if !after.is_zero());
-    assert!(!refused(&answers[0]));
-    assert!(refused(&answers[5]), "{:?}", answers[5]);
+    let is_rejected = |answer: &PlacementAnswer| matches!(answer, PlacementAnswer::Rejected { after } if !after.is_zero());
+    assert!(!is_rejected(&answers[0]));
+    assert!(is_rejected(&answers[5]), "{:?}", answers[5]);
 }
 
-/// Memory is full and two wait for it. The more urgent one goes first when some comes free, also
-/// if the other asked before.
+/// Memory is full and two requests wait. When memory comes free, the one with the higher priority
+/// goes first, even if the other one asked earlier.
 #[test]
-fn the_more_urgent_goes_first_when_memory_comes_free() {
+fn freed_memory_goes_to_the_highest_priority() {
     let (mut owner, mut now) = owner();
     let engines = [engine("e-1", "dc-1")];
     let mut generations = Vec::new();
@@ -109,20 +109,20 @@
         request.length_hint = Some(2_000);
         request.objective_left = Duration::from_secs(60);
         now += 100 * MS;
-        if sent(owner.place(now, &request, &engines)).is_some() {
+        if assigned(owner.place(now, &request, &engines)).is_some() {
             generations.push(request.generation);
         }
     }
     let waits = |answer| matches!(answer, PlacementAnswer::Wait { .. });
-    let patient = |generation: &str| placing::PlacementRequest {
+    let relaxed = |generation: &str| placing::PlacementRequest {
         length_hint: Some(2_000),
         objective_left: Duration::from_secs(60),
         ..request(generation)
     };
-    let late = patient("late");
-    let mut urgent = patient("urgent");
+    let normal = relaxed("late");
+    let mut urgent = relaxed("urgent");
     urgent.priority = 0;
-    assert!(waits(owner.place(now, &late, &engines)));
+    assert!(waits(owner.place(now, &normal, &engines)));
     assert!(waits(owner.place(now, &urgent, &engines)));
     let generation = generations[0].clone();
     owner.apply_update(
@@ -134,18 +134,18 @@
         },
     );
     now += 10 * MS;
-    assert!(waits(owner.place(now, &late, &engines)));
-    assert!(sent(owner.place(now, &urgent, &engines)).is_some());
+    assert!(waits(owner.place(now, &normal, &engines)));
+    assert!(assigned(owner.place(now, &urgent, &engines)).is_some());
 }
 
-/// An engine refuses what it should have had room for. Asked again at once it would refuse again,
-/// and each refusal costs a part of the budget of second sendings.
+/// An engine rejects a request although it should have room. If it were asked again at once it
+/// would reject again, and each rejection uses up retry budget.
 #[test]
-fn an_engine_that_failed_is_left_alone_for_a_while() {
+fn a_failed_engine_gets_no_work_during_its_cooldown() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1"), engine("e-2", "dc-2")];
     assert_eq!(
-        sent(owner.place(now, &request("a"), &engines)).as_deref(),
+        assigned(owner.place(now, &request("a"), &engines)).as_deref(),
         Some("e-1")
     );
     let generation = "a".into();
@@ -158,20 +158,20 @@
         },
     );
     assert_eq!(
-        sent(owner.place(now, &request("b"), &engines)).as_deref(),
+        assigned(owner.place(now, &request("b"), &engines)).as_deref(),
         Some("e-2")
     );
     let later = now + 3_000 * MS;
     assert_eq!(
-        sent(owner.place(later, &request("c"), &engines)).as_deref(),
+        assigned(owner.place(later, &request("c"), &engines)).as_deref(),
         Some("e-1")
     );
 }
 
-/// An entry dies with the notes that its generations have ended. Their places would stay taken
-/// for good, and engines look full that are empty.
+/// An entry fails before it reports the end of its generations. If they were kept, their slots
+/// would stay occupied, and empty engines would look full.
 #[test]
-fn places_of_an_entry_that_is_gone_come_free() {
+fn slots_of_a_failed_entry_are_released() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1")];
     owner.place(now, &request("a"), &engines);
@@ -182,31 +182,31 @@
     assert!(owner.generation("a").is_none());
 }
 
-/// An instance that reaches nobody knows only its own generations. An engine that others have
-/// filled would take its work into a queue, and its caller wait for somebody else's end.
+/// An instance that cannot reach any other knows only its own generations. Without the engine's
+/// report, its request would queue on an engine that others have filled.
 #[test]
-fn an_engine_that_says_it_is_full_gets_nothing() {
+fn an_engine_that_reports_full_load_gets_no_work() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1"), engine("e-2", "dc-2")];
-    let full = placing::LoadReport {
+    let full_load = placing::LoadReport {
         tokens_held: MEMORY - 1_000,
         queued: 0,
     };
-    owner.record_report(now, &"e-1".into(), full);
+    owner.record_report(now, &"e-1".into(), full_load);
     assert_eq!(
-        sent(owner.place(now, &request("a"), &engines)).as_deref(),
+        assigned(owner.place(now, &request("a"), &engines)).as_deref(),
         Some("e-2")
     );
-    let queue = placing::LoadReport {
+    let queued_load = placing::LoadReport {
         tokens_held: 0,
         queued: 9,
     };
-    owner.record_report(now, &"e-1".into(), queue);
+    owner.record_report(now, &"e-1".into(), queued_load);
     assert_eq!(
-        sent(owner.place(now, &request("b"), &engines)).as_deref(),
+        assigned(owner.place(now, &request("b"), &engines)).as_deref(),
         Some("e-2")
     );
-    // What it said long ago says nothing.
+    // The report has expired.
     let later = now + 2_500 * MS;
     owner.apply_update(
         later,
@@ -215,22 +215,22 @@
         },
     );
     assert_eq!(
-        sent(owner.place(later, &request("c"), &engines)).as_deref(),
+        assigned(owner.place(later, &request("c"), &engines)).as_deref(),
         Some("e-1")
     );
 }
 
-/// An engine goes dark, and is listed for some seconds still. Each prompt that is sent there waits
-/// for nothing; by the account it looks emptier from moment to moment.
+/// An engine fails silently and stays listed for some seconds. By the owner's estimate its prefill
+/// backlog keeps shrinking, so it would attract every new request.
 #[test]
-fn an_engine_that_owes_a_first_event_gets_no_more_while_others_are_free() {
+fn an_engine_with_an_overdue_first_event_is_avoided() {
     let (mut owner, now) = owner();
     let engines = [engine("dark", "dc-1"), engine("far", "dc-2")];
     assert_eq!(
-        sent(owner.place(now, &request("a"), &engines)).as_deref(),
+        assigned(owner.place(now, &request("a"), &engines)).as_deref(),
         Some("dark")
     );
-    let waiting = |generation: &str, target: &str| ActiveGeneration {
+    let unstarted = |generation: &str, target: &str| ActiveGeneration {
         generation: generation.into(),
         service: "drafts".into(),
         target: target.into(),
@@ -242,19 +242,19 @@
         priority: 1,
         started: false,
     };
-    // Its entry still waits for it, long after the prompt should have been read.
+    // The entry still waits, long after the prompt should have been processed.
     let later = now + 1_500 * MS;
-    let held = StateSync {
+    let sync = StateSync {
         entry: "entry-1".into(),
         shard: request("a").shard,
-        generations: vec![waiting("a", "dark")],
+        generations: vec![unstarted("a", "dark")],
     };
-    owner.apply_sync(later, &held);
+    owner.apply_sync(later, &sync);
     assert_eq!(
-        sent(owner.place(later, &request("b"), &engines)).as_deref(),
+        assigned(owner.place(later, &request("b"), &engines)).as_deref(),
         Some("far")
     );
-    // The first event came after all.
+    // The first event arrives after all.
     owner.apply_update(
         later,
         &GenerationUpdate::Started {
@@ -262,15 +262,15 @@
         },
     );
     assert_eq!(
-        sent(owner.place(later, &request("c"), &engines)).as_deref(),
+        assigned(owner.place(later, &request("c"), &engines)).as_deref(),
         Some("dark")
     );
 }
 
-/// A new owner knows nothing of what runs. The entries' syncs tell it, and it must not give an
-/// engine's memory out twice.
+/// A new owner does not know what runs. It must rebuild its state from the entries' syncs, and not
+/// assign the same memory twice.
 #[test]
-fn a_new_owner_learns_from_the_entries() {
+fn a_new_owner_rebuilds_its_state_from_syncs() {
     let (mut owner, now) = owner();
     let engines = [engine("e-1", "dc-1"), engine("e-2", "dc-1")];
     let generations = (0..10)
@@ -298,7 +298,7 @@
         },
     );
     for generation in ["a", "b"] {
-        let target = sent(owner.place(now, &request(generation), &engines));
+        let target = assigned(owner.place(now, &request(generation), &engines));
         assert_eq!(target.as_deref(), Some("e-2"));
     }
 }
@@ -310,10 +310,10 @@
     }
 }
 
-/// Instances are of unequal size. A small one that owns answers late when it is asked often, and
-/// entries that get no answer decide for themselves.
+/// Instances differ in capacity. A small owner answers late under many requests, and entries
+/// without an answer place generations on their own.
 #[test]
-fn the_strongest_owns() {
+fn the_instance_with_the_largest_capacity_is_the_owner() {
     let all = [
         candidate("small-1", 120),
         candidate("big", 500),
@@ -324,30 +324,32 @@
     }
 }
 
-/// A large prompt waits that fits nowhere just now. A small one that does fit must not wait behind
-/// it while memory lies idle.
+/// A large request waits because it fits on no engine now. A small one that fits must not wait
+/// behind it while memory is unused.
 #[test]
-fn what_fits_does_not_wait_behind_what_does_not() {
+fn a_request_that_fits_does_not_wait_behind_one_that_does_not() {
     let (mut owner, mut now) = owner();
     let engines = [engine("e-1", "dc-1"), engine("e-2", "dc-1")];
-    let patient = |generation: &str, prompt_tokens| placing::PlacementRequest {
+    let relaxed = |generation: &str, prompt_tokens| placing::PlacementRequest {
         prompt_tokens,
         objective_left: Duration::from_secs(600),
         ..request(generation)
     };
     for (generation, prompt_tokens) in [("a", 20_000), ("b", 20_000)] {
-        assert!(sent(owner.place(now, &patient(generation, prompt_tokens), &engines)).is_some());
+        assert!(
+            assigned(owner.place(now, &relaxed(generation, prompt_tokens), &engines)).is_some()
+        );
     }
     let waits = |answer| matches!(answer, PlacementAnswer::Wait { .. });
-    assert!(waits(owner.place(now, &patient("huge", 25_000), &engines)));
+    assert!(waits(owner.place(now, &relaxed("huge", 25_000), &engines)));
     now += 10 * MS;
-    assert!(sent(owner.place(now, &patient("small", 1_000), &engines)).is_some());
+    assert!(assigned(owner.place(now, &relaxed("small", 1_000), &engines)).is_some());
 }
 
-/// Many wait for memory. If each asked again as often as one alone, the asks themselves would take
-/// all of the owner's time.
+/// Many requests wait for memory. If each asked again at the shortest interval, the requests
+/// themselves would take all of the owner's time.
 #[test]
-fn many_that_wait_ask_less_often() {
+fn the_wait_interval_grows_with_the_number_of_waiting_requests() {
     let (mut owner, now) = owner();
     let engines: [Engine; 0] = [];
     let after = |answer| match answer {
@@ -363,21 +365,21 @@
 }
 
 #[test]
-fn a_member_that_goes_moves_only_what_it_owned() {
+fn removing_an_instance_moves_only_its_own_shards() {
     let all: Vec<OwnerCandidate> = (0..9)
         .map(|n| candidate(&format!("instance-{n}"), 250))
         .collect();
     for service in ["a", "b", "c", "d"] {
         let order = rank_owners(service, all.clone());
-        let without = order[4].clone();
-        let rest = all.iter().filter(|c| c.id != without).cloned();
-        let now = rank_owners(service, rest);
+        let removed = order[4].clone();
+        let remaining = all.iter().filter(|c| c.id != removed).cloned();
+        let now = rank_owners(service, remaining);
         assert_eq!(now[..4], order[..4]);
         assert_eq!(now[4..], order[5..]);
     }
 }
 
-/// What happens to an owner.
+/// An event that the owner has to handle.
 #[derive(Clone, Debug)]
 enum Step {
     Place {
@@ -387,8 +389,8 @@
     },
     Start(u8),
     End(u8),
-    Leave(u8),
-    Pass(u64),
+    Migrate(u8),
+    Advance(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -402,16 +404,16 @@
         ),
         any::<u8>().prop_map(Step::Start),
         any::<u8>().prop_map(Step::End),
-        (0..4_u8).prop_map(Step::Leave),
-        (1..900_u64).prop_map(Step::Pass),
+        (0..4_u8).prop_map(Step::Migrate),
+        (1..900_u64).prop_map(Step::Advance),
     ]
 }
 
 proptest! {
-    /// Any order of asks, starts, ends and departures: no engine gets more generations and copies
-    /// than it has places, and everything that ends leaves nothing behind.
+    /// For any order of requests, starts, ends and migrations: no engine gets more generations and
+    /// copies than it has slots, and nothing stays behind after all have ended.
     #[test]
-    fn places_are_never_given_out_twice_nor_lost(steps in prop::collection::vec(step(), 1..120)) {
+    fn slots_are_never_assigned_twice_nor_leaked(steps in prop::collection::vec(step(), 1..120)) {
         let (mut owner, mut now) = owner();
         let engines: Vec<Engine> = (0..4)
             .map(|n| Engine { slots: 5, ..engine(&format!("e-{n}"), "dc-1") })
@@ -433,14 +435,14 @@
                     let generation = format!("run-{generation}").into();
                     owner.apply_update(now, &GenerationUpdate::Ended { generation, target_failed: false, tokens_generated: None });
                 }
-                Step::Leave(number) => {
+                Step::Migrate(number) => {
                     let from = format!("e-{number}").into();
                     let order = owner.next_migration(now, &from, &"dc-1".into(), &engines, &|_, _| false);
                     if let Some(order) = order {
                         owner.finish_migration(&order, placing::MigrationOutcome::Done);
                     }
                 }
-                Step::Pass(ms) => now += Duration::from_millis(ms),
+                Step::Advance(ms) => now += Duration::from_millis(ms),
             }
             for load in owner.loads(now) {
                 prop_assert!(load.generations <= 5, "{load:?}");
--- a/components/placing/tests/support/mod.rs
+++ b/components/placing/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of placing share.
+//! Shared parts of the tests of placing.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 pub mod load;
@@ -8,10 +8,10 @@
 use placing::{Engine, Owner, PlacementAnswer, PlacementRequest, RequestDigest, Shard, Tuning};
 use types::{Moment, TargetId, Tokens};
 
-/// Tokens that an engine of these tests holds.
+/// Memory of the engines in these tests, in tokens.
 pub const MEMORY: Tokens = 34_000;
 
-/// An engine in a data centre.
+/// An engine in the given data centre.
 pub fn engine(id: &str, data_centre: &str) -> Engine {
     Engine {
         id: id.into(),
@@ -22,14 +22,14 @@
     }
 }
 
-/// A digest for a request that nobody repeats.
+/// A digest that is different for each generation id.
 fn digest(generation: &str) -> RequestDigest {
     generation
         .bytes()
         .fold(7, |sum, byte| sum * 31 + u64::from(byte))
 }
 
-/// A long generation that somebody in `dc-1` asks for.
+/// A request for a long generation from an entry in `dc-1`.
 pub fn request(generation: &str) -> PlacementRequest {
     PlacementRequest {
         generation: generation.into(),
@@ -49,8 +49,8 @@
     }
 }
 
-/// Where an ask is sent, if anywhere.
-pub fn sent(answer: PlacementAnswer) -> Option<TargetId> {
+/// Engine that an answer assigns, if any.
+pub fn assigned(answer: PlacementAnswer) -> Option<TargetId> {
     match answer {
         PlacementAnswer::Assigned { target } => Some(target),
         PlacementAnswer::Wait { .. } | PlacementAnswer::Rejected { .. } => None,
--- a/components/view/tests/view.rs
+++ b/components/view/tests/view.rs
@@ -1,4 +1,5 @@
-//! What an instance believes, and what it does not let itself be told.
+//! What an instance knows of the configuration and the targets, and which reports it does not
+//! accept.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_decides() {
+fn the_longest_matching_prefix_selects_the_route() {
     let rules = Rules::new(1).with_routes([
         route("short", "a.example", "/x/"),
         route("long", "a.example", "/x/y/"),
@@ -55,7 +56,7 @@
 }
 
 #[test]
-fn a_route_spreads_its_requests_by_weight() {
+fn requests_are_distributed_by_weight() {
     let mut route = route("r", "a.example", "/");
     route.shares = vec![
         Share {
@@ -74,10 +75,11 @@
     assert_eq!(picked(0.999_999).as_deref(), Some("few"));
 }
 
-/// A wrong key on a route that also takes callers without one. Let through, its owner would take
-/// it for a good key, and notice only elsewhere.
+/// A request has an unknown key on a route that also accepts requests without one. If it were
+/// accepted, the owner of the key would take it for a valid one, and notice the error only on
+/// another route.
 #[test]
-fn a_wrong_key_is_refused_also_where_none_is_needed() {
+fn an_unknown_key_is_rejected_even_where_no_key_is_required() {
     let key_holder = KeyHolder {
         workspace: "editors".into(),
         priority: None,
@@ -96,10 +98,10 @@
     assert_eq!(rules.identify(&route, Some("bad")), Err(Unidentified));
 }
 
-/// A peer or a slow answer tells of an older configuration after a newer one is in force. Taken,
-/// callers would see routes and keys come back that the operator took away.
+/// A peer or a delayed answer reports an older configuration after a newer one is in force. If it
+/// were applied, routes and keys that the operator has removed would be valid again.
 #[test]
-fn a_configuration_never_goes_back() {
+fn the_configuration_version_never_decreases() {
     let view = View::new();
     let changed = view.apply_rules(Rules::new(7));
     assert_eq!(changed, Some(Change::Rules { from: None, to: 7 }));
@@ -108,25 +110,31 @@
     assert_eq!(view.rules().map(|rules| rules.version), Some(7));
 }
 
-/// The store was away, and with it the targets' heartbeats; their listings have lapsed when it is
-/// back. Believed at once, every target would be gone and every caller refused.
+/// During an outage of the store, the targets' heartbeats fail and their listings expire. If the
+/// expiry took effect at once, every target would be gone and every caller refused.
 #[test]
-fn listings_that_lapsed_in_an_outage_are_believed_for_a_while() {
+fn listings_that_expired_in_an_outage_are_retained_for_a_while() {
     let view = View::new();
     view.apply_target(target("t-1", ServingState::Live, None));
     view.apply_target(target("t-2", ServingState::Live, None));
-    let back = 100 * SECOND;
-    assert_eq!(view.unlist_target(&"t-1".into(), back, Some(back)), None);
-    assert_eq!(view.unlist_target(&"t-2".into(), back, Some(back)), None);
+    let outage_end = 100 * SECOND;
+    assert_eq!(
+        view.unlist_target(&"t-1".into(), outage_end, Some(outage_end)),
+        None
+    );
+    assert_eq!(
+        view.unlist_target(&"t-2".into(), outage_end, Some(outage_end)),
+        None
+    );
     assert!(view.target("t-1").is_some());
     view.apply_target(target("t-1", ServingState::Live, None));
-    let later = view.expire_lapsed(back + 3 * SECOND);
-    assert!(matches!(&later[..], [Change::Leaving(gone)] if &*gone.id == "t-2"));
+    let changes = view.expire_lapsed(outage_end + 3 * SECOND);
+    assert!(matches!(&changes[..], [Change::Leaving(gone)] if &*gone.id == "t-2"));
     assert!(view.target("t-1").is_some());
 }
 
 #[test]
-fn a_listing_dropped_on_a_calm_day_is_gone_at_once() {
+fn a_listing_removed_without_an_outage_is_dropped_at_once() {
     let view = View::new();
     view.apply_target(target("t-1", ServingState::Live, None));
     let change = view.unlist_target(&"t-1".into(), SECOND, None);
@@ -134,10 +142,10 @@
     assert!(view.target("t-1").is_none());
 }
 
-/// A peer hears that a target leaves before this instance reads it. Its old listing says that it
-/// stays, and new work would go to a target that is about to end.
+/// A peer reports that a target is shutting down before this instance reads it from the store.
+/// Until then the old listing would attract new work to a target that is about to stop.
 #[test]
-fn word_that_a_target_leaves_counts_before_its_listing_says_so() {
+fn a_reported_shutdown_takes_effect_before_the_listing_changes() {
     let view = View::new();
     view.apply_target(target("t-1", ServingState::Live, None));
     let change = view.mark_leaving(&"t-1".into());
@@ -147,10 +155,10 @@
     assert!(!view.accepts_work(&known));
 }
 
-/// A target starts again under its old id. What ran there is gone, though nothing in the listing
-/// but the time of birth tells.
+/// A target restarts under its old id. Its work is lost, although nothing in the listing but the
+/// start time shows it.
 #[test]
-fn a_new_life_under_an_old_id_is_noticed() {
+fn a_restart_under_the_same_id_is_detected() {
     let view = View::new();
     view.apply_target(target("t-1", ServingState::Live, Some(1)));
     let change = view.apply_target(target("t-1", ServingState::Live, Some(2)));
--- a/components/wire/tests/codec.rs
+++ b/components/wire/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec against good, foreign and broken bytes.
+//! Decoding of valid, foreign and malformed envelopes.
 
 use proptest::prelude::*;
 use types::{Moment, Shard};
@@ -24,14 +24,14 @@
 }
 
 #[test]
-fn an_envelope_comes_out_as_it_went_in() {
+fn an_envelope_survives_a_round_trip() {
     let key = Key::new(KEY);
     let sent = envelope("b");
     assert_eq!(key.open_envelope(&key.seal(&sent), &"b".into()), Ok(sent));
 }
 
 #[test]
-fn an_envelope_for_another_instance_is_refused() {
+fn an_envelope_for_another_instance_is_rejected() {
     let key = Key::new(KEY);
     let sealed = key.seal(&envelope("c"));
     assert_eq!(
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_envelope_of_another_format_is_refused() {
+fn an_envelope_of_another_format_is_rejected() {
     let key = Key::new(KEY);
     let sealed = key.seal(&Envelope {
         format: 9,
@@ -54,21 +54,22 @@
 }
 
 #[test]
-fn an_envelope_made_with_another_key_is_refused() {
+fn an_envelope_made_with_another_key_is_rejected() {
     let sealed = Key::new("another key of some length").seal(&envelope("b"));
     let opened = Key::new(KEY).open_envelope(&sealed, &"b".into());
     assert_eq!(opened, Err(WireError::NotAuthentic));
 }
 
 proptest! {
-    // A peer of another version or a broken one may send anything; it must not end the process.
+    // An instance of another version or a faulty one may send any bytes; they must not end the
+    // process.
     #[test]
-    fn arbitrary_bytes_are_refused(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_are_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         prop_assert!(Key::new(KEY).open_envelope(&bytes, &"b".into()).is_err());
     }
 
     #[test]
-    fn a_truncated_envelope_is_refused(keep in 0_usize..100) {
+    fn a_truncated_envelope_is_rejected(keep in 0_usize..100) {
         let key = Key::new(KEY);
         let mut sealed = key.seal(&envelope("b"));
         let keep = keep.min(sealed.len() - 1);
@@ -77,7 +78,7 @@
     }
 
     #[test]
-    fn authentic_garbage_is_refused(bytes in proptest::collection::vec(any::<u8>(), 0..40)) {
+    fn authentic_but_invalid_content_is_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..40)) {
         let key = Key::new(KEY);
         let sealed = key.seal(&bytes);
         prop_assert!(key.open_envelope(&sealed, &"b".into()).is_err());
