--- a/components/net/src/pool.rs
+++ b/components/net/src/pool.rs
@@ -97,9 +97,9 @@
         self.idle.get(&addr).map_or(0, Vec::len)
     }
 
-    /// Closes connections that have been idle for too long. [`Pool::take`] prefers the most recently
-    /// used ones, so the oldest, and those to targets that no longer exist, would otherwise stay
-    /// open until the process runs out of file descriptors.
+    /// Closes connections that have been idle for too long. [`Pool::take`] prefers the most
+    /// recently used ones, so the oldest, and those to targets that no longer exist, would otherwise
+    /// stay open until the process runs out of file descriptors.
     fn sweep(&mut self) {
         if self
             .last_sweep
--- a/components/net/src/reply.rs
+++ b/components/net/src/reply.rs
@@ -54,9 +54,9 @@
     full(Bytes::new())
 }
 
-/// A body that is sent through a channel. It ends with [`BodySender::finish`], and is aborted if the
-/// sender is dropped before. A full channel makes the sender wait; if the receiver has left, sending
-/// fails.
+/// A body that is sent through a channel. It ends with [`BodySender::finish`], and is aborted if
+/// the sender is dropped before. A full channel makes the sender wait; if the receiver has left,
+/// sending fails.
 #[must_use]
 pub fn channel() -> (BodySender, Body) {
     let (tx, rx) = bounded(CHANNEL_CAPACITY);
@@ -117,22 +117,22 @@
 /// task has returned. If the task sends [`BodyAborted`] or panics, the body is aborted and the
 /// connection closed. The task is dropped with the body, so that it stops when the receiver leaves.
 #[must_use]
-pub fn task_body<F>(feed: impl FnOnce(Sender<Result<Bytes, BodyAborted>>) -> F) -> Body
+pub fn task_body<F>(sending: impl FnOnce(Sender<Result<Bytes, BodyAborted>>) -> F) -> Body
 where
     F: Future<Output = ()> + Send + 'static,
 {
     let (tx, rx) = bounded(CHANNEL_CAPACITY);
-    // A panic aborts the body. Without this it would continue in the code that polls the body.
-    let feed = AssertUnwindSafe(feed(tx)).catch_unwind();
-    let feeder = Some(workers::spawn(feed));
+    // A panic aborts the body and does not unwind into the code that polls it.
+    let sending = AssertUnwindSafe(sending(tx)).catch_unwind();
+    let task = Some(workers::spawn(sending));
     let rx = Box::pin(rx);
-    StreamedBody::new(rx, feeder).boxed_unsync()
+    StreamedBody::new(rx, task).boxed_unsync()
 }
 
 struct StreamedBody {
     rx: Pin<Box<dyn Stream<Item = Result<Bytes, BodyAborted>> + Send>>,
     /// The task that sends the chunks; dropping it stops the task.
-    feeder: Option<Task<thread::Result<()>>>,
+    task: Option<Task<thread::Result<()>>>,
     /// The next poll aborts the body; the chunks before have been handed out.
     aborted: bool,
 }
@@ -140,11 +140,11 @@
 impl StreamedBody {
     fn new(
         rx: Pin<Box<dyn Stream<Item = Result<Bytes, BodyAborted>> + Send>>,
-        feeder: Option<Task<thread::Result<()>>>,
+        task: Option<Task<thread::Result<()>>>,
     ) -> Self {
         Self {
             rx,
-            feeder,
+            task,
             aborted: false,
         }
     }
@@ -156,13 +156,13 @@
         }
     }
 
-    /// Ends the body after its last chunk, or aborts it if the feeder panicked.
+    /// Ends the body after its last chunk, or aborts it if the task panicked.
     fn poll_end(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyAborted>>> {
-        let Some(feeder) = &mut self.feeder else {
+        let Some(task) = &mut self.task else {
             return Poll::Ready(None);
         };
-        let ended = ready!(Pin::new(feeder).poll(cx));
-        self.feeder = None;
+        let ended = ready!(Pin::new(task).poll(cx));
+        self.task = None;
         Poll::Ready(ended.err().map(|_| Err(BodyAborted)))
     }
 }
--- a/components/net/src/serve.rs
+++ b/components/net/src/serve.rs
@@ -153,8 +153,8 @@
         })
     }
 
-    /// Sets how long a peer may read nothing while there is something to write before its connection
-    /// is closed.
+    /// Sets how long a peer may read nothing while there is something to write. After that its
+    /// connection is closed.
     #[must_use]
     pub const fn with_write_timeout(mut self, limit: Duration) -> Self {
         self.write_timeout = limit;
@@ -228,8 +228,8 @@
         self.accept_backlog().await;
     }
 
-    /// Accepts the connections in the listener's backlog. Closing the listener would reset them, and
-    /// their callers may already have sent requests.
+    /// Accepts the connections in the listener's backlog. Closing the listener would reset them,
+    /// and their callers may already have sent requests.
     async fn accept_backlog(&self) {
         while let Some(accepted) = future::poll_once(self.listener.accept()).await {
             match accepted {
--- a/components/net/tests/endings.rs
+++ b/components/net/tests/endings.rs
@@ -18,7 +18,7 @@
     net::TcpStream,
 };
 
-/// PathHandler by path, and never reads the request's body: `/panic` panics, `/slow` answers after
+/// Answers by path, and never reads the request's body: `/panic` panics, `/slow` answers after
 /// 200 ms, `/task-panics` starts a body whose task panics, `/complete` one whose task returns,
 /// `/aborted` one that is aborted, `/dropped` one whose sender is dropped; any other path is
 /// answered at once.
@@ -121,7 +121,7 @@
     stream
 }
 
-/// Reads wait_until the connection ends.
+/// Reads until the connection ends.
 async fn read_to_end_lossy(mut stream: TcpStream) -> String {
     let mut buf = Vec::new();
     // A connection that is reset has ended too.
--- a/components/net/tests/serving.rs
+++ b/components/net/tests/serving.rs
@@ -24,8 +24,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// PathHandler by path: `/endless` with an endless body, `/wait` never, any other with the request's
-/// body.
+/// Answers by path: `/endless` with an endless body, `/wait` never, any other path with the
+/// request's body.
 #[derive(Default)]
 struct PathHandler {
     /// Number of requests for `/wait` that are being handled.
@@ -116,7 +116,7 @@
     String::from_utf8_lossy(&body.to_bytes()).into_owned()
 }
 
-/// Sends raw bytes and reads wait_until the connection ends.
+/// Sends raw bytes and reads until the connection ends.
 async fn raw(addr: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(addr).await.expect("a connection");
     stream.write_all(bytes).await.expect("it is sent");
@@ -314,7 +314,7 @@
         let mut buf = Vec::new();
         busy.read_to_end(&mut buf).await.expect("an answer");
         assert!(buf.ends_with(b"ab"), "{}", String::from_utf8_lossy(&buf));
-        // After a request with a body the server reads wait_until the caller closes the connection.
+        // After a request with a body the server reads until the caller closes the connection.
         drop(busy);
         let ended = timer::Timer::new().within(SECOND, served).await;
         assert!(ended.is_some());
--- a/components/stores/src/api.rs
+++ b/components/stores/src/api.rs
@@ -1,4 +1,4 @@
-//! What celerystand needs of the platform.
+//! The platform's services as celerystand uses them: a table, an object store and a directory.
 
 use std::sync::Arc;
 
@@ -7,54 +7,55 @@
 use derive_more::{Display, Error};
 use types::Listing;
 
-/// Why a call to the platform brought nothing.
+/// Why a call to the platform failed.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum PlatformError {
-    /// A condition of a commit did not hold; nothing was written.
+    /// A condition of the commit did not hold. Nothing was written.
     #[display("a condition of the commit did not hold; nothing was written")]
     Conflict,
-    /// The platform answers, but takes no more calls at present; this one had no effect.
+    /// The platform responds but accepts no more calls at present. The call had no effect.
     #[display("the platform takes no more calls at present: {reason}")]
     Busy {
-        /// Why.
+        /// The cause.
         #[error(not(source))]
         reason: Arc<str>,
     },
-    /// The call certainly had no effect; it may be tried again.
+    /// The platform could not be reached or rejected the call. The call had no effect and may be
+    /// retried.
     #[display("the platform did not take the call: {reason}")]
     Unavailable {
-        /// Why.
+        /// The cause.
         #[error(not(source))]
         reason: Arc<str>,
     },
-    /// The answer was lost: a write may have taken effect.
+    /// The response was lost: a write may have taken effect.
     #[display("the platform's answer was lost: {reason}")]
     Unknown {
-        /// Why.
+        /// The cause.
         #[error(not(source))]
         reason: Arc<str>,
     },
-    /// The platform's answer makes no sense.
+    /// The response could not be decoded.
     #[display("the platform's answer is not understood: {reason}")]
     Malformed {
-        /// Why.
+        /// The cause.
         #[error(not(source))]
         reason: Arc<str>,
     },
 }
 
-/// Key of a row: rows of one partition are listed together, in order of `sort`.
+/// Key of a row. The rows of a partition can be listed, ordered by `sort`.
 #[derive(Clone, Debug, Display, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[display("{partition}/{sort}")]
 pub struct RowKey {
-    /// The partition.
+    /// The partition key.
     pub partition: Arc<str>,
-    /// The place within it.
+    /// The sort key, unique within the partition.
     pub sort: Arc<str>,
 }
 
 impl RowKey {
-    /// Makes a key.
+    /// Creates a key from its two parts.
     #[must_use]
     pub fn new(partition: &str, sort: &str) -> Self {
         Self {
@@ -67,11 +68,11 @@
 /// A row of the table service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Row {
-    /// Its key.
+    /// The row's key.
     pub key: RowKey,
-    /// Grows by one with each write; 1 when new.
+    /// Incremented by each write; 1 for a new row.
     pub version: u64,
-    /// Its content, JSON text.
+    /// The content as JSON text.
     pub body: Arc<str>,
 }
 
@@ -80,25 +81,25 @@
 pub enum Write {
     /// Writes a row that must not exist yet.
     Insert {
-        /// Its key.
+        /// The row's key.
         key: RowKey,
-        /// Its content.
+        /// The content.
         body: Arc<str>,
     },
     /// Replaces a row that must have this version.
     Replace {
-        /// Its key.
+        /// The row's key.
         key: RowKey,
-        /// The version it must have.
+        /// The version that the row must have.
         version: u64,
-        /// Its new content.
+        /// The new content.
         body: Arc<str>,
     },
     /// Deletes a row that must have this version.
     Delete {
-        /// Its key.
+        /// The row's key.
         key: RowKey,
-        /// The version it must have.
+        /// The version that the row must have.
         version: u64,
     },
 }
@@ -106,10 +107,11 @@
 /// The transactional table service.
 #[async_trait]
 pub trait Table: Send + Sync {
-    /// Reads one row, seeing every commit that was answered before.
+    /// Reads one row. The read sees every commit that was answered before it.
     async fn read(&self, key: &RowKey) -> Result<Option<Row>, PlatformError>;
 
-    /// Lists a partition's rows with `sort` greater than `after`, at most `limit`, in order.
+    /// Lists at most `limit` rows of a partition with a sort key greater than `after`, in the order
+    /// of their sort keys.
     async fn list(
         &self,
         partition: &str,
@@ -117,21 +119,21 @@
         limit: usize,
     ) -> Result<Vec<Row>, PlatformError>;
 
-    /// Writes all rows or none.
+    /// Applies all writes, or none if a condition does not hold.
     async fn commit(&self, writes: &[Write]) -> Result<(), PlatformError>;
 }
 
 /// The object store.
 #[async_trait]
 pub trait Objects: Send + Sync {
-    /// Writes an object whole.
+    /// Writes a whole object.
     async fn put(&self, key: &str, body: Bytes) -> Result<(), PlatformError>;
 
-    /// Reads an object whole.
+    /// Reads a whole object; `None` if it does not exist.
     async fn get(&self, key: &str) -> Result<Option<Bytes>, PlatformError>;
 }
 
-/// The platform's list of live and leaving instances and targets; it lags.
+/// The platform's list of live and leaving instances and targets. The list lags behind reality.
 #[async_trait]
 pub trait Directory: Send + Sync {
     /// Reads the list.
--- a/components/stores/src/dynamo.rs
+++ b/components/stores/src/dynamo.rs
@@ -1,4 +1,4 @@
-//! The table service: DynamoDB's JSON 1.0 API over one table.
+//! Client of the table service, which speaks DynamoDB's JSON 1.0 API. It uses one table.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,20 +10,21 @@
 
 use crate::{
     api::{PlatformError, Row, RowKey, Table, Write},
-    dynamo_form::{self, GetItem, GetItemAnswer, Query, QueryAnswer, TransactWriteItems, read_row},
+    dynamo_format::{
+        self, GetItem, GetItemResponse, Query, QueryResponse, TransactWriteItems, decode_row,
+    },
     http::{Answer, Call, CallError, Endpoint},
 };
 
-/// Most writes of one commit; the service takes no more.
-pub const COMMIT_LIMIT: usize = 100;
-/// Time for a read.
-const READ_TIME: Duration = Duration::from_secs(2);
-/// Time for a commit.
-const COMMIT_TIME: Duration = Duration::from_secs(3);
-/// Most bytes of an answer: a page of a query has 1 MB, and JSON may escape much of it.
-const ANSWER_LIMIT: usize = 8 * 1024 * 1024;
-/// Most rows asked for at once.
-const PAGE_LIMIT: usize = 1000;
+/// Most writes in one commit, a limit of the service.
+pub const MAX_COMMIT_WRITES: usize = 100;
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Largest answer in bytes: a page of a query has 1 MB, and JSON escapes may make it several times
+/// longer.
+const MAX_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// Most rows that one query requests.
+const MAX_PAGE_ROWS: usize = 1000;
 
 /// A client of the table service.
 pub struct DynamoTable {
@@ -31,10 +32,11 @@
 }
 
 impl DynamoTable {
-    /// Names the service, `http://IP:PORT[/path]`, and the bearer token it wants.
+    /// Creates a client of the service at `base`, `http://IP:PORT[/path]`, which sends `token` as a
+    /// bearer token.
     ///
     /// # Errors
-    /// Tells what is wrong with the address or the token.
+    /// Fails on an invalid address, or on a token that can't be sent in a header.
     pub fn new(client: Client, base: &str, token: Option<Arc<str>>) -> Result<Self, Failure> {
         let endpoint = Endpoint::new(client, base, token)?
             .with_header("content-type", "application/x-amz-json-1.0");
@@ -45,7 +47,7 @@
         &self,
         operation: &'static str,
         content: &(impl Serialize + Sync),
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Answer, CallError> {
         let body = serde_json::to_vec(content).map_err(|e| CallError::Unsent {
             reason: e.to_string().into(),
@@ -56,21 +58,25 @@
                 method: Method::POST,
                 path: "/".into(),
                 body: body.into(),
-                within,
-                limit: ANSWER_LIMIT,
+                timeout,
+                max_answer_bytes: MAX_ANSWER_BYTES,
             })
             .await
     }
 
-    async fn ask<T: DeserializeOwned>(
+    /// Calls an operation that only reads.
+    async fn call_read<T: DeserializeOwned>(
         &self,
         operation: &'static str,
         content: &(impl Serialize + Sync),
     ) -> Result<T, PlatformError> {
-        let answer = self.call(operation, content, READ_TIME).await;
+        let answer = self.call(operation, content, READ_TIMEOUT).await;
         let answer = answer.map_err(|e| PlatformError::Unavailable { reason: e.reason() })?;
         if !answer.status.is_success() {
-            return Err(dynamo_form::read_refusal(answer.status, &answer.body));
+            return Err(dynamo_format::decode_read_error(
+                answer.status,
+                &answer.body,
+            ));
         }
         serde_json::from_slice(&answer.body).map_err(|e| PlatformError::Malformed {
             reason: e.to_string().into(),
@@ -78,7 +84,8 @@
     }
 }
 
-/// Readers go on from the last row; rows out of order could make them go round for ever.
+/// Checks that `row` comes after the rows before it. Readers continue after the last row, so that
+/// rows out of order could make them loop forever.
 fn check_order(rows: &[Row], after: &str, row: &Row) -> Result<(), PlatformError> {
     let last = rows.last().map_or(after, |last| &last.key.sort);
     if *row.key.sort > *last {
@@ -91,10 +98,10 @@
 #[async_trait]
 impl Table for DynamoTable {
     async fn read(&self, key: &RowKey) -> Result<Option<Row>, PlatformError> {
-        let answer: GetItemAnswer = self
-            .ask("DynamoDB_20120810.GetItem", &GetItem::new(key))
+        let answer: GetItemResponse = self
+            .call_read("DynamoDB_20120810.GetItem", &GetItem::new(key))
             .await?;
-        answer.item.map(read_row).transpose()
+        answer.item.map(decode_row).transpose()
     }
 
     async fn list(
@@ -105,18 +112,18 @@
     ) -> Result<Vec<Row>, PlatformError> {
         let mut rows: Vec<Row> = Vec::new();
         while rows.len() < limit {
-            let page = (limit - rows.len()).min(PAGE_LIMIT);
+            let page = (limit - rows.len()).min(MAX_PAGE_ROWS);
             let last = rows.last().map_or(after, |row| &row.key.sort);
             let query = Query::new(partition, last, page);
-            let answer: QueryAnswer = self.ask("DynamoDB_20120810.Query", &query).await?;
-            let found = answer.items.len();
+            let answer: QueryResponse = self.call_read("DynamoDB_20120810.Query", &query).await?;
+            let item_count = answer.items.len();
             for item in answer.items {
-                let row = read_row(item)?;
+                let row = decode_row(item)?;
                 check_order(&rows, after, &row)?;
                 rows.push(row);
             }
-            // A page ends at the service's limit of size too, so a short page is not the last.
-            if answer.last_evaluated_key.is_none() || found == 0 {
+            // A page also ends at the service's size limit, so a short page need not be the last.
+            if answer.last_evaluated_key.is_none() || item_count == 0 {
                 break;
             }
         }
@@ -128,9 +135,9 @@
         if writes.is_empty() {
             return Ok(());
         }
-        if writes.len() > COMMIT_LIMIT {
+        if writes.len() > MAX_COMMIT_WRITES {
             let reason = format!(
-                "{} writes in one commit, at most {COMMIT_LIMIT}",
+                "{} writes in one commit, at most {MAX_COMMIT_WRITES}",
                 writes.len()
             );
             return Err(PlatformError::Unavailable {
@@ -142,7 +149,7 @@
             .call(
                 "DynamoDB_20120810.TransactWriteItems",
                 &content,
-                COMMIT_TIME,
+                COMMIT_TIMEOUT,
             )
             .await;
         let answer = answer.map_err(|e| match e {
@@ -152,7 +159,7 @@
         if answer.status.is_success() {
             return Ok(());
         }
-        Err(dynamo_form::read_commit_refusal(
+        Err(dynamo_format::decode_commit_error(
             answer.status,
             &answer.body,
         ))
--- a/components/stores/src/dynamo_form.rs
+++ b/components/stores/src/dynamo_format.rs
@@ -1,4 +1,4 @@
-//! Forms of the requests and answers of DynamoDB's JSON 1.0 API that we use.
+//! Requests and responses of DynamoDB's JSON 1.0 API, as far as celerystand uses it.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -7,12 +7,11 @@
 
 use crate::api::{PlatformError, Row, RowKey, Write};
 
-/// Name of our table.
-const TABLE: &str = "celerystand";
-/// The service takes no empty text as a sort key; all of ours sort after a space.
-const BEFORE_ALL: &str = " ";
+const TABLE_NAME: &str = "celerystand";
+/// A sort key before all keys in use. The service rejects an empty one.
+const MIN_SORT_KEY: &str = " ";
 
-/// A row as the service writes it.
+/// A row in the service's format.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Item {
     pk: Value,
@@ -23,7 +22,7 @@
     body: Option<Value>,
 }
 
-/// A typed value: text or a number, the number written as text.
+/// A typed attribute value. Numbers are written as text.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum Value {
     /// Text.
@@ -41,14 +40,14 @@
         Self::N(number.to_string().into())
     }
 
-    fn read_text(&self) -> Option<Arc<str>> {
+    fn as_text(&self) -> Option<Arc<str>> {
         match self {
             Self::S(text) => Some(Arc::clone(text)),
             Self::N(_) => None,
         }
     }
 
-    fn read_number(&self) -> Option<u64> {
+    fn as_number(&self) -> Option<u64> {
         match self {
             Self::S(_) => None,
             Self::N(number) => number.parse().ok(),
@@ -75,10 +74,10 @@
     }
 }
 
-/// Values that conditions name.
+/// Values of the placeholders in condition expressions.
 type Values = BTreeMap<&'static str, Value>;
 
-/// Reads one row.
+/// Request to read one row.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct GetItem {
@@ -88,27 +87,27 @@
 }
 
 impl GetItem {
-    /// Reads the row of this key as the last answered commit left it.
+    /// Requests a strongly consistent read of the row with this key.
     #[must_use]
     pub fn new(key: &RowKey) -> Self {
         Self {
-            table_name: TABLE,
+            table_name: TABLE_NAME,
             key: Item::key(key),
             consistent_read: true,
         }
     }
 }
 
-/// Answer to `GetItem`.
+/// Response to [`GetItem`].
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct GetItemAnswer {
+pub struct GetItemResponse {
     /// The row, if it exists.
     #[serde(default)]
     pub item: Option<Item>,
 }
 
-/// Lists rows of a partition.
+/// Request to list rows of a partition.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Query {
@@ -120,12 +119,16 @@
 }
 
 impl Query {
-    /// Lists rows with a greater sort key.
+    /// Requests the rows with a sort key greater than `after`.
     #[must_use]
     pub fn new(partition: &str, after: &str, limit: usize) -> Self {
-        let after = if after.is_empty() { BEFORE_ALL } else { after };
+        let after = if after.is_empty() {
+            MIN_SORT_KEY
+        } else {
+            after
+        };
         Self {
-            table_name: TABLE,
+            table_name: TABLE_NAME,
             key_condition_expression: "pk = :p AND sk > :s",
             expression_attribute_values: Values::from([
                 (":p", Value::text(partition)),
@@ -137,19 +140,19 @@
     }
 }
 
-/// Answer to `Query`.
+/// Response to [`Query`].
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct QueryAnswer {
+pub struct QueryResponse {
     /// The rows.
     #[serde(default)]
     pub items: Vec<Item>,
-    /// Where the page ended; absent on the last.
+    /// Key of the page's last row; absent on the last page.
     #[serde(default)]
     pub last_evaluated_key: Option<IgnoredAny>,
 }
 
-/// Writes rows, all or none.
+/// Request to apply all writes or none.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct TransactWriteItems {
@@ -157,7 +160,7 @@
 }
 
 impl TransactWriteItems {
-    /// Writes these.
+    /// Creates the request for a commit.
     #[must_use]
     pub fn new(writes: &[Write]) -> Self {
         Self {
@@ -195,19 +198,19 @@
     fn new(write: &Write) -> Self {
         match write {
             Write::Insert { key, body } => Self::Put(Put {
-                table_name: TABLE,
+                table_name: TABLE_NAME,
                 item: Item::row(key, 1, body),
                 condition_expression: "attribute_not_exists(pk)",
                 expression_attribute_values: Values::new(),
             }),
             Write::Replace { key, version, body } => Self::Put(Put {
-                table_name: TABLE,
+                table_name: TABLE_NAME,
                 item: Item::row(key, version.saturating_add(1), body),
                 condition_expression: "ver = :v",
                 expression_attribute_values: Values::from([(":v", Value::number(*version))]),
             }),
             Write::Delete { key, version } => Self::Delete(Delete {
-                table_name: TABLE,
+                table_name: TABLE_NAME,
                 key: Item::key(key),
                 condition_expression: "ver = :v",
                 expression_attribute_values: Values::from([(":v", Value::number(*version))]),
@@ -216,58 +219,58 @@
     }
 }
 
-/// Reads a row.
+/// Decodes a row.
 ///
 /// # Errors
-/// Tells that the row is not one of ours.
-pub fn read_row(item: Item) -> Result<Row, PlatformError> {
-    let read = || {
+/// Fails if an attribute is missing or has the wrong type.
+pub fn decode_row(item: Item) -> Result<Row, PlatformError> {
+    let decode = || {
         Some(Row {
             key: RowKey {
-                partition: item.pk.read_text()?,
-                sort: item.sk.read_text()?,
+                partition: item.pk.as_text()?,
+                sort: item.sk.as_text()?,
             },
-            version: item.ver.as_ref()?.read_number()?,
-            body: item.body.as_ref()?.read_text()?,
+            version: item.ver.as_ref()?.as_number()?,
+            body: item.body.as_ref()?.as_text()?,
         })
     };
-    read().ok_or_else(|| PlatformError::Malformed {
+    decode().ok_or_else(|| PlatformError::Malformed {
         reason: "a row without its attributes".into(),
     })
 }
 
-/// Errors by which the service says that it takes no more calls at present.
+/// Names of the errors with which the service throttles calls.
 const THROTTLING: [&str; 3] = [
     "ProvisionedThroughputExceededException",
     "RequestLimitExceeded",
     "ThrottlingException",
 ];
 
-/// An error as the service tells it.
+/// An error response of the service.
 #[derive(Debug, Default, Deserialize)]
-struct Refusal {
+struct ErrorBody {
     #[serde(default, rename = "__type")]
     kind: String,
     #[serde(default, alias = "Message")]
     message: String,
     #[serde(default, rename = "CancellationReasons")]
-    reasons: Vec<Reason>,
+    reasons: Vec<CancellationReason>,
 }
 
-/// What became of one write of a cancelled commit.
+/// Why one write of a cancelled commit failed.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct Reason {
+struct CancellationReason {
     #[serde(default)]
     code: String,
 }
 
-impl Refusal {
-    fn read(body: &[u8]) -> Option<Self> {
+impl ErrorBody {
+    fn decode(body: &[u8]) -> Option<Self> {
         serde_json::from_slice(body).ok()
     }
 
-    /// The name of the error, without the namespace before it.
+    /// The name of the error without its namespace.
     fn name(&self) -> &str {
         self.kind.rsplit('#').next().unwrap_or_default()
     }
@@ -281,37 +284,37 @@
     format!("status {status}").into()
 }
 
-/// Reads the refusal of a read.
+/// Converts the error response to a read.
 #[must_use]
-pub fn read_refusal(status: StatusCode, body: &[u8]) -> PlatformError {
-    let Some(refusal) = Refusal::read(body) else {
+pub fn decode_read_error(status: StatusCode, body: &[u8]) -> PlatformError {
+    let Some(error) = ErrorBody::decode(body) else {
         let reason = status_text(status);
         return PlatformError::Unavailable { reason };
     };
-    let reason = refusal.text();
-    match THROTTLING.contains(&refusal.name()) {
+    let reason = error.text();
+    match THROTTLING.contains(&error.name()) {
         true => PlatformError::Busy { reason },
         false => PlatformError::Unavailable { reason },
     }
 }
 
-/// Reads the refusal of a commit.
+/// Converts the error response to a commit.
 ///
-/// What was certainly not written must be told from what may have been: a status 500, or one
-/// that a proxy on the way made up, says nothing about the write.
+/// A commit that certainly wrote nothing must be distinguished from one that may have: a status
+/// 500, or an error that a proxy on the path generated, says nothing about the write.
 #[must_use]
-pub fn read_commit_refusal(status: StatusCode, body: &[u8]) -> PlatformError {
-    let Some(refusal) = Refusal::read(body).filter(|r| !r.kind.is_empty()) else {
+pub fn decode_commit_error(status: StatusCode, body: &[u8]) -> PlatformError {
+    let Some(error) = ErrorBody::decode(body).filter(|r| !r.kind.is_empty()) else {
         let reason = status_text(status);
         return PlatformError::Unknown { reason };
     };
-    let reason = refusal.text();
-    match refusal.name() {
-        "TransactionCanceledException" => read_cancellation(&refusal, reason),
+    let reason = error.text();
+    match error.name() {
+        "TransactionCanceledException" => decode_cancellation(&error, reason),
         "ConditionalCheckFailedException" => PlatformError::Conflict,
         "InternalServerError" => PlatformError::Unknown { reason },
         name if THROTTLING.contains(&name) => PlatformError::Busy { reason },
-        // The service's own errors: it looked at the call and did not take it.
+        // Any other error that the service itself names means that it rejected the call.
         _ if status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE => {
             PlatformError::Unavailable { reason }
         }
@@ -319,10 +322,11 @@
     }
 }
 
-/// A commit is cancelled for a condition that did not hold, but also for throttling or another
-/// commit at the same moment; only the first is settled.
-fn read_cancellation(refusal: &Refusal, reason: Arc<str>) -> PlatformError {
-    let has = |code: &str| refusal.reasons.iter().any(|r| r.code == code);
+/// Converts the cancellation of a commit. The service cancels a commit when a condition does not
+/// hold, but also when it throttles or when another commit runs at the same time. Only the first
+/// is a conflict; in the other cases a retry may succeed.
+fn decode_cancellation(error: &ErrorBody, reason: Arc<str>) -> PlatformError {
+    let has = |code: &str| error.reasons.iter().any(|r| r.code == code);
     let transient = [
         "TransactionConflict",
         "ThrottlingError",
--- a/components/stores/src/http.rs
+++ b/components/stores/src/http.rs
@@ -1,4 +1,4 @@
-//! Calls to a platform service over HTTP, within limits of time and size.
+//! HTTP calls to a platform service, with limits on time and size.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -13,7 +13,7 @@
 use net::{Client, SendError, read_all};
 use timer::Timer;
 
-/// One service of the platform: `http://IP:PORT[/path]`.
+/// The address of one platform service, `http://IP:PORT[/path]`, and how to call it.
 #[derive(Clone)]
 pub struct Endpoint {
     client: Client,
@@ -23,51 +23,47 @@
     headers: HeaderMap,
 }
 
-/// A call to make.
+/// One HTTP call to a service.
 #[derive(Debug)]
 pub struct Call {
-    /// HTTP method.
     pub method: Method,
-    /// Path below the service's base, and query.
+    /// Path below the service's base path, and the query.
     pub path: String,
-    /// Content.
     pub body: Bytes,
-    /// Time for the whole exchange.
-    pub within: Duration,
-    /// Most bytes of the answer.
-    pub limit: usize,
+    /// Time for the whole call, from connecting to the last byte of the answer.
+    pub timeout: Duration,
+    pub max_answer_bytes: usize,
 }
 
-/// An answer, read whole.
+/// The complete answer to a call.
 #[derive(Debug)]
 pub struct Answer {
-    /// HTTP status.
     pub status: StatusCode,
     /// Content.
     pub body: Bytes,
 }
 
-/// Why a call brought no answer.
+/// Why a call got no answer.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum CallError {
     /// No byte of the call left this process.
     #[display("{reason}")]
     Unsent {
-        /// Why.
+        /// The cause.
         #[error(not(source))]
         reason: Arc<str>,
     },
-    /// The call may have been served.
+    /// Some bytes of the call may have been sent; it may have been served.
     #[display("{reason}")]
     Lost {
-        /// Why.
+        /// The cause.
         #[error(not(source))]
         reason: Arc<str>,
     },
 }
 
 impl CallError {
-    /// Why the call brought no answer.
+    /// The cause as text.
     #[must_use]
     pub fn reason(&self) -> Arc<str> {
         match self {
@@ -77,27 +73,27 @@
 }
 
 impl Endpoint {
-    /// Names a service by its base address and the bearer token it wants.
+    /// Parses a service's base address. All calls send `token` as a bearer token.
     ///
     /// # Errors
-    /// Tells what is wrong with the address or the token.
+    /// Fails on an invalid address, or on a token that can't be sent in a header.
     pub fn new(client: Client, base: &str, token: Option<Arc<str>>) -> Result<Self, Failure> {
-        let wrong = |what: &str| {
+        let invalid = |what: &str| {
             Failure::new(format!("{what}; use http://IP:PORT[/path]"))
                 .with_context(format!("reading the address {base:?}"))
         };
-        let uri: Uri = base.parse().map_err(|e| wrong(&format!("{e}")))?;
+        let uri: Uri = base.parse().map_err(|e| invalid(&format!("{e}")))?;
         if uri.scheme_str() != Some("http") {
-            return Err(wrong("it is not an http address"));
+            return Err(invalid("it is not an http address"));
         }
         if uri.query().is_some() {
-            return Err(wrong("it has a query"));
+            return Err(invalid("it has a query"));
         }
-        let authority = uri.authority().ok_or_else(|| wrong("it names no host"))?;
+        let authority = uri.authority().ok_or_else(|| invalid("it names no host"))?;
         let addr = authority
             .as_str()
             .parse()
-            .map_err(|_| wrong("it does not name an IP address and a port"))?;
+            .map_err(|_| invalid("it does not name an IP address and a port"))?;
         let mut headers = HeaderMap::new();
         if let Some(token) = token {
             let mut value = HeaderValue::from_str(&format!("Bearer {token}"))
@@ -114,7 +110,7 @@
         })
     }
 
-    /// Adds a header to each call.
+    /// Adds a header that each call sends.
     #[must_use]
     pub fn with_header(mut self, name: &'static str, value: &'static str) -> Self {
         let name = HeaderName::from_static(name);
@@ -122,21 +118,21 @@
         self
     }
 
-    /// Makes a call and reads its answer whole.
+    /// Makes a call and reads the whole answer.
     ///
     /// # Errors
-    /// Tells whether any byte of the call may have left.
+    /// The error says whether any byte of the call may have been sent.
     pub async fn call(&self, call: Call) -> Result<Answer, CallError> {
-        let within = call.within;
+        let timeout = call.timeout;
         let exchange = self.exchange(call);
-        match self.timer.within(within, exchange).await {
+        match self.timer.within(timeout, exchange).await {
             Some(result) => result,
             None => {
-                // The connection may be one that something on the way has lost track of; others
-                // opened at that time may be too. Without this, each later call could pick one
-                // of them and wait its full time.
+                // A device on the path may have dropped the state of this connection, and of others
+                // opened at that time. Without this, each later call could pick one of them and
+                // wait until it times out.
                 self.client.close_connections(self.addr);
-                let reason = format!("no answer from {} within {within:?}", self.addr).into();
+                let reason = format!("no answer from {} within {timeout:?}", self.addr).into();
                 Err(CallError::Lost { reason })
             }
         }
@@ -159,7 +155,7 @@
             Err(SendError::Lost { reason }) => return Err(CallError::Lost { reason }),
         };
         let status = resp.status();
-        let body = read_all(resp.into_body(), call.limit, call.within)
+        let body = read_all(resp.into_body(), call.max_answer_bytes, call.timeout)
             .await
             .map_err(|e| CallError::Lost {
                 reason: e.to_string().into(),
--- a/components/stores/src/memory.rs
+++ b/components/stores/src/memory.rs
@@ -1,4 +1,4 @@
-//! A table in memory for tests, with the faults of the real one on command.
+//! An in-memory table for tests that can inject the faults of the table service.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -13,23 +13,23 @@
 
 use crate::api::{PlatformError, Row, RowKey, Table, Write};
 
-/// What happens to a coming commit.
+/// What happens to an upcoming commit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// Nothing out of the ordinary.
+    /// The commit succeeds if its conditions hold.
     None,
-    /// It takes effect, and its answer is lost.
+    /// The commit takes effect, and its answer is lost.
     AnswerLost,
-    /// It is lost on the way, and so is its answer.
+    /// The commit does not reach the table, and the caller gets no answer.
     CommitLost,
-    /// Its answer is lost; it takes effect only at
-    /// [`MemoryTable::apply_late_commits`], if its conditions hold then.
+    /// The answer is lost, and the commit takes effect only when
+    /// [`MemoryTable::apply_late_commits`] is called, if its conditions hold then.
     Late,
-    /// The service refuses it because it is busy.
+    /// The service rejects the commit because it is busy.
     Throttled,
 }
 
-/// A table in memory.
+/// An in-memory table.
 #[derive(Default)]
 pub struct MemoryTable {
     timer: Timer,
@@ -40,7 +40,7 @@
 struct State {
     rows: BTreeMap<RowKey, Row>,
     faults: VecDeque<Fault>,
-    late: VecDeque<Vec<Write>>,
+    late_commits: VecDeque<Vec<Write>>,
     down: bool,
     delay: Duration,
     commits: usize,
@@ -48,13 +48,13 @@
 }
 
 impl MemoryTable {
-    /// An empty table that works.
+    /// Creates an empty table without faults.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the table down, or brings it back.
+    /// Makes all calls fail, or succeed again.
     pub fn set_down(&self, down: bool) {
         self.state.lock().down = down;
     }
@@ -64,44 +64,46 @@
         self.state.lock().delay = delay;
     }
 
-    /// Decides what happens to the coming commits, in order.
+    /// Sets what happens to the upcoming commits, in order.
     pub fn add_faults(&self, faults: impl IntoIterator<Item = Fault>) {
         self.state.lock().faults.extend(faults);
     }
 
-    /// Forgets the faults decided for coming commits; late commits stay under way.
+    /// Removes the faults set for upcoming commits. Late commits stay pending.
     pub fn clear_faults(&self) {
         self.state.lock().faults.clear();
     }
 
-    /// Lets all late commits take effect whose conditions hold; tells how many did.
+    /// Applies the pending late commits whose conditions hold. Returns how many those were.
     pub fn apply_late_commits(&self) -> usize {
         let mut state = self.state.lock();
-        let late = std::mem::take(&mut state.late);
-        late.into_iter()
+        let late_commits = std::mem::take(&mut state.late_commits);
+        late_commits
+            .into_iter()
             .filter(|writes| state.apply(writes).is_ok())
             .count()
     }
 
-    /// All rows, in order.
+    /// Returns all rows in the order of their keys.
     #[must_use]
     pub fn rows(&self) -> Vec<Row> {
         self.state.lock().rows.values().cloned().collect()
     }
 
-    /// Commits that reached the table so far, whatever became of them.
+    /// Number of commits that reached the table so far, whatever their result.
     #[must_use]
     pub fn commits(&self) -> usize {
         self.state.lock().commits
     }
 
-    /// Reads and lists that reached the table so far.
+    /// Number of reads and lists that reached the table so far.
     #[must_use]
     pub fn reads(&self) -> usize {
         self.state.lock().reads
     }
 
-    async fn arrive(&self) -> Result<(), PlatformError> {
+    /// Waits for the delay that was set; fails if the table is down.
+    async fn begin_call(&self) -> Result<(), PlatformError> {
         let (down, delay) = {
             let state = self.state.lock();
             (state.down, state.delay)
@@ -120,7 +122,7 @@
 
 impl State {
     fn apply(&mut self, writes: &[Write]) -> Result<(), PlatformError> {
-        if !writes.iter().all(|write| self.holds(write)) {
+        if !writes.iter().all(|write| self.condition_holds(write)) {
             return Err(PlatformError::Conflict);
         }
         for write in writes {
@@ -137,7 +139,7 @@
         Ok(())
     }
 
-    fn holds(&self, write: &Write) -> bool {
+    fn condition_holds(&self, write: &Write) -> bool {
         match write {
             Write::Insert { key, .. } => !self.rows.contains_key(key),
             Write::Replace { key, version, .. } | Write::Delete { key, version } => {
@@ -156,7 +158,7 @@
     }
 }
 
-fn lost() -> PlatformError {
+fn answer_lost() -> PlatformError {
     PlatformError::Unknown {
         reason: "the answer was lost".into(),
     }
@@ -165,7 +167,7 @@
 #[async_trait]
 impl Table for MemoryTable {
     async fn read(&self, key: &RowKey) -> Result<Option<Row>, PlatformError> {
-        self.arrive().await?;
+        self.begin_call().await?;
         let mut state = self.state.lock();
         state.reads += 1;
         Ok(state.rows.get(key).cloned())
@@ -177,7 +179,7 @@
         after: &str,
         limit: usize,
     ) -> Result<Vec<Row>, PlatformError> {
-        self.arrive().await?;
+        self.begin_call().await?;
         let mut state = self.state.lock();
         state.reads += 1;
         let from = Bound::Excluded(RowKey::new(partition, after));
@@ -187,20 +189,20 @@
     }
 
     async fn commit(&self, writes: &[Write]) -> Result<(), PlatformError> {
-        self.arrive().await?;
+        self.begin_call().await?;
         let mut state = self.state.lock();
         state.commits += 1;
         match state.faults.pop_front().unwrap_or(Fault::None) {
             Fault::None => state.apply(writes),
             Fault::AnswerLost => {
-                // Whether its conditions held stays unknown to the caller.
+                // The caller does not learn whether the conditions held.
                 let _ = state.apply(writes);
-                Err(lost())
+                Err(answer_lost())
             }
-            Fault::CommitLost => Err(lost()),
+            Fault::CommitLost => Err(answer_lost()),
             Fault::Late => {
-                state.late.push_back(writes.to_vec());
-                Err(lost())
+                state.late_commits.push_back(writes.to_vec());
+                Err(answer_lost())
             }
             Fault::Throttled => Err(PlatformError::Busy {
                 reason: "throttled".into(),
--- a/components/stores/src/paced.rs
+++ b/components/stores/src/paced.rs
@@ -1,4 +1,5 @@
-//! Care for the table service: a budget for each instance, and no calls while it is down.
+//! Protects the table service: limits each instance's call rate, and makes no calls during an
+//! outage.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,32 +11,32 @@
 
 use crate::api::{PlatformError, Row, RowKey, Table, Write};
 
-/// Failed calls without a success in between after which the table counts as down.
-const FAILURES: u32 = 3;
-/// Time until the first probe of a table that is down; it doubles.
-const PROBE_FIRST: Duration = Duration::from_millis(100);
-/// Longest time between two probes: with thousands of instances, more would be a load by itself
-/// on a table that is just coming back.
-const PROBE_LIMIT: Duration = Duration::from_secs(5);
-/// Longest wait for the budget; a call that would wait longer is refused.
-const BUDGET_WAIT: Duration = Duration::from_millis(250);
-
-/// Unused budget that is kept for later.
+/// Failed calls in a row after which the table service counts as down.
+const FAILURES_UNTIL_DOWN: u32 = 3;
+/// Time until the first probe of a table service that is down. It doubles with each probe.
+const MIN_PROBE_PERIOD: Duration = Duration::from_millis(100);
+/// Longest time between two probes. More frequent ones of thousands of instances would burden a
+/// service that is just recovering.
+const MAX_PROBE_PERIOD: Duration = Duration::from_secs(5);
+/// Longest time that a call waits for the budget. A call that would have to wait longer fails.
+const MAX_BUDGET_WAIT: Duration = Duration::from_millis(250);
+
+/// The unused budget of this time is available for a burst of calls.
 const BURST: Duration = Duration::from_secs(1);
-/// Least calls a second; a budget of nothing would stop all of them for good.
-const LEAST_RATE: f64 = 0.001;
+/// Lowest rate, in calls a second. With a rate of zero no call would ever be allowed.
+const MIN_RATE: f64 = 0.001;
 
-/// What one instance may ask of the table service.
+/// The call rates that one instance may use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CallBudget {
-    /// Reads and lists a second.
+    /// Reads and lists per second.
     pub reads: f64,
-    /// Rows written a second.
+    /// Written rows per second.
     pub writes: f64,
 }
 
 impl Default for CallBudget {
-    /// An eighth of what the service bears, so that eight instances can't overrun it.
+    /// An eighth of the service's capacity, so that eight instances can't overload it.
     fn default() -> Self {
         Self {
             reads: 250.0,
@@ -44,12 +45,12 @@
     }
 }
 
-/// A table that spares the service behind it.
+/// A table with a rate limit and a circuit breaker in front of the table service.
 ///
-/// While the service is down, each call would wait for its time limit, and each commit whose
-/// answer is lost would leave something to be settled. So after a few failures in a row calls are
-/// refused at once, with certainty that they had no effect, and a probe finds out when the
-/// service is back.
+/// While the service is down, each call would wait for its timeout, and each commit whose answer is
+/// lost would leave a write with an unknown outcome. So after `FAILURES_UNTIL_DOWN` failures in a
+/// row calls fail at once, certainly without effect, and a probe detects when the service answers
+/// again.
 #[derive(Clone)]
 pub struct PacedTable {
     shared: Arc<Shared>,
@@ -58,16 +59,17 @@
 struct Shared {
     inner: Arc<dyn Table>,
     timer: Timer,
-    reads: Mutex<Pace>,
-    writes: Mutex<Pace>,
+    reads: Mutex<RateLimiter>,
+    writes: Mutex<RateLimiter>,
     health: Mutex<Health>,
 }
 
-/// Hands out times at a steady rate, with up to a second's worth at once.
-struct Pace {
+/// Spaces calls at a steady rate and allows bursts of up to `BURST`.
+struct RateLimiter {
+    /// Calls or rows per second.
     rate: f64,
-    /// When the budget is used up to, on the process's clock.
-    used: Moment,
+    /// Time on the process's clock up to which the budget is used up.
+    used_until: Moment,
 }
 
 #[derive(Default)]
@@ -76,38 +78,38 @@
     down: bool,
 }
 
-impl Pace {
+impl RateLimiter {
     const fn new(rate: f64) -> Self {
         Self {
             rate,
-            used: Moment::ZERO,
+            used_until: Moment::ZERO,
         }
     }
 
-    /// Takes a part of the budget; tells how long to wait, `None` if that is too long. A commit
-    /// of many rows may overdraw the budget, or a small one would never let it pass; those after
-    /// it wait until it is paid for.
-    fn take(&mut self, now: Moment, count: usize) -> Option<Duration> {
-        let start = self.used.max(now.saturating_sub(BURST));
+    /// Reserves budget for `count` calls or rows. Returns how long to wait, or `None` if that is
+    /// longer than `MAX_BUDGET_WAIT`. A commit may use more than the available budget, since a
+    /// commit of many rows would otherwise never fit into a small one; later calls wait for it.
+    fn reserve(&mut self, now: Moment, count: usize) -> Option<Duration> {
+        let start = self.used_until.max(now.saturating_sub(BURST));
         let wait = start.saturating_sub(now);
-        if wait > BUDGET_WAIT {
+        if wait > MAX_BUDGET_WAIT {
             return None;
         }
-        let cost = count as f64 / self.rate.max(LEAST_RATE);
-        self.used = start + Duration::from_secs_f64(cost);
+        let cost = count as f64 / self.rate.max(MIN_RATE);
+        self.used_until = start + Duration::from_secs_f64(cost);
         Some(wait)
     }
 }
 
 impl PacedTable {
-    /// Spares the service behind `inner`.
+    /// Protects the service behind `inner`.
     #[must_use]
     pub fn new(inner: Arc<dyn Table>, budget: CallBudget, timer: Timer) -> Self {
         let shared = Shared {
             inner,
             timer,
-            reads: Mutex::new(Pace::new(budget.reads)),
-            writes: Mutex::new(Pace::new(budget.writes)),
+            reads: Mutex::new(RateLimiter::new(budget.reads)),
+            writes: Mutex::new(RateLimiter::new(budget.writes)),
             health: Mutex::default(),
         };
         Self {
@@ -115,13 +117,13 @@
         }
     }
 
-    /// Whether the table service answers, as far as is known.
+    /// Whether the table service is up, judged by the latest calls.
     #[must_use]
     pub fn is_up(&self) -> bool {
         !self.shared.health.lock().down
     }
 
-    /// Writes the state for a dump.
+    /// Returns the state as lines for a dump.
     #[must_use]
     pub fn dump(&self) -> Vec<String> {
         let (down, failures) = {
@@ -135,13 +137,15 @@
 }
 
 impl Shared {
-    async fn pace(&self, pace: &Mutex<Pace>, count: usize) -> Result<(), PlatformError> {
+    /// Waits until the budget allows the call. Fails if the service is down or the wait would be
+    /// too long.
+    async fn admit(&self, limiter: &Mutex<RateLimiter>, count: usize) -> Result<(), PlatformError> {
         if self.health.lock().down {
             return Err(PlatformError::Unavailable {
                 reason: "the table service is down".into(),
             });
         }
-        let wait = pace.lock().take(self.timer.now(), count);
+        let wait = limiter.lock().reserve(self.timer.now(), count);
         match wait {
             None => Err(PlatformError::Busy {
                 reason: "this instance's budget is used up".into(),
@@ -154,9 +158,9 @@
         }
     }
 
-    fn note<T>(self: &Arc<Self>, result: &Result<T, PlatformError>) {
+    fn record_result<T>(self: &Arc<Self>, result: &Result<T, PlatformError>) {
         match result {
-            // An answer that says no is an answer.
+            // These errors show that the service answers.
             Ok(_)
             | Err(
                 PlatformError::Busy { .. }
@@ -166,16 +170,16 @@
                 self.health.lock().failures = 0;
             }
             Err(PlatformError::Unavailable { reason } | PlatformError::Unknown { reason }) => {
-                self.note_failure(reason);
+                self.record_failure(reason);
             }
         }
     }
 
-    fn note_failure(self: &Arc<Self>, reason: &Arc<str>) {
+    fn record_failure(self: &Arc<Self>, reason: &Arc<str>) {
         {
             let mut health = self.health.lock();
             health.failures += 1;
-            if health.down || health.failures < FAILURES {
+            if health.down || health.failures < FAILURES_UNTIL_DOWN {
                 return;
             }
             health.down = true;
@@ -186,14 +190,17 @@
         workers::spawn(Arc::clone(self).probe()).detach();
     }
 
-    /// Reads a row until the service answers. A read, since a commit could take effect unseen.
+    /// Reads a row repeatedly until the service answers. It does not commit, because a commit could
+    /// take effect although its answer is lost.
     async fn probe(self: Arc<Self>) {
         let key = RowKey::new("probe", "probe");
-        let mut pause = PROBE_FIRST;
+        let mut period = MIN_PROBE_PERIOD;
         loop {
-            // Instances must not fall into step.
-            self.timer.sleep(pause.mul_f64(0.5 + fastrand::f64())).await;
-            pause = (pause * 2).min(PROBE_LIMIT);
+            // The random factor keeps instances from probing at the same time.
+            self.timer
+                .sleep(period.mul_f64(0.5 + fastrand::f64()))
+                .await;
+            period = (period * 2).min(MAX_PROBE_PERIOD);
             if self.inner.read(&key).await.is_ok() {
                 break;
             }
@@ -206,9 +213,9 @@
 #[async_trait]
 impl Table for PacedTable {
     async fn read(&self, key: &RowKey) -> Result<Option<Row>, PlatformError> {
-        self.shared.pace(&self.shared.reads, 1).await?;
+        self.shared.admit(&self.shared.reads, 1).await?;
         let result = self.shared.inner.read(key).await;
-        self.shared.note(&result);
+        self.shared.record_result(&result);
         result
     }
 
@@ -218,16 +225,16 @@
         after: &str,
         limit: usize,
     ) -> Result<Vec<Row>, PlatformError> {
-        self.shared.pace(&self.shared.reads, 1).await?;
+        self.shared.admit(&self.shared.reads, 1).await?;
         let result = self.shared.inner.list(partition, after, limit).await;
-        self.shared.note(&result);
+        self.shared.record_result(&result);
         result
     }
 
     async fn commit(&self, writes: &[Write]) -> Result<(), PlatformError> {
-        self.shared.pace(&self.shared.writes, writes.len()).await?;
+        self.shared.admit(&self.shared.writes, writes.len()).await?;
         let result = self.shared.inner.commit(writes).await;
-        self.shared.note(&result);
+        self.shared.record_result(&result);
         result
     }
 }
--- a/components/stores/src/s3.rs
+++ b/components/stores/src/s3.rs
@@ -1,4 +1,4 @@
-//! The object store: the S3 API in path style.
+//! Client of the object store, which speaks the S3 API with path-style addresses.
 
 use std::{fmt::Write as _, sync::Arc, time::Duration};
 
@@ -13,12 +13,9 @@
     http::{Answer, Call, CallError, Endpoint},
 };
 
-/// Name of our bucket.
 const BUCKET: &str = "celerystand";
-/// Time for an object to be written or read.
-const OBJECT_TIME: Duration = Duration::from_secs(10);
-/// Most bytes of an object.
-const OBJECT_LIMIT: usize = 64 * 1024 * 1024;
+const OBJECT_TIMEOUT: Duration = Duration::from_secs(10);
+const MAX_OBJECT_BYTES: usize = 64 * 1024 * 1024;
 
 /// A client of the object store.
 pub struct S3Objects {
@@ -26,10 +23,11 @@
 }
 
 impl S3Objects {
-    /// Names the service, `http://IP:PORT[/path]`, and the bearer token it wants.
+    /// Creates a client of the service at `base`, `http://IP:PORT[/path]`, which sends `token` as a
+    /// bearer token.
     ///
     /// # Errors
-    /// Tells what is wrong with the address or the token.
+    /// Fails on an invalid address, or on a token that can't be sent in a header.
     pub fn new(client: Client, base: &str, token: Option<Arc<str>>) -> Result<Self, Failure> {
         let endpoint = Endpoint::new(client, base, token)?;
         Ok(Self { endpoint })
@@ -38,10 +36,10 @@
     async fn call(&self, method: Method, key: &str, body: Bytes) -> Result<Answer, CallError> {
         let call = Call {
             method,
-            path: format!("/{BUCKET}/{}", escape(key)),
+            path: format!("/{BUCKET}/{}", encode_path(key)),
             body,
-            within: OBJECT_TIME,
-            limit: OBJECT_LIMIT,
+            timeout: OBJECT_TIMEOUT,
+            max_answer_bytes: MAX_OBJECT_BYTES,
         };
         self.endpoint.call(call).await
     }
@@ -58,7 +56,7 @@
         let reason = format!("status {}", answer.status).into();
         match answer.status {
             status if status.is_success() => Ok(()),
-            // A client error or "slow down": the object was not taken.
+            // A client error or a request to slow down: the object was not written.
             status if status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE => {
                 Err(PlatformError::Unavailable { reason })
             }
@@ -79,14 +77,14 @@
     }
 }
 
-/// Escapes what a path may not hold.
-fn escape(key: &str) -> String {
+/// Percent-encodes the bytes that a path may not contain.
+fn encode_path(key: &str) -> String {
     let mut path = String::with_capacity(key.len());
     for byte in key.bytes() {
         if byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'.' | b'_' | b'~' | b'/') {
             path.push(char::from(byte));
         } else {
-            // Writing to a string can't fail.
+            // Writing to a string never fails.
             let _ = write!(path, "%{byte:02X}");
         }
     }
--- a/components/stores/src/slices.rs
+++ b/components/stores/src/slices.rs
@@ -1,4 +1,4 @@
-//! The list of instances and targets: Kubernetes EndpointSlices.
+//! Client of the directory, which lists instances and targets as Kubernetes EndpointSlices.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -12,43 +12,43 @@
 use crate::{
     api::{Directory, PlatformError},
     http::{Call, Endpoint},
-    slices_form::{self, SliceList},
+    slices_format::{self, SliceList},
 };
 
-/// Time for one page of the list.
-const LIST_TIME: Duration = Duration::from_secs(3);
-/// Most bytes of one page.
-const LIST_LIMIT: usize = 32 * 1024 * 1024;
-/// Most slices on all pages together.
-const SLICES_LIMIT: usize = 200_000;
+const PAGE_TIMEOUT: Duration = Duration::from_secs(3);
+const MAX_PAGE_BYTES: usize = 32 * 1024 * 1024;
+/// Most slices on all pages of the list together.
+const MAX_SLICES: usize = 200_000;
 
-/// A client of the platform's list.
+/// A client of the platform's directory.
 pub struct SliceDirectory {
     endpoint: Endpoint,
 }
 
 impl SliceDirectory {
-    /// Names the service, `http://IP:PORT[/path]`, and the bearer token it wants.
+    /// Creates a client of the service at `base`, `http://IP:PORT[/path]`, which sends `token` as a
+    /// bearer token.
     ///
     /// # Errors
-    /// Tells what is wrong with the address or the token.
+    /// Fails on an invalid address, or on a token that can't be sent in a header.
     pub fn new(client: Client, base: &str, token: Option<Arc<str>>) -> Result<Self, Failure> {
         let endpoint = Endpoint::new(client, base, token)?;
         Ok(Self { endpoint })
     }
 
+    /// Reads one page of the list; `next` is empty for the first one.
     async fn page(&self, next: &str) -> Result<SliceList, PlatformError> {
         let mut path = String::from("/apis/discovery.k8s.io/v1/endpointslices");
         if !next.is_empty() {
             path.push_str("?continue=");
-            path.push_str(&slices_form::escape_query(next));
+            path.push_str(&slices_format::encode_query(next));
         }
         let call = Call {
             method: Method::GET,
             path,
             body: Bytes::new(),
-            within: LIST_TIME,
-            limit: LIST_LIMIT,
+            timeout: PAGE_TIMEOUT,
+            max_answer_bytes: MAX_PAGE_BYTES,
         };
         let unavailable = |reason: Arc<str>| PlatformError::Unavailable { reason };
         let answer = self.endpoint.call(call).await;
@@ -56,7 +56,7 @@
         if !answer.status.is_success() {
             return Err(unavailable(format!("status {}", answer.status).into()));
         }
-        SliceList::read(&answer.body)
+        SliceList::decode(&answer.body)
     }
 }
 
@@ -71,9 +71,9 @@
             slices.extend(page.items);
             next = page.metadata.next;
             if next.is_empty() {
-                return Ok(slices_form::listing(&slices));
+                return Ok(slices_format::listing(&slices));
             }
-            if empty || slices.len() > SLICES_LIMIT {
+            if empty || slices.len() > MAX_SLICES {
                 let reason = "the list does not come to an end".into();
                 return Err(PlatformError::Malformed { reason });
             }
@@ -81,16 +81,16 @@
     }
 }
 
-/// Reads one page of the list as the platform writes it.
+/// Decodes one page of the list. Invalid entries are skipped.
 ///
 /// # Errors
-/// Tells that it is not a list of slices. An entry that makes no sense is passed over.
+/// Fails if the page is not a list of slices.
 pub fn read_listing(body: &[u8]) -> Result<Listing, PlatformError> {
-    let page = SliceList::read(body)?;
-    Ok(slices_form::listing(&page.items))
+    let page = SliceList::decode(body)?;
+    Ok(slices_format::listing(&page.items))
 }
 
-/// An address from an IP number and a port; `None` if the text is no IP number.
-pub(crate) fn address(ip: &str, port: u16) -> Option<SocketAddr> {
+/// Returns a socket address; `None` if `ip` is not an IP address.
+pub(crate) fn socket_addr(ip: &str, port: u16) -> Option<SocketAddr> {
     Some(SocketAddr::new(ip.parse().ok()?, port))
 }
--- a/components/stores/src/slices_form.rs
+++ b/components/stores/src/slices_format.rs
@@ -1,4 +1,4 @@
-//! Form of an EndpointSlice list (`discovery.k8s.io/v1`) and its meaning for us.
+//! Decodes EndpointSlice lists (`discovery.k8s.io/v1`) into instances and targets.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -12,42 +12,42 @@
 use types::{Incarnation, Listing, Member, ServiceId, ServingState, Target};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{api::PlatformError, slices::address};
+use crate::{api::PlatformError, slices::socket_addr};
 
-/// Label that names a slice's service.
+/// The label that holds the name of a slice's service.
 const SERVICE_LABEL: &str = "kubernetes.io/service-name";
 /// The service whose endpoints are celerystand instances.
-const MEMBERS: &str = "celerystand";
-/// Name of the port where instances listen for each other, if they list several.
+const MEMBER_SERVICE: &str = "celerystand";
+/// Name of the port on which instances accept connections of their peers, if a slice has several.
 const PEER_PORT: &str = "peer";
-/// Name of the port where targets listen, if they list several.
+/// Name of the port on which targets accept connections, if a slice has several.
 const TARGET_PORT: &str = "http";
 
-/// A page of the list. Slices are read one by one, so that one that makes no sense does not hide
-/// the others.
+/// A page of the list. Slices are decoded one by one, so that an invalid one does not hide the
+/// others.
 #[derive(Debug, Deserialize)]
 pub struct SliceList {
-    /// About the page.
+    /// The page's metadata.
     #[serde(default)]
     pub metadata: ListMetadata,
     /// The slices.
     pub items: Vec<Value>,
 }
 
-/// About a page of the list.
+/// Metadata of a page.
 #[derive(Debug, Default, Deserialize)]
 pub struct ListMetadata {
-    /// Where the next page begins; empty on the last.
+    /// Token that requests the next page; empty on the last one.
     #[serde(default, rename = "continue")]
     pub next: String,
 }
 
 impl SliceList {
-    /// Reads a page.
+    /// Decodes a page.
     ///
     /// # Errors
-    /// Tells that it is not a list of slices.
-    pub fn read(body: &[u8]) -> Result<Self, PlatformError> {
+    /// Fails if the page is not a list of slices.
+    pub fn decode(body: &[u8]) -> Result<Self, PlatformError> {
         serde_json::from_slice(body).map_err(|e| PlatformError::Malformed {
             reason: e.to_string().into(),
         })
@@ -102,7 +102,7 @@
 }
 
 impl Endpoint {
-    fn standing(&self) -> ServingState {
+    fn serving_state(&self) -> ServingState {
         let conditions = self.conditions.as_ref();
         match conditions.and_then(|c| c.terminating) {
             Some(true) => ServingState::Leaving,
@@ -116,12 +116,12 @@
     }
 
     fn addr(&self, port: u16) -> Option<SocketAddr> {
-        address(self.addresses.first()?, port)
+        socket_addr(self.addresses.first()?, port)
     }
 }
 
 impl Slice {
-    /// The port of this name, or the first one.
+    /// Returns the port of this name, or else the first one.
     fn port(&self, name: &str) -> Option<u16> {
         let ports = self.ports.as_ref()?;
         let named = ports.iter().find(|p| p.name.as_deref() == Some(name));
@@ -134,17 +134,17 @@
     }
 }
 
-/// What slices say. An entry that makes no sense is passed over: the list is written by others,
-/// and one bad entry must not take all targets away.
+/// Converts slices to a listing. Invalid entries are skipped: other software writes the list, and
+/// one bad entry must not remove all targets.
 #[must_use]
 pub fn listing(items: &[Value]) -> Listing {
-    let mut members = Latest::default();
-    let mut targets = Latest::default();
+    let mut members = MergedEntries::default();
+    let mut targets = MergedEntries::default();
     for slice in items.iter().filter_map(|s| Slice::deserialize(s).ok()) {
         let Some(service) = slice.metadata.labels.get(SERVICE_LABEL) else {
             continue;
         };
-        if &**service == MEMBERS {
+        if &**service == MEMBER_SERVICE {
             add_members(&slice, &mut members);
         } else {
             add_targets(&slice, service, &mut targets);
@@ -156,7 +156,7 @@
     }
 }
 
-fn add_members(slice: &Slice, members: &mut Latest<Member>) {
+fn add_members(slice: &Slice, members: &mut MergedEntries<Member>) {
     let Some(port) = slice.port(PEER_PORT) else {
         return;
     };
@@ -164,18 +164,18 @@
         let Some(addr) = endpoint.addr(port) else {
             continue;
         };
-        let standing = endpoint.standing();
+        let state = endpoint.serving_state();
         let member = Member {
             id: Arc::clone(&endpoint.target_ref.name),
             data_centre: endpoint.zone,
             addr,
-            state: standing,
+            state,
         };
-        members.put(&endpoint.target_ref.name, standing, member);
+        members.put(&endpoint.target_ref.name, state, member);
     }
 }
 
-fn add_targets(slice: &Slice, service: &ServiceId, targets: &mut Latest<Target>) {
+fn add_targets(slice: &Slice, service: &ServiceId, targets: &mut MergedEntries<Target>) {
     let Some(port) = slice.port(TARGET_PORT) else {
         return;
     };
@@ -183,57 +183,57 @@
         let Some(addr) = endpoint.addr(port) else {
             continue;
         };
-        let standing = endpoint.standing();
+        let state = endpoint.serving_state();
         let target = Target {
             id: Arc::clone(&endpoint.target_ref.name),
             service: Arc::clone(service),
             incarnation: endpoint.incarnation(),
             data_centre: endpoint.zone,
             addr,
-            state: standing,
+            state,
         };
-        targets.put(&endpoint.target_ref.name, standing, target);
+        targets.put(&endpoint.target_ref.name, state, target);
     }
 }
 
-/// Entries by name. An endpoint may stand in two slices while the platform moves it; if one of
-/// them says that it is leaving, it is.
-struct Latest<T> {
+/// Entries without duplicates. An endpoint may be in two slices while the platform moves it. It is
+/// leaving if one of them says so.
+struct MergedEntries<T> {
     list: Vec<T>,
-    places: HashMap<Arc<str>, usize>,
+    index_by_id: HashMap<Arc<str>, usize>,
 }
 
-impl<T> Default for Latest<T> {
+impl<T> Default for MergedEntries<T> {
     fn default() -> Self {
         Self {
             list: Vec::new(),
-            places: HashMap::new(),
+            index_by_id: HashMap::new(),
         }
     }
 }
 
-impl<T> Latest<T> {
-    fn put(&mut self, id: &Arc<str>, standing: ServingState, entry: T) {
-        match self.places.get(id) {
+impl<T> MergedEntries<T> {
+    fn put(&mut self, id: &Arc<str>, state: ServingState, entry: T) {
+        match self.index_by_id.get(id) {
             None => {
-                self.places.insert(Arc::clone(id), self.list.len());
+                self.index_by_id.insert(Arc::clone(id), self.list.len());
                 self.list.push(entry);
             }
-            Some(place) if standing == ServingState::Leaving => self.list[*place] = entry,
+            Some(index) if state == ServingState::Leaving => self.list[*index] = entry,
             Some(_) => {}
         }
     }
 }
 
-/// Escapes a value of a query.
+/// Percent-encodes a value for a query.
 #[must_use]
-pub fn escape_query(text: &str) -> String {
+pub fn encode_query(text: &str) -> String {
     let mut query = String::with_capacity(text.len());
     for byte in text.bytes() {
         if byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'.' | b'_' | b'~') {
             query.push(char::from(byte));
         } else {
-            // Writing to a string can't fail.
+            // Writing to a string never fails.
             let _ = write!(query, "%{byte:02X}");
         }
     }
--- a/components/stores/tests/fence.rs
+++ b/components/stores/tests/fence.rs
@@ -16,14 +16,14 @@
 }
 
 proptest! {
-    // Two owners of a target with the same number could both give it orders. Answers are lost and
-    // writes arrive late; a number may be skipped, but none is given out twice or goes back.
+    // Two owners of a target with the same fencing number could both command it. While answers are
+    // lost and writes arrive late, numbers may be skipped, but none is issued twice or decreases.
     #[test]
-    fn no_number_is_given_out_twice(faults in prop::collection::vec(fault(), 0..40)) {
+    fn no_number_is_issued_twice(faults in prop::collection::vec(fault(), 0..40)) {
         smol::block_on(async {
             let table = Arc::new(MemoryTable::new());
             table.add_faults(faults);
-            let ask = |_| {
+            let request_numbers = |_| {
                 let table = table.clone();
                 workers::spawn(async move {
                     let mut numbers = Vec::new();
@@ -35,11 +35,11 @@
                 })
             };
             let mut seen = BTreeSet::new();
-            for asker in (0..4).map(ask).collect::<Vec<_>>() {
-                let numbers = asker.await;
+            for requester in (0..4).map(request_numbers).collect::<Vec<_>>() {
+                let numbers = requester.await;
                 assert!(numbers.is_sorted(), "{numbers:?}");
                 for number in numbers {
-                    assert!(seen.insert(number), "{number} was given out twice");
+                    assert!(seen.insert(number), "{number} was issued twice");
                 }
             }
             let next = fence::next(&*table, "engine-1").await.expect("the table is up");
--- a/components/stores/tests/paced.rs
+++ b/components/stores/tests/paced.rs
@@ -1,4 +1,4 @@
-//! Sparing a table service that is down or busy.
+//! Protection of a table service that is down or busy.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,10 +14,10 @@
     }
 }
 
-async fn until(what: &str, holds: impl Fn() -> bool) {
+async fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let timer = Timer::new();
     for _ in 0..2000 {
-        if holds() {
+        if condition() {
             return;
         }
         timer.sleep(Duration::from_millis(10)).await;
@@ -25,11 +25,11 @@
     panic!("not within 20 s: {what}");
 }
 
-// The table service is down for hours. Without care each keyed request would wait for its time
-// limit and leave a commit whose fate is open; a user would wait for a refusal. After a few
-// failures calls are refused at once and the service is left alone, until it answers again.
+// The table service is down for hours. Each request with an idempotency key would wait for its
+// timeout and leave a commit with an unknown outcome. After a few failures calls must fail at once
+// without reaching the service, until it answers again.
 #[test]
-fn a_table_that_is_down_is_left_alone_until_it_answers() {
+fn a_table_that_is_down_gets_no_calls_until_it_answers() {
     smol::block_on(async {
         let memory = Arc::new(MemoryTable::new());
         let table = PacedTable::new(memory.clone(), CallBudget::default(), Timer::new());
@@ -41,7 +41,7 @@
         memory.set_down(false);
         let commits = memory.commits();
         let refused = table.commit(&[insert("d")]).await;
-        // The probe may have been faster than this call; then it went through.
+        // The call succeeds if a probe has already found the service up.
         if refused.is_err() {
             assert!(matches!(refused, Err(PlatformError::Unavailable { .. })));
             assert_eq!(
@@ -50,13 +50,13 @@
                 "a refused commit reached the table"
             );
         }
-        until("the table counts as up", || table.is_up()).await;
+        wait_until("the table counts as up", || table.is_up()).await;
         assert_eq!(table.commit(&[insert("e")]).await, Ok(()));
     });
 }
 
 #[test]
-fn a_success_in_between_keeps_the_table_up() {
+fn a_success_resets_the_count_of_failures() {
     smol::block_on(async {
         let memory = Arc::new(MemoryTable::new());
         let table = PacedTable::new(memory.clone(), CallBudget::default(), Timer::new());
@@ -72,10 +72,10 @@
     });
 }
 
-// The service is up and refuses calls above its rate. Were it taken for down, lookups of keys
-// that it would have answered were refused too, and an operator called for nothing.
+// The service is up and rejects calls above its rate. If that counted as an outage, lookups that it
+// would have answered would fail too, and operators would be alerted without need.
 #[test]
-fn a_busy_table_is_not_taken_for_one_that_is_down() {
+fn a_throttling_table_does_not_count_as_down() {
     smol::block_on(async {
         let memory = Arc::new(MemoryTable::new());
         let table = PacedTable::new(memory.clone(), CallBudget::default(), Timer::new());
@@ -89,9 +89,9 @@
     });
 }
 
-// One instance with a flood of keyed requests must not use up what the service bears for all.
+// One instance with very many keyed requests must not use up the capacity that all instances share.
 #[test]
-fn a_budget_bounds_what_reaches_the_table() {
+fn a_budget_limits_the_calls_that_reach_the_table() {
     smol::block_on(async {
         let memory = Arc::new(MemoryTable::new());
         let budget = CallBudget {
@@ -99,14 +99,14 @@
             writes: 0.001,
         };
         let table = PacedTable::new(memory.clone(), budget, Timer::new());
-        // The first one overdraws the budget and is let through.
+        // The first commit is allowed although it exceeds the budget.
         assert_eq!(table.commit(&[insert("first")]).await, Ok(()));
         for sort in 0..50 {
             let refused = table.commit(&[insert(&sort.to_string())]).await;
             assert!(matches!(refused, Err(PlatformError::Busy { .. })));
         }
         assert_eq!(memory.commits(), 1);
-        assert!(table.is_up(), "a full budget is no outage");
+        assert!(table.is_up(), "a used-up budget counts as an outage");
         assert_eq!(table.read(&RowKey::new("p", "0")).await, Ok(None));
     });
 }
--- a/components/stores/tests/stores.rs
+++ b/components/stores/tests/stores.rs
@@ -1,4 +1,4 @@
-//! The object store and the instance list.
+//! The clients of the object store and of the directory.
 
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn an_object_is_read_back_and_an_outage_is_told() {
+fn an_object_is_read_back_and_an_outage_is_reported() {
     smol::block_on(async {
         let running = start(any_port(), Faults::default())
             .await
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn the_list_tells_members_and_targets() {
+fn the_directory_lists_members_and_targets() {
     smol::block_on(async {
         let running = start(any_port(), Faults::default())
             .await
@@ -75,7 +75,7 @@
     });
 }
 
-const GOOD: &str = r#"{"metadata":{"labels":{"kubernetes.io/service-name":"s"}},
+const VALID_SLICE: &str = r#"{"metadata":{"labels":{"kubernetes.io/service-name":"s"}},
     "ports":[{"name":"http","port":80}],
     "endpoints":[{"addresses":["10.0.0.1"],"zone":"z","targetRef":{"name":"good","uid":"abc"}},
                  {"addresses":[],"zone":"z","targetRef":{"name":"no-address"}},
@@ -83,28 +83,28 @@
                  {"addresses":["10.0.0.2"],"targetRef":{"name":"no-zone"}},
                  7]}"#;
 
-// Another team's controller writes an entry that we can't read. If that hid the others, all
-// targets of the service would be gone at once.
+// Another team's controller writes an entry that can't be decoded. If that hid the others, all
+// targets of the service would disappear at once.
 #[test]
-fn an_entry_that_makes_no_sense_hides_no_other() {
+fn an_invalid_entry_does_not_hide_others() {
     let bad = r#"{"metadata":{"labels":{"kubernetes.io/service-name":"s"}},"ports":"none"}"#;
     let unlabelled = r#"{"metadata":{},"endpoints":null,"ports":null}"#;
-    let list = format!(r#"{{"items":[null,{bad},{unlabelled},[],{GOOD}]}}"#);
+    let list = format!(r#"{{"items":[null,{bad},{unlabelled},[],{VALID_SLICE}]}}"#);
     let listing = read_listing(list.as_bytes()).expect("it is a list");
     let names: Vec<&str> = listing.targets.iter().map(|t| &*t.id).collect();
     assert_eq!(names, ["good"]);
     assert_ne!(listing.targets[0].incarnation, 0);
 }
 
-// While the platform moves an endpoint from one slice to another it stands in both, and only one
-// of the two may say yet that it is leaving. New work sent to it would be cut off.
+// While the platform moves an endpoint from one slice to another, the endpoint is in both, and
+// perhaps only one of them says that it is leaving. New work sent to it would be interrupted.
 #[test]
-fn an_endpoint_in_two_slices_leaves_if_either_says_so() {
-    let leaving = GOOD.replace(
+fn an_endpoint_in_two_slices_is_leaving_if_either_says_so() {
+    let leaving = VALID_SLICE.replace(
         r#""zone":"z""#,
         r#""zone":"z","conditions":{"terminating":true}"#,
     );
-    for list in [[GOOD, &leaving], [&leaving, GOOD]] {
+    for list in [[VALID_SLICE, &leaving], [&leaving, VALID_SLICE]] {
         let text = format!(r#"{{"items":[{},{}]}}"#, list[0], list[1]);
         let listing = read_listing(text.as_bytes()).expect("it is a list");
         assert_eq!(listing.targets.len(), 1);
@@ -114,12 +114,12 @@
 
 proptest! {
     #[test]
-    fn no_text_makes_the_reader_of_lists_panic(text in any::<Vec<u8>>(), at in 0..600_usize) {
+    fn no_bytes_make_the_decoder_of_lists_panic(text in any::<Vec<u8>>(), at in 0..600_usize) {
         let _ = read_listing(&text);
-        // Also a good list with some bytes exchanged.
-        let mut list = format!(r#"{{"items":[{GOOD}]}}"#).into_bytes();
-        for (place, byte) in text.iter().enumerate() {
-            if let Some(old) = list.get_mut(at + place) {
+        // The same for a valid list with some bytes replaced.
+        let mut list = format!(r#"{{"items":[{VALID_SLICE}]}}"#).into_bytes();
+        for (offset, byte) in text.iter().enumerate() {
+            if let Some(old) = list.get_mut(at + offset) {
                 *old = *byte;
             }
         }
--- a/components/stores/tests/table.rs
+++ b/components/stores/tests/table.rs
@@ -1,4 +1,4 @@
-//! The client of the table service against the stand-in, and against answers that make no sense.
+//! The client of the table service, with the stand-in and with servers that send invalid answers.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_list_is_in_order_from_the_place_asked_for() {
+fn a_list_is_sorted_and_starts_after_the_given_key() {
     smol::block_on(async {
         let (_running, table) = table(Faults::default()).await;
         for number in 0..30 {
@@ -81,8 +81,8 @@
     });
 }
 
-// Two instances write the same row at once. The slower one must learn that none of its writes
-// took effect, or a user would see half a change.
+// Two instances write the same row at once. None of the later one's writes may take effect, or a
+// user would see half a change.
 #[test]
 fn a_commit_with_one_failed_condition_writes_nothing() {
     smol::block_on(async {
@@ -96,10 +96,10 @@
     });
 }
 
-// The connection breaks after the service has taken a commit and before its answer arrives. A
-// client that called this a failure would let the caller write twice.
+// The connection breaks after the service has applied a commit and before its answer arrives. If
+// the client reported that nothing was written, the caller would write twice.
 #[test]
-fn a_lost_answer_to_a_commit_is_told_as_unknown() {
+fn a_lost_answer_to_a_commit_is_reported_as_unknown() {
     smol::block_on(async {
         let faults = Faults {
             lose_answers: Some(1),
@@ -116,10 +116,10 @@
     });
 }
 
-// The service refuses calls above its rate. That is certain to have had no effect, so a keyed
-// request may be refused as not run.
+// The service rejects calls above its rate. Such a call certainly had no effect, so a keyed request
+// may be refused as not run.
 #[test]
-fn a_throttled_call_is_told_as_busy() {
+fn a_throttled_call_is_reported_as_busy() {
     smol::block_on(async {
         let faults = Faults {
             write_rate: Some(0.0),
@@ -137,7 +137,7 @@
     });
 }
 
-// The service answers 500, which says nothing about whether the write was done.
+// A status 500 does not say whether the write took effect.
 #[test]
 fn an_internal_error_leaves_a_commit_unknown_and_a_read_unavailable() {
     smol::block_on(async {
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn nobody_listening_is_told_as_unavailable() {
+fn a_refused_connection_is_reported_as_unavailable() {
     smol::block_on(async {
         let table = client(SocketAddr::from(([127, 0, 0, 1], 1)));
         let commit = table.commit(&[insert("a", "1")]).await;
@@ -171,20 +171,21 @@
     });
 }
 
-struct Fixed {
+/// Answers every request with the same status and body.
+struct FixedAnswer {
     status: u16,
     body: &'static str,
 }
 
 #[async_trait]
-impl Handler for Fixed {
+impl Handler for FixedAnswer {
     async fn handle(&self, _peer: SocketAddr, _req: Request<Incoming>) -> Response<Body> {
         Reply::new(self.status).with_body(full(self.body)).done()
     }
 }
 
 async fn answering(status: u16, body: &'static str) -> DynamoTable {
-    let handler = Arc::new(Fixed { status, body });
+    let handler = Arc::new(FixedAnswer { status, body });
     let server = Server::bind(any_port(), ServeLimits::default(), handler);
     let server = server.await.expect("a free port");
     let addr = server.addr().expect("it listens");
@@ -192,21 +193,22 @@
     client(addr)
 }
 
-/// Answers queries two rows a page, out of ten; each page but the last says where it ended.
-struct Pages;
+/// Answers queries over ten rows with two rows per page; each page but the last has a key to
+/// continue from.
+struct TwoRowPages;
 
 #[async_trait]
-impl Handler for Pages {
+impl Handler for TwoRowPages {
     async fn handle(&self, _peer: SocketAddr, req: Request<Incoming>) -> Response<Body> {
-        let patience = std::time::Duration::from_secs(5);
-        let body = net::read_all(req.into_body(), 10_000, patience).await;
-        let body = String::from_utf8(body.expect("a whole request").to_vec()).expect("text");
+        let timeout = std::time::Duration::from_secs(5);
+        let body = net::read_all(req.into_body(), 10_000, timeout).await;
+        let body = String::from_utf8(body.expect("a complete request").to_vec()).expect("text");
         let after = body
             .split(r#":s":{"S":""#)
             .nth(1)
             .and_then(|rest| rest.split('"').next());
         let first = after
-            .expect("a place")
+            .expect("a sort key")
             .trim()
             .parse::<u32>()
             .map_or(0, |n| n + 1);
@@ -224,12 +226,12 @@
     }
 }
 
-// The service ends a page at a limit of its own and says that there is more. A client that took
-// a short page for the last would start with half a configuration.
+// The service ends a page at its own size limit and says that there is more. A client that took a
+// short page for the last one would start with an incomplete configuration.
 #[test]
-fn a_short_page_is_not_taken_for_the_last() {
+fn a_short_page_is_not_taken_for_the_last_one() {
     smol::block_on(async {
-        let server = Server::bind(any_port(), ServeLimits::default(), Arc::new(Pages));
+        let server = Server::bind(any_port(), ServeLimits::default(), Arc::new(TwoRowPages));
         let server = server.await.expect("a free port");
         let table = client(server.addr().expect("it listens"));
         workers::spawn(server.run()).detach();
@@ -240,13 +242,13 @@
     });
 }
 
-// Something between us and the service answers in its place: a login page, an old version, half
-// a document. No instance may stop for it, and no write may be taken for refused.
+// A proxy answers in place of the service, with a login page, an old version or half a document.
+// The client must return an error and not panic, and must not report that a commit wrote nothing.
 #[test]
-fn an_answer_that_makes_no_sense_is_an_error_and_nothing_else() {
+fn an_invalid_answer_is_an_error() {
     smol::block_on(async {
         let key = RowKey::new("p", "a");
-        let garbage = [
+        let invalid = [
             "",
             "<html>login</html>",
             "{\"Item\":{\"pk\":{\"S\":\"p\"}}}",
@@ -255,7 +257,7 @@
             "{\"Items\":[{\"pk\":{\"S\":\"p\"}}]}",
             "{\"Items\":[{\"pk\":{\"S\":\"p\"},\"sk\":{\"S\":\"\"},\"ver\":{\"N\":\"1\"},\"body\":{\"S\":\"\"}}],\"LastEvaluatedKey\":1}",
         ];
-        for body in garbage {
+        for body in invalid {
             let table = answering(200, body).await;
             if !body.contains("Items") {
                 let read = table.read(&key).await;
@@ -281,7 +283,7 @@
 }
 
 #[test]
-fn an_address_that_is_no_ip_and_port_is_refused() {
+fn an_address_without_ip_and_port_is_rejected() {
     for base in [
         "",
         "127.0.0.1:1",
@@ -291,7 +293,7 @@
         "http://127.0.0.1:1/?a=b",
     ] {
         let table = DynamoTable::new(Client::new(), base, None);
-        assert!(table.is_err(), "{base:?} was taken");
+        assert!(table.is_err(), "{base:?} was accepted");
     }
     let newline = Some("a\nb".into());
     assert!(DynamoTable::new(Client::new(), "http://127.0.0.1:1", newline).is_err());
