--- a/components/front/src/store/follow.rs
+++ b/components/front/src/store/follow.rs
@@ -276,7 +276,7 @@
         for row in &changed {
             self.apply_row(row, now);
         }
-        for change in self.front.view.expire_lapsed(now) {
+        for change in self.front.view.remove_expired_listings(now) {
             act(&self.front, change);
         }
         let Some(confirmed_at) = self.cache.confirmed_at() else {
--- a/components/placing/src/length.rs
+++ b/components/placing/src/length.rs
@@ -59,11 +59,11 @@
         let remaining = self.max_tokens.saturating_sub(tokens_generated);
         let step = remaining / Tokens::from(INTEGRATION_STEPS) + 1;
         let mut sum = 0.0;
-        let mut at = 0;
-        while at < remaining {
-            let width = step.min(remaining - at);
-            sum += self.survival_probability(tokens_generated, at + width / 2) * as_f64(width);
-            at += step;
+        let mut offset = 0;
+        while offset < remaining {
+            let width = step.min(remaining - offset);
+            sum += self.survival_probability(tokens_generated, offset + width / 2) * as_f64(width);
+            offset += step;
         }
         round_tokens(sum)
     }
@@ -83,7 +83,7 @@
     weight: f64,
     log_mean: f64,
     /// Sum of the squared deviations from the mean.
-    squared_distances: f64,
+    squared_deviations: f64,
 }
 
 /// Length distributions of all routes, updated with each finished generation.
@@ -104,13 +104,13 @@
             .or_insert_with(|| prior(max_tokens));
         if fit.weight > MAX_WEIGHT {
             fit.weight /= 2.0;
-            fit.squared_distances /= 2.0;
+            fit.squared_deviations /= 2.0;
         }
         let log_length = as_f64(tokens_generated).ln();
         let deviation = log_length - fit.log_mean;
         fit.weight += 1.0;
         fit.log_mean += deviation / fit.weight;
-        fit.squared_distances += deviation * (log_length - fit.log_mean);
+        fit.squared_deviations += deviation * (log_length - fit.log_mean);
     }
 
     /// Length estimate for a new generation.
@@ -123,7 +123,7 @@
     ) -> LengthEstimate {
         let fit = self.routes.get(route).copied();
         let fit = fit.unwrap_or_else(|| prior(max_tokens));
-        let log_std_dev = (fit.squared_distances / fit.weight)
+        let log_std_dev = (fit.squared_deviations / fit.weight)
             .sqrt()
             .max(MIN_LOG_STD_DEV);
         let Some(length_hint) = length_hint.filter(|length_hint| *length_hint > 0) else {
@@ -133,12 +133,14 @@
                 max_tokens,
             };
         };
-        let (fitted, hinted) = (log_std_dev.powi(-2), HINT_LOG_STD_DEV.powi(-2));
-        let log_mean =
-            (fit.log_mean * fitted + as_f64(length_hint).ln() * hinted) / (fitted + hinted);
+        let (fit_precision, hint_precision) = (log_std_dev.powi(-2), HINT_LOG_STD_DEV.powi(-2));
+        let log_mean = (fit.log_mean * fit_precision + as_f64(length_hint).ln() * hint_precision)
+            / (fit_precision + hint_precision);
         LengthEstimate {
             log_mean,
-            log_std_dev: (fitted + hinted).powf(-0.5).max(MIN_LOG_STD_DEV),
+            log_std_dev: (fit_precision + hint_precision)
+                .powf(-0.5)
+                .max(MIN_LOG_STD_DEV),
             max_tokens,
         }
     }
@@ -150,6 +152,6 @@
         log_mean: (as_f64(max_tokens.max(2)) * PRIOR_MEDIAN_SHARE)
             .max(1.0)
             .ln(),
-        squared_distances: PRIOR_LOG_STD_DEV * PRIOR_LOG_STD_DEV * PRIOR_WEIGHT,
+        squared_deviations: PRIOR_LOG_STD_DEV * PRIOR_LOG_STD_DEV * PRIOR_WEIGHT,
     }
 }
--- a/components/placing/src/memory.rs
+++ b/components/placing/src/memory.rs
@@ -10,7 +10,7 @@
 
 use crate::{length::LengthEstimate, tuning::as_f64};
 
-/// Points of the projection, in tokens that each generation has generated from now on.
+/// Points of the projection, in tokens that each generation generates from now on.
 const LOOKAHEAD_TOKENS: [Tokens; 9] = [0, 60, 120, 240, 480, 800, 1_200, 1_500, 1_900];
 /// Margin in standard deviations of the sum. Without a margin, one engine in two would exceed the
 /// projection at its peak.
--- a/components/placing/src/migration.rs
+++ b/components/placing/src/migration.rs
@@ -45,9 +45,14 @@
             let Some(generation) = self.generations.get(&id).cloned() else {
                 continue;
             };
-            let excluded = |to: &TargetId| is_excluded(&id, to);
-            let Some(to) = self.destination(now, &generation, data_centre, engines, &excluded)
-            else {
+            let is_excluded_destination = |to: &TargetId| is_excluded(&id, to);
+            let Some(to) = self.destination(
+                now,
+                &generation,
+                data_centre,
+                engines,
+                &is_excluded_destination,
+            ) else {
                 continue;
             };
             self.reserve(&id, &to);
@@ -125,13 +130,13 @@
         generation: &Generation,
         data_centre: &DataCentreId,
         engines: &[Engine],
-        excluded: &dyn Fn(&TargetId) -> bool,
+        is_excluded_destination: &dyn Fn(&TargetId) -> bool,
     ) -> Option<TargetId> {
         let allocation = generation.allocation(now, self.throughput(&generation.service));
         let tokens_held = allocation.prompt_tokens + allocation.tokens_generated;
         let mut best = None;
         for engine in engines {
-            if engine.id == generation.target || excluded(&engine.id) {
+            if engine.id == generation.target || is_excluded_destination(&engine.id) {
                 continue;
             }
             if !self.has_room(now, engine, allocation, self.tuning.memory_share) {
--- a/components/placing/src/owner.rs
+++ b/components/placing/src/owner.rs
@@ -225,13 +225,15 @@
         evaluated: &EvaluatedRequest<'_>,
     ) -> Duration {
         let prefill_until = self.account(&engine.id).prefill_until;
-        let known = prefill_until.saturating_sub(now);
-        let queued = self.fresh_report(now, &engine.id).map_or(0, |r| r.queued);
+        let backlog = prefill_until.saturating_sub(now);
+        let queued = self
+            .fresh_report(now, &engine.id)
+            .map_or(0, |report| report.queued);
         let reported_prefill = evaluated
             .throughput
             .prefill_time(QUEUED_PROMPT_TOKENS)
             .saturating_mul(queued);
-        known.max(reported_prefill) + evaluated.prefill_time
+        backlog.max(reported_prefill) + evaluated.prefill_time
     }
 
     /// The longest time by which a first event from an engine is overdue. An engine that has failed
@@ -256,7 +258,8 @@
         (now.saturating_sub(at) < self.tuning.report_max_age).then_some(report)
     }
 
-    /// Tokens that other instances' generations hold on an engine, according to its last report.
+    /// Tokens that other instances' generations hold on an engine, according to its load report; 0
+    /// without a recent report.
     fn foreign_tokens(&self, now: Moment, target: &TargetId, own: &[Allocation]) -> f64 {
         let Some(report) = self.fresh_report(now, target) else {
             return 0.0;
@@ -299,14 +302,14 @@
         if account.uncertain_until > now {
             return false;
         }
-        let places = account.generations.len() + account.incoming_copies.len();
-        if places >= usize::try_from(engine.slots).unwrap_or(usize::MAX) {
+        let occupied_slots = account.generations.len() + account.incoming_copies.len();
+        if occupied_slots >= usize::try_from(engine.slots).unwrap_or(usize::MAX) {
             return false;
         }
         let mut allocations = self.allocations(now, &engine.id);
-        let others_tokens = self.foreign_tokens(now, &engine.id, &allocations);
+        let foreign = self.foreign_tokens(now, &engine.id, &allocations);
         allocations.push(added);
-        self.projected_tokens(&allocations) + others_tokens <= as_f64(engine.memory) * share
+        self.projected_tokens(&allocations) + foreign <= as_f64(engine.memory) * share
     }
 
     /// Tokens that count as reserved for the generations on an engine.
@@ -370,9 +373,9 @@
     /// later.
     fn record_prefill(&mut self, now: Moment, generation: &Generation) {
         let account = self.account(&generation.target);
-        let from = account.last_first_event.max(generation.assigned_at);
+        let prefill_began = account.last_first_event.max(generation.assigned_at);
         account.last_first_event = now;
-        let time = now.saturating_sub(from);
+        let time = now.saturating_sub(prefill_began);
         self.estimator(&generation.service)
             .record_prefill(generation.prompt_tokens, time);
     }
@@ -449,7 +452,7 @@
         let Some(account) = self.accounts.get(target) else {
             return;
         };
-        let unread: Duration = account
+        let remaining_prefill: Duration = account
             .generations
             .iter()
             .filter_map(|generation| self.generations.get(generation))
@@ -459,7 +462,7 @@
                     .prefill_time(generation.prompt_tokens)
             })
             .sum();
-        let latest = now + unread;
+        let latest = now + remaining_prefill;
         let account = self.account(target);
         account.prefill_until = account.prefill_until.min(latest);
     }
--- a/components/placing/src/queue.rs
+++ b/components/placing/src/queue.rs
@@ -54,7 +54,7 @@
 pub(crate) struct WaitingRequest {
     /// Shard whose engines it waits for; requests for other shards do not compete with it.
     shard: Shard,
-    late: bool,
+    is_late: bool,
     priority: u32,
     /// Time since its arrival, as of `last_asked_at`.
     waited: Duration,
@@ -171,7 +171,7 @@
         let request = evaluated.request;
         let waiting = WaitingRequest {
             shard: request.shard.clone(),
-            late: evaluated.is_late(),
+            is_late: evaluated.is_late(),
             priority: request.priority,
             waited: request.waited,
             last_asked_at: now,
@@ -231,7 +231,7 @@
         let ahead = |(generation, other): &(&GenerationId, &WaitingRequest)| {
             let waited = other.waited + now.saturating_sub(other.last_asked_at);
             let other_order: WaitOrder = (
-                other.late,
+                other.is_late,
                 other.priority,
                 Reverse(waited),
                 Arc::clone(generation),
--- a/components/placing/src/retry_schedule.rs
+++ b/components/placing/src/retry_schedule.rs
@@ -23,7 +23,7 @@
 /// measured by the caller and passes through an entry.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(250);
 /// Maximum delay until a retry, as a share of the time left until the caller's deadline; the rest
-/// must do for the whole answer.
+/// must suffice for the whole answer.
 const MAX_DELAY_SHARE: f64 = 1.0 / 3.0;
 
 /// Retries that find no slot before that maximum are spread over this share of it.
--- a/components/view/src/state.rs
+++ b/components/view/src/state.rs
@@ -15,7 +15,7 @@
 /// How long after an outage of the store a listing that expired meanwhile is retained. Targets
 /// renew their listings within about two seconds of the store's return; one that has not by then is
 /// gone.
-const LAPSE_GRACE: Duration = Duration::from_millis(2200);
+const EXPIRED_LISTING_GRACE: Duration = Duration::from_millis(2200);
 
 /// Time at which the read that last confirmed the state was sent; `None` before the first.
 pub type LastRead = Option<Moment>;
@@ -51,7 +51,7 @@
     by_service: HashMap<ServiceId, BTreeMap<TargetId, Arc<Target>>>,
     targets_read_at: LastRead,
     /// Listings that expired during an outage of the store, and how long they are retained.
-    lapsed: BTreeMap<TargetId, Moment>,
+    expired: BTreeMap<TargetId, Moment>,
     closed: BTreeSet<DataCentreId>,
 }
 
@@ -173,7 +173,7 @@
     pub fn apply_target(&self, target: Target) -> Option<Change> {
         let mut state = self.inner.write();
         let id = Arc::clone(&target.id);
-        state.lapsed.remove(&id);
+        state.expired.remove(&id);
         let updated = Arc::new(target);
         let previous = state.insert(&updated);
         let Some(previous) = previous else {
@@ -216,28 +216,28 @@
     ) -> Option<Change> {
         let mut state = self.inner.write();
         let serving_state = state.targets.get(id)?.state;
-        let retained_until = outage_end.map(|at| at + LAPSE_GRACE);
+        let retained_until = outage_end.map(|at| at + EXPIRED_LISTING_GRACE);
         if let Some(until) =
             retained_until.filter(|until| *until > now && serving_state == ServingState::Live)
         {
-            state.lapsed.insert(Arc::clone(id), until);
+            state.expired.insert(Arc::clone(id), until);
             return None;
         }
         remove(&mut state, id)
     }
 
     /// Removes the expired listings that were not renewed in time.
-    pub fn expire_lapsed(&self, now: Moment) -> Vec<Change> {
+    pub fn remove_expired_listings(&self, now: Moment) -> Vec<Change> {
         let mut state = self.inner.write();
-        let due: Vec<TargetId> = state
-            .lapsed
+        let ids: Vec<TargetId> = state
+            .expired
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(id, _)| Arc::clone(id))
             .collect();
-        due.iter()
+        ids.iter()
             .filter_map(|id| {
-                state.lapsed.remove(id);
+                state.expired.remove(id);
                 remove(&mut state, id)
             })
             .collect()
@@ -248,15 +248,15 @@
     /// Inserts or replaces a target; returns the previous listing.
     fn insert(&mut self, target: &Arc<Target>) -> Option<Arc<Target>> {
         let targets = Arc::make_mut(&mut self.targets);
-        let before = targets.insert(Arc::clone(&target.id), Arc::clone(target));
+        let previous = targets.insert(Arc::clone(&target.id), Arc::clone(target));
         // An id may be reused by another service.
-        if let Some(before) = before.as_ref().filter(|b| b.service != target.service) {
-            self.remove_from_service(before);
+        if let Some(previous) = previous.as_ref().filter(|b| b.service != target.service) {
+            self.remove_from_service(previous);
         }
         let service_targets = self.by_service.entry(Arc::clone(&target.service));
         let service_targets = service_targets.or_default();
         service_targets.insert(Arc::clone(&target.id), Arc::clone(target));
-        before
+        previous
     }
 
     fn remove_from_service(&mut self, target: &Target) {
--- a/components/view/tests/view.rs
+++ b/components/view/tests/view.rs
@@ -128,7 +128,7 @@
     );
     assert!(view.target("t-1").is_some());
     view.apply_target(target("t-1", ServingState::Live, None));
-    let changes = view.expire_lapsed(outage_end + 3 * SECOND);
+    let changes = view.remove_expired_listings(outage_end + 3 * SECOND);
     assert!(matches!(&changes[..], [Change::Leaving(gone)] if &*gone.id == "t-2"));
     assert!(view.target("t-1").is_some());
 }
--- a/components/wire/src/codec.rs
+++ b/components/wire/src/codec.rs
@@ -25,7 +25,7 @@
     NotAuthentic,
     /// Authentic, but not a valid envelope.
     #[display("the envelope can't be decoded")]
-    Garbled,
+    Undecodable,
     /// Sent by another version of celerystand.
     #[display(
         "the envelope has format {format}, this instance speaks {}",
@@ -82,7 +82,7 @@
         mac.update(body);
         // Compares in constant time.
         mac.verify_slice(tag).map_err(|_| WireError::NotAuthentic)?;
-        rmp_serde::from_slice(body).map_err(|_| WireError::Garbled)
+        rmp_serde::from_slice(body).map_err(|_| WireError::Undecodable)
     }
 
     /// Verifies and decodes an envelope addressed to `me`.
