--- a/components/config/examples/measure_config.rs
+++ b/components/config/examples/measure_config.rs
@@ -1,5 +1,5 @@
-//! Measures what the configuration costs an instance: `cargo run --release -p config --example
-//! measure_config`. Prints slopes for the capacity page.
+//! Measures the memory and time that the configuration costs an instance: `cargo run --release -p
+//! config --example measure_config`. Prints the slopes used on the capacity page.
 
 use std::{
     collections::BTreeMap,
@@ -26,10 +26,10 @@
 
 fn main() {
     for workspaces in [10, 480, 4800] {
-        tree_of(workspaces);
+        measure_tree(workspaces);
     }
     for instances in [9, 200, 2100] {
-        spread_over(instances);
+        measure_gossip(instances);
     }
 }
 
@@ -63,25 +63,25 @@
     Snapshot { version: 1, nodes }
 }
 
-/// Hashes spread as those of real keys do.
+/// Random hashes, distributed like those of real keys.
 fn key_hash(workspace: usize) -> String {
     let mut rng = fastrand::Rng::with_seed(workspace as u64);
     (0..64).map(|_| rng.digit(16)).collect()
 }
 
-fn tree_of(workspaces: usize) {
+fn measure_tree(workspaces: usize) {
     let snapshot = snapshot(workspaces);
     let count = snapshot.nodes.len();
     let changed = snapshot.nodes.keys().map(|p| (p.clone(), 1)).collect();
-    let whole = VersionedTree {
+    let tree = VersionedTree {
         snapshot,
         node_versions: changed,
     };
-    let update = Update::Full(whole.snapshot.clone(), whole.node_versions.clone());
-    let whole_bytes = serde_json::to_string(&update).map_or(0, |text| text.len());
+    let update = Update::Full(tree.snapshot.clone(), tree.node_versions.clone());
+    let full_bytes = serde_json::to_string(&update).map_or(0, |text| text.len());
     let before = resident();
-    let mut held = ConfigCache::default();
-    held.take_whole(whole);
+    let mut cache = ConfigCache::default();
+    cache.replace_tree(tree);
     let memory = resident().saturating_sub(before);
 
     let start = Instant::now();
@@ -90,17 +90,17 @@
         let entry = entry(version);
         let update = Update::Changes(vec![entry.clone()]);
         bytes = serde_json::to_string(&update).map_or(0, |text| text.len());
-        let taken = held.take_changes(&[entry]);
+        let taken = cache.apply_changes(&[entry]);
         assert_eq!(taken, Ok(true), "the change applies");
     }
     let apply = start.elapsed() / u32::try_from(CHANGES).unwrap_or(1);
 
     let start = Instant::now();
-    let faults = tree::check(&held.whole().snapshot);
+    let faults = tree::check(&cache.tree().snapshot);
     let check = start.elapsed();
     assert_eq!(faults, [], "the tree is valid");
 
-    let rules = Rules::new(&held.whole().snapshot);
+    let rules = Rules::new(&cache.tree().snapshot);
     let (own, hash) = ("w7".into(), key_hash(7));
     let start = Instant::now();
     for _ in 0..LOOKUPS {
@@ -112,7 +112,7 @@
         "{count} nodes: {} KB held, a change applied in {apply:?}, a tree checked in {check:?}, \
          a look-up {lookup:?}, a change {bytes} bytes, the whole {} KB",
         memory / 1024,
-        whole_bytes / 1024,
+        full_bytes / 1024,
     );
 }
 
@@ -163,7 +163,7 @@
         ours: &[Override],
     ) -> Option<Vec<Override>> {
         *self.links.messages.lock() += 1;
-        // The way there and back between data centres.
+        // Round trip between data centres.
         Timer::new().sleep(Duration::from_millis(3)).await;
         let updater = self.links.updaters.lock().get(peer)?.upgrade()?;
         Some(updater.exchange_overrides(ours))
@@ -175,8 +175,8 @@
     }
 }
 
-/// Waits until all instances have started and say nothing any more.
-async fn quiet(links: &Links, timer: Timer) {
+/// Waits until all instances have started and a second passes without a message.
+async fn until_idle(links: &Links, timer: Timer) {
     loop {
         timer.sleep(Duration::from_secs(1)).await;
         if std::mem::take(&mut *links.messages.lock()) == 0 {
@@ -185,8 +185,8 @@
     }
 }
 
-/// Time until an override is known to all of so many instances in this process.
-fn spread_over(instances: usize) {
+/// Measures the time until every one of `instances` instances in this process knows an override.
+fn measure_gossip(instances: usize) {
     let table = Arc::new(MemoryTable::new());
     let links = Arc::new(Links::default());
     let timer = Timer::new();
@@ -220,15 +220,15 @@
             .iter()
             .map(|updater| workers::spawn(Arc::clone(updater).run()))
             .collect();
-        quiet(&links, timer).await;
+        until_idle(&links, timer).await;
         let start = Instant::now();
-        let told = updaters[0].override_data_centre(OverrideOrder {
+        let report = updaters[0].override_data_centre(OverrideOrder {
             data_centre: "d".into(),
             out: true,
             duration: Duration::from_secs(600),
             operator: "operator".into(),
         });
-        let told = told.await.expect("it is taken");
+        let report = report.await.expect("the override is accepted");
         let answered = start.elapsed();
         while updaters
             .iter()
@@ -239,7 +239,7 @@
         println!(
             "{instances} instances: the operator's answer in {answered:?} with {} names, known to \
              all in {:?} with {} messages",
-            told.accepted_by.len(),
+            report.accepted_by.len(),
             start.elapsed(),
             links.messages.lock(),
         );
--- a/components/config/src/api.rs
+++ b/components/config/src/api.rs
@@ -1,4 +1,4 @@
-//! What the administration API and the daemon ask of the configuration.
+//! Interface of the configuration for the administration API and the node.
 
 use std::{
     collections::BTreeMap,
@@ -15,41 +15,42 @@
 
 use crate::overrides::Override;
 
-/// A configuration in force.
+/// The configuration that an instance uses at present.
 pub struct CurrentConfig {
     /// The nodes as written.
     pub snapshot: Snapshot,
-    /// The same, ready for look-ups.
+    /// The same configuration, indexed for look-ups.
     pub effective: Box<dyn EffectiveConfig>,
 }
 
 /// A change of one node.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Change {
-    /// The node.
+    /// Path of the node.
     pub path: NodePath,
-    /// Its new content; `None` deletes it.
+    /// New content of the node; `None` deletes it.
     pub node: Option<Node>,
     /// The configuration version that last wrote the node, as the operator saw it; `None` if the
-    /// node must not exist yet.
+    /// node must not exist yet. The change is rejected as a conflict if another version has written
+    /// the node.
     #[serde(rename = "seen")]
     pub expected_version: Option<ConfigVersion>,
-    /// Who changes it.
+    /// The operator who makes the change.
     #[serde(rename = "who")]
     pub operator: Arc<str>,
 }
 
-/// An accepted change, as history keeps it.
+/// An accepted change, as stored in the history.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct HistoryEntry {
-    /// The version that the change made.
+    /// The version that the change created.
     pub version: ConfigVersion,
-    /// When, by the clock of the instance that took it.
+    /// When the change was made, by the clock of the instance that accepted it.
     pub at: SystemTime,
     /// The change.
     pub change: Change,
-    /// Unique per attempt: tells one's own change from somebody else's when the answer to the
-    /// commit was lost.
+    /// Unique per attempt. Distinguishes the attempt's own change from another operator's when the
+    /// answer to the commit was lost.
     #[serde(default)]
     pub id: Arc<str>,
 }
@@ -57,22 +58,23 @@
 /// Why a change was not accepted.
 #[derive(Clone, Debug, Display, Error, PartialEq)]
 pub enum ChangeError {
-    /// It is wrong in itself.
+    /// The change is not valid.
     #[display("the change is not valid: {} faults", faults.len())]
     Invalid {
-        /// All that is wrong.
+        /// All faults.
         faults: Vec<Fault>,
     },
-    /// Somebody else changed the node since the operator saw it.
+    /// Another operator changed the node after this operator read it.
     #[display("the node was changed by version {now:?} in the meantime")]
     Conflict {
         /// The version that last wrote the node; `None` if it does not exist.
         now: Option<ConfigVersion>,
     },
-    /// The table service is down; nothing was changed.
+    /// The table service is unavailable; nothing was changed.
     #[display("the table service can't be reached; nothing was changed")]
     StoreUnavailable,
-    /// The table service's answer was lost and it is down since: the change may be in force.
+    /// The answer of the table service was lost and the service has been unavailable since: the
+    /// change may have been accepted.
     #[display("the table service's answer was lost; the change may have been accepted")]
     Unknown,
 }
@@ -80,37 +82,38 @@
 /// The configuration of one instance.
 #[async_trait]
 pub trait Config: Send + Sync {
-    /// What is in force here; `None` before the first was found.
+    /// The configuration in effect; `None` until the first one was loaded.
     fn current(&self) -> Option<Arc<CurrentConfig>>;
 
-    /// The version that last wrote a node.
+    /// The configuration version that last wrote a node; `None` if the node does not exist.
     fn node_version(&self, path: &str) -> Option<ConfigVersion>;
 
-    /// Checks a change without applying it.
+    /// Validates a change without applying it.
     ///
     /// # Errors
-    /// All faults.
+    /// All faults that the change would add.
     fn check(&self, change: &Change) -> Result<(), Vec<Fault>>;
 
-    /// Commits a change and puts it in force here.
+    /// Commits a change and applies it on this instance.
     async fn change(&self, change: Change) -> Result<ConfigVersion, ChangeError>;
 
-    /// Lists accepted changes up to a version, newest first.
+    /// Lists the newest accepted changes, newest first, at most `limit`.
     async fn history(&self, limit: usize) -> Result<Vec<HistoryEntry>, ChangeError>;
 
-    /// A peer has a newer version in force: fetch it from there, or from the table service.
+    /// Handles the announcement that a peer has `version`: if it is newer, fetches it from the
+    /// peer, or from the table service if the peer doesn't deliver it.
     async fn receive_version(&self, peer: &InstanceId, version: ConfigVersion);
 
-    /// Answers a peer: all changes after `version`, or the whole snapshot if they are no longer
-    /// kept.
+    /// Returns what a peer at `version` is missing: all later changes, or the full snapshot if
+    /// those changes are no longer retained.
     fn since(&self, version: ConfigVersion) -> Update;
 
-    /// Keeps a data centre out for a limited time although the table service is down, or
-    /// withdraws such an override. It is not accepted; once the table service is back, it is
-    /// committed as an ordinary change.
+    /// Takes a data centre out of service for a limited time while the table service is
+    /// unavailable, or withdraws such an override. An override is not an accepted change; it is
+    /// committed as one once the table service is available again.
     ///
     /// # Errors
-    /// Tells why the order can't be taken.
+    /// Why the override was rejected.
     async fn override_data_centre(
         &self,
         _order: OverrideOrder,
@@ -118,69 +121,69 @@
         Err(OverrideError::NotReady)
     }
 
-    /// Overrides that are known here, withdrawn ones too.
+    /// The unexpired overrides known to this instance, including withdrawals.
     fn overrides(&self) -> Vec<Override> {
         Vec::new()
     }
 
-    /// Takes a peer's overrides and answers with those known here.
+    /// Merges a peer's overrides and returns all that are known to this instance.
     fn exchange_overrides(&self, _theirs: &[Override]) -> Vec<Override> {
         Vec::new()
     }
 }
 
-/// An operator's order to override.
+/// An operator's request for an override.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OverrideOrder {
-    /// The data centre.
+    /// The data centre to which the override applies.
     pub data_centre: DataCentreId,
-    /// `true` keeps it out, `false` withdraws an override.
+    /// `true` takes the data centre out of service, `false` withdraws an override.
     pub out: bool,
-    /// How long it is to hold, at most `MAX_OVERRIDE_DURATION`.
+    /// How long the override lasts, at most `MAX_OVERRIDE_DURATION`.
     #[serde(rename = "within")]
     pub duration: Duration,
-    /// The operator.
+    /// The operator who gave the order.
     #[serde(rename = "who")]
     pub operator: Arc<str>,
 }
 
-/// An override and how far it got.
+/// An override and which instances it has reached.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OverrideReport {
     /// The override.
     pub order: Override,
-    /// Instances that have taken it.
+    /// Instances that have confirmed the override.
     #[serde(rename = "taken")]
     pub accepted_by: Vec<InstanceId>,
-    /// Instances that are heard but did not answer; they are told again.
+    /// Instances that are reachable but did not answer; gossip sends it to them again.
     #[serde(rename = "missed")]
     pub unanswered_by: Vec<InstanceId>,
 }
 
-/// Why an override can't be taken.
+/// Why an override was rejected.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum OverrideError {
-    /// No configuration is in force here yet.
+    /// No configuration has been loaded on this instance yet.
     #[display("no configuration is in force here yet")]
     NotReady,
     /// The configuration has no such data centre.
     #[display("the configuration has no such data centre")]
     NoSuchDataCentre,
-    /// There are too many overrides, or a newer one for this data centre.
+    /// There are too many overrides, or there is a newer one for this data centre.
     #[display("there is a newer override, or there are too many")]
     Rejected,
 }
 
-/// What a peer needs to come up to date.
+/// What a peer needs to reach the sender's version.
 ///
-/// It travels as JSON text, whatever form the messages around it have: nodes leave out what they
-/// do not write, and the messages' form has no field names, so a value would be read as another.
+/// Always serialised as JSON text, also inside of binary messages: nodes omit unset values, and the
+/// binary encoding has no field names, so a positional decoder would read one value as another.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(remote = "Self")]
 pub enum Update {
-    /// The changes, in order.
+    /// The missing changes, in order of their versions.
     Changes(Vec<HistoryEntry>),
-    /// All of it, with the version that last wrote each node.
+    /// The full snapshot, and the version that last wrote each node.
     #[serde(rename = "Whole")]
     Full(Snapshot, BTreeMap<NodePath, ConfigVersion>),
 }
@@ -205,16 +208,17 @@
     }
 }
 
-/// Asks a peer for its configuration.
+/// Access to the configuration of peers.
 #[async_trait]
 pub trait PeerConfig: Send + Sync {
-    /// Fetches what is newer than `version`; `None` if the peer can't be reached.
+    /// Fetches everything newer than `version`; `None` if the peer can't be reached.
     async fn fetch(&self, peer: &InstanceId, version: ConfigVersion) -> Option<Update>;
 
-    /// Peers that are heard at present.
+    /// Peers that are reachable at present.
     fn peers(&self) -> Vec<InstanceId>;
 
-    /// Tells a peer of overrides and asks for its own; `None` if it can't be reached.
+    /// Sends a peer the overrides known here and returns those it knows; `None` if it can't be
+    /// reached.
     async fn exchange_overrides(
         &self,
         _peer: &InstanceId,
--- a/components/config/src/cache.rs
+++ b/components/config/src/cache.rs
@@ -1,4 +1,4 @@
-//! What one instance holds of the configuration: its version only grows.
+//! The configuration cached by one instance. Its version never decreases.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -13,31 +13,31 @@
     overrides::{Override, Overrides},
 };
 
-/// Accepted changes that an instance keeps for its peers.
-pub const KEPT_CHANGES: usize = 512;
+/// Accepted changes that an instance retains for its peers.
+pub const MAX_RECENT_CHANGES: usize = 512;
 
-/// A whole tree as read from the table service or a peer.
+/// A full tree, as read from the table service or received from a peer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct VersionedTree {
-    /// The nodes.
+    /// All nodes, and the version of the tree.
     pub snapshot: Snapshot,
     /// The version that last wrote each node.
     pub node_versions: BTreeMap<NodePath, ConfigVersion>,
 }
 
 impl VersionedTree {
-    /// Puts the next accepted change in.
+    /// Applies the next accepted change.
     ///
     /// # Errors
-    /// Tells that the change is not the next one.
+    /// If the change is not the next one.
     pub fn apply(&mut self, entry: &HistoryEntry) -> Result<(), DeltaError> {
         self.snapshot.apply(&delta(entry))?;
-        self.note(entry);
+        self.record_version(entry);
         Ok(())
     }
 
-    /// Takes note of which version wrote the node.
-    pub fn note(&mut self, entry: &HistoryEntry) {
+    /// Records the version that wrote the node of `entry`.
+    pub fn record_version(&mut self, entry: &HistoryEntry) {
         let path = &entry.change.path;
         match entry.change.node {
             Some(_) => self.node_versions.insert(Arc::clone(path), entry.version),
@@ -54,23 +54,23 @@
     }
 }
 
-/// The configuration of one instance.
+/// The configuration cached by one instance, and the overrides that apply to it.
 #[derive(Default)]
 pub struct ConfigCache {
-    whole: Arc<VersionedTree>,
+    tree: Arc<VersionedTree>,
     rules: Option<Arc<Rules>>,
     current: Option<Arc<CurrentConfig>>,
-    kept: VecDeque<HistoryEntry>,
+    recent_changes: VecDeque<HistoryEntry>,
     overrides: Overrides,
 }
 
-/// The rules of the accepted configuration, and what overrides keep out besides.
-struct Overridden {
+/// The rules of the accepted configuration, with the data centres added that overrides take out.
+struct WithOverrides {
     rules: Arc<Rules>,
     out: Vec<DataCentreId>,
 }
 
-impl EffectiveConfig for Overridden {
+impl EffectiveConfig for WithOverrides {
     fn version(&self) -> ConfigVersion {
         self.rules.version()
     }
@@ -107,74 +107,74 @@
 }
 
 impl ConfigCache {
-    /// What is in force; `None` before the first was found.
+    /// The configuration in effect; `None` until the first one was loaded.
     #[must_use]
     pub fn current(&self) -> Option<Arc<CurrentConfig>> {
         self.current.clone()
     }
 
-    /// Takes overrides; gives back those that were new.
-    pub fn take_overrides(&mut self, orders: &[Override], now: Moment) -> Vec<Override> {
-        let mut news = orders.to_vec();
-        news.retain(|order| self.overrides.take(order, now));
-        if !news.is_empty() {
-            self.show();
+    /// Merges overrides and returns those that were new.
+    pub fn apply_overrides(&mut self, orders: &[Override], now: Moment) -> Vec<Override> {
+        let mut new = orders.to_vec();
+        new.retain(|order| self.overrides.apply(order, now));
+        if !new.is_empty() {
+            self.publish();
         }
-        news
+        new
     }
 
-    /// Ends overrides whose time is up.
+    /// Removes overrides whose time is up.
     pub fn expire_overrides(&mut self, now: Moment) {
         if self.overrides.expire(now) {
-            self.show();
+            self.publish();
         }
     }
 
-    /// What is known of overrides.
+    /// All overrides known to this instance.
     #[must_use]
     pub const fn overrides(&self) -> &Overrides {
         &self.overrides
     }
 
-    /// Data centres that overrides keep out at present.
+    /// Data centres that overrides take out at present.
     #[must_use]
     pub fn overridden(&self) -> Vec<DataCentreId> {
         let changed = |id: &DataCentreId| self.node_version(&data_centre_path(id));
         self.overrides.data_centres_out(changed)
     }
 
-    /// The accepted version that last wrote a node.
+    /// The accepted version that last wrote a node; `None` if the node does not exist.
     #[must_use]
     pub fn node_version(&self, path: &str) -> Option<ConfigVersion> {
-        self.whole.node_versions.get(path).copied()
+        self.tree.node_versions.get(path).copied()
     }
 
-    /// The version in force; `None` before the first was found.
+    /// The version in effect; `None` until the first one was loaded.
     #[must_use]
     pub fn version(&self) -> Option<ConfigVersion> {
-        self.current.as_ref().map(|_| self.whole.snapshot.version)
+        self.current.as_ref().map(|_| self.tree.snapshot.version)
     }
 
-    /// The tree as written.
+    /// The accepted tree.
     #[must_use]
-    pub fn whole(&self) -> Arc<VersionedTree> {
-        Arc::clone(&self.whole)
+    pub fn tree(&self) -> Arc<VersionedTree> {
+        Arc::clone(&self.tree)
     }
 
-    /// Puts accepted changes in force, those that are not known yet; tells whether any was new.
+    /// Applies accepted changes that are not applied yet and returns whether there were any.
     ///
     /// # Errors
-    /// Tells that changes are missing in between. Those before the gap are in force then.
-    pub fn take_changes(&mut self, entries: &[HistoryEntry]) -> Result<bool, DeltaError> {
+    /// If changes are missing in between. Those before the gap have been applied.
+    pub fn apply_changes(&mut self, entries: &[HistoryEntry]) -> Result<bool, DeltaError> {
         let mut taken = false;
         let mut result = Ok(());
         for entry in entries {
-            match Arc::make_mut(&mut self.whole).apply(entry) {
+            match Arc::make_mut(&mut self.tree).apply(entry) {
                 Ok(()) => {
-                    self.keep(entry);
+                    self.retain(entry);
                     taken = true;
                 }
-                // Known already: a smaller version is never applied.
+                // Already applied: an older version is never applied again.
                 Err(DeltaError::Old { .. }) => {}
                 Err(error) => {
                     result = Err(error);
@@ -183,49 +183,46 @@
             }
         }
         if taken {
-            self.put_in_force();
+            self.activate();
         }
         result.map(|()| taken)
     }
 
-    /// Puts a whole tree in force if it is newer; tells whether it was.
-    pub fn take_whole(&mut self, whole: VersionedTree) -> bool {
-        if self.version().is_some_and(|v| whole.snapshot.version <= v) {
+    /// Replaces the tree by a newer one and returns whether it was newer.
+    pub fn replace_tree(&mut self, tree: VersionedTree) -> bool {
+        if self.version().is_some_and(|v| tree.snapshot.version <= v) {
             return false;
         }
-        self.whole = Arc::new(whole);
-        self.kept.clear();
-        self.put_in_force();
+        self.tree = Arc::new(tree);
+        self.recent_changes.clear();
+        self.activate();
         true
     }
 
-    /// What a peer at `version` needs to come up to date.
+    /// Returns what a peer at `version` is missing.
     #[must_use]
     pub fn since(&self, version: ConfigVersion) -> Update {
-        let have = self.whole.snapshot.version;
+        let have = self.tree.snapshot.version;
         let oldest = self
-            .kept
+            .recent_changes
             .front()
             .map_or(have.saturating_add(1), |e| e.version);
         if version.saturating_add(1) >= oldest {
-            let newer = self.kept.iter().filter(|e| e.version > version);
+            let newer = self.recent_changes.iter().filter(|e| e.version > version);
             return Update::Changes(newer.cloned().collect());
         }
-        Update::Full(
-            self.whole.snapshot.clone(),
-            self.whole.node_versions.clone(),
-        )
+        Update::Full(self.tree.snapshot.clone(), self.tree.node_versions.clone())
     }
 
-    fn keep(&mut self, entry: &HistoryEntry) {
-        self.kept.push_back(entry.clone());
-        if self.kept.len() > KEPT_CHANGES {
-            self.kept.pop_front();
+    fn retain(&mut self, entry: &HistoryEntry) {
+        self.recent_changes.push_back(entry.clone());
+        if self.recent_changes.len() > MAX_RECENT_CHANGES {
+            self.recent_changes.pop_front();
         }
     }
 
-    fn put_in_force(&mut self) {
-        let new = self.whole.snapshot.version;
+    fn activate(&mut self) {
+        let new = self.tree.snapshot.version;
         if let Some(before) = &self.rules {
             let old = before.version();
             assert!(
@@ -233,12 +230,12 @@
                 "configuration {new} would replace {old}: an accepted configuration never reverts"
             );
         }
-        self.rules = Some(Arc::new(Rules::new(&self.whole.snapshot)));
-        self.show();
+        self.rules = Some(Arc::new(Rules::new(&self.tree.snapshot)));
+        self.publish();
     }
 
-    /// Puts the rules together with what overrides keep out.
-    fn show(&mut self) {
+    /// Rebuilds the current configuration from the rules and the overrides.
+    fn publish(&mut self) {
         let Some(rules) = self.rules.clone() else {
             return;
         };
@@ -247,8 +244,8 @@
         out.sort();
         out.dedup();
         self.current = Some(Arc::new(CurrentConfig {
-            snapshot: self.whole.snapshot.clone(),
-            effective: Box::new(Overridden { rules, out }),
+            snapshot: self.tree.snapshot.clone(),
+            effective: Box::new(WithOverrides { rules, out }),
         }));
     }
 }
--- a/components/config/src/commit.rs
+++ b/components/config/src/commit.rs
@@ -1,4 +1,4 @@
-//! Getting one change accepted: exactly one winner, and a lost answer is settled.
+//! Commits one change. Of racing changes exactly one wins, and a lost answer is resolved.
 
 use std::{
     sync::Arc,
@@ -16,33 +16,33 @@
     store::Store,
 };
 
-/// Attempts against other operators' changes of other nodes.
-const ATTEMPTS: usize = 8;
-/// Time spent on settling a lost answer.
-const SETTLE_TIME: Duration = Duration::from_secs(5);
-/// First pause between two tries to settle; it doubles.
-const SETTLE_PAUSE: Duration = Duration::from_millis(20);
-/// Longest pause between two tries to settle.
-const SETTLE_PAUSE_LIMIT: Duration = Duration::from_millis(500);
+/// Attempts of a change that loses against changes of other nodes.
+const MAX_ATTEMPTS: usize = 8;
+/// Time spent on resolving a lost answer.
+const RESOLVE_TIMEOUT: Duration = Duration::from_secs(5);
+/// First pause between two attempts to resolve a lost answer; it doubles each time.
+const RESOLVE_PAUSE: Duration = Duration::from_millis(20);
+/// Longest pause between two attempts to resolve a lost answer.
+const MAX_RESOLVE_PAUSE: Duration = Duration::from_millis(500);
 
-/// What became of one attempt.
+/// Result of one attempt to commit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Attempt {
     /// The change is accepted.
     Accepted,
-    /// Somebody else's change made this version.
-    Overtaken,
+    /// Another change was accepted under this version.
+    Superseded,
 }
 
-/// Checks that a change fits a tree.
+/// Validates the tree as it would be after a change.
 ///
 /// # Errors
-/// All that is wrong with the tree as it would be and was not wrong before. Faults that stood
-/// there already must not keep an operator from changing something else.
-pub fn fits(whole: &VersionedTree, change: &Change) -> Result<(), Vec<Fault>> {
-    let mut next: Snapshot = whole.snapshot.clone();
+/// All faults that the change would add, and all faults of the changed node itself. Faults that
+/// exist elsewhere must not keep an operator from changing something else.
+pub fn validate(tree: &VersionedTree, change: &Change) -> Result<(), Vec<Fault>> {
+    let mut next: Snapshot = tree.snapshot.clone();
     next.write(&change.path, change.node.as_ref());
-    let before = check(&whole.snapshot);
+    let before = check(&tree.snapshot);
     let mut faults = check(&next);
     faults.retain(|fault| !before.contains(fault) || is_at(fault, &change.path));
     if faults.is_empty() {
@@ -57,12 +57,12 @@
     rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('#'))
 }
 
-/// Checks that a change still fits what the operator saw.
+/// Checks that the node was not changed since the operator read it.
 ///
 /// # Errors
-/// A conflict that names the version that last wrote the node.
-pub fn seen(whole: &VersionedTree, change: &Change) -> Result<(), ChangeError> {
-    let now = whole.node_versions.get(&change.path).copied();
+/// A conflict with the version that last wrote the node.
+pub fn check_expected_version(tree: &VersionedTree, change: &Change) -> Result<(), ChangeError> {
+    let now = tree.node_versions.get(&change.path).copied();
     if now == change.expected_version {
         Ok(())
     } else {
@@ -70,9 +70,9 @@
     }
 }
 
-/// Makes the entry that would be the next one.
+/// Builds the history entry for a change that would create `version`.
 #[must_use]
-pub fn entry(version: ConfigVersion, change: &Change, id: Arc<str>) -> HistoryEntry {
+pub fn new_entry(version: ConfigVersion, change: &Change, id: Arc<str>) -> HistoryEntry {
     HistoryEntry {
         version,
         at: SystemTime::now(),
@@ -81,65 +81,66 @@
     }
 }
 
-/// Number of attempts that a change gets.
+/// Number of attempts for one change.
 #[must_use]
-pub const fn attempts() -> usize {
-    ATTEMPTS
+pub const fn max_attempts() -> usize {
+    MAX_ATTEMPTS
 }
 
-/// Tries to make `entry` the newest change.
+/// Tries to commit `entry` as the newest change.
 ///
 /// # Errors
-/// `StoreUnavailable` if it certainly was not accepted, `Unknown` if that can't be told.
-pub async fn attempt(
+/// `StoreUnavailable` if the change was certainly not accepted, `Unknown` if that can't be
+/// determined.
+pub async fn try_commit(
     store: &Store,
     timer: &Timer,
     entry: &HistoryEntry,
 ) -> Result<Attempt, ChangeError> {
-    let writes = match store.writes(entry).await {
+    let writes = match store.prepare_writes(entry).await {
         Ok(writes) => writes,
-        Err(PlatformError::Conflict) => return Ok(Attempt::Overtaken),
+        Err(PlatformError::Conflict) => return Ok(Attempt::Superseded),
         Err(_) => return Err(ChangeError::StoreUnavailable),
     };
     match store.commit(&writes).await {
         Ok(()) => Ok(Attempt::Accepted),
-        Err(PlatformError::Conflict) => Ok(Attempt::Overtaken),
+        Err(PlatformError::Conflict) => Ok(Attempt::Superseded),
         Err(PlatformError::Busy { .. } | PlatformError::Unavailable { .. }) => {
             Err(ChangeError::StoreUnavailable)
         }
         Err(PlatformError::Unknown { .. } | PlatformError::Malformed { .. }) => {
-            settle(store, timer, entry, &writes).await
+            resolve_unknown(store, timer, entry, &writes).await
         }
     }
 }
 
-/// Finds out what became of a commit whose answer was lost.
+/// Determines the outcome of a commit whose answer was lost.
 ///
-/// Reading back alone would not do: a commit that is still on its way would be taken for lost,
-/// the operator told so, and it would take effect afterwards. Committing the same writes again
-/// leaves no such gap: the first of the two to arrive makes the conditions of the other fail, and
-/// the change row then tells by its id whose change it was.
-async fn settle(
+/// Reading the row back is not enough: a commit that is still in flight would be taken for lost,
+/// the operator would be told so, and it could still take effect afterwards. Committing the same
+/// writes again closes this gap: whichever of the two arrives first makes the conditions of the
+/// other fail, and the id in the change row then shows whose change it was.
+async fn resolve_unknown(
     store: &Store,
     timer: &Timer,
     entry: &HistoryEntry,
     writes: &[Write],
 ) -> Result<Attempt, ChangeError> {
-    let end = timer.now() + SETTLE_TIME;
-    let mut pause = SETTLE_PAUSE;
+    let end = timer.now() + RESOLVE_TIMEOUT;
+    let mut pause = RESOLVE_PAUSE;
     while timer.now() < end {
         timer.sleep(pause).await;
-        pause = (pause * 2).min(SETTLE_PAUSE_LIMIT);
+        pause = (pause * 2).min(MAX_RESOLVE_PAUSE);
         match store.commit(writes).await {
             Ok(()) => return Ok(Attempt::Accepted),
             Err(PlatformError::Conflict) => {}
             Err(_) => continue,
         }
-        if let Ok(Some(found)) = store.change(entry.version).await {
+        if let Ok(Some(found)) = store.read_change(entry.version).await {
             return Ok(if found.id == entry.id {
                 Attempt::Accepted
             } else {
-                Attempt::Overtaken
+                Attempt::Superseded
             });
         }
     }
--- a/components/config/src/gossip.rs
+++ b/components/config/src/gossip.rs
@@ -1,9 +1,9 @@
-//! Spreading overrides between instances without the table service.
+//! Propagates overrides between instances without the table service.
 //!
-//! While there are none, nothing is sent. An instance that learns of one tells a few others at
-//! once, so that thousands know within a few rounds; and as long as any is known, each instance
-//! compares what it knows with one other now and then, which reaches those that just started or
-//! were cut off.
+//! Nothing is sent while there are no overrides. An instance that receives a new one sends it to a
+//! few random peers at once, so thousands of instances know it within a few rounds. As long as any
+//! override is known, each instance also exchanges its overrides with one random peer from time to
+//! time, which reaches instances that have just started or were cut off.
 
 use std::time::Duration;
 
@@ -13,55 +13,56 @@
 use crate::{
     api::OverrideReport,
     overrides::Override,
-    pollers::{jittered, some},
+    pollers::{jittered, random_peers},
     updater::ConfigUpdater,
 };
 
-/// Time between two rounds.
-const ROUND: Duration = Duration::from_millis(200);
-/// Rounds between two comparisons while there is no news.
-const QUIET_ROUNDS: u32 = 10;
-/// Peers told of news in a round.
+/// Time between two gossip rounds.
+const ROUND_PERIOD: Duration = Duration::from_millis(200);
+/// Rounds between two exchanges while there is no new override.
+const EXCHANGE_INTERVAL_ROUNDS: u32 = 10;
+/// Peers to which a new override is sent in each round.
 const FAN_OUT: usize = 4;
-/// Rounds in which news are told. With one round of four, one instance in fifty hears nothing
-/// and waits for a comparison; with three, hardly one in a hundred thousand.
-pub const NEWS_ROUNDS: u32 = 3;
-/// Peers that the instance which takes an order tells itself.
-const FIRST_PEERS: usize = 32;
+/// Rounds in which a new override is sent. With a single round to four peers, one instance in fifty
+/// is missed and has to wait for an exchange; with three rounds, fewer than one in a hundred
+/// thousand.
+pub const RECENT_ROUNDS: u32 = 3;
+/// Peers to which the instance that receives the operator's order sends it directly.
+const ORIGIN_FAN_OUT: usize = 32;
 
-/// Spreads overrides for as long as the process lives.
+/// Propagates overrides for as long as the process runs.
 pub async fn run(updater: &ConfigUpdater) {
-    let mut quiet = 0;
+    let mut rounds_since_exchange = 0;
     loop {
-        updater.timer.sleep(jittered(ROUND)).await;
-        let what = updater.to_spread();
-        quiet += 1;
-        let count = match (what.fresh, what.any) {
+        updater.timer.sleep(jittered(ROUND_PERIOD)).await;
+        let state = updater.gossip_state();
+        rounds_since_exchange += 1;
+        let fan_out = match (state.has_recent, state.has_overrides) {
             (true, _) => FAN_OUT,
-            (false, true) if quiet >= QUIET_ROUNDS => 1,
+            (false, true) if rounds_since_exchange >= EXCHANGE_INTERVAL_ROUNDS => 1,
             _ => continue,
         };
-        quiet = 0;
-        let peers = some(&updater.heard_peers(), count);
+        rounds_since_exchange = 0;
+        let peers = random_peers(&updater.reachable_peers(), fan_out);
         join_all(peers.iter().map(|peer| updater.exchange_with(peer))).await;
     }
 }
 
-/// Tells peers of an order, and tells who has taken it.
-pub async fn tell(updater: &ConfigUpdater, order: Override) -> OverrideReport {
-    let peers = some(&updater.heard_peers(), FIRST_PEERS);
+/// Sends a new override to peers and reports which of them have accepted it.
+pub async fn broadcast(updater: &ConfigUpdater, order: Override) -> OverrideReport {
+    let peers = random_peers(&updater.reachable_peers(), ORIGIN_FAN_OUT);
     let answers = join_all(peers.iter().map(|peer| updater.exchange_with(peer))).await;
-    let mut told = OverrideReport {
+    let mut report = OverrideReport {
         order,
         accepted_by: Vec::new(),
         unanswered_by: Vec::new(),
     };
     for (peer, answered) in peers.into_iter().zip(answers) {
         let list: &mut Vec<InstanceId> = match answered {
-            true => &mut told.accepted_by,
-            false => &mut told.unanswered_by,
+            true => &mut report.accepted_by,
+            false => &mut report.unanswered_by,
         };
         list.push(peer);
     }
-    told
+    report
 }
--- a/components/config/src/lib.rs
+++ b/components/config/src/lib.rs
@@ -1,15 +1,18 @@
-//! Keeping the configuration: commits to the table service, spreading between instances.
+//! The configuration of an instance: commits to the table service and updates between instances.
+//!
+//! The version in effect on an instance never decreases, and an accepted change is never reverted
+//! by anything but a later accepted change.
 
 pub mod api;
 pub mod cache;
 mod commit;
-mod fetching;
 mod gossip;
+mod override_exchange;
 pub mod overrides;
-mod overriding;
 pub mod pollers;
 mod rows;
 mod store;
+mod sync;
 pub mod updater;
 
 pub use api::{
--- a/components/config/src/overrides.rs
+++ b/components/config/src/overrides.rs
@@ -1,126 +1,126 @@
-//! Data centres kept out of service for a limited time while the table service is down.
+//! Data centres taken out of service for a limited time while the table service is unavailable.
 //!
-//! An override is no part of the accepted configuration and never called so. It can only take a
-//! data centre out, never bring one in, and it gives way to any accepted change of that data
-//! centre which came after the configuration that its operator saw. So it can't revert what was
-//! accepted, and what it does ends by itself.
+//! An override is not part of the accepted configuration and is never reported as such. It can only
+//! take a data centre out, never bring one back in, and any accepted change of that data centre
+//! takes precedence if it came after the configuration version that the operator saw. Thus an
+//! override can't revert an accepted change, and it expires by itself.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
 use serde::{Deserialize, Serialize};
 use types::{ConfigVersion, DataCentreId, InstanceId, Moment};
 
-/// Longest life of an override. An operator who needs more repeats the order.
+/// Longest duration of an override. An operator who needs it for longer repeats the order.
 pub const MAX_OVERRIDE_DURATION: Duration = Duration::from_secs(3600);
-/// Most overrides at once.
-pub const OVERRIDES: usize = 64;
+/// Maximum number of overrides.
+pub const MAX_OVERRIDES: usize = 64;
 
-/// An override as instances tell each other.
+/// An override, as exchanged between instances.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Override {
-    /// The data centre.
+    /// The data centre to which the override applies.
     pub data_centre: DataCentreId,
-    /// Whether it is kept out; `false` withdraws an earlier override.
+    /// Whether the data centre is taken out; `false` withdraws an earlier override.
     pub out: bool,
-    /// Grows with each order for this data centre; the larger one holds.
+    /// Increases with each order for this data centre; the larger number wins.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// The instance that took the order; decides between equal numbers.
+    /// The instance that received the order; decides between equal sequence numbers.
     #[serde(rename = "by")]
     pub issued_by: InstanceId,
-    /// The operator.
+    /// The operator who gave the order.
     #[serde(rename = "who")]
     pub operator: Arc<str>,
-    /// The accepted configuration that the operator saw.
+    /// The accepted configuration version that the operator saw.
     #[serde(rename = "base")]
     pub base_version: ConfigVersion,
-    /// Time left. Clocks of instances differ, so no point in time is told.
+    /// Time until it expires, as a duration because clocks of instances differ.
     #[serde(rename = "left")]
     pub time_left: Duration,
 }
 
-/// An override and when it ends by our clock.
+/// An override and when it expires by the local clock.
 #[derive(Clone, Debug)]
-struct Kept {
+struct ActiveOverride {
     order: Override,
-    end: Moment,
+    expires_at: Moment,
 }
 
-impl Kept {
-    fn rank(&self) -> (u64, &InstanceId) {
+impl ActiveOverride {
+    fn precedence(&self) -> (u64, &InstanceId) {
         (self.order.sequence, &self.order.issued_by)
     }
 }
 
-/// All overrides that an instance knows of, at most one for each data centre.
+/// All overrides known to an instance, at most one for each data centre.
 #[derive(Debug, Default)]
 pub struct Overrides {
-    kept: BTreeMap<DataCentreId, Kept>,
+    active: BTreeMap<DataCentreId, ActiveOverride>,
 }
 
 impl Overrides {
-    /// Whether none is known.
+    /// Whether no override is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.active.is_empty()
     }
 
-    /// Number for the next order about a data centre.
+    /// Sequence number for the next order for a data centre.
     #[must_use]
-    pub fn next_number(&self, data_centre: &str) -> u64 {
-        let last = self.kept.get(data_centre);
-        last.map_or(1, |kept| kept.order.sequence.saturating_add(1))
+    pub fn next_sequence(&self, data_centre: &str) -> u64 {
+        let last = self.active.get(data_centre);
+        last.map_or(1, |active| active.order.sequence.saturating_add(1))
     }
 
-    /// Takes an order; tells whether it was new. The same orders in any sequence lead to the
-    /// same result everywhere: the larger number holds.
-    pub fn take(&mut self, order: &Override, now: Moment) -> bool {
-        let kept = Kept {
+    /// Merges an override and returns whether it was new. The result does not depend on the order
+    /// in which overrides arrive: the larger sequence number wins.
+    pub fn apply(&mut self, order: &Override, now: Moment) -> bool {
+        let active = ActiveOverride {
             order: order.clone(),
-            end: now.saturating_add(order.time_left.min(MAX_OVERRIDE_DURATION)),
+            expires_at: now.saturating_add(order.time_left.min(MAX_OVERRIDE_DURATION)),
         };
-        if kept.end <= now {
+        if active.expires_at <= now {
             return false;
         }
-        let known = self.kept.get(&order.data_centre);
-        let newer = known.is_none_or(|known| kept.rank() > known.rank());
-        let fits = known.is_some() || self.kept.len() < OVERRIDES;
+        let known = self.active.get(&order.data_centre);
+        let newer = known.is_none_or(|known| active.precedence() > known.precedence());
+        let fits = known.is_some() || self.active.len() < MAX_OVERRIDES;
         if newer && fits {
-            self.kept.insert(Arc::clone(&order.data_centre), kept);
+            self.active.insert(Arc::clone(&order.data_centre), active);
         }
         newer && fits
     }
 
-    /// Forgets what has ended; tells whether anything had.
+    /// Removes expired overrides and returns whether there were any.
     pub fn expire(&mut self, now: Moment) -> bool {
-        let before = self.kept.len();
-        self.kept.retain(|_, kept| kept.end > now);
-        self.kept.len() != before
+        let before = self.active.len();
+        self.active.retain(|_, active| active.expires_at > now);
+        self.active.len() != before
     }
 
-    /// Data centres kept out; `changed` tells the accepted version that last wrote a data centre.
-    /// One that is not in the accepted tree was there when the order was given, so it has been
-    /// deleted since.
+    /// Data centres taken out by overrides. `changed` returns the accepted version that last wrote
+    /// a data centre. A data centre that is missing from the accepted tree has been deleted since
+    /// the order was given, so its override no longer applies.
     pub fn data_centres_out(
         &self,
         changed: impl Fn(&DataCentreId) -> Option<ConfigVersion>,
     ) -> Vec<DataCentreId> {
-        let holds = |kept: &&Kept| {
-            let order = &kept.order;
+        let holds = |active: &&ActiveOverride| {
+            let order = &active.order;
             order.out && changed(&order.data_centre).is_some_and(|v| v <= order.base_version)
         };
-        let out = self.kept.values().filter(holds);
-        out.map(|kept| Arc::clone(&kept.order.data_centre))
+        let out = self.active.values().filter(holds);
+        out.map(|active| Arc::clone(&active.order.data_centre))
             .collect()
     }
 
-    /// All orders, with the time that they have left.
+    /// All overrides with the time until they expire.
     #[must_use]
     pub fn list(&self, now: Moment) -> Vec<Override> {
-        let told = |kept: &Kept| Override {
-            time_left: kept.end.saturating_sub(now),
-            ..kept.order.clone()
+        let current = |active: &ActiveOverride| Override {
+            time_left: active.expires_at.saturating_sub(now),
+            ..active.order.clone()
         };
-        self.kept.values().map(told).collect()
+        self.active.values().map(current).collect()
     }
 }
--- a/components/config/src/pollers.rs
+++ b/components/config/src/pollers.rs
@@ -1,42 +1,46 @@
-//! Which instances look at the table service for news, and chance.
+//! Selection of the instances that poll the table service, and random choices.
 
 use std::{cmp::Reverse, time::Duration};
 
 use types::InstanceId;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Instances that poll the table service, however many there are. One would do; with three, news
-/// whose author died before telling anyone are found although two of them are gone or cut off.
-pub const POLLERS: usize = 3;
+/// Instances that poll the table service, whatever the size of the deployment. One would be enough;
+/// with three, a change is found even if its author crashed before it announced the change and two
+/// of the pollers have failed or are cut off.
+pub const POLLER_COUNT: usize = 3;
 
-/// Whether an instance polls: those whose names hash highest among those heard. Instances that
-/// hear no peers all poll.
+/// Whether an instance polls: the reachable instances whose names hash highest do. Instances that
+/// can't reach any peer all poll.
 #[must_use]
-pub fn polls(me: &InstanceId, peers: &[InstanceId]) -> bool {
-    let mine = rank(me);
-    let before_me = peers.iter().filter(|p| *p != me && rank(p) > mine).count();
-    before_me < POLLERS
+pub fn is_poller(me: &InstanceId, peers: &[InstanceId]) -> bool {
+    let mine = hash_rank(me);
+    let ranked_higher = peers
+        .iter()
+        .filter(|p| *p != me && hash_rank(p) > mine)
+        .count();
+    ranked_higher < POLLER_COUNT
 }
 
-fn rank(id: &InstanceId) -> (u64, Reverse<InstanceId>) {
+fn hash_rank(id: &InstanceId) -> (u64, Reverse<InstanceId>) {
     (xxh3_64(id.as_bytes()), Reverse(InstanceId::clone(id)))
 }
 
-/// A time between half and one and a half of `period`: instances must not fall into step.
+/// A random time between 0.5 and 1.5 times `period`, so that instances do not act in lockstep.
 #[must_use]
 pub fn jittered(period: Duration) -> Duration {
     period.mul_f64(0.5 + fastrand::f64())
 }
 
-/// A random number.
+/// A random number, part of the id of an attempt to commit.
 #[must_use]
-pub fn chance() -> u64 {
+pub fn random_u64() -> u64 {
     fastrand::u64(..)
 }
 
 /// At most `count` of the peers, chosen at random.
 #[must_use]
-pub fn some(peers: &[InstanceId], count: usize) -> Vec<InstanceId> {
+pub fn random_peers(peers: &[InstanceId], count: usize) -> Vec<InstanceId> {
     let mut all = peers.to_vec();
     fastrand::shuffle(&mut all);
     all.truncate(count);
--- a/components/config/src/rows.rs
+++ b/components/config/src/rows.rs
@@ -1,4 +1,4 @@
-//! The rows that keep the configuration in the table service.
+//! The rows that store the configuration in the table service.
 //!
 //! | partition | sort | content |
 //! |---|---|---|
@@ -6,9 +6,9 @@
 //! | `config/change` | version, 20 digits | the accepted change |
 //! | `config/node` | path | the node as written, and the version that wrote it |
 //!
-//! A change is one commit over all three: the head must have the version that the change builds
-//! on, so of two racing changes one wins, and whoever reads the head knows that the other rows
-//! of that version are there.
+//! A change is one commit over all three. It requires the head to have the version that the change
+//! builds on, so one of two racing changes wins, and a reader of the head can rely on the other
+//! rows of that version.
 
 use std::sync::Arc;
 
@@ -18,43 +18,44 @@
 use types::ConfigVersion;
 
 /// Partition of the head.
-const HEAD: &str = "config";
+const HEAD_PARTITION: &str = "config";
 /// Partition of accepted changes.
-pub const CHANGES: &str = "config/change";
+pub const CHANGE_PARTITION: &str = "config/change";
 /// Partition of nodes.
-pub const NODES: &str = "config/node";
+pub const NODE_PARTITION: &str = "config/node";
 
-/// The newest version.
+/// The newest accepted version.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Head {
-    /// The version.
+    /// Number of the version.
     pub version: ConfigVersion,
-    /// The change that made it.
+    /// Id of the change that created the version.
     pub id: Arc<str>,
 }
 
-/// A node as kept.
+/// A node as stored.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct StoredNode {
     /// The node as written.
     pub node: Node,
-    /// The version that wrote it.
-    pub changed: ConfigVersion,
+    /// The version that last wrote the node.
+    #[serde(rename = "changed")]
+    pub version: ConfigVersion,
 }
 
 /// Key of the head.
 #[must_use]
 pub fn head_key() -> RowKey {
-    RowKey::new(HEAD, "head")
+    RowKey::new(HEAD_PARTITION, "head")
 }
 
 /// Key of a change.
 #[must_use]
 pub fn change_key(version: ConfigVersion) -> RowKey {
-    RowKey::new(CHANGES, &change_sort(version))
+    RowKey::new(CHANGE_PARTITION, &change_sort(version))
 }
 
-/// Place of a change among all changes.
+/// Sort key of a change; the keys sort in the order of versions.
 #[must_use]
 pub fn change_sort(version: ConfigVersion) -> String {
     format!("{version:020}")
@@ -63,24 +64,24 @@
 /// Key of a node.
 #[must_use]
 pub fn node_key(path: &NodePath) -> RowKey {
-    RowKey::new(NODES, path)
+    RowKey::new(NODE_PARTITION, path)
 }
 
-/// Reads the content of a row.
+/// Parses the content of a row.
 ///
 /// # Errors
-/// Tells that the content is not of this form.
-pub fn read_body<T: DeserializeOwned>(row: &Row) -> Result<T, PlatformError> {
+/// `Malformed` if the content doesn't have this form.
+pub fn decode<T: DeserializeOwned>(row: &Row) -> Result<T, PlatformError> {
     serde_json::from_str(&row.body).map_err(|e| PlatformError::Malformed {
         reason: format!("row {}: {e}", row.key).into(),
     })
 }
 
-/// Writes the content of a row.
+/// Serialises the content of a row.
 ///
 /// # Errors
-/// Tells that the content can't be written.
-pub fn body(content: &impl Serialize) -> Result<Arc<str>, PlatformError> {
+/// `Malformed` if the content can't be serialised.
+pub fn encode(content: &impl Serialize) -> Result<Arc<str>, PlatformError> {
     serde_json::to_string(content)
         .map(Into::into)
         .map_err(|e| PlatformError::Malformed {
--- a/components/config/src/store.rs
+++ b/components/config/src/store.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration from the table service, and committing changes.
+//! Reads the configuration from the table service and commits changes to it.
 
 use std::sync::Arc;
 
@@ -9,18 +9,18 @@
     api::HistoryEntry,
     cache::VersionedTree,
     rows::{
-        CHANGES, Head, NODES, StoredNode, body, change_key, change_sort, head_key, node_key,
-        read_body,
+        CHANGE_PARTITION, Head, NODE_PARTITION, StoredNode, change_key, change_sort, decode,
+        encode, head_key, node_key,
     },
 };
 
-/// Rows read at once.
-const PAGE: usize = 500;
+/// Rows read in one page.
+const PAGE_ROWS: usize = 500;
 
-/// Accepted changes that the table service keeps: a day and a half at 12,000 changes a day.
-pub const HISTORY_KEPT: ConfigVersion = 20_000;
-/// Old changes deleted at once.
-const PRUNE_PAGE: usize = 50;
+/// Accepted changes that the table service retains: a day and a half at 12,000 changes a day.
+pub const RETAINED_HISTORY: ConfigVersion = 20_000;
+/// Old changes deleted in one commit.
+const PRUNE_ROWS: usize = 50;
 
 /// The configuration in the table service.
 pub struct Store {
@@ -28,92 +28,91 @@
 }
 
 impl Store {
-    /// Keeps the configuration in this table.
+    /// Stores the configuration in `table`.
     #[must_use]
     pub fn new(table: Arc<dyn Table>) -> Self {
         Self { table }
     }
 
-    /// The newest version; 0 before the first change.
+    /// Reads the newest version; 0 before the first change.
     ///
     /// # Errors
-    /// Tells why it can't be read.
-    pub async fn head(&self) -> Result<Head, PlatformError> {
+    /// Why the row can't be read.
+    pub async fn read_head(&self) -> Result<Head, PlatformError> {
         match self.table.read(&head_key()).await? {
-            Some(row) => read_body(&row),
+            Some(row) => decode(&row),
             None => Ok(Head::default()),
         }
     }
 
-    /// The accepted change that made a version.
+    /// Reads the accepted change that created a version.
     ///
     /// # Errors
-    /// Tells why it can't be read.
-    pub async fn change(
+    /// Why the row can't be read.
+    pub async fn read_change(
         &self,
         version: ConfigVersion,
     ) -> Result<Option<HistoryEntry>, PlatformError> {
         let row = self.table.read(&change_key(version)).await?;
-        row.as_ref().map(read_body).transpose()
+        row.as_ref().map(decode).transpose()
     }
 
-    /// Accepted changes after a version, in order, at most `limit`.
+    /// Reads accepted changes after a version, in order, at most `limit`.
     ///
     /// # Errors
-    /// Tells why they can't be read.
-    pub async fn changes(
+    /// Why the rows can't be read.
+    pub async fn read_changes(
         &self,
         after: ConfigVersion,
         limit: usize,
     ) -> Result<Vec<HistoryEntry>, PlatformError> {
         let after = change_sort(after);
-        let rows = self.table.list(CHANGES, &after, limit).await?;
-        rows.iter().map(read_body).collect()
+        let rows = self.table.list(CHANGE_PARTITION, &after, limit).await?;
+        rows.iter().map(decode).collect()
     }
 
-    /// The whole tree at one version.
+    /// Reads the full tree at one version.
     ///
-    /// The nodes are read in pages while changes may go on, so the pages may mix versions. Each
+    /// Nodes are read in pages while changes may be committed, so the pages may mix versions. Each
     /// node read is at least as new as the head read before and at most as new as the head read
-    /// after, and changes write nodes whole: putting the changes between the two heads over it
-    /// gives the tree at the second head.
+    /// after, and a change replaces its node as a whole. Applying the changes between the two heads
+    /// therefore gives the tree at the second head.
     ///
     /// # Errors
-    /// Tells why it can't be read.
-    pub async fn whole(&self) -> Result<VersionedTree, PlatformError> {
-        let before = self.head().await?;
-        let mut whole = self.nodes().await?;
-        let after = self.head().await?;
-        for entry in self.between(before.version, after.version).await? {
-            whole
-                .snapshot
+    /// Why the rows can't be read.
+    pub async fn read_tree(&self) -> Result<VersionedTree, PlatformError> {
+        let before = self.read_head().await?;
+        let mut tree = self.read_nodes().await?;
+        let after = self.read_head().await?;
+        for entry in self.changes_between(before.version, after.version).await? {
+            tree.snapshot
                 .write(&entry.change.path, entry.change.node.as_ref());
-            whole.note(&entry);
+            tree.record_version(&entry);
         }
-        whole.snapshot.version = after.version;
-        Ok(whole)
+        tree.snapshot.version = after.version;
+        Ok(tree)
     }
 
-    async fn nodes(&self) -> Result<VersionedTree, PlatformError> {
-        let mut whole = VersionedTree::default();
+    async fn read_nodes(&self) -> Result<VersionedTree, PlatformError> {
+        let mut tree = VersionedTree::default();
         let mut after: Arc<str> = "".into();
         loop {
-            let rows = self.table.list(NODES, &after, PAGE).await?;
+            let rows = self.table.list(NODE_PARTITION, &after, PAGE_ROWS).await?;
             for row in &rows {
-                let stored: StoredNode = read_body(row)?;
+                let stored: StoredNode = decode(row)?;
                 let path = &row.key.sort;
-                whole.snapshot.nodes.insert(Arc::clone(path), stored.node);
-                whole.node_versions.insert(Arc::clone(path), stored.changed);
+                tree.snapshot.nodes.insert(Arc::clone(path), stored.node);
+                tree.node_versions.insert(Arc::clone(path), stored.version);
             }
             match rows.last() {
-                Some(last) if rows.len() == PAGE => after = Arc::clone(&last.key.sort),
-                _ => return Ok(whole),
+                Some(last) if rows.len() == PAGE_ROWS => after = Arc::clone(&last.key.sort),
+                _ => return Ok(tree),
             }
         }
     }
 
-    /// All changes after one version up to another.
-    async fn between(
+    /// Reads all changes after one version up to another.
+    async fn changes_between(
         &self,
         after: ConfigVersion,
         upto: ConfigVersion,
@@ -121,7 +120,7 @@
         let mut all = Vec::new();
         let mut last = after;
         while last < upto {
-            let page = self.changes(last, PAGE).await?;
+            let page = self.read_changes(last, PAGE_ROWS).await?;
             let Some(newest) = page.last() else {
                 return Err(PlatformError::Malformed {
                     reason: format!("no change row between version {last} and {upto}").into(),
@@ -133,15 +132,15 @@
         Ok(all)
     }
 
-    /// Deletes some of the history that is older than what is kept.
+    /// Deletes one page of history beyond `RETAINED_HISTORY`.
     ///
     /// # Errors
-    /// Tells why it can't be done now.
+    /// Why the rows can't be read or deleted.
     pub async fn prune(&self, newest: ConfigVersion) -> Result<(), PlatformError> {
-        let Some(oldest) = newest.checked_sub(HISTORY_KEPT) else {
+        let Some(oldest) = newest.checked_sub(RETAINED_HISTORY) else {
             return Ok(());
         };
-        let rows = self.table.list(CHANGES, "", PRUNE_PAGE).await?;
+        let rows = self.table.list(CHANGE_PARTITION, "", PRUNE_ROWS).await?;
         let end = change_sort(oldest);
         let old = rows.into_iter().take_while(|row| *row.key.sort <= *end);
         let deletes: Vec<Write> = old
@@ -156,14 +155,14 @@
         self.table.commit(&deletes).await
     }
 
-    /// The writes that make `entry` the newest change.
+    /// Builds the writes that commit `entry` as the newest change.
     ///
     /// # Errors
-    /// `Conflict` if its version is taken already, otherwise why the rows can't be read.
-    pub async fn writes(&self, entry: &HistoryEntry) -> Result<Vec<Write>, PlatformError> {
+    /// `Conflict` if its version already exists, otherwise why the rows can't be read.
+    pub async fn prepare_writes(&self, entry: &HistoryEntry) -> Result<Vec<Write>, PlatformError> {
         let head = self.table.read(&head_key()).await?;
         let newest = match &head {
-            Some(row) => read_body::<Head>(row)?.version,
+            Some(row) => decode::<Head>(row)?.version,
             None => 0,
         };
         if newest.checked_add(1) != Some(entry.version) {
@@ -175,24 +174,24 @@
             head_write(head.as_ref(), entry)?,
             Write::Insert {
                 key: change_key(entry.version),
-                body: body(entry)?,
+                body: encode(entry)?,
             },
         ];
         writes.extend(node_write(node.as_ref(), entry)?);
         Ok(writes)
     }
 
-    /// Commits writes.
+    /// Commits writes to the table service.
     ///
     /// # Errors
-    /// As the table service tells it.
+    /// As returned by the table service.
     pub async fn commit(&self, writes: &[Write]) -> Result<(), PlatformError> {
         self.table.commit(writes).await
     }
 }
 
 fn head_write(head: Option<&Row>, entry: &HistoryEntry) -> Result<Write, PlatformError> {
-    let body = body(&Head {
+    let body = encode(&Head {
         version: entry.version,
         id: Arc::clone(&entry.id),
     })?;
@@ -215,9 +214,9 @@
             version: row.version,
         }));
     };
-    let body = body(&StoredNode {
+    let body = encode(&StoredNode {
         node: node.clone(),
-        changed: entry.version,
+        version: entry.version,
     })?;
     Ok(Some(match row {
         Some(row) => Write::Replace {
--- a/components/config/tests/keeping/cache.rs
+++ b/components/config/tests/keeping/cache.rs
@@ -1,4 +1,4 @@
-//! Updates in any order: what is in force only goes forward.
+//! Updates applied to the cache in any order: the version never decreases.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 const VERSIONS: u64 = 12;
 
-/// The one true history.
+/// All accepted changes up to `VERSIONS`, in order.
 fn history() -> Vec<HistoryEntry> {
     let entry = |version: u64| {
         let path = format!("/services/s{}", version % 3);
@@ -31,12 +31,12 @@
     (1..=VERSIONS).map(entry).collect()
 }
 
-fn whole_at(version: u64) -> VersionedTree {
-    let mut whole = VersionedTree::default();
+fn tree_at(version: u64) -> VersionedTree {
+    let mut tree = VersionedTree::default();
     for entry in history().iter().filter(|e| e.version <= version) {
-        whole.apply(entry).expect("the next one");
+        tree.apply(entry).expect("the next one");
     }
-    whole
+    tree
 }
 
 #[derive(Clone, Debug)]
@@ -53,25 +53,25 @@
 }
 
 proptest! {
-    // A peer of another version, or one with a fault, asks for or sends numbers that make no
-    // sense. The instance that reads them must go on.
+    // A peer with another program version, or a faulty one, sends numbers out of any range. The
+    // instance that receives them must not crash.
     #[test]
-    fn no_number_of_a_peer_makes_an_instance_panic(
-        asked in prop_oneof![Just(u64::MAX), any::<u64>(), 0..20_u64],
+    fn no_number_from_a_peer_causes_a_panic(
+        requested in prop_oneof![Just(u64::MAX), any::<u64>(), 0..20_u64],
         sent in prop_oneof![Just(u64::MAX), any::<u64>(), 0..20_u64],
         left in any::<u64>(),
     ) {
-        let mut held = ConfigCache::default();
-        prop_assert!(held.take_whole(whole_at(5)));
-        let mut strange = history();
-        for entry in &mut strange {
+        let mut cache = ConfigCache::default();
+        prop_assert!(cache.replace_tree(tree_at(5)));
+        let mut invalid = history();
+        for entry in &mut invalid {
             entry.version = sent.wrapping_add(entry.version);
         }
-        // Whether they fit depends on the numbers.
-        let _ = held.take_changes(&strange);
-        let mut last = whole_at(6);
+        // Depending on the numbers, they apply or are rejected.
+        let _ = cache.apply_changes(&invalid);
+        let mut last = tree_at(6);
         last.snapshot.version = sent;
-        held.take_whole(last);
+        cache.replace_tree(last);
         let order = Override {
             data_centre: "d".into(),
             out: true,
@@ -81,25 +81,25 @@
             base_version: sent,
             time_left: Duration::from_secs(left),
         };
-        held.take_overrides(&[order], Duration::from_secs(1));
-        let next = held.overrides().next_number("d");
+        cache.apply_overrides(&[order], Duration::from_secs(1));
+        let next = cache.overrides().next_sequence("d");
         prop_assert!(next >= 1);
-        if let config::Update::Changes(entries) = held.since(asked) {
-            prop_assert!(entries.iter().all(|e| e.version > asked));
+        if let config::Update::Changes(entries) = cache.since(requested) {
+            prop_assert!(entries.iter().all(|e| e.version > requested));
         }
-        prop_assert!(held.version() >= Some(5));
+        prop_assert!(cache.version() >= Some(5));
     }
 
-    // Peers that were paused or are behind send old trees and old changes, with gaps and twice. A
-    // user would notice a workspace or a data centre that is back as it was before.
+    // Peers that were paused or are behind send old trees and old changes, with gaps and more than
+    // once. Applying one of them would bring back a workspace or a data centre as it was before.
     #[test]
-    fn no_order_of_updates_takes_the_configuration_back(
+    fn no_order_of_updates_reverts_the_configuration(
         updates in prop::collection::vec(update(), 1..30),
     ) {
         let history = history();
-        let mut held = ConfigCache::default();
+        let mut cache = ConfigCache::default();
         for update in updates {
-            let before = held.version();
+            let before = cache.version();
             match update {
                 Update::Changes(after, count) => {
                     let some: Vec<HistoryEntry> = history
@@ -107,21 +107,21 @@
                         .filter(|e| e.version > after && e.version <= after + count)
                         .cloned()
                         .collect();
-                    // A gap is told to the caller, and nothing behind it is applied.
-                    let gap = held.take_changes(&some).is_err();
+                    // A gap is reported to the caller, and no change after it is applied.
+                    let gap = cache.apply_changes(&some).is_err();
                     let have = before.unwrap_or(0);
                     prop_assert_eq!(gap, !some.is_empty() && after > have);
                 }
                 Update::Full(version) => {
                     let newer = before.is_none_or(|have| version > have);
-                    prop_assert_eq!(held.take_whole(whole_at(version)), newer);
+                    prop_assert_eq!(cache.replace_tree(tree_at(version)), newer);
                 }
             }
-            prop_assert!(held.version() >= before);
-            let expected = whole_at(held.version().unwrap_or(0));
-            prop_assert_eq!(&*held.whole(), &expected);
-            let in_force = held.current().map(|current| current.effective.version());
-            prop_assert_eq!(in_force, held.version());
+            prop_assert!(cache.version() >= before);
+            let expected = tree_at(cache.version().unwrap_or(0));
+            prop_assert_eq!(&*cache.tree(), &expected);
+            let effective = cache.current().map(|current| current.effective.version());
+            prop_assert_eq!(effective, cache.version());
         }
     }
 }
--- a/components/config/tests/keeping/common.rs
+++ b/components/config/tests/keeping/common.rs
@@ -1,4 +1,4 @@
-//! Instances that keep a configuration over one table in memory and ask each other.
+//! Instances that share one table in memory and query each other.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -15,9 +15,9 @@
 use types::{ConfigVersion, InstanceId};
 
 /// Longest wait for anything that has to happen.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Who reaches whom.
+/// Connections between instances.
 #[derive(Default)]
 pub struct Links {
     updaters: Mutex<BTreeMap<InstanceId, Weak<ConfigUpdater>>>,
@@ -69,8 +69,8 @@
     fn peers(&self) -> Vec<InstanceId> {
         let updaters = self.links.updaters.lock();
         let others = updaters.keys().filter(|id| **id != self.me);
-        let heard = others.filter(|id| self.links.reaches(&self.me, id));
-        heard.cloned().collect()
+        let reachable = others.filter(|id| self.links.reaches(&self.me, id));
+        reachable.cloned().collect()
     }
 }
 
@@ -81,7 +81,8 @@
 }
 
 impl Deployment {
-    /// Starts an instance in place of an earlier one of this name; `run` is up to the test.
+    /// Starts an instance, replacing an earlier one with this name; the test calls `run` if it
+    /// needs it.
     pub fn start(&self, name: &str) -> Arc<ConfigUpdater> {
         let me: InstanceId = name.into();
         let peers = Peers {
@@ -99,7 +100,7 @@
         updater
     }
 
-    /// Starts an instance that comes up to date from the table service.
+    /// Starts an instance and updates it from the table service.
     pub async fn start_up_to_date(&self, name: &str) -> Arc<ConfigUpdater> {
         let updater = self.start(name);
         updater.catch_up().await.expect("the table is up");
@@ -112,14 +113,14 @@
 }
 
 pub async fn until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "not within {PATIENCE:?}: {what}");
+        assert!(Instant::now() < end, "not within {TIMEOUT:?}: {what}");
         Timer::new().sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// A service with a deadline that tells which change wrote it.
+/// A service whose deadline identifies the change that wrote it.
 pub fn service(mark: u64) -> Option<Node> {
     Some(Node {
         knobs: Knobs {
--- a/components/config/tests/keeping/main.rs
+++ b/components/config/tests/keeping/main.rs
@@ -1,4 +1,4 @@
-//! Keeping the configuration under failures, one at a time and at random.
+//! The configuration under failures: single ones and random sequences.
 
 mod cache;
 mod common;
--- a/components/config/tests/keeping/overrides.rs
+++ b/components/config/tests/keeping/overrides.rs
@@ -1,4 +1,4 @@
-//! Taking a data centre out while the table service is down.
+//! Taking a data centre out of service while the table service is unavailable.
 
 use std::{sync::Arc, time::Duration};
 
@@ -25,7 +25,7 @@
 }
 
 fn is_out(updater: &ConfigUpdater) -> bool {
-    let current = updater.current().expect("it is in force");
+    let current = updater.current().expect("a configuration is loaded");
     current
         .effective
         .data_centres_out()
@@ -37,55 +37,58 @@
     workers::spawn(Arc::clone(updater).run())
 }
 
-/// Three running instances with one data centre, and the table service down.
+/// Three running instances, one data centre in the tree, and the table service unavailable.
 async fn outage() -> (Deployment, Vec<Arc<ConfigUpdater>>, Vec<Task<()>>) {
-    let all = Deployment::default();
-    let author = all.start_up_to_date("a").await;
+    let deployment = Deployment::default();
+    let author = deployment.start_up_to_date("a").await;
     let added = author
         .change(change(PATH, Some(Node::default()), None))
         .await;
     assert_eq!(added, Ok(1));
-    let b = all.start_up_to_date("b").await;
-    let c = all.start_up_to_date("c").await;
+    let b = deployment.start_up_to_date("b").await;
+    let c = deployment.start_up_to_date("c").await;
     let updaters = vec![author, b, c];
     let tasks = updaters.iter().map(run).collect();
-    all.table.set_down(true);
-    (all, updaters, tasks)
+    deployment.table.set_down(true);
+    (deployment, updaters, tasks)
 }
 
-// A data centre fails and the table service with it. Without an override new work would go there
-// until the service is back. All instances must stop within seconds, and nobody may call it
-// accepted: the version stays.
+// A data centre and the table service fail together. Without an override, new work would be sent to
+// the data centre until the table service is back. All instances must stop within seconds, and the
+// override must not be reported as accepted: the version stays the same.
 #[test]
-fn an_override_is_in_force_everywhere_and_is_not_called_accepted() {
+fn an_override_takes_effect_everywhere_and_is_not_reported_as_accepted() {
     smol::block_on(async {
-        let (_all, updaters, _tasks) = outage().await;
-        let told = updaters[0]
+        let (_deployment, updaters, _tasks) = outage().await;
+        let report = updaters[0]
             .override_data_centre(order(true, MAX_OVERRIDE_DURATION))
             .await;
-        let mut taken = told.expect("it is taken").accepted_by;
+        let mut taken = report.expect("the override is accepted").accepted_by;
         taken.sort();
         assert_eq!(taken, ["b".into(), "c".into()]);
         for updater in &updaters {
             assert!(is_out(updater));
             assert_eq!(version(updater), Some(1));
-            let snapshot = &updater.current().expect("it is in force").snapshot;
+            let snapshot = &updater
+                .current()
+                .expect("a configuration is loaded")
+                .snapshot;
             assert_eq!(snapshot.nodes[PATH].out, None);
         }
     });
 }
 
-// The table service comes back. The override becomes an accepted change, once; and when the
-// operator brings the data centre back in, what is left of the override's time means nothing.
+// When the table service is back, the override is committed exactly once. When the operator then
+// brings the data centre back in, the remaining time of the override has no effect.
 #[test]
-fn an_override_is_committed_when_the_store_is_back_and_then_gives_way() {
+fn an_override_is_committed_when_the_store_is_back_and_then_can_be_reverted() {
     smol::block_on(async {
-        let (all, updaters, _tasks) = outage().await;
-        let told = updaters[1]
+        let (deployment, updaters, _tasks) = outage().await;
+        let report = updaters[1]
             .override_data_centre(order(true, MAX_OVERRIDE_DURATION))
             .await;
-        assert!(told.is_ok(), "{told:?}");
-        all.table.set_down(false);
+        assert!(report.is_ok(), "{report:?}");
+        deployment.table.set_down(false);
         until("it is accepted everywhere", || {
             updaters.iter().all(|k| version(k) == Some(2) && is_out(k))
         })
@@ -104,25 +107,26 @@
 }
 
 // Another operator's change of the data centre was accepted before the outage, and the instance
-// that takes the order has not heard of it. The accepted change must hold where it is known.
+// that receives the order does not know of it. Where the accepted change is known, it must take
+// precedence.
 #[test]
 fn an_override_gives_way_to_an_accepted_change_that_its_operator_had_not_seen() {
     smol::block_on(async {
-        let all = Deployment::default();
-        let a = all.start_up_to_date("a").await;
+        let deployment = Deployment::default();
+        let a = deployment.start_up_to_date("a").await;
         let added = a.change(change(PATH, Some(Node::default()), None)).await;
         assert_eq!(added, Ok(1));
-        let stale = all.start_up_to_date("stale").await;
+        let stale = deployment.start_up_to_date("stale").await;
         let node = Node {
             out: Some(false),
             ..Node::default()
         };
         assert_eq!(a.change(change(PATH, Some(node), Some(1))).await, Ok(2));
-        all.table.set_down(true);
-        let told = stale
+        deployment.table.set_down(true);
+        let report = stale
             .override_data_centre(order(true, MAX_OVERRIDE_DURATION))
             .await;
-        assert!(told.is_ok(), "{told:?}");
+        assert!(report.is_ok(), "{report:?}");
         assert!(is_out(&stale));
         assert!(!is_out(&a), "an accepted change was reverted");
         stale.receive_version(&"a".into(), 2).await;
@@ -130,19 +134,19 @@
     });
 }
 
-// An operator deletes the data centre's node, which also brings it back into service. That is a
-// later accepted change like any other.
+// An operator deletes the node of the data centre, which also brings it back into service. The
+// deletion takes precedence over the override like any later accepted change.
 #[test]
 fn an_override_gives_way_to_the_deletion_of_its_data_centre() {
     smol::block_on(async {
-        let all = Deployment::default();
-        let a = all.start_up_to_date("a").await;
+        let deployment = Deployment::default();
+        let a = deployment.start_up_to_date("a").await;
         let added = a.change(change(PATH, Some(Node::default()), None)).await;
         assert_eq!(added, Ok(1));
-        let told = a
+        let report = a
             .override_data_centre(order(true, MAX_OVERRIDE_DURATION))
             .await;
-        assert!(told.is_ok(), "{told:?}");
+        assert!(report.is_ok(), "{report:?}");
         assert!(is_out(&a));
         assert_eq!(a.change(change(PATH, None, Some(1))).await, Ok(2));
         assert!(!is_out(&a));
@@ -150,9 +154,9 @@
 }
 
 #[test]
-fn an_override_ends_by_itself_and_can_be_withdrawn() {
+fn an_override_expires_and_can_be_withdrawn() {
     smol::block_on(async {
-        let (_all, updaters, _tasks) = outage().await;
+        let (_deployment, updaters, _tasks) = outage().await;
         let short = order(true, Duration::from_secs(2));
         assert!(updaters[0].override_data_centre(short).await.is_ok());
         assert!(is_out(&updaters[1]));
@@ -171,36 +175,39 @@
     });
 }
 
-// One instance is cut off while the order is given, another one starts later. Both must learn of
-// it without the table service, or they would go on sending work there.
+// One instance is cut off when the order is given and another one starts later. Both must receive
+// the override without the table service, or they would go on sending work to the data centre.
 #[test]
-fn an_instance_that_was_cut_off_or_just_started_learns_of_an_override() {
+fn an_instance_that_was_cut_off_or_just_started_receives_an_override() {
     smol::block_on(async {
-        let (all, updaters, _tasks) = outage().await;
-        all.links.cut("c");
-        let told = updaters[0]
+        let (deployment, updaters, _tasks) = outage().await;
+        deployment.links.cut("c");
+        let report = updaters[0]
             .override_data_centre(order(true, MAX_OVERRIDE_DURATION))
             .await;
-        assert_eq!(told.expect("it is taken").accepted_by, ["b".into()]);
+        assert_eq!(
+            report.expect("the override is accepted").accepted_by,
+            ["b".into()]
+        );
         assert!(!is_out(&updaters[2]));
-        all.links.heal();
+        deployment.links.heal();
         until("the one cut off knows", || is_out(&updaters[2])).await;
-        let late = all.start("late");
-        let _late = run(&late);
-        until("the new one is ready", || version(&late).is_some()).await;
-        until("the new one knows", || is_out(&late)).await;
+        let added_later = deployment.start("late");
+        let _late = run(&added_later);
+        until("the new one is ready", || version(&added_later).is_some()).await;
+        until("the new one knows", || is_out(&added_later)).await;
     });
 }
 
 #[test]
 fn an_override_of_an_unknown_data_centre_is_refused() {
     smol::block_on(async {
-        let (all, updaters, _tasks) = outage().await;
+        let (deployment, updaters, _tasks) = outage().await;
         let mut unknown = order(true, MAX_OVERRIDE_DURATION);
         unknown.data_centre = "amman-9".into();
         let refused = updaters[0].override_data_centre(unknown).await;
         assert_eq!(refused, Err(OverrideError::NoSuchDataCentre));
-        let unready = all.start("unready");
+        let unready = deployment.start("unready");
         let refused = unready
             .override_data_centre(order(true, MAX_OVERRIDE_DURATION))
             .await;
@@ -212,7 +219,7 @@
 
 fn any_order() -> impl Strategy<Value = Override> {
     (0..2_u32, any::<bool>(), 1..4_u64, 0..3_u32).prop_map(|(data_centre, out, number, by)| {
-        // What one instance says under one number is always the same.
+        // One instance never issues two different orders with one sequence number.
         let out = out && (number + u64::from(by)) % 3 > 0;
         Override {
             data_centre: data_centre.to_string().into(),
@@ -227,10 +234,10 @@
 }
 
 proptest! {
-    // Instances hear of orders in different sequences, some twice. If they ended up with
-    // different results, one would send work to a data centre that another calls out.
+    // Instances receive orders in different sequences, some of them twice. If they ended up with
+    // different results, one would send work to a data centre that another treats as out.
     #[test]
-    fn orders_in_any_sequence_lead_to_the_same_result(
+    fn overrides_in_any_order_lead_to_the_same_result(
         orders in prop::collection::vec(any_order(), 0..12),
         seed in any::<u64>(),
     ) {
@@ -249,10 +256,10 @@
         let now = Duration::from_secs(1);
         let (mut here, mut there) = (Overrides::default(), Overrides::default());
         for order in &unique {
-            here.take(order, now);
+            here.apply(order, now);
         }
         for order in &shuffled {
-            there.take(order, now);
+            there.apply(order, now);
         }
         prop_assert_eq!(here.data_centres_out(|_| Some(1)), there.data_centres_out(|_| Some(1)));
         prop_assert_eq!(here.list(now), there.list(now));
--- a/components/config/tests/keeping/random.rs
+++ b/components/config/tests/keeping/random.rs
@@ -1,5 +1,5 @@
-//! Randomised runs: operators race on several instances while the table service fails, peers are
-//! cut off and instances restart.
+//! Random runs: operators race on several instances while the table service fails, peers are cut
+//! off and instances restart.
 //!
 //! Longer runs: `PROPTEST_CASES=2000 cargo test --release -p config --test keeping random`.
 
@@ -9,7 +9,7 @@
     time::Duration,
 };
 
-use crate::common::{Deployment, PATIENCE, change, service, version};
+use crate::common::{Deployment, TIMEOUT, change, service, version};
 use config::{
     ChangeError, Config, ConfigUpdater, HistoryEntry, OverrideOrder,
     overrides::MAX_OVERRIDE_DURATION,
@@ -21,25 +21,26 @@
 use tree::{Node, Snapshot};
 
 const INSTANCES: usize = 3;
-/// The last one is a data centre.
+/// Number of nodes; the last one is a data centre.
 const NODES: usize = 4;
 const DATA_CENTRE: &str = "d";
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// An operator changes or deletes a node as the instance shows it, or from memory.
+    /// An operator changes or deletes a node, based on the version that the instance shows or on a
+    /// stale one.
     Change {
         instance: usize,
         node: usize,
         delete: bool,
         stale: bool,
     },
-    Heard {
+    VersionAnnounced {
         instance: usize,
         peer: usize,
-        ahead: u64,
+        versions_ahead: u64,
     },
-    /// An operator keeps the data centre out without the table service, or withdraws that.
+    /// An operator takes the data centre out without the table service, or withdraws the override.
     Override {
         instance: usize,
         out: bool,
@@ -54,7 +55,7 @@
     Heal,
     Faults(Fault, usize),
     Down(bool),
-    Land,
+    ApplyLateCommits,
     Wait(u64),
 }
 
@@ -70,8 +71,8 @@
         8 => any_change.prop_map(|(instance, node, delete, stale)| Step::Change {
             instance, node, delete, stale,
         }),
-        4 => (0..INSTANCES, 0..INSTANCES, 0..3_u64).prop_map(|(instance, peer, ahead)| {
-            Step::Heard { instance, peer, ahead }
+        4 => (0..INSTANCES, 0..INSTANCES, 0..3_u64).prop_map(|(instance, peer, versions_ahead)| {
+            Step::VersionAnnounced { instance, peer, versions_ahead }
         }),
         2 => (0..INSTANCES, any::<bool>())
             .prop_map(|(instance, out)| Step::Override { instance, out }),
@@ -83,7 +84,7 @@
         1 => Just(Step::Heal),
         2 => (fault, 1..3_usize).prop_map(|(fault, count)| Step::Faults(fault, count)),
         1 => any::<bool>().prop_map(Step::Down),
-        2 => Just(Step::Land),
+        2 => Just(Step::ApplyLateCommits),
         2 => (0..30_u64).prop_map(Step::Wait),
     ]
 }
@@ -105,17 +106,17 @@
     }
 }
 
-/// What operators were told; each change carries a mark of its own.
+/// The results that operators received; each change is identified by a mark.
 #[derive(Default)]
-struct OverrideReport {
+struct OperatorResults {
     accepted: BTreeMap<u64, u64>,
     refused: BTreeSet<u64>,
 }
 
 struct Run {
-    all: Deployment,
+    deployment: Deployment,
     updaters: Mutex<Vec<Arc<ConfigUpdater>>>,
-    told: Mutex<OverrideReport>,
+    results: Mutex<OperatorResults>,
 }
 
 impl Run {
@@ -138,14 +139,14 @@
         let mut wanted = change(&path, content, seen);
         wanted.operator = mark.to_string().into();
         let result = updater.change(wanted).await;
-        let mut told = self.told.lock();
+        let mut results = self.results.lock();
         match result {
             Ok(version) => {
-                told.accepted.insert(mark, version);
+                results.accepted.insert(mark, version);
             }
             Err(ChangeError::Unknown) => {}
             Err(_) => {
-                told.refused.insert(mark);
+                results.refused.insert(mark);
             }
         }
     }
@@ -163,16 +164,16 @@
                     async move { run.operator(instance, node, mark, delete, stale).await };
                 return Some(workers::spawn(operator));
             }
-            Step::Heard {
+            Step::VersionAnnounced {
                 instance,
                 peer,
-                ahead,
+                versions_ahead,
             } => {
                 let (updater, from, peer) = (self.updater(instance), peer, self.updater(peer));
-                let heard = version(&peer).unwrap_or(0) + ahead;
+                let version = version(&peer).unwrap_or(0) + versions_ahead;
                 let name = format!("i{from}").into();
                 return Some(workers::spawn(async move {
-                    updater.receive_version(&name, heard).await
+                    updater.receive_version(&name, version).await
                 }));
             }
             Step::Override { instance, out } => {
@@ -183,7 +184,7 @@
                     duration: MAX_OVERRIDE_DURATION,
                     operator: "operator".into(),
                 };
-                // Without a configuration or the data centre in it, it is refused.
+                // Rejected if the instance has no configuration or the data centre is not in it.
                 let _ = updater.override_data_centre(order).await;
             }
             Step::Exchange { instance, peer } => {
@@ -191,19 +192,19 @@
                 updater.exchange_overrides(&peer.overrides());
             }
             Step::CatchUp(instance) => {
-                // During an outage it fails, and what is in force stays.
+                // Fails during an outage; the configuration in effect is kept.
                 let _ = self.updater(instance).catch_up().await;
             }
             Step::Restart(instance) => {
-                let fresh = self.all.start(&format!("i{instance}"));
+                let fresh = self.deployment.start(&format!("i{instance}"));
                 self.updaters.lock()[instance] = fresh;
             }
-            Step::Cut(instance) => self.all.links.cut(&format!("i{instance}")),
-            Step::Heal => self.all.links.heal(),
-            Step::Faults(fault, count) => self.all.table.add_faults(vec![fault; count]),
-            Step::Down(down) => self.all.table.set_down(down),
-            Step::Land => {
-                self.all.table.apply_late_commits();
+            Step::Cut(instance) => self.deployment.links.cut(&format!("i{instance}")),
+            Step::Heal => self.deployment.links.heal(),
+            Step::Faults(fault, count) => self.deployment.table.add_faults(vec![fault; count]),
+            Step::Down(down) => self.deployment.table.set_down(down),
+            Step::ApplyLateCommits => {
+                self.deployment.table.apply_late_commits();
             }
             Step::Wait(ms) => Timer::new().sleep(Duration::from_millis(ms)).await,
         }
@@ -211,32 +212,33 @@
     }
 }
 
-async fn play(steps: Vec<Step>) {
-    let all = Deployment::default();
+async fn run_steps(steps: Vec<Step>) {
+    let deployment = Deployment::default();
     let updaters = (0..INSTANCES)
-        .map(|n| all.start(&format!("i{n}")))
+        .map(|n| deployment.start(&format!("i{n}")))
         .collect();
     let run = Arc::new(Run {
-        all,
+        deployment,
         updaters: Mutex::new(updaters),
-        told: Mutex::default(),
+        results: Mutex::default(),
     });
     let mut tasks = Vec::new();
     for (mark, step) in (1..).zip(steps) {
         tasks.extend(run.step(mark, step).await);
     }
-    run.all.table.set_down(false);
-    run.all.table.clear_faults();
-    run.all.links.heal();
+    run.deployment.table.set_down(false);
+    run.deployment.table.clear_faults();
+    run.deployment.links.heal();
     for task in tasks {
-        let ended = Timer::new().within(PATIENCE, task).await;
+        let ended = Timer::new().within(TIMEOUT, task).await;
         assert!(ended.is_some(), "a change or a fetch hangs");
     }
-    run.all.table.apply_late_commits();
+    run.deployment.table.apply_late_commits();
     check(&run).await;
 }
 
-/// Everybody has the same, and it is what operators were told.
+/// Checks that all instances have the same configuration and that it matches the results that
+/// operators received.
 async fn check(run: &Run) {
     let updaters = run.updaters.lock().clone();
     let history = updaters[0].history(1000).await.expect("the table is up");
@@ -252,14 +254,15 @@
     }
     for updater in &updaters {
         updater.catch_up().await.expect("the table is up");
-        let current = updater.current().expect("it is in force");
+        let current = updater.current().expect("a configuration is loaded");
         assert_eq!(current.snapshot, expected);
     }
-    check_told(&run.told.lock(), &history);
+    check_results(&run.results.lock(), &history);
     check_overrides(&updaters, &expected);
 }
 
-/// All agree on the data centre, and no override stands against a later accepted change.
+/// Checks that all instances agree on the data centre and that no override outlasts a later
+/// accepted change.
 fn check_overrides(updaters: &[Arc<ConfigUpdater>], accepted: &Snapshot) {
     for updater in updaters {
         for peer in updaters {
@@ -278,39 +281,39 @@
         order.out && changed.is_some_and(|version| version <= order.base_version)
     });
     for updater in updaters {
-        let current = updater.current().expect("it is in force");
+        let current = updater.current().expect("a configuration is loaded");
         let out = !current.effective.data_centres_out().is_empty();
         assert_eq!(out, written == Some(true) || overridden, "{orders:?}");
     }
 }
 
-fn check_told(told: &OverrideReport, history: &[HistoryEntry]) {
+fn check_results(results: &OperatorResults, history: &[HistoryEntry]) {
     let mark = |entry: &HistoryEntry| entry.change.operator.parse::<u64>().unwrap_or(0);
     let marks: Vec<u64> = history.iter().map(mark).collect();
     let unique: BTreeSet<u64> = marks.iter().copied().collect();
     assert_eq!(unique.len(), marks.len(), "a change was accepted twice");
-    for (mark, version) in &told.accepted {
+    for (mark, version) in &results.accepted {
         let found = history
             .iter()
             .find(|e| e.change.operator.parse() == Ok(*mark));
         let found = found.map(|e| e.version);
-        assert_eq!(found, Some(*version), "an accepted change is not there");
+        assert_eq!(found, Some(*version), "an accepted change is missing");
     }
-    for mark in &told.refused {
+    for mark in &results.refused {
         assert!(
             !unique.contains(mark),
-            "a refused change {mark} is in force"
+            "a refused change {mark} is in effect"
         );
     }
 }
 
 proptest! {
-    // An operator would notice an accepted change that is missing, a refused one that is in
-    // force, or instances that differ. That a version never goes back is asserted inside.
+    // An accepted change must not get lost, a rejected one must not take effect, and instances must
+    // not differ. An assertion in the cache checks that a version never decreases.
     #[test]
-    fn accepted_changes_are_in_force_everywhere_and_no_others(
+    fn exactly_the_accepted_changes_are_in_effect_everywhere(
         steps in prop::collection::vec(step(), 1..50),
     ) {
-        smol::block_on(play(steps));
+        smol::block_on(run_steps(steps));
     }
 }
--- a/components/config/tests/keeping/wire.rs
+++ b/components/config/tests/keeping/wire.rs
@@ -1,4 +1,4 @@
-//! The form in which peers send the configuration to each other.
+//! The encoding in which instances send each other the configuration.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 
 use crate::common::change;
 
-/// A node that leaves out most values, among them some before those it writes.
+/// A node that omits most values, among them some that precede the ones it sets.
 fn sparse() -> Node {
     Node {
         knobs: Knobs {
@@ -23,9 +23,9 @@
     }
 }
 
-// Instances send each other structures without field names. A node leaves out the values that it
-// does not write; read by place, the most tokens of an answer would become its deadline, on one
-// instance and not on the others.
+// Messages between instances are encoded without field names, and a node omits the values that it
+// does not set. Decoded by position, the limit of output tokens would become the deadline, on the
+// receiving instance only.
 #[test]
 fn a_node_that_leaves_values_out_arrives_as_it_was_sent() {
     let entry = HistoryEntry {
@@ -36,8 +36,8 @@
     };
     let nodes = BTreeMap::from([("/services/s".into(), sparse())]);
     let changed = BTreeMap::from([("/services/s".into(), 3)]);
-    let whole = Update::Full(Snapshot { version: 3, nodes }, changed);
-    for update in [Update::Changes(vec![entry]), whole] {
+    let tree = Update::Full(Snapshot { version: 3, nodes }, changed);
+    for update in [Update::Changes(vec![entry]), tree] {
         let sent = rmp_serde::to_vec(&update).expect("it can be encoded");
         let arrived: Update = rmp_serde::from_slice(&sent).expect("it is well formed");
         let text = |update: &Update| serde_json::to_string(update).expect("it can be encoded");
