--- a/components/placing/src/tuning.rs
+++ b/components/placing/src/tuning.rs
@@ -145,19 +145,19 @@
     #[must_use]
     pub fn faults(&self) -> Vec<String> {
         let mut faults = Vec::new();
-        let mut must = |contains: bool, what: &str| {
-            if !contains {
+        let mut must = |is_valid: bool, what: &str| {
+            if !is_valid {
                 faults.push(what.to_owned());
             }
         };
         let prefill_speed = self.prompt_tokens_per_ms;
         must(
             prefill_speed.is_finite() && prefill_speed > 0.0,
-            "prompt_tokens_per_ms must be more than 0",
+            "prompt_tokens_per_ms must be greater than 0",
         );
         must(
             !self.token_time.is_zero(),
-            "token_time_ms must be more than 0",
+            "token_time_ms must be greater than 0",
         );
         for (share, name) in [
             (self.memory_share, "memory_share"),
@@ -167,16 +167,22 @@
         ] {
             must(
                 share > 0.0 && share <= 1.0,
-                &format!("{name} must be more than 0 and 1 at most"),
+                &format!("{name} must be greater than 0 and at most 1"),
             );
         }
-        must(!self.wait_interval.is_zero(), "wait_ms must be more than 0");
+        must(
+            !self.wait_interval.is_zero(),
+            "wait_ms must be greater than 0",
+        );
         must(
             self.wait_interval <= self.max_wait_interval
                 && self.max_wait_interval < self.waiting_expiry,
-            "wait_ms, wait_most_ms and wait_life_ms must each be longer than the one before",
+            "wait_ms must not exceed wait_most_ms, and wait_most_ms must be less than wait_life_ms",
+        );
+        must(
+            self.waiting_per_step > 0,
+            "wait_crowd must be greater than 0",
         );
-        must(self.waiting_per_step > 0, "wait_crowd must be more than 0");
         faults
     }
 
--- a/components/placing/tests/lengths.rs
+++ b/components/placing/tests/lengths.rs
@@ -107,20 +107,31 @@
         let length = lengths.estimate("r", max_tokens, length_hint);
         let probability = length.survival_probability(tokens_generated, more);
         prop_assert!((0.0..=1.0).contains(&probability));
-        prop_assert!(length.survival_probability(tokens_generated, more + 50) <= probability + 1e-9);
-        prop_assert!(length.expected_remaining(tokens_generated) <= max_tokens.saturating_sub(tokens_generated));
+        prop_assert!(
+            length.survival_probability(tokens_generated, more + 50) <= probability + 1e-9
+        );
+        prop_assert!(
+            length.expected_remaining(tokens_generated)
+                <= max_tokens.saturating_sub(tokens_generated)
+        );
     }
 
     /// The projected peak is never below the current use, and never falls when a generation is
     /// added.
     #[test]
-    fn the_peak_never_falls_with_one_more_generation(sizes in prop::collection::vec((1..6_000_u64, 0..2_000_u64), 1..12)) {
+    fn the_peak_never_falls_with_one_more_generation(
+        sizes in prop::collection::vec((1..6_000_u64, 0..2_000_u64), 1..12),
+    ) {
         let length = LengthEstimator::default().estimate("r", MAX_TOKENS, None);
         let all: Vec<Allocation> = sizes
             .iter()
-            .map(|(prompt_tokens, tokens_generated)| Allocation { prompt_tokens: *prompt_tokens, tokens_generated: *tokens_generated, length })
+            .map(|(prompt_tokens, tokens_generated)| Allocation {
+                prompt_tokens: *prompt_tokens,
+                tokens_generated: *tokens_generated,
+                length,
+            })
             .collect();
-        let now: u64 = sizes.iter().map(|(prompt_tokens, tokens_generated)| prompt_tokens + tokens_generated).sum();
+        let now: u64 = sizes.iter().map(|(prompt, generated)| prompt + generated).sum();
         #[expect(clippy::cast_precision_loss, reason = "far below 52 bits")]
         let now = now as f64;
         prop_assert!(peak_tokens(&all) >= now - 1e-6);
--- a/components/placing/tests/placement.rs
+++ b/components/placing/tests/placement.rs
@@ -418,7 +418,7 @@
         let engines: Vec<Engine> = (0..4)
             .map(|n| Engine { slots: 5, ..engine(&format!("e-{n}"), "dc-1") })
             .collect();
-        let mut evaluated = BTreeSet::new();
+        let mut placed = BTreeSet::new();
         for step in steps {
             match step {
                 Step::Place { generation, prompt_tokens, length_hint } => {
@@ -426,20 +426,33 @@
                     request.prompt_tokens = prompt_tokens;
                     request.length_hint = Some(length_hint);
                     owner.place(now, &request, &engines);
-                    evaluated.insert(request.generation);
+                    placed.insert(request.generation);
                 }
                 Step::Start(generation) => {
-                    owner.apply_update(now, &GenerationUpdate::Started { generation: format!("run-{generation}").into() });
+                    owner.apply_update(
+                        now,
+                        &GenerationUpdate::Started {
+                            generation: format!("run-{generation}").into(),
+                        },
+                    );
                 }
                 Step::End(generation) => {
                     let generation = format!("run-{generation}").into();
-                    owner.apply_update(now, &GenerationUpdate::Ended { generation, target_failed: false, tokens_generated: None });
+                    owner.apply_update(
+                        now,
+                        &GenerationUpdate::Ended {
+                            generation,
+                            target_failed: false,
+                            tokens_generated: None,
+                        },
+                    );
                 }
                 Step::Migrate(number) => {
                     let from = format!("e-{number}").into();
-                    let order = owner.next_migration(now, &from, &"dc-1".into(), &engines, &|_, _| false);
-                    if let Some(order) = order {
-                        owner.finish_migration(&order, placing::MigrationOutcome::Done);
+                    let migration =
+                        owner.next_migration(now, &from, &"dc-1".into(), &engines, &|_, _| false);
+                    if let Some(migration) = migration {
+                        owner.finish_migration(&migration, placing::MigrationOutcome::Done);
                     }
                 }
                 Step::Advance(ms) => now += Duration::from_millis(ms),
@@ -448,8 +461,15 @@
                 prop_assert!(load.generations <= 5, "{load:?}");
             }
         }
-        for generation in evaluated {
-            owner.apply_update(now, &GenerationUpdate::Ended { generation, target_failed: false, tokens_generated: None });
+        for generation in placed {
+            owner.apply_update(
+                now,
+                &GenerationUpdate::Ended {
+                    generation,
+                    target_failed: false,
+                    tokens_generated: None,
+                },
+            );
         }
         for load in owner.loads(now) {
             prop_assert_eq!(load.generations, 0);
--- a/components/wire/src/codec.rs
+++ b/components/wire/src/codec.rs
@@ -21,14 +21,14 @@
     #[display("the envelope is larger than {MAX_ENVELOPE_BYTES} bytes")]
     TooLarge,
     /// Too short, or authenticated with another key.
-    #[display("the envelope is not authentic")]
+    #[display("the envelope is too short or was authenticated with another key")]
     NotAuthentic,
     /// Authentic, but not a valid envelope.
-    #[display("the envelope can't be decoded")]
+    #[display("the envelope is authentic but cannot be decoded")]
     Undecodable,
     /// Sent by another version of celerystand.
     #[display(
-        "the envelope has format {format}, this instance speaks {}",
+        "the envelope has format {format}, but this instance accepts format {}",
         Envelope::FORMAT
     )]
     OtherFormat {
@@ -36,7 +36,7 @@
         format: u16,
     },
     /// Addressed to another instance.
-    #[display("the envelope is meant for another instance")]
+    #[display("the envelope is addressed to another instance")]
     OtherReceiver,
 }
 
@@ -50,8 +50,7 @@
     /// Creates a key from its text in the settings.
     #[must_use]
     pub fn new(text: &str) -> Self {
-        // HMAC accepts keys of any length.
-        let mac = Hmac::new_from_slice(text.as_bytes()).expect("HMAC takes any key");
+        let mac = Hmac::new_from_slice(text.as_bytes()).expect("HMAC accepts keys of any length");
         Self { mac }
     }
 
--- a/components/wire/tests/codec.rs
+++ b/components/wire/tests/codec.rs
@@ -78,7 +78,9 @@
     }
 
     #[test]
-    fn authentic_but_invalid_content_is_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..40)) {
+    fn authentic_but_invalid_content_is_rejected(
+        bytes in proptest::collection::vec(any::<u8>(), 0..40),
+    ) {
         let key = Key::new(KEY);
         let sealed = key.seal(&bytes);
         prop_assert!(key.open_envelope(&sealed, &"b".into()).is_err());
