--- a/components/net/src/pool.rs
+++ b/components/net/src/pool.rs
@@ -98,8 +98,8 @@
     }
 
     /// Closes connections that have been idle for too long. [`Pool::take`] prefers the most
-    /// recently used ones, so the oldest, and those to targets that no longer exist, would otherwise
-    /// stay open until the process runs out of file descriptors.
+    /// recently used ones, so the oldest, and those to targets that no longer exist, would
+    /// otherwise stay open until the process runs out of file descriptors.
     fn sweep(&mut self) {
         if self
             .last_sweep
--- a/components/targets/src/answer.rs
+++ b/components/targets/src/answer.rs
@@ -1,4 +1,4 @@
-//! What the answers of targets mean.
+//! Interprets the answers of targets: whether a request ran, and whether it may be retried.
 
 use std::time::Duration;
 
@@ -10,12 +10,11 @@
 
 use crate::api::TargetError;
 
-/// Time that a short answer may take.
-pub const ANSWER_PATIENCE: Duration = Duration::from_secs(5);
-/// Bytes of a short answer at most.
-const ANSWER_LIMIT: usize = 1024 * 1024;
+/// Time limit for an answer that is not streamed.
+pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
-/// The part of a problem document that matters here.
+/// The relevant part of a problem document.
 #[derive(Deserialize)]
 struct Problem {
     run: Option<Execution>,
@@ -30,42 +29,42 @@
     }
 }
 
-/// The link was lost.
+/// Returns an error for a call that may have run.
 pub fn lost(reason: impl AsRef<str>) -> TargetError {
     TargetError::Lost {
         reason: reason.as_ref().into(),
     }
 }
 
-/// Nothing was sent.
+/// Returns an error for a call that was not sent.
 pub fn unsent(reason: impl AsRef<str>) -> TargetError {
     TargetError::Unsent {
         reason: reason.as_ref().into(),
     }
 }
 
-/// Reads a short answer.
+/// Reads a whole answer of at most `MAX_ANSWER_BYTES`.
 pub async fn read(resp: Response<Incoming>) -> Result<(StatusCode, Bytes), TargetError> {
     let status = resp.status();
-    let body = read_all(resp.into_body(), ANSWER_LIMIT, ANSWER_PATIENCE)
+    let body = read_all(resp.into_body(), MAX_ANSWER_BYTES, ANSWER_TIMEOUT)
         .await
         .map_err(|e| lost(e.to_string()))?;
     Ok((status, body))
 }
 
-/// When a target wants to be asked again; only whole seconds are understood.
+/// Returns the time from the `Retry-After` header. Its date form is not supported.
 pub fn retry_after(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(RETRY_AFTER)?.to_str().ok()?;
     text.trim().parse().ok().map(Duration::from_secs)
 }
 
-/// Sorts out an answer that is not a success.
+/// Converts an answer that is not a success to an error.
 ///
-/// Only a 429 or 503 that comes with `Retry-After`, or with a problem document that says
-/// `not-run`, proves that nothing ran; a bare 503 may as well come from something on the way
-/// that lost the answer, and taking it for a proof would run a call twice.
-pub fn refused(status: StatusCode, body: Bytes, retry_after: Option<Duration>) -> TargetError {
-    if turned(status, &body, retry_after) {
+/// Only a 429 or 503 with `Retry-After`, or with a problem document that says `not-run`, proves
+/// that nothing ran. A bare 503 may also come from a proxy that lost the answer; taking it for a
+/// proof could run a call twice.
+pub fn error_answer(status: StatusCode, body: Bytes, retry_after: Option<Duration>) -> TargetError {
+    if is_rejection(status, &body, retry_after) {
         return TargetError::Rejected {
             reason: format!("status {status}").into(),
             retry_after,
@@ -80,8 +79,8 @@
     lost(format!("status {status}"))
 }
 
-/// Whether the target itself says that it did not run the request.
-pub fn turned(status: StatusCode, body: &[u8], retry_after: Option<Duration>) -> bool {
+/// Whether the answer proves that the target did not run the request.
+pub fn is_rejection(status: StatusCode, body: &[u8], retry_after: Option<Duration>) -> bool {
     let busy = matches!(
         status,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
@@ -98,8 +97,9 @@
     }
 }
 
-/// For requests about a stream: not found means that the engine does not know it any more.
-pub fn gone(error: TargetError) -> TargetError {
+/// Converts the error of a request about a stream: not found means that the engine does not know
+/// the stream any more.
+pub fn stream_error(error: TargetError) -> TargetError {
     match error {
         TargetError::ClientError {
             status: 404 | 410, ..
@@ -108,10 +108,10 @@
     }
 }
 
-/// Accepts any success.
-pub fn check_done(status: StatusCode, body: Bytes) -> Result<(), TargetError> {
+/// Accepts any success status.
+pub fn check_success(status: StatusCode, body: Bytes) -> Result<(), TargetError> {
     if status.is_success() {
         return Ok(());
     }
-    Err(refused(status, body, None))
+    Err(error_answer(status, body, None))
 }
--- a/components/targets/src/api.rs
+++ b/components/targets/src/api.rs
@@ -1,4 +1,4 @@
-//! What celerystand needs of engines and plain services.
+//! The interfaces to engines and plain services.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,29 +7,29 @@
 use derive_more::{Display, Error};
 use types::{Target, Tokens};
 
-/// Name of a stream at an engine.
+/// An engine's id of a stream.
 pub type StreamId = Arc<str>;
 
-/// Why a call to a target brought no answer.
+/// Why a call to a target failed.
 #[derive(Clone, Debug, Display, Error, PartialEq)]
 pub enum TargetError {
-    /// No byte of the request left: it did not run.
+    /// No byte of the request was sent; it did not run.
     #[display("no byte was sent: {reason}")]
     Unsent {
-        /// Why.
+        /// The cause.
         #[error(not(source))]
         reason: Arc<str>,
     },
-    /// The target says that it did not run it, because it has too much or is leaving.
+    /// The target rejected the request without running it, because it is overloaded or leaving.
     #[display("the target did not take it: {reason}")]
     Rejected {
-        /// Why.
+        /// The cause.
         #[error(not(source))]
         reason: Arc<str>,
-        /// When the target wants to be asked again.
+        /// How long the target asks to wait before a retry.
         retry_after: Option<Duration>,
     },
-    /// The target finds the request wrong; the caller gets this answer.
+    /// The target answered with a client error, which is passed on to the caller.
     #[display("the target answered {status}")]
     ClientError {
         /// HTTP status.
@@ -38,14 +38,14 @@
         #[error(not(source))]
         body: Bytes,
     },
-    /// The link broke or went silent after bytes had left: it may have run.
+    /// The connection was lost or timed out after bytes had been sent; the request may have run.
     #[display("the link was lost: {reason}")]
     Lost {
-        /// Why.
+        /// The cause.
         #[error(not(source))]
         reason: Arc<str>,
     },
-    /// The engine does not know the stream (any more).
+    /// The engine does not know the stream, or no longer.
     #[display("the engine does not know the stream")]
     Gone,
 }
@@ -57,53 +57,53 @@
     pub path: Arc<str>,
     /// The caller's JSON body with `stream` set and `priority` and `max_tokens` filled in.
     pub body: Bytes,
-    /// A name for the request, unique in the deployment; engines log it.
+    /// The request's id, unique in the deployment; engines log it.
     pub request: Arc<str>,
 }
 
-/// An item of a stream.
+/// An item of an engine's stream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StreamItem {
-    /// Events that carry tokens, whole and in order, as the engine wrote them.
+    /// Events with consecutive tokens, as the engine wrote them.
     Tokens {
-        /// Offset of the first token in it; 0 is the stream's first.
+        /// Offset of the first token; 0 is the first of the stream.
         first: Tokens,
-        /// Number of tokens, one event each.
+        /// Number of tokens; each event has one.
         count: Tokens,
-        /// The `data` of each event.
+        /// The `data` field of each event.
         data: Vec<Bytes>,
     },
-    /// The stream's end: `[DONE]`.
+    /// The end of the stream, `[DONE]`.
     End,
 }
 
 /// A running generation.
 #[async_trait]
 pub trait Stream: Send {
-    /// Name of the stream at the engine.
+    /// The engine's id of the stream.
     fn id(&self) -> StreamId;
 
-    /// Waits for the next piece.
+    /// Waits for the next item.
     async fn next(&mut self) -> Result<StreamItem, TargetError>;
 }
 
-/// What a command asks an engine to do.
+/// What a command tells an engine to do.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CommandKind {
-    /// Load a model version.
+    /// Load this model version.
     Load(Arc<str>),
-    /// Load an adapter.
+    /// Load this adapter.
     Adapter(Arc<str>),
-    /// Change role.
+    /// Change to this role.
     Role(Arc<str>),
 }
 
 /// A command to an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Command {
-    /// What to do.
+    /// What the engine is to do.
     pub kind: CommandKind,
-    /// Fencing number; some engines refuse an older one.
+    /// Fencing number. Some engines reject one that is lower than the last.
     pub fence: u64,
 }
 
@@ -117,7 +117,7 @@
         call: &EngineCall,
     ) -> Result<Box<dyn Stream>, TargetError>;
 
-    /// Goes on with a generation at a token, over a new connection.
+    /// Resumes a generation from token `at` on, over a new connection.
     async fn resume(
         &self,
         target: &Target,
@@ -138,21 +138,21 @@
 /// A target's load report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TargetReport {
-    /// Which life of the target.
+    /// The target's incarnation, a number for each run of its process.
     pub incarnation: u64,
-    /// How old the report is, as the target says.
+    /// Age of the report, stated by the target.
     pub age: Duration,
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting inside the target.
+    /// Number of requests in the target's own queue.
     pub waiting: u32,
-    /// Tokens of memory occupied, 0 for a plain service.
+    /// Tokens of memory in use; 0 for a plain service.
     pub used: Tokens,
-    /// Tokens of memory in all, 0 for a plain service.
+    /// Tokens of memory in total; 0 for a plain service.
     pub capacity: Tokens,
-    /// Preemptions since its start.
+    /// Preemptions since the target's start.
     pub preemptions: u64,
-    /// Whether it says that it is warm.
+    /// Whether the target reports that it is warmed up.
     pub warm: bool,
 }
 
@@ -167,11 +167,11 @@
     pub headers: Vec<(Arc<str>, Arc<str>)>,
     /// Body.
     pub body: Bytes,
-    /// A name for the request, unique in the deployment; sent as `x-request-id`.
+    /// The request's id, unique in the deployment; sent as `x-request-id`.
     pub request: Arc<str>,
 }
 
-/// A plain service's answer, whole.
+/// The complete answer of a plain service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlainAnswer {
     /// HTTP status.
@@ -185,12 +185,12 @@
 /// The client of plain services.
 #[async_trait]
 pub trait PlainService: Send + Sync {
-    /// Makes a call and waits for the whole answer, at most `patience`.
+    /// Makes a call and waits for the whole answer, at most for `timeout`.
     async fn call(
         &self,
         target: &Target,
         call: &PlainCall,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<PlainAnswer, TargetError>;
 
     /// Reads the load report.
--- a/components/targets/src/lib.rs
+++ b/components/targets/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clients of engines and plain services, behind traits.
+//! HTTP clients of targets, which are engines and plain services, behind traits.
 
 mod answer;
 pub mod api;
--- a/components/targets/src/openai.rs
+++ b/components/targets/src/openai.rs
@@ -1,4 +1,4 @@
-//! The client of engines that speak the completions API over server-sent events.
+//! Client of engines that serve the completions API with server-sent events.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,22 +16,21 @@
 use types::{Target, Tokens};
 
 use crate::{
-    answer::{self, ANSWER_PATIENCE},
+    answer::{self, ANSWER_TIMEOUT},
     api::{Command, CommandKind, Engine, EngineCall, Stream, StreamId, TargetError, TargetReport},
     report,
     stream::EngineStream,
 };
 
-/// Header in which an engine names a stream.
+/// Header with the id that an engine gives a stream.
 pub const STREAM_ID: &str = "x-stream-id";
-/// Header that carries a request's name.
+/// Header with the id of a request.
 pub const REQUEST_ID: &str = "x-request-id";
-/// Header with which a stream is resumed: the offset of the last event that arrived.
+/// Header that resumes a stream after the last event that was received.
 const LAST_EVENT_ID: &str = "last-event-id";
-/// Bytes of a stream's name at most.
-const STREAM_ID_LIMIT: usize = 128;
+const MAX_STREAM_ID_BYTES: usize = 128;
 
-/// The client of engines.
+/// A client of engines.
 #[derive(Clone)]
 pub struct OpenAiEngine {
     client: Client,
@@ -39,14 +38,14 @@
 }
 
 impl OpenAiEngine {
-    /// Makes a client that calls over `client`.
+    /// Creates a client that sends its requests over `client`.
     #[must_use]
     pub const fn new(client: Client, timer: Timer) -> Self {
         Self { client, timer }
     }
 
-    /// Reads a short answer to its end.
-    async fn ask(
+    /// Sends a request and reads the whole answer.
+    async fn call(
         &self,
         target: &Target,
         req: Request<Full<Bytes>>,
@@ -55,18 +54,19 @@
             let resp = self.client.send(target.addr, req).await?;
             answer::read(resp).await
         };
-        self.within(ANSWER_PATIENCE, exchange).await
+        self.within(ANSWER_TIMEOUT, exchange).await
     }
 
+    /// Awaits an exchange for at most `timeout`.
     async fn within<T>(
         &self,
-        patience: Duration,
+        timeout: Duration,
         exchange: impl Future<Output = Result<T, TargetError>>,
     ) -> Result<T, TargetError> {
         self.timer
-            .within(patience, exchange)
+            .within(timeout, exchange)
             .await
-            .unwrap_or_else(|| Err(answer::lost(format!("no answer within {patience:?}"))))
+            .unwrap_or_else(|| Err(answer::lost(format!("no answer within {timeout:?}"))))
     }
 }
 
@@ -80,7 +80,7 @@
         let req = request(Method::POST, &call.path, call.body.clone())
             .and_then(|req| with_header(req, REQUEST_ID, &call.request))?;
         let resp = self.client.send(target.addr, req).await?;
-        let resp = started(resp).await?;
+        let resp = check_started(resp).await?;
         let id = stream_id(&resp).ok_or_else(|| answer::lost("the engine named no stream"))?;
         Ok(Box::new(EngineStream::new(id, 0, resp.into_body())))
     }
@@ -91,15 +91,15 @@
         stream: &StreamId,
         at: Tokens,
     ) -> Result<Box<dyn Stream>, TargetError> {
-        // Whatever made the old connection useless may have done so to the idle ones as well.
+        // What broke the old connection may have broken the idle ones as well.
         self.client.close_connections(target.addr);
         let mut req = request(Method::GET, &stream_path(stream), Bytes::new())?;
         if let Some(last) = at.checked_sub(1) {
             req = with_header(req, LAST_EVENT_ID, &last.to_string())?;
         }
         let resp = self.client.send_fresh(target.addr, req).await?;
-        let resp = started(resp).await.map_err(answer::gone)?;
-        // An answer that belongs to somebody else's stream must not reach this caller.
+        let resp = check_started(resp).await.map_err(answer::stream_error)?;
+        // An answer with another caller's stream must not reach this caller.
         if stream_id(&resp).is_some_and(|named| named != *stream) {
             return Err(answer::lost("the engine answered with another stream"));
         }
@@ -109,13 +109,13 @@
 
     async fn cancel(&self, target: &Target, stream: &StreamId) -> Result<(), TargetError> {
         let req = request(Method::DELETE, &stream_path(stream), Bytes::new())?;
-        let (status, body) = self.ask(target, req).await?;
-        answer::check_done(status, body).map_err(answer::gone)
+        let (status, body) = self.call(target, req).await?;
+        answer::check_success(status, body).map_err(answer::stream_error)
     }
 
     async fn report(&self, target: &Target) -> Result<TargetReport, TargetError> {
         let req = request(Method::GET, report::PATH, Bytes::new())?;
-        let (status, body) = self.ask(target, req).await?;
+        let (status, body) = self.call(target, req).await?;
         report::decode(status, &body)
     }
 
@@ -127,19 +127,19 @@
         };
         let body = json!({ "kind": kind, "name": name, "fence": command.fence }).to_string();
         let req = request(Method::POST, "/v1/orders", body.into())?;
-        let (status, body) = self.ask(target, req).await?;
-        answer::check_done(status, body)
+        let (status, body) = self.call(target, req).await?;
+        answer::check_success(status, body)
     }
 }
 
-/// Sorts out answers that start no stream.
-async fn started(resp: Response<Incoming>) -> Result<Response<Incoming>, TargetError> {
+/// Passes on an answer that starts a stream; converts any other to an error.
+async fn check_started(resp: Response<Incoming>) -> Result<Response<Incoming>, TargetError> {
     if resp.status() == StatusCode::OK {
         return Ok(resp);
     }
     let retry_after = answer::retry_after(resp.headers());
     let (status, body) = answer::read(resp).await?;
-    Err(answer::refused(status, body, retry_after))
+    Err(answer::error_answer(status, body, retry_after))
 }
 
 fn request(method: Method, path: &str, body: Bytes) -> Result<Request<Full<Bytes>>, TargetError> {
@@ -165,10 +165,11 @@
     format!("/v1/streams/{stream}")
 }
 
-/// The name goes into paths and event ids, so it may hold only what is safe there.
+/// Returns the id that the engine gave the stream. The id becomes part of paths and event ids, so
+/// it may contain only characters that are safe there.
 fn stream_id(resp: &Response<Incoming>) -> Option<StreamId> {
     let name = resp.headers().get(STREAM_ID)?.to_str().ok()?;
     let safe = |b: u8| b.is_ascii_alphanumeric() || b"-_.~".contains(&b);
-    let fits = !name.is_empty() && name.len() <= STREAM_ID_LIMIT && name.bytes().all(safe);
-    fits.then(|| name.into())
+    let valid = !name.is_empty() && name.len() <= MAX_STREAM_ID_BYTES && name.bytes().all(safe);
+    valid.then(|| name.into())
 }
--- a/components/targets/src/plain.rs
+++ b/components/targets/src/plain.rs
@@ -1,4 +1,4 @@
-//! The client of plain services.
+//! Client of plain HTTP services.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,34 +11,34 @@
 use types::Target;
 
 use crate::{
-    answer::{self, ANSWER_PATIENCE},
+    answer::{self, ANSWER_TIMEOUT},
     api::{PlainAnswer, PlainCall, PlainService, TargetError, TargetReport},
     openai::REQUEST_ID,
     report,
 };
 
-/// Bytes of a plain service's answer at most.
-const BODY_LIMIT: usize = 16 * 1024 * 1024;
-/// Bytes of all answers that are being read: a service gone wild must not take the memory of
-/// everybody else's calls.
-const ANSWERS: usize = 64 * 1024 * 1024;
+/// Largest answer of a plain service, in bytes.
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
+/// Bytes that all answers being read may hold together, so that one faulty service can't use up the
+/// memory for the calls to the others.
+const ANSWER_BUDGET_BYTES: usize = 64 * 1024 * 1024;
 
-/// The client of plain services.
+/// A client of plain HTTP services.
 #[derive(Clone)]
 pub struct HttpPlainService {
     client: Client,
     timer: Timer,
-    answers: Budget,
+    answer_budget: Budget,
 }
 
 impl HttpPlainService {
-    /// Makes a client that calls over `client`.
+    /// Creates a client that sends its requests over `client`.
     #[must_use]
     pub fn new(client: Client, timer: Timer) -> Self {
         Self {
             client,
             timer,
-            answers: Budget::new(ANSWERS),
+            answer_budget: Budget::new(ANSWER_BUDGET_BYTES),
         }
     }
 
@@ -46,22 +46,22 @@
         &self,
         target: &Target,
         call: &PlainCall,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<PlainAnswer, TargetError> {
         let req = request(call)?;
-        let resp = if may_share(req.method()) {
+        let resp = if may_use_idle_connection(req.method()) {
             self.client.send(target.addr, req).await?
         } else {
             self.client.send_fresh(target.addr, req).await?
         };
-        read(resp, patience, self.answers.share()).await
+        read(resp, timeout, self.answer_budget.share()).await
     }
 }
 
-/// A service may close an idle connection just while a request is on its way there. Then nobody
-/// can tell whether the request ran, and a caller would hear `unknown` for a call that must not
-/// be repeated; over a new connection this can't happen.
-fn may_share(method: &Method) -> bool {
+/// Whether a request may be sent over an idle connection. The service may close it while the
+/// request is in transit, and then it is unknown whether the request ran. For a request that is not
+/// safe to repeat the caller would get the answer `unknown`, so it is sent over a new connection.
+fn may_use_idle_connection(method: &Method) -> bool {
     method.is_safe()
 }
 
@@ -71,12 +71,12 @@
         &self,
         target: &Target,
         call: &PlainCall,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<PlainAnswer, TargetError> {
         self.timer
-            .within(patience, self.exchange(target, call, patience))
+            .within(timeout, self.exchange(target, call, timeout))
             .await
-            .unwrap_or_else(|| Err(answer::lost(format!("no answer within {patience:?}"))))
+            .unwrap_or_else(|| Err(answer::lost(format!("no answer within {timeout:?}"))))
     }
 
     async fn report(&self, target: &Target) -> Result<TargetReport, TargetError> {
@@ -89,7 +89,7 @@
         };
         let (status, body) = self
             .timer
-            .within(ANSWER_PATIENCE, exchange)
+            .within(ANSWER_TIMEOUT, exchange)
             .await
             .ok_or_else(|| answer::lost("no load report in time"))??;
         report::decode(status, &body)
@@ -111,7 +111,7 @@
 
 async fn read(
     resp: Response<Incoming>,
-    patience: Duration,
+    timeout: Duration,
     mut share: Share,
 ) -> Result<PlainAnswer, TargetError> {
     let status = resp.status();
@@ -121,10 +121,10 @@
         .iter()
         .filter_map(|(name, value)| Some((name.as_str().into(), value.to_str().ok()?.into())))
         .collect::<Vec<(Arc<str>, Arc<str>)>>();
-    let body = read_shared(resp.into_body(), BODY_LIMIT, patience, &mut share)
+    let body = read_shared(resp.into_body(), MAX_BODY_BYTES, timeout, &mut share)
         .await
         .map_err(|e| answer::lost(e.to_string()))?;
-    if answer::turned(status, &body, retry_after) {
+    if answer::is_rejection(status, &body, retry_after) {
         return Err(TargetError::Rejected {
             reason: format!("status {status}").into(),
             retry_after,
--- a/components/targets/src/report.rs
+++ b/components/targets/src/report.rs
@@ -1,4 +1,4 @@
-//! Reading load reports.
+//! Decodes the load reports of targets.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
     api::{TargetError, TargetReport},
 };
 
-/// Where targets publish their load.
+/// Path of a target's load report.
 pub const PATH: &str = "/load";
 
-/// The report as targets write it; fields that celerystand does not know are passed over.
+/// The JSON format of a report. Unknown fields are ignored.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-struct Written {
+struct ReportJson {
     incarnation: u64,
     age_ms: u64,
     running: u32,
@@ -30,21 +30,21 @@
 /// Decodes a load report.
 ///
 /// # Errors
-/// Fails on an answer that is none.
+/// Fails if the answer is not a load report.
 pub fn decode(status: StatusCode, body: &[u8]) -> Result<TargetReport, TargetError> {
     if status != StatusCode::OK {
         return Err(answer::lost(format!("no load report: status {status}")));
     }
-    let written: Written =
+    let json: ReportJson =
         serde_json::from_slice(body).map_err(|e| answer::lost(format!("no load report: {e}")))?;
     Ok(TargetReport {
-        incarnation: written.incarnation,
-        age: Duration::from_millis(written.age_ms),
-        running: written.running,
-        waiting: written.waiting,
-        used: written.used,
-        capacity: written.capacity,
-        preemptions: written.preemptions,
-        warm: written.warm,
+        incarnation: json.incarnation,
+        age: Duration::from_millis(json.age_ms),
+        running: json.running,
+        waiting: json.waiting,
+        used: json.used,
+        capacity: json.capacity,
+        preemptions: json.preemptions,
+        warm: json.warm,
     })
 }
--- a/components/targets/src/sse.rs
+++ b/components/targets/src/sse.rs
@@ -1,91 +1,92 @@
-//! Splitting a stream of server-sent events by scanning bytes.
+//! Splits a stream of server-sent events by scanning its bytes.
 //!
-//! A token is one event, so this runs for every token: no JSON is parsed here, and an event's
-//! data stays a slice of what the network gave.
+//! Each token is one event, so this runs for every token. It parses no JSON, and an event's data is
+//! a slice of the received buffer where possible.
 
 use bytes::{Buf, Bytes, BytesMut};
 use derive_more::{Display, Error};
 
-/// Bytes of one event at most. An engine that never ends an event would otherwise fill the
+/// Largest event in bytes. Without a limit an engine that never ends an event would fill the
 /// instance's memory.
-pub const EVENT_LIMIT: usize = 256 * 1024;
+pub const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// One event that carries data.
+/// One event with data.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Event {
-    /// The `id` field as a number; `None` if there is none or it is no number.
+    /// The `id` field; `None` if it is absent or not a number.
     pub id: Option<u64>,
-    /// The `data` field; several lines are joined by line feeds.
+    /// The `data` field. Several lines are joined with line feeds.
     pub data: Bytes,
 }
 
-/// Why a stream of events can't be read on.
+/// Why a stream of events can't be read any further.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum SseError {
-    /// An event is longer than `EVENT_LIMIT`.
-    #[display("an event is longer than {EVENT_LIMIT} bytes")]
+    /// An event is longer than [`MAX_EVENT_BYTES`].
+    #[display("an event is longer than {MAX_EVENT_BYTES} bytes")]
     TooLong,
 }
 
-/// Splits chunks of a stream, cut anywhere, into events.
+/// Splits a stream that arrives in chunks of any size into events.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    /// The beginning of an event whose end has not arrived.
-    rest: BytesMut,
+    /// The start of an event whose end has not arrived.
+    incomplete: BytesMut,
 }
 
 impl Splitter {
-    /// Starts at the beginning of a stream.
+    /// Creates a splitter for the start of a stream.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the next chunk and appends the events that it completes to `out`.
+    /// Processes the next chunk and appends the events that it completes to `out`.
     ///
     /// # Errors
-    /// Fails when an event gets too long; the stream is of no use any more.
+    /// Fails if an event is too long. The stream can't be read any further then.
     pub fn push(&mut self, chunk: Bytes, out: &mut Vec<Event>) -> Result<(), SseError> {
         let buf = self.join(chunk);
         let used = split(&buf, out);
-        if buf.len() - used > EVENT_LIMIT {
+        if buf.len() - used > MAX_EVENT_BYTES {
             return Err(SseError::TooLong);
         }
-        self.rest.extend_from_slice(&buf[used..]);
+        self.incomplete.extend_from_slice(&buf[used..]);
         Ok(())
     }
 
-    /// Bytes kept until the rest of their event arrives.
+    /// Bytes that are buffered until the rest of their event arrives.
     #[must_use]
-    pub fn kept(&self) -> usize {
-        self.rest.len()
+    pub fn buffered_bytes(&self) -> usize {
+        self.incomplete.len()
     }
 
-    /// Most chunks hold whole events only, and then nothing is copied.
+    /// Prepends the incomplete event to a chunk. Most chunks contain only complete events, and then
+    /// nothing is copied.
     fn join(&mut self, chunk: Bytes) -> Bytes {
-        if self.rest.is_empty() {
+        if self.incomplete.is_empty() {
             return chunk;
         }
-        self.rest.extend_from_slice(&chunk);
-        self.rest.split().freeze()
+        self.incomplete.extend_from_slice(&chunk);
+        self.incomplete.split().freeze()
     }
 }
 
-/// An event under construction.
+/// The fields of the event that is being parsed.
 #[derive(Default)]
-struct Draft {
+struct EventBuilder {
     id: Option<u64>,
     data: Option<Bytes>,
 }
 
-impl Draft {
-    fn take_line(&mut self, line: Bytes) {
+impl EventBuilder {
+    fn add_line(&mut self, line: Bytes) {
         if let Some(value) = field(&line, b"data") {
             self.add_data(value);
         } else if let Some(value) = field(&line, b"id") {
-            self.id = number(&value);
+            self.id = parse_number(&value);
         }
-        // Comments keep a connection busy; other fields mean nothing here.
+        // Comments, which engines send to keep the connection alive, and other fields are ignored.
     }
 
     fn add_data(&mut self, value: Bytes) {
@@ -95,37 +96,40 @@
         });
     }
 
-    fn done(&mut self) -> Option<Event> {
+    /// Returns the event and starts the next one; `None` if it has no data.
+    fn build(&mut self) -> Option<Event> {
         let id = self.id.take();
         let data = self.data.take()?;
         Some(Event { id, data })
     }
 }
 
-/// Appends the whole events in `buf` to `out` and tells how many bytes they take.
+/// Appends the complete events in `buf` to `out`. Returns the number of their bytes.
 fn split(buf: &Bytes, out: &mut Vec<Event>) -> usize {
     let mut used = 0;
     let mut at = 0;
-    let mut draft = Draft::default();
+    let mut event = EventBuilder::default();
     while let Some(len) = buf[at..].iter().position(|&b| b == b'\n') {
-        let line = without_return(buf, at, at + len);
+        let line = without_carriage_return(buf, at, at + len);
         at += len + 1;
         if !line.is_empty() {
-            draft.take_line(line);
+            event.add_line(line);
             continue;
         }
-        out.extend(draft.done());
+        out.extend(event.build());
         used = at;
     }
     used
 }
 
-fn without_return(buf: &Bytes, from: usize, to: usize) -> Bytes {
+/// Returns the line without a carriage return at its end.
+fn without_carriage_return(buf: &Bytes, from: usize, to: usize) -> Bytes {
     let has_return = to > from && buf[to - 1] == b'\r';
     buf.slice(from..to - usize::from(has_return))
 }
 
-/// The value of a line if it is of this field; one space after the colon does not count.
+/// Returns the value of a line if it belongs to the field `name`, without one space after the
+/// colon.
 fn field(line: &Bytes, name: &[u8]) -> Option<Bytes> {
     let rest = line.strip_prefix(name)?.strip_prefix(b":")?;
     let space = usize::from(rest.first() == Some(&b' '));
@@ -134,8 +138,8 @@
     Some(value)
 }
 
-/// Reads a decimal number of at most 19 digits.
-fn number(text: &[u8]) -> Option<u64> {
+/// Parses a decimal number of at most 19 digits.
+fn parse_number(text: &[u8]) -> Option<u64> {
     if text.is_empty() || text.len() > 19 {
         return None;
     }
--- a/components/targets/src/stream.rs
+++ b/components/targets/src/stream.rs
@@ -1,4 +1,4 @@
-//! An engine's stream as it comes over one connection.
+//! An engine's stream over one connection.
 
 use std::collections::VecDeque;
 
@@ -15,18 +15,18 @@
     sse::{Event, Splitter},
 };
 
-/// The data of the last event.
+/// The data of the event that ends a stream.
 const DONE: &[u8] = b"[DONE]";
 
-/// Reads items off one connection. Offsets are told as the engine wrote them: the relay finds
-/// repeats and gaps.
+/// Reads a stream's items from one connection. Offsets are returned as the engine wrote them; the
+/// relay detects repetitions and gaps.
 pub struct EngineStream {
     id: StreamId,
     body: Incoming,
     splitter: Splitter,
     events: Vec<Event>,
     items: VecDeque<StreamItem>,
-    next: Tokens,
+    next_offset: Tokens,
     ended: bool,
 }
 
@@ -39,12 +39,12 @@
             splitter: Splitter::new(),
             events: Vec::new(),
             items: VecDeque::new(),
-            next: at,
+            next_offset: at,
             ended: false,
         }
     }
 
-    async fn chunk(&mut self) -> Result<Bytes, TargetError> {
+    async fn next_chunk(&mut self) -> Result<Bytes, TargetError> {
         loop {
             let frame = self
                 .body
@@ -58,31 +58,30 @@
         }
     }
 
-    /// Reads the body's own end if it is there already: only then the connection can be used
-    /// again.
+    /// Reads the end of the body if it has arrived. Only then can the connection be reused.
     async fn finish(&mut self) {
         let _ = future::poll_once(self.body.frame()).await;
     }
 
-    /// Turns events into items: one for each run of consecutive offsets.
-    fn gather(&mut self) {
-        let mut run: Option<(Tokens, Vec<Bytes>)> = None;
+    /// Converts events to items, one for each series of consecutive offsets.
+    fn convert_events(&mut self) {
+        let mut series: Option<(Tokens, Vec<Bytes>)> = None;
         for event in self.events.drain(..) {
             if event.data == DONE {
                 self.ended = true;
                 break;
             }
-            let offset = event.id.unwrap_or(self.next);
-            match &mut run {
-                Some((_, data)) if offset == self.next => data.push(event.data),
+            let offset = event.id.unwrap_or(self.next_offset);
+            match &mut series {
+                Some((_, data)) if offset == self.next_offset => data.push(event.data),
                 _ => {
-                    self.items.extend(run.take().map(tokens));
-                    run = Some((offset, vec![event.data]));
+                    self.items.extend(series.take().map(tokens));
+                    series = Some((offset, vec![event.data]));
                 }
             }
-            self.next = offset.saturating_add(1);
+            self.next_offset = offset.saturating_add(1);
         }
-        self.items.extend(run.map(tokens));
+        self.items.extend(series.map(tokens));
         if self.ended {
             self.items.push_back(StreamItem::End);
         }
@@ -114,11 +113,11 @@
             if self.ended {
                 return Ok(StreamItem::End);
             }
-            let chunk = self.chunk().await?;
+            let chunk = self.next_chunk().await?;
             self.splitter
                 .push(chunk, &mut self.events)
                 .map_err(|e| answer::lost(e.to_string()))?;
-            self.gather();
+            self.convert_events();
         }
     }
 }
--- a/components/targets/tests/engine.rs
+++ b/components/targets/tests/engine.rs
@@ -1,15 +1,15 @@
-//! The client of engines, against bytes on a wire.
+//! The client of engines, tested against a server that sends prepared bytes.
 
-mod wire;
+mod scripted_server;
 
 use std::sync::Arc;
 
 use bytes::Bytes;
 use net::Client;
+use scripted_server::{Exchange, ScriptedServer};
 use targets::{Command, CommandKind, Engine, EngineCall, OpenAiEngine, StreamItem, TargetError};
 use timer::Timer;
 use types::Target;
-use wire::{Turn, Wire};
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nx-stream-id: s-1\r\ntransfer-encoding: chunked\r\n\r\n";
 
@@ -25,7 +25,8 @@
     }
 }
 
-/// Events from one offset to before another, each in a chunk of its own, and the end.
+/// Returns the events from offset `from` to before `to`, each in an HTTP chunk, and the stream's
+/// end.
 fn events(from: u64, to: u64) -> String {
     let mut text = String::new();
     let mut add = |event: &str| text.push_str(&format!("{:x}\r\n{event}\r\n", event.len()));
@@ -37,7 +38,8 @@
     text
 }
 
-/// Reads tokens until the end or an error, and goes on over a new connection after each loss.
+/// Reads tokens until the end or an error. Resumes over a new connection after each lost one.
+/// Returns the tokens' data and the number of resumptions.
 async fn read(engine: &OpenAiEngine, target: &Target) -> Result<(Vec<Bytes>, usize), TargetError> {
     let mut stream = engine.start(target, &call()).await?;
     let mut data: Vec<Bytes> = Vec::new();
@@ -61,27 +63,29 @@
     }
 }
 
+/// Returns the data of the first `count` tokens.
 fn all(count: u64) -> Vec<Bytes> {
     (0..count).map(|at| format!("t{at}").into()).collect()
 }
 
 #[test]
-fn an_answer_cut_at_any_byte_is_lost_or_resumed_but_never_said_not_to_have_run() {
-    // The link dies somewhere within the answer, with the request long at the engine. Before the
-    // head is whole nobody knows the stream's name; after it the caller must get each token once
-    // whatever the place of the cut.
-    let whole = format!("{HEAD}{}", events(0, 4));
+fn an_answer_cut_at_any_byte_is_lost_or_resumed_but_never_reported_as_not_run() {
+    // The connection breaks at any byte of the answer, when the engine has the request. Until the
+    // head is complete the stream's id is unknown, and the request may have run. After that the
+    // caller must get each token exactly once.
+    let complete = format!("{HEAD}{}", events(0, 4));
     smol::block_on(async {
-        for cut in 0..whole.len() {
-            // What the client has got by the cut is not known here, so the second connection
-            // serves by the request's `Last-Event-ID`: one turn for each possible place.
-            let first = Turn::answer(&whole.as_bytes()[..cut]);
-            let have = whole[..cut].matches("\n\n\r\n").count() as u64;
-            let have_more = whole[..cut].ends_with("\n\n") || whole[..cut].ends_with("\n\n\r");
+        for cut in 0..complete.len() {
+            // The second connection continues after the events that are complete before the cut.
+            // An event is complete once its empty line has arrived, even within an HTTP chunk.
+            let first = Exchange::answer(&complete.as_bytes()[..cut]);
+            let have = complete[..cut].matches("\n\n\r\n").count() as u64;
+            let have_more =
+                complete[..cut].ends_with("\n\n") || complete[..cut].ends_with("\n\n\r");
             let have = (have + u64::from(have_more)).min(4);
-            let second = Turn::answer(format!("{HEAD}{}", events(have, 4)));
-            let wire = Wire::start(vec![first, second]).await;
-            match read(&engine(), &wire.target()).await {
+            let second = Exchange::answer(format!("{HEAD}{}", events(have, 4)));
+            let server = ScriptedServer::start(vec![first, second]).await;
+            match read(&engine(), &server.target()).await {
                 Ok((data, resumes)) => {
                     assert_eq!(data, all(4), "cut at {cut}");
                     assert!(resumes <= 1, "cut at {cut}");
@@ -97,18 +101,18 @@
 }
 
 #[test]
-fn a_request_cut_at_any_byte_is_said_not_sent_only_if_the_engine_read_none_of_it() {
-    // The engine dies while the request is on its way. Saying that it did not run would let a
-    // caller send again what may be running.
+fn a_request_of_which_the_engine_read_any_byte_is_reported_as_lost() {
+    // The engine crashes while the request is in transit. If the error said that the request did
+    // not run, the caller would repeat a request that may be running.
     smol::block_on(async {
         for read in [1, 2, 16, 64, 120] {
-            let turn = Turn {
+            let exchange = Exchange {
                 read: Some(read),
                 answer: Vec::new(),
                 hang: false,
             };
-            let wire = Wire::start(vec![turn]).await;
-            let result = engine().start(&wire.target(), &call()).await;
+            let server = ScriptedServer::start(vec![exchange]).await;
+            let result = engine().start(&server.target(), &call()).await;
             let error = result.err().expect("there is no answer");
             assert!(matches!(error, TargetError::Lost { .. }), "{read}: {error}");
         }
@@ -116,9 +120,9 @@
 }
 
 #[test]
-fn a_refused_connection_is_said_not_sent() {
-    // The engine's process is gone. Nothing ran, so the request may go to another one.
-    let mut target = smol::block_on(Wire::start(Vec::new())).target();
+fn a_refused_connection_is_reported_as_unsent() {
+    // The engine's process has ended. Nothing ran, so the request may go to another engine.
+    let mut target = smol::block_on(ScriptedServer::start(Vec::new())).target();
     let free = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     target.addr = free.local_addr().expect("an address");
     drop(free);
@@ -126,80 +130,86 @@
     assert!(matches!(result.err(), Some(TargetError::Unsent { .. })));
 }
 
-fn answered(status: &str, headers: &str, body: &str) -> Vec<u8> {
+/// Returns the bytes of an answer.
+fn answer(status: &str, headers: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!("HTTP/1.1 {status}\r\n{headers}content-length: {length}\r\n\r\n{body}").into_bytes()
 }
 
-fn refusal(status: &str, headers: &str, body: &str) -> TargetError {
+/// Returns the error for a generation whose start gets this answer.
+fn start_error(status: &str, headers: &str, body: &str) -> TargetError {
     smol::block_on(async {
-        let wire = Wire::start(vec![Turn::answer(answered(status, headers, body))]).await;
-        let result = engine().start(&wire.target(), &call()).await;
+        let server =
+            ScriptedServer::start(vec![Exchange::answer(answer(status, headers, body))]).await;
+        let result = engine().start(&server.target(), &call()).await;
         result.err().expect("it is refused")
     })
 }
 
 #[test]
-fn an_engine_that_says_so_did_not_run_it() {
-    // A full engine turns a request away. The caller's request may go elsewhere at once.
-    let by_header = refusal("503 Busy", "retry-after: 3\r\n", "");
+fn an_engine_can_reject_a_request_as_not_run() {
+    // An overloaded engine rejects a request, which may then go to another engine at once.
+    let by_header = start_error("503 Busy", "retry-after: 3\r\n", "");
     assert!(
         matches!(by_header, TargetError::Rejected { retry_after: Some(after), .. }
         if after.as_secs() == 3)
     );
-    let by_problem = refusal("503 Busy", "", r#"{"run":"not-run"}"#);
+    let by_problem = start_error("503 Busy", "", r#"{"run":"not-run"}"#);
     assert!(matches!(by_problem, TargetError::Rejected { .. }));
 }
 
 #[test]
-fn a_bare_or_doubtful_503_proves_nothing() {
-    // Something between the two ends answers 503 because it lost the engine's answer. Taking it
-    // for a refusal would run the request twice.
-    let bare = refusal("503 Lost", "", "");
+fn a_503_without_proof_does_not_count_as_rejected() {
+    // A proxy answers 503 because it lost the engine's answer. If that counted as a rejection, the
+    // request could run twice.
+    let bare = start_error("503 Lost", "", "");
     assert!(matches!(bare, TargetError::Lost { .. }));
-    let doubtful = refusal("503 Lost", "retry-after: 1\r\n", r#"{"run":"unknown"}"#);
-    assert!(matches!(doubtful, TargetError::Lost { .. }));
+    let unknown = start_error("503 Lost", "retry-after: 1\r\n", r#"{"run":"unknown"}"#);
+    assert!(matches!(unknown, TargetError::Lost { .. }));
 }
 
 #[test]
-fn a_wrong_request_is_told_with_its_body() {
-    let error = refusal("422 Wrong", "", "no such adapter");
+fn a_client_error_is_returned_with_its_body() {
+    let error = start_error("422 Wrong", "", "no such adapter");
     let body = Bytes::from_static(b"no such adapter");
     assert_eq!(error, TargetError::ClientError { status: 422, body });
 }
 
 #[test]
-fn a_stream_that_the_engine_does_not_know_is_gone() {
-    // The engine was restarted. Without a clear word the caller's stream would be tried again
-    // and again.
+fn a_stream_unknown_to_the_engine_is_gone() {
+    // The engine was restarted. Without a distinct error the relay would try to resume the stream
+    // again and again.
     let error = smol::block_on(async {
-        let wire = Wire::start(vec![Turn::answer(answered("404 Not Found", "", ""))]).await;
+        let server =
+            ScriptedServer::start(vec![Exchange::answer(answer("404 Not Found", "", ""))]).await;
         let id = Arc::from("s-1");
-        let result = engine().resume(&wire.target(), &id, 3).await;
-        assert!(wire.requests()[0].contains("last-event-id: 2"));
+        let result = engine().resume(&server.target(), &id, 3).await;
+        assert!(server.requests()[0].contains("last-event-id: 2"));
         result.err().expect("it is gone")
     });
     assert_eq!(error, TargetError::Gone);
 }
 
 #[test]
-fn an_answer_for_another_stream_is_not_taken() {
-    // Answers got crossed on the way. The caller would read somebody else's text.
+fn an_answer_with_another_stream_is_rejected() {
+    // Answers were mixed up on the path. The caller would get another caller's text.
     let head = HEAD.replace("s-1", "s-2");
     let result = smol::block_on(async {
-        let wire = Wire::start(vec![Turn::answer(format!("{head}{}", events(1, 2)))]).await;
+        let server =
+            ScriptedServer::start(vec![Exchange::answer(format!("{head}{}", events(1, 2)))]).await;
         let id = Arc::from("s-1");
-        engine().resume(&wire.target(), &id, 1).await
+        engine().resume(&server.target(), &id, 1).await
     });
     assert!(matches!(result.err(), Some(TargetError::Lost { .. })));
 }
 
 #[test]
-fn a_load_report_keeps_what_it_knows_and_passes_over_the_rest() {
+fn a_load_report_is_decoded_and_its_unknown_fields_are_ignored() {
     let body = r#"{"incarnation":7,"age_ms":250,"running":3,"waiting":1,"used":900,"capacity":1000,"preemptions":2,"warm":true,"mood":"good"}"#;
     let report = smol::block_on(async {
-        let wire = Wire::start(vec![Turn::answer(answered("200 OK", "", body))]).await;
-        engine().report(&wire.target()).await
+        let server =
+            ScriptedServer::start(vec![Exchange::answer(answer("200 OK", "", body))]).await;
+        engine().report(&server.target()).await
     });
     let report = report.expect("a report");
     assert_eq!((report.incarnation, report.age.as_millis()), (7, 250));
@@ -209,44 +219,44 @@
 }
 
 #[test]
-fn garbage_for_a_load_report_is_an_error() {
+fn an_invalid_load_report_is_an_error() {
     let result = smol::block_on(async {
-        let wire = Wire::start(vec![Turn::answer(answered(
+        let server = ScriptedServer::start(vec![Exchange::answer(answer(
             "200 OK",
             "",
             "{\"running\":-1}",
         ))])
         .await;
-        engine().report(&wire.target()).await
+        engine().report(&server.target()).await
     });
     assert!(matches!(result, Err(TargetError::Lost { .. })));
 }
 
 #[test]
-fn a_command_carries_its_fencing_number() {
+fn a_command_contains_its_fencing_number() {
     let sent = smol::block_on(async {
-        let wire = Wire::start(vec![Turn::answer(answered("200 OK", "", ""))]).await;
+        let server = ScriptedServer::start(vec![Exchange::answer(answer("200 OK", "", ""))]).await;
         let command = Command {
             kind: CommandKind::Load("v2".into()),
             fence: 41,
         };
-        let result = engine().send_command(&wire.target(), &command).await;
+        let result = engine().send_command(&server.target(), &command).await;
         assert_eq!(result, Ok(()));
-        assert_eq!(wire.left(), 0);
-        wire.requests().remove(0)
+        assert_eq!(server.remaining(), 0);
+        server.requests().remove(0)
     });
     assert!(sent.starts_with("POST /v1/orders "));
     assert!(sent.contains(r#""fence":41"#) && sent.contains(r#""kind":"load""#));
 }
 
 #[test]
-fn the_engine_gets_the_requests_name() {
+fn the_engine_gets_the_request_id() {
     let sent = smol::block_on(async {
         let answer = format!("{HEAD}{}", events(0, 1));
-        let wire = Wire::start(vec![Turn::answer(answer)]).await;
-        let result = read(&engine(), &wire.target()).await;
+        let server = ScriptedServer::start(vec![Exchange::answer(answer)]).await;
+        let result = read(&engine(), &server.target()).await;
         assert_eq!(result.map(|(data, _)| data), Ok(all(1)));
-        wire.requests().remove(0)
+        server.requests().remove(0)
     });
     assert!(sent.contains("x-request-id: entry-1"));
 }
--- a/components/targets/tests/wire/mod.rs
+++ b/components/targets/tests/scripted_server/mod.rs
@@ -1,4 +1,4 @@
-//! A target that speaks raw bytes, to cut and garble them where it likes.
+//! A server that sends prepared bytes, to test truncated and invalid answers.
 
 use std::{collections::VecDeque, net::SocketAddr, sync::Arc};
 
@@ -9,19 +9,19 @@
 };
 use types::{ServingState, Target};
 
-/// What one connection does.
+/// What the server does on one connection.
 #[derive(Clone, Debug)]
-pub struct Turn {
-    /// Bytes of the request to read at least; the whole request if `None`.
+pub struct Exchange {
+    /// Least number of bytes of the request to read; the whole request if `None`.
     pub read: Option<usize>,
-    /// Bytes to answer.
+    /// Bytes to send.
     pub answer: Vec<u8>,
-    /// Whether the connection stays open and silent afterwards, instead of being closed.
+    /// Whether the connection stays open without further bytes afterwards, instead of being closed.
     pub hang: bool,
 }
 
-impl Turn {
-    /// Reads the whole request, answers and closes.
+impl Exchange {
+    /// Reads the whole request, sends `answer` and closes the connection.
     pub fn answer(answer: impl Into<Vec<u8>>) -> Self {
         Self {
             read: None,
@@ -31,45 +31,45 @@
     }
 }
 
-/// A listener that serves each connection by the next turn; with none left it closes them.
-pub struct Wire {
+/// A server that handles each connection by the next exchange, and closes it if none is left.
+pub struct ScriptedServer {
     pub addr: SocketAddr,
-    turns: Arc<Mutex<VecDeque<Turn>>>,
-    heads: Arc<Mutex<Vec<String>>>,
+    exchanges: Arc<Mutex<VecDeque<Exchange>>>,
+    requests: Arc<Mutex<Vec<String>>>,
     _task: smol::Task<()>,
 }
 
-impl Wire {
-    pub async fn start(turns: Vec<Turn>) -> Self {
+impl ScriptedServer {
+    pub async fn start(exchanges: Vec<Exchange>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
-        let turns = Arc::new(Mutex::new(VecDeque::from(turns)));
-        let heads = Arc::new(Mutex::new(Vec::new()));
-        let (left, seen) = (Arc::clone(&turns), Arc::clone(&heads));
+        let exchanges = Arc::new(Mutex::new(VecDeque::from(exchanges)));
+        let requests = Arc::new(Mutex::new(Vec::new()));
+        let (queue, seen) = (Arc::clone(&exchanges), Arc::clone(&requests));
         let task = workers::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let Some(turn) = left.lock().pop_front() else {
+                let Some(exchange) = queue.lock().pop_front() else {
                     continue;
                 };
-                workers::spawn(serve(stream, turn, Arc::clone(&seen))).detach();
+                workers::spawn(serve(stream, exchange, Arc::clone(&seen))).detach();
             }
         });
         Self {
             addr,
-            turns,
-            heads,
+            exchanges,
+            requests,
             _task: task,
         }
     }
 
-    /// What the connections read so far, in the order of their ends of reading.
+    /// Returns the requests that have been read so far, in the order in which they were complete.
     pub fn requests(&self) -> Vec<String> {
-        self.heads.lock().clone()
+        self.requests.lock().clone()
     }
 
-    /// Turns not used yet.
-    pub fn left(&self) -> usize {
-        self.turns.lock().len()
+    /// Number of exchanges that have not been used yet.
+    pub fn remaining(&self) -> usize {
+        self.exchanges.lock().len()
     }
 
     pub fn target(&self) -> Target {
@@ -84,25 +84,26 @@
     }
 }
 
-async fn serve(mut stream: TcpStream, turn: Turn, seen: Arc<Mutex<Vec<String>>>) {
+async fn serve(mut stream: TcpStream, exchange: Exchange, seen: Arc<Mutex<Vec<String>>>) {
     let mut buf = Vec::new();
-    let mut part = [0_u8; 4096];
-    while !enough(&buf, turn.read) {
-        match stream.read(&mut part).await {
-            Ok(len) if len > 0 => buf.extend_from_slice(&part[..len]),
+    let mut chunk = [0_u8; 4096];
+    while !is_complete(&buf, exchange.read) {
+        match stream.read(&mut chunk).await {
+            Ok(len) if len > 0 => buf.extend_from_slice(&chunk[..len]),
             _ => break,
         }
     }
     seen.lock().push(String::from_utf8_lossy(&buf).into_owned());
-    // The client may have gone; then there is nobody to answer.
-    let _ = stream.write_all(&turn.answer).await;
+    // The client may have disconnected.
+    let _ = stream.write_all(&exchange.answer).await;
     let _ = stream.flush().await;
-    if turn.hang {
+    if exchange.hang {
         std::future::pending::<()>().await;
     }
 }
 
-fn enough(buf: &[u8], least: Option<usize>) -> bool {
+/// Whether `buf` has the whole request, or at least `least` bytes of it.
+fn is_complete(buf: &[u8], least: Option<usize>) -> bool {
     if let Some(least) = least {
         return buf.len() >= least;
     }
--- a/components/targets/tests/sse.rs
+++ b/components/targets/tests/sse.rs
@@ -1,8 +1,8 @@
-//! Splitting streams of events that arrive in any pieces.
+//! Splitting streams of events that arrive in chunks of any size.
 
 use bytes::Bytes;
 use proptest::prelude::{ProptestConfig, any, prop, prop_assert, prop_assert_eq, proptest};
-use targets::sse::{EVENT_LIMIT, Event, Splitter, SseError};
+use targets::sse::{Event, MAX_EVENT_BYTES, Splitter, SseError};
 
 fn event(id: u64, data: &str) -> Event {
     Event {
@@ -23,19 +23,19 @@
 }
 
 #[test]
-fn an_event_is_its_id_and_its_data() {
+fn an_event_has_its_id_and_its_data() {
     let out = split_all(&[b"id: 7\ndata: {\"a\":1}\n\n"]);
     assert_eq!(out, vec![event(7, "{\"a\":1}")]);
 }
 
 #[test]
-fn comments_and_unknown_fields_are_passed_over() {
+fn comments_and_unknown_fields_are_ignored() {
     let out = split_all(&[b": busy\n\nevent: token\nretry: 5\nid:3\ndata:x\n\n"]);
     assert_eq!(out, vec![event(3, "x")]);
 }
 
 #[test]
-fn carriage_returns_belong_to_the_line_ends() {
+fn carriage_returns_are_part_of_line_ends() {
     let out = split_all(&[b"id: 1\r\ndata: x\r\n\r\n"]);
     assert_eq!(out, vec![event(1, "x")]);
 }
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn an_id_that_is_no_number_counts_as_none() {
+fn an_id_that_is_not_a_number_is_ignored() {
     let out = split_all(&[b"id: abc\ndata: x\n\nid: 99999999999999999999\ndata: y\n\n"]);
     assert!(out.iter().all(|event| event.id.is_none()));
     assert_eq!(out.len(), 2);
@@ -55,15 +55,18 @@
 
 #[test]
 fn an_endless_event_is_an_error() {
-    // A broken engine sends one line for ever. The instance would keep it until its memory is
-    // gone, and with it the streams of everybody else.
+    // A faulty engine sends one endless line. Without a limit the instance would buffer it until it
+    // runs out of memory, which would end all other streams too.
     let mut splitter = Splitter::new();
     let mut out = Vec::new();
     let chunk = Bytes::from(vec![b'x'; 64 * 1024]);
     let mut pushed = 0;
     let error = loop {
         pushed += chunk.len();
-        assert!(pushed < 2 * EVENT_LIMIT, "the splitter keeps on taking");
+        assert!(
+            pushed < 2 * MAX_EVENT_BYTES,
+            "the splitter buffers without a limit"
+        );
         if let Err(e) = splitter.push(chunk.clone(), &mut out) {
             break e;
         }
@@ -76,7 +79,7 @@
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn cuts_at_any_byte_change_nothing(
+    fn chunk_boundaries_do_not_affect_the_events(
         data in prop::collection::vec("[ -~]{0,40}", 1..20),
         cuts in prop::collection::vec(1_usize..50, 1..40),
     ) {
@@ -103,7 +106,7 @@
     }
 
     #[test]
-    fn any_bytes_are_taken_or_refused_without_a_panic(
+    fn no_bytes_make_the_splitter_panic(
         chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 0..20),
     ) {
         let mut splitter = Splitter::new();
@@ -112,6 +115,6 @@
         for chunk in chunks {
             prop_assert!(splitter.push(chunk.into(), &mut out).is_ok());
         }
-        prop_assert!(splitter.kept() <= total);
+        prop_assert!(splitter.buffered_bytes() <= total);
     }
 }
--- a/components/timer/src/lib.rs
+++ b/components/timer/src/lib.rs
@@ -1,4 +1,4 @@
-//! The timer service: one clock, ticks to subscribe to, deadlines, and a detector of pauses.
+//! Time for a process: its clock, periodic ticks, time limits, and detection of process pauses.
 
 pub mod pause;
 pub mod reusable_timeout;
--- a/components/timer/src/pause.rs
+++ b/components/timer/src/pause.rs
@@ -1,13 +1,13 @@
-//! Tells when the process did not run for a while.
+//! Detects that the process was paused.
 
 use std::time::Duration;
 
-/// Notices gaps between calls that should come often.
+/// Detects gaps between calls that are made regularly.
 ///
-/// A process that was stopped (SIGSTOP, a frozen machine) still believes what it knew before:
-/// that it owns shards, that peers are alive. It would hand out permits that somebody else hands
-/// out too. One sees it as a jump of the clock between two ticks; so whoever acts on what it
-/// knows asks here first.
+/// A process that was paused (by SIGSTOP, or with its machine) continues with stale state: that it
+/// owns shards, that peers are alive. It would grant permits that another instance grants too. A
+/// pause shows as a jump of the clock between two calls, so code that acts on such state first
+/// checks for one.
 #[derive(Clone, Copy, Debug)]
 pub struct PauseDetector {
     last: Duration,
@@ -21,7 +21,7 @@
         Self { last: now, limit }
     }
 
-    /// Takes note of the time; tells the length of the pause if there was one.
+    /// Records the time. Returns the length of the gap since the last call if it counts as a pause.
     pub fn check(&mut self, now: Duration) -> Option<Duration> {
         let gap = now.saturating_sub(self.last);
         self.last = now;
--- a/components/timer/src/reusable_timeout.rs
+++ b/components/timer/src/reusable_timeout.rs
@@ -1,4 +1,4 @@
-//! A limit on waits that almost always end early.
+//! A time limit for consecutive waits that almost always end early.
 
 use std::{
     future::Future,
@@ -9,68 +9,69 @@
 
 use smol::{Timer as Sleep, future};
 
-/// Limits one wait after the other.
+/// Limits the duration of one wait after the other with a single timer.
 ///
-/// Setting a system timer for each wait wakes the thread that keeps the timers, and a stream
-/// waits for every token. So the timer is left as it is from wait to wait, and only when it goes
-/// off is it looked at how long the present wait has lasted, and set again for the rest.
+/// Setting a timer for each wait would wake the thread that manages the timers, and a stream waits
+/// for every token. So the timer stays set from one wait to the next. Only when it fires is it
+/// compared with the deadline of the current wait and, if that is later, set to it.
 #[derive(Debug, Default)]
 pub struct ReusableTimeout {
-    set: Option<Set>,
+    timer: Option<ActiveTimer>,
 }
 
 #[derive(Debug)]
-struct Set {
+struct ActiveTimer {
     sleep: Sleep,
-    due: Instant,
+    fires_at: Instant,
 }
 
 impl ReusableTimeout {
-    /// Makes it.
+    /// Creates the time limit; no timer is set until the first wait.
     #[must_use]
     pub const fn new() -> Self {
-        Self { set: None }
+        Self { timer: None }
     }
 
-    /// Waits for a task at most this long; `None` if it did not end in time.
+    /// Awaits a future for at most `time`. Returns `None` if it did not complete in time.
     pub async fn within<T>(&mut self, time: Duration, task: impl Future<Output = T>) -> Option<T> {
         let mut task = pin!(task);
-        let mut end = None;
+        let mut deadline = None;
         future::poll_fn(|cx| {
             if let Poll::Ready(out) = task.as_mut().poll(cx) {
                 return Poll::Ready(Some(out));
             }
-            // Most waits that are over at once never get here, and ask for no time.
-            let end = *end.get_or_insert_with(|| Instant::now() + time);
-            self.poll_end(cx, end).map(|()| None)
+            // Not reached by waits that complete at once, so that they don't read the clock.
+            let deadline = *deadline.get_or_insert_with(|| Instant::now() + time);
+            self.poll_deadline(cx, deadline).map(|()| None)
         })
         .await
     }
 
-    fn poll_end(&mut self, cx: &mut Context<'_>, end: Instant) -> Poll<()> {
-        let new = || Set {
-            sleep: Sleep::at(end),
-            due: end,
+    /// Is ready once the deadline has passed.
+    fn poll_deadline(&mut self, cx: &mut Context<'_>, deadline: Instant) -> Poll<()> {
+        let new = || ActiveTimer {
+            sleep: Sleep::at(deadline),
+            fires_at: deadline,
         };
-        let set = self.set.get_or_insert_with(new);
-        if set.due > end {
-            // The wait before was allowed longer than this one.
-            set.move_to(end);
+        let timer = self.timer.get_or_insert_with(new);
+        if timer.fires_at > deadline {
+            // The timer is still set to the later deadline of an earlier wait.
+            timer.move_to(deadline);
         }
-        while Pin::new(&mut set.sleep).poll(cx).is_ready() {
-            if Instant::now() >= end {
-                self.set = None;
+        while Pin::new(&mut timer.sleep).poll(cx).is_ready() {
+            if Instant::now() >= deadline {
+                self.timer = None;
                 return Poll::Ready(());
             }
-            set.move_to(end);
+            timer.move_to(deadline);
         }
         Poll::Pending
     }
 }
 
-impl Set {
-    fn move_to(&mut self, end: Instant) {
-        self.sleep.set_at(end);
-        self.due = end;
+impl ActiveTimer {
+    fn move_to(&mut self, deadline: Instant) {
+        self.sleep.set_at(deadline);
+        self.fires_at = deadline;
     }
 }
--- a/components/timer/src/service.rs
+++ b/components/timer/src/service.rs
@@ -1,4 +1,4 @@
-//! One steady clock for a process, and ticks for its parts.
+//! The clock and the timers of a process.
 
 use std::{
     future::Future,
@@ -7,21 +7,21 @@
 
 use smol::{Timer as Sleep, future, stream::StreamExt};
 
-/// Time since the machine started, the time that it was suspended included.
+/// Returns the time since the machine started, including the time while it was suspended.
 ///
-/// The steady clock of the standard library stands still while a machine is suspended. What was
-/// believed before would look younger than it is: a key that was taken away meanwhile would be
-/// honoured. So ages of beliefs are measured with this clock.
+/// The monotonic clock of the standard library stops while a machine is suspended. With it, cached
+/// state would look younger than it is after a suspension, and a key that was revoked meanwhile
+/// would be accepted. So the age of cached state is measured with this clock.
 #[must_use]
 pub fn boot_time() -> Duration {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-    // Neither is ever negative.
+    // Neither value is ever negative.
     let secs = u64::try_from(now.tv_sec).unwrap_or_default();
     let nanos = u32::try_from(now.tv_nsec).unwrap_or_default();
     Duration::new(secs, nanos)
 }
 
-/// The clock and the timers of a process. Cheap to copy; all copies show the same time.
+/// The clock and the timers of a process. All copies show the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Timer {
     start: Instant,
@@ -42,12 +42,12 @@
         self.start.elapsed()
     }
 
-    /// Waits.
+    /// Waits for `time`.
     pub async fn sleep(&self, time: Duration) {
         Sleep::after(time).await;
     }
 
-    /// Subscribes to ticks. A subscriber that was late gets one tick, not all that it missed.
+    /// Returns periodic ticks. A receiver that is late gets one tick, not all that it missed.
     #[must_use]
     pub fn every(&self, period: Duration) -> Ticks {
         Ticks {
@@ -56,13 +56,13 @@
         }
     }
 
-    /// Waits for a task at most this long; `None` if it did not end in time.
+    /// Awaits a future for at most `time`. Returns `None` if it did not complete in time.
     pub async fn within<T>(&self, time: Duration, task: impl Future<Output = T>) -> Option<T> {
-        let late = async {
+        let timeout = async {
             Sleep::after(time).await;
             None
         };
-        future::or(async { Some(task.await) }, late).await
+        future::or(async { Some(task.await) }, timeout).await
     }
 }
 
@@ -72,7 +72,7 @@
     }
 }
 
-/// A subscription to ticks.
+/// Periodic ticks, made by [`Timer::every`].
 #[derive(Debug)]
 pub struct Ticks {
     timer: Timer,
@@ -80,7 +80,7 @@
 }
 
 impl Ticks {
-    /// Waits for the next tick and tells the time.
+    /// Waits for the next tick. Returns the time since the clock started.
     pub async fn next(&mut self) -> Duration {
         self.inner.next().await;
         self.timer.now()
--- a/components/workers/src/lib.rs
+++ b/components/workers/src/lib.rs
@@ -1,7 +1,7 @@
-//! The pool of worker threads that runs every task of a process.
+//! The pool of worker threads that runs all tasks of a process.
 //!
-//! `smol::spawn` would take its number of threads from an environment variable; ours comes from
-//! the settings.
+//! It replaces `smol::spawn`, which takes its number of threads from an environment variable. The
+//! number here comes from the settings.
 
 use std::{future::Future, sync::OnceLock, thread};
 
@@ -9,17 +9,17 @@
 
 static POOL: OnceLock<Executor<'static>> = OnceLock::new();
 
-/// Threads used where nobody said how many.
-const DEFAULT_WORKERS: usize = 4;
+/// Most threads that are used if the settings don't give a number.
+const MAX_DEFAULT_WORKERS: usize = 4;
 
-/// Starts the pool with this many threads. The first call decides; later ones change nothing.
+/// Starts the pool with this many threads. Only the first call has an effect.
 pub fn start(workers: usize) {
-    let mut fresh = false;
+    let mut is_first = false;
     POOL.get_or_init(|| {
-        fresh = true;
+        is_first = true;
         Executor::new()
     });
-    if !fresh {
+    if !is_first {
         return;
     }
     for number in 0..workers.max(1) {
@@ -29,7 +29,7 @@
                 smol::block_on(pool.run(future::pending::<()>()));
             }
         };
-        // Without its threads the process can do nothing at all: a broken invariant.
+        // The process can't do anything without its threads.
         thread::Builder::new()
             .name(name)
             .spawn(run)
@@ -37,15 +37,17 @@
     }
 }
 
-/// Runs a task on the pool until it ends or its handle is dropped; `detach` lets it run on.
+/// Runs a task on the pool until it completes or its handle is dropped. `detach` lets it run
+/// without the handle.
 pub fn spawn<T: Send + 'static>(task: impl Future<Output = T> + Send + 'static) -> Task<T> {
     start(default_workers());
-    // `start` has just filled it.
+    // `start` has initialized the pool.
     POOL.get().expect("the pool has been started").spawn(task)
 }
 
-/// The number of threads for this machine: one a core, at most four.
+/// Returns the number of threads for this machine: one per core, at most four.
 #[must_use]
 pub fn default_workers() -> usize {
-    thread::available_parallelism().map_or(DEFAULT_WORKERS, |n| n.get().min(DEFAULT_WORKERS))
+    thread::available_parallelism()
+        .map_or(MAX_DEFAULT_WORKERS, |n| n.get().min(MAX_DEFAULT_WORKERS))
 }
