--- a/components/net/src/client.rs
+++ b/components/net/src/client.rs
@@ -70,8 +70,8 @@
 
     /// Sets how long a new connection may take to open.
     #[must_use]
-    pub const fn with_connect_timeout(mut self, limit: Duration) -> Self {
-        self.connect_timeout = limit;
+    pub const fn with_connect_timeout(mut self, timeout: Duration) -> Self {
+        self.connect_timeout = timeout;
         self
     }
 
--- a/components/net/src/serve.rs
+++ b/components/net/src/serve.rs
@@ -156,8 +156,8 @@
     /// Sets how long a peer may read nothing while there is something to write. After that its
     /// connection is closed.
     #[must_use]
-    pub const fn with_write_timeout(mut self, limit: Duration) -> Self {
-        self.write_timeout = limit;
+    pub const fn with_write_timeout(mut self, timeout: Duration) -> Self {
+        self.write_timeout = timeout;
         self
     }
 
--- a/components/stores/src/api.rs
+++ b/components/stores/src/api.rs
@@ -133,7 +133,7 @@
     async fn get(&self, key: &str) -> Result<Option<Bytes>, PlatformError>;
 }
 
-/// The platform's list of live and leaving instances and targets. The list lags behind reality.
+/// The platform's list of live and leaving instances and targets. The list lags behind the actual state.
 #[async_trait]
 pub trait Directory: Send + Sync {
     /// Reads the list.
--- a/components/stores/src/http.rs
+++ b/components/stores/src/http.rs
@@ -39,7 +39,6 @@
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
-    /// Content.
     pub body: Bytes,
 }
 
--- a/components/targets/src/api.rs
+++ b/components/targets/src/api.rs
@@ -45,7 +45,7 @@
         #[error(not(source))]
         reason: Arc<str>,
     },
-    /// The engine does not know the stream, or no longer.
+    /// The engine does not know the stream, or no longer does.
     #[display("the engine does not know the stream")]
     Gone,
 }
@@ -107,7 +107,7 @@
     pub fence: u64,
 }
 
-/// The client of model engines.
+/// A client of model engines.
 #[async_trait]
 pub trait Engine: Send + Sync {
     /// Starts a generation.
@@ -182,7 +182,7 @@
     pub body: Bytes,
 }
 
-/// The client of plain services.
+/// A client of plain services.
 #[async_trait]
 pub trait PlainService: Send + Sync {
     /// Makes a call and waits for the whole answer, at most for `timeout`.
--- a/components/workers/src/lib.rs
+++ b/components/workers/src/lib.rs
@@ -9,7 +9,7 @@
 
 static POOL: OnceLock<Executor<'static>> = OnceLock::new();
 
-/// Most threads that are used if the settings don't give a number.
+/// Default limit on the number of threads; used as the number if that of the cores is unknown.
 const MAX_DEFAULT_WORKERS: usize = 4;
 
 /// Starts the pool with this many threads. Only the first call has an effect.
