--- a/components/claims/examples/measure_claims.rs
+++ b/components/claims/examples/measure_claims.rs
@@ -1,6 +1,6 @@
-//! Measures claims over a table in memory that answers after some milliseconds, and over the real
-//! client against a stand-in on this machine: `cargo run --release -p
-//! claims --example measure_claims`.
+//! Measures the throughput and latency of claims over a table in memory with a fixed delay, and
+//! over the real client against a stand-in of the table service on this machine: `cargo run
+//! --release -p claims --example measure_claims`.
 
 use std::{
     net::SocketAddr,
@@ -17,12 +17,12 @@
 
 /// Keyed calls in each run.
 const CALLS: usize = 4000;
-/// Time that the table takes to answer.
-const TABLE: Duration = Duration::from_millis(5);
+/// Time that the table in memory takes to answer.
+const TABLE_DELAY: Duration = Duration::from_millis(5);
 
-struct Nobody;
+struct AllAlive;
 
-impl Liveness for Nobody {
+impl Liveness for AllAlive {
     fn has_ended(&self, _: &InstanceId, _: Incarnation) -> bool {
         false
     }
@@ -31,7 +31,7 @@
 fn main() {
     for at_once in [1, 10, 100, 1000] {
         let table = Arc::new(MemoryTable::new());
-        table.set_delay(TABLE);
+        table.set_delay(TABLE_DELAY);
         let commits = smol::block_on(run(at_once, table.clone()));
         println!(
             "  {:.2} commits a call",
@@ -41,7 +41,7 @@
     smol::block_on(over_http());
 }
 
-/// The same over the real client, the stand-in's rates lifted.
+/// Runs the measurement with the real client; the rate limits of the stand-in are lifted.
 async fn over_http() {
     let addr = SocketAddr::from(([127, 0, 0, 1], 0));
     let faults = Faults {
@@ -58,15 +58,15 @@
     }
 }
 
-/// Claims and records many keys; tells how many.
+/// Claims and records many keys and prints the results; returns the number of calls.
 async fn run(at_once: usize, table: Arc<dyn Table>) -> usize {
     let timer = Timer::new();
     let me = format!("i{at_once}").into();
-    let claims = StoreClaims::new(me, 1, table, Arc::new(Nobody), timer);
+    let claims = StoreClaims::new(me, 1, table, Arc::new(AllAlive), timer);
     let calls = (CALLS / 10).max(at_once * 4).min(CALLS);
     let begin = Instant::now();
     let callers: Vec<_> = (0..at_once)
-        .map(|caller| workers::spawn(call_often(claims.clone(), at_once, caller, calls / at_once)))
+        .map(|caller| workers::spawn(run_calls(claims.clone(), at_once, caller, calls / at_once)))
         .collect();
     let mut times = Vec::new();
     for caller in callers {
@@ -84,8 +84,8 @@
     times.len()
 }
 
-/// Claims and records one key after the other; tells how long each claim took.
-async fn call_often(
+/// Claims and records one key after the other; returns how long each claim took.
+async fn run_calls(
     claims: Arc<StoreClaims>,
     at_once: usize,
     caller: usize,
--- a/components/claims/src/answer.rs
+++ b/components/claims/src/answer.rs
@@ -1,30 +1,30 @@
-//! Answers too large to be kept.
+//! Limits the size of stored answers.
 
-use crate::{api::RecordedAnswer, row::State};
+use crate::{api::RecordedAnswer, row::ClaimState};
 
-/// Most bytes of a kept answer; a row of the table service holds 400 KB.
-pub const ANSWER_LIMIT: usize = 100 * 1024;
+/// Largest body of an answer that is stored; a row of the table service holds 400 KB.
+pub const MAX_ANSWER_BYTES: usize = 100 * 1024;
 
-/// Puts a truthful note in place of an answer that is too large to be kept: the call ran, with
-/// this status, and its answer can't be had again.
+/// Replaces an answer that is too large to be stored by a problem report: the call ran and ended
+/// with this status, but its answer is no longer available.
 #[must_use]
-pub fn fitting(answer: RecordedAnswer) -> RecordedAnswer {
-    if answer.body.len() <= ANSWER_LIMIT {
+pub fn fit_to_limit(answer: RecordedAnswer) -> RecordedAnswer {
+    if answer.body.len() <= MAX_ANSWER_BYTES {
         return answer;
     }
-    note(answer.status)
+    not_stored(answer.status)
 }
 
-/// The same outcome without the body of its answer.
+/// Replaces the answer by a problem report with the same status.
 #[must_use]
-pub fn without_body(state: &State) -> State {
+pub fn without_body(state: &ClaimState) -> ClaimState {
     match state {
-        State::Done(answer) => State::Done(note(answer.status)),
+        ClaimState::Done(answer) => ClaimState::Done(not_stored(answer.status)),
         other => other.clone(),
     }
 }
 
-fn note(status: u16) -> RecordedAnswer {
+fn not_stored(status: u16) -> RecordedAnswer {
     let problem = serde_json::json!({
         "type": "about:blank",
         "title": "The call ran; its answer was not kept",
--- a/components/claims/src/api.rs
+++ b/components/claims/src/api.rs
@@ -1,4 +1,4 @@
-//! What the gateway asks of claims.
+//! Interface of claims for the gateway.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,11 +10,11 @@
 /// A call with an idempotency key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct KeyedCall {
-    /// Whose key it is; keys of two workspaces never meet.
+    /// The workspace that the key belongs to; equal keys of two workspaces are independent.
     pub workspace: WorkspaceId,
-    /// The caller's key.
+    /// The key that the caller chose.
     pub key: Arc<str>,
-    /// Hash of method, path and body: the same key with another call is an error.
+    /// Hash of method, path and body. Using a key again with another digest is an error.
     pub digest: Arc<str>,
 }
 
@@ -31,49 +31,49 @@
     pub base64: bool,
 }
 
-/// What a claim came to.
+/// Outcome of an attempt to claim a key.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ClaimOutcome {
-    /// The key is this caller's to run, once. Finish with `record` or `release`.
+    /// The key was claimed for this request, which has to run the call, once, and then call
+    /// `record`, `release` or `abandon`.
     Acquired,
-    /// The call ran before; this is its answer.
+    /// The call has already run; this is its answer.
     Completed(RecordedAnswer),
-    /// The call was sent, and its outcome is not and will not be known.
+    /// The call was claimed before and its outcome can't be determined.
     Unknown,
 }
 
-/// Why a claim can't be made. In every case the call was not run on behalf of this request.
+/// Why a key could not be claimed. In every case the call was not run on behalf of this request.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum ClaimError {
-    /// The same key came with another call.
+    /// The key was used for a call with another digest.
     #[display("the idempotency key was used for another call")]
     OtherCall,
-    /// The table service is down.
+    /// The table service is unavailable.
     #[display("the table service can't be reached")]
     StoreUnavailable,
-    /// Somebody else still runs it and the wait is over.
+    /// Another request still runs the call and the timeout has passed.
     #[display("the call is still running under this key")]
     StillRunning,
 }
 
-/// At most one run per key.
+/// Idempotency keys: the call of a key runs at most once.
 #[async_trait]
 pub trait Claims: Send + Sync {
-    /// Claims a key before anything is sent, or finds what became of it. Waits up to `patience`
-    /// for another claimant's outcome.
-    async fn claim(&self, call: &KeyedCall, patience: Duration)
-    -> Result<ClaimOutcome, ClaimError>;
+    /// Claims a key before its call is sent, or returns the outcome of an earlier call. Waits up to
+    /// `timeout` for the outcome of a call that is still running.
+    async fn claim(&self, call: &KeyedCall, timeout: Duration) -> Result<ClaimOutcome, ClaimError>;
 
-    /// Records the answer of a call claimed before. Keeps trying while the store is down, for a
-    /// bounded time.
+    /// Records the answer of a claimed call. The write is retried for a bounded time while the
+    /// table service is unavailable.
     async fn record(&self, call: &KeyedCall, answer: RecordedAnswer);
 
-    /// Gives a key back whose call provably did not run, so that a repeat may run it.
+    /// Releases a key whose call certainly did not run, so that a retry may run it.
     async fn release(&self, call: &KeyedCall);
 
-    /// Marks a call whose outcome can't be known any more.
+    /// Marks the outcome of a claimed call as unknown.
     async fn abandon(&self, call: &KeyedCall);
 
-    /// Writes the state for a dump.
+    /// The state of claims as lines of a dump.
     fn dump(&self) -> Vec<String>;
 }
--- a/components/claims/src/finalize.rs
+++ b/components/claims/src/finalize.rs
@@ -1,38 +1,37 @@
-//! Making the table service say what became of a claim.
+//! Writes the outcome of a claim to the table service.
 
 use std::sync::Arc;
 
 use stores::{PlatformError, Row, Table, Write};
 
 use crate::{
-    group::Group,
-    open::Open,
-    row::{ClaimRow, State},
+    group::GroupCommitter,
+    open::OpenClaim,
+    row::{ClaimRow, ClaimState},
 };
 
-/// Tries against writes of others in one round.
-const TRIES: usize = 4;
+/// Attempts in one round if others write the row at the same time.
+const MAX_ATTEMPTS: usize = 4;
 
-/// What one look at the row asks for.
+/// What has to be done, given the current row.
 enum Step {
-    Settled,
+    Finalized,
     Write(Write),
 }
 
-/// Makes the table service agree with the state of a claim of this instance. To be repeated
-/// after an error.
+/// Brings the row of a claim in line with its local state. Has to be repeated after an error.
 ///
 /// # Errors
-/// Tells why it could not be settled now.
+/// Why the row could not be read or written.
 pub async fn finalize(
     table: &dyn Table,
-    group: &Arc<Group>,
-    open: &Open,
+    group: &Arc<GroupCommitter>,
+    open: &OpenClaim,
 ) -> Result<(), PlatformError> {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         let row = table.read(&open.key).await?;
-        let write = match step(row.as_ref(), open)? {
-            Step::Settled => return Ok(()),
+        let write = match next_step(row.as_ref(), open)? {
+            Step::Finalized => return Ok(()),
             Step::Write(write) => write,
         };
         match group.commit(write).await {
@@ -44,31 +43,32 @@
     Err(PlatformError::Conflict)
 }
 
-/// Decides by the row what has to be written.
+/// Decides by the current row what has to be written.
 ///
-/// The claiming write itself may still be on its way if its answer was lost. It was made against
-/// version `base` of the row, so it can take effect only while the row has that version; until
-/// then a row of another claim, or none at all, proves nothing. Writing over the row at `base`
-/// closes that door, and the marker it leaves lets the next repeat run the call.
-fn step(row: Option<&Row>, open: &Open) -> Result<Step, PlatformError> {
+/// If the answer to the write that made the claim was lost, that write may still be in flight. It
+/// is conditional on version `base` of the row, so it can take effect only while the row has that
+/// version; until then, a missing row or a row of another claim proves nothing. Writing over the
+/// row at `base` makes the late write fail, and the released state lets the next retry run the
+/// call.
+fn next_step(row: Option<&Row>, open: &OpenClaim) -> Result<Step, PlatformError> {
     let body = open.row.body();
     let key = open.key.clone();
     let Some(row) = row else {
         return Ok(Step::Write(Write::Insert { key, body }));
     };
     let found = ClaimRow::read(row)?;
-    let mine = found.id == open.row.id;
+    let is_own = found.id == open.row.id;
     let replace = Write::Replace {
         key,
         version: row.version,
         body,
     };
-    let step = match (mine, &open.row.state) {
-        (true, want) if found.state.rank() >= want.rank() => Step::Settled,
+    let step = match (is_own, &open.row.state) {
+        (true, wanted) if found.state.finality() >= wanted.finality() => Step::Finalized,
         (true, _) => Step::Write(replace),
-        (false, _) if row.version > open.base => Step::Settled,
-        (false, State::Released) => Step::Write(replace),
-        (false, _) => Step::Settled,
+        (false, _) if row.version > open.base => Step::Finalized,
+        (false, ClaimState::Released) => Step::Write(replace),
+        (false, _) => Step::Finalized,
     };
     Ok(step)
 }
--- a/components/claims/src/group.rs
+++ b/components/claims/src/group.rs
@@ -1,4 +1,4 @@
-//! Group commit: writes that come while others are under way go together.
+//! Group commit: writes that arrive while others are in flight are committed together.
 
 use std::{collections::HashSet, sync::Arc};
 
@@ -7,55 +7,55 @@
 use stores::{PlatformError, RowKey, Table, Write};
 
 /// Most writes in one commit.
-pub const GROUP_LIMIT: usize = 25;
-/// Commits under way at once.
-const IN_FLIGHT: usize = 4;
+pub const MAX_GROUP_WRITES: usize = 25;
+/// Most commits in flight at once.
+const MAX_IN_FLIGHT: usize = 4;
 
 /// Commits single writes of many requests in groups.
 ///
-/// A write that finds a free slot is sent at once, so a lone request waits for nobody; under load
-/// the slots are taken and writes gather. Fates stay apart: a group that fails a condition is
-/// committed again one by one.
-pub struct Group {
+/// A write that finds a free slot is committed at once, so a lone request does not wait; under load
+/// all slots are in use and writes accumulate. Failures are kept apart: the writes of a group that
+/// fails a condition are committed again one by one.
+pub struct GroupCommitter {
     table: Arc<dyn Table>,
-    state: Mutex<State>,
+    queue: Mutex<Queue>,
 }
 
 #[derive(Default)]
-struct State {
-    waiting: Vec<Item>,
+struct Queue {
+    waiting: Vec<PendingWrite>,
     in_flight: usize,
 }
 
-struct Item {
+struct PendingWrite {
     write: Write,
     answer: Sender<Result<(), PlatformError>>,
 }
 
-impl Group {
-    /// Commits to this table.
+impl GroupCommitter {
+    /// Creates a committer for `table`.
     #[must_use]
     pub fn new(table: Arc<dyn Table>) -> Arc<Self> {
         Arc::new(Self {
             table,
-            state: Mutex::default(),
+            queue: Mutex::default(),
         })
     }
 
-    /// Commits one write, perhaps together with others.
+    /// Commits one write, possibly together with others.
     ///
     /// # Errors
-    /// As the table service tells it for this write.
+    /// As returned by the table service for this write.
     pub async fn commit(self: &Arc<Self>, write: Write) -> Result<(), PlatformError> {
         let (answer, rx) = bounded(1);
-        let start = {
-            let mut state = self.state.lock();
-            state.waiting.push(Item { write, answer });
-            let free = state.in_flight < IN_FLIGHT;
-            state.in_flight += usize::from(free);
-            free
+        let has_free_slot = {
+            let mut queue = self.queue.lock();
+            queue.waiting.push(PendingWrite { write, answer });
+            let has_free_slot = queue.in_flight < MAX_IN_FLIGHT;
+            queue.in_flight += usize::from(has_free_slot);
+            has_free_slot
         };
-        if start {
+        if has_free_slot {
             workers::spawn(Arc::clone(self).drain()).detach();
         }
         rx.recv().await.unwrap_or_else(|_| {
@@ -65,14 +65,14 @@
         })
     }
 
-    /// Commits group after group until none waits.
+    /// Commits one group after the other until the queue is empty.
     async fn drain(self: Arc<Self>) {
         loop {
             let group = {
-                let mut state = self.state.lock();
-                let group = take_group(&mut state.waiting);
+                let mut queue = self.queue.lock();
+                let group = next_group(&mut queue.waiting);
                 if group.is_empty() {
-                    state.in_flight -= 1;
+                    queue.in_flight -= 1;
                     return;
                 }
                 group
@@ -81,7 +81,7 @@
         }
     }
 
-    async fn commit_group(&self, group: Vec<Item>) {
+    async fn commit_group(&self, group: Vec<PendingWrite>) {
         let writes: Vec<Write> = group.iter().map(|i| i.write.clone()).collect();
         let result = self.table.commit(&writes).await;
         if result == Err(PlatformError::Conflict) && group.len() > 1 {
@@ -97,18 +97,19 @@
     }
 }
 
-fn answer(item: &Item, result: Result<(), PlatformError>) {
-    // Whoever asked may have gone away; there is room for one answer.
+fn answer(item: &PendingWrite, result: Result<(), PlatformError>) {
+    // The channel has room for the one answer; the receiver may have been dropped.
     let _ = item.answer.try_send(result);
 }
 
-/// Takes the first writes, no two of them for one row: the service refuses such a commit.
-fn take_group(waiting: &mut Vec<Item>) -> Vec<Item> {
+/// Removes the first writes from the queue, no two of them for the same row, since the table
+/// service rejects such a commit.
+fn next_group(waiting: &mut Vec<PendingWrite>) -> Vec<PendingWrite> {
     let mut rows: HashSet<RowKey> = HashSet::new();
     let mut group = Vec::new();
     let mut rest = Vec::new();
     for item in waiting.drain(..) {
-        if group.len() < GROUP_LIMIT && rows.insert(key(&item.write).clone()) {
+        if group.len() < MAX_GROUP_WRITES && rows.insert(key(&item.write).clone()) {
             group.push(item);
         } else {
             rest.push(item);
--- a/components/claims/src/lib.rs
+++ b/components/claims/src/lib.rs
@@ -1,4 +1,7 @@
-//! At most one run per idempotency key, kept in the platform's table service.
+//! Idempotency keys: the call of a key runs at most once across all instances.
+//!
+//! Claims are rows of the platform's table service. A call is sent only after its claim is written,
+//! and an outcome once recorded never changes.
 
 mod answer;
 pub mod api;
--- a/components/claims/src/liveness.rs
+++ b/components/claims/src/liveness.rs
@@ -1,10 +1,11 @@
-//! What claims need to know of other instances.
+//! What claims need to know about other instances.
 
 use types::{Incarnation, InstanceId};
 
-/// Tells of the lives of instances.
+/// Knowledge about the incarnations of instances.
 pub trait Liveness: Send + Sync {
-    /// Whether this life of the instance has ended for certain; `false` in doubt. A repeat whose
-    /// claimant is gone is told `unknown`; while in doubt it waits.
+    /// Whether this incarnation of the instance has certainly ended; `false` if that is uncertain.
+    /// Retries of a call whose claimant has ended get the outcome `unknown`; as long as it is
+    /// uncertain, they wait.
     fn has_ended(&self, instance: &InstanceId, incarnation: Incarnation) -> bool;
 }
--- a/components/claims/src/manager.rs
+++ b/components/claims/src/manager.rs
@@ -1,4 +1,4 @@
-//! Making and ending claims in the table service.
+//! Makes claims in the table service and writes their outcomes.
 
 use std::{
     sync::{
@@ -16,66 +16,69 @@
 use crate::{
     api::{ClaimError, ClaimOutcome, KeyedCall},
     finalize::finalize,
-    group::Group,
+    group::GroupCommitter,
     liveness::Liveness,
-    open::{OPEN_LIMIT, Open, OpenClaims},
-    row::{ClaimRow, State, row_key},
+    open::{MAX_OPEN_TIME, OpenClaim, OpenClaims},
+    row::{ClaimRow, ClaimState, row_key},
     sweep::ExpirySweep,
 };
 
-/// First pause between two looks for another claimant's outcome; it doubles.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
-/// Longest pause between two looks.
-const LOOK_PAUSE_LIMIT: Duration = Duration::from_millis(500);
-/// Tries of a claim that the table service did not take, before it counts as down.
-const DOWN_TRIES: usize = 3;
-/// Tries of a claim whose answer was lost, before its settling is left to the background.
-const LOST_TRIES: usize = 3;
-/// Time after which no further try is made: the caller's patience is worth more.
-const TRY_TIME: Duration = Duration::from_secs(4);
-/// Pause between such tries.
-const TRY_PAUSE: Duration = Duration::from_millis(30);
-/// Time between two rounds of settling.
-const SETTLE_PERIOD: Duration = Duration::from_millis(250);
+/// First pause between two polls for the outcome of another claimant; it doubles each time.
+const POLL_PAUSE: Duration = Duration::from_millis(20);
+/// Longest pause between two polls.
+const MAX_POLL_PAUSE: Duration = Duration::from_millis(500);
+/// Rejected attempts to write a claim after which the table service counts as unavailable.
+const MAX_REJECTED_ATTEMPTS: usize = 3;
+/// Attempts, at least one with a lost answer, after which resolving the claim is left to the
+/// background task.
+const MAX_LOST_ATTEMPTS: usize = 3;
+/// Time after which no further attempt to write a claim is made, because the caller waits.
+const CLAIM_WRITE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Pause between two attempts.
+const RETRY_PAUSE: Duration = Duration::from_millis(30);
+/// Time between two rounds of the background task.
+const FINALIZE_PERIOD: Duration = Duration::from_millis(250);
 
-/// Makes and ends the claims of one instance.
+/// Makes and finishes the claims of one instance.
 ///
-/// Locks: `open` is held shortly and never over an await.
+/// Locks: `open` is held for short sections only and never across an await.
 pub struct ClaimManager {
     me: InstanceId,
     incarnation: Incarnation,
     table: Arc<dyn Table>,
-    group: Arc<Group>,
+    group: Arc<GroupCommitter>,
     alive: Arc<dyn Liveness>,
     timer: Timer,
     open: Mutex<OpenClaims>,
-    count: AtomicU64,
+    claim_counter: AtomicU64,
 }
 
-/// What a try to write a claim came to.
-enum Tried {
-    /// The claim stands, at this version of the row.
-    Stands,
-    /// Somebody else's row stands there.
+/// Result of writing a claim.
+enum WriteOutcome {
+    /// The claim is in the table.
+    Written,
+    /// The table has the row of another claim.
     Taken,
-    /// The table service took nothing.
-    Down,
-    /// The answer was lost and could not be settled: the claim may stand, now or later.
-    Lost,
+    /// The table service rejected every attempt; nothing was written.
+    Unavailable,
+    /// An answer was lost and the result could not be determined: the claim may take effect now or
+    /// later.
+    Unresolved,
 }
 
-/// What a look at a claim's row says.
-enum Look {
-    /// Nobody has it; claim it by a write against this version, 0 for no row.
+/// Status of a key.
+enum KeyStatus {
+    /// The key is free. A claim is written conditionally on version `base` of the row; 0 if there
+    /// is no row.
     Free { base: u64 },
-    /// It has come to this.
-    Ended(ClaimOutcome),
-    /// Somebody runs it.
+    /// The call has a final outcome.
+    Resolved(ClaimOutcome),
+    /// The call is running.
     Running,
 }
 
 impl ClaimManager {
-    /// Makes the claims of one life of an instance.
+    /// Creates the manager for one incarnation of an instance.
     #[must_use]
     pub fn new(
         me: InstanceId,
@@ -87,53 +90,53 @@
         Self {
             me,
             incarnation,
-            group: Group::new(Arc::clone(&table)),
+            group: GroupCommitter::new(Arc::clone(&table)),
             table,
             alive,
             timer,
             open: Mutex::default(),
-            count: AtomicU64::new(0),
+            claim_counter: AtomicU64::new(0),
         }
     }
 
-    /// Settles what the table service did not take at once, and deletes old claims, for as long
-    /// as the process lives.
+    /// Finalizes claims that the table service has not accepted yet and deletes expired claims, for
+    /// as long as the process runs.
     pub async fn run(&self) {
         let mut sweep = ExpirySweep::new(&self.me, Arc::clone(&self.table));
         loop {
-            self.timer.sleep(SETTLE_PERIOD).await;
-            self.give_up_overdue();
-            self.settle_pending().await;
+            self.timer.sleep(FINALIZE_PERIOD).await;
+            self.abandon_overdue();
+            self.finalize_pending().await;
             sweep.step(self.timer.now()).await;
         }
     }
 
-    /// Waits until nothing is left to be settled, at most this long; tells how much is.
-    pub async fn drain(&self, patience: Duration) -> usize {
-        let end = self.timer.now() + patience;
+    /// Waits up to `timeout` until all claims are finalized; returns how many are not.
+    pub async fn drain(&self, timeout: Duration) -> usize {
+        let deadline = self.timer.now() + timeout;
         loop {
             let (_, pending, _) = self.counts();
-            if pending == 0 || self.timer.now() >= end {
+            if pending == 0 || self.timer.now() >= deadline {
                 return pending;
             }
-            self.settle_pending().await;
-            self.timer.sleep(TRY_PAUSE).await;
+            self.finalize_pending().await;
+            self.timer.sleep(RETRY_PAUSE).await;
         }
     }
 
-    fn give_up_overdue(&self) {
+    fn abandon_overdue(&self) {
         let mut open = self.open.lock();
-        for key in open.overdue(self.timer.now(), OPEN_LIMIT) {
-            open.finish(&key, State::Unknown);
+        for key in open.overdue(self.timer.now(), MAX_OPEN_TIME) {
+            open.finish(&key, ClaimState::Unknown);
         }
     }
 
-    async fn settle_pending(&self) {
+    async fn finalize_pending(&self) {
         let pending = self.open.lock().pending();
         for open in pending {
             match finalize(&*self.table, &self.group, &open).await {
-                Ok(()) => self.open.lock().settled(&open),
-                // The next one would fail as well; the next round tries again.
+                Ok(()) => self.open.lock().remove_finalized(&open),
+                // The next write would fail as well; the next round tries again.
                 Err(
                     PlatformError::Busy { .. }
                     | PlatformError::Unavailable { .. }
@@ -145,55 +148,55 @@
     }
 
     fn new_row(&self, call: &KeyedCall) -> ClaimRow {
-        let count = self.count.fetch_add(1, Ordering::Relaxed);
+        let count = self.claim_counter.fetch_add(1, Ordering::Relaxed);
         ClaimRow {
             id: format!("{}-{:x}-{count}", self.me, self.incarnation).into(),
             digest: Arc::clone(&call.digest),
             instance: Arc::clone(&self.me),
             incarnation: self.incarnation,
             written_at: 0,
-            state: State::Claimed,
+            state: ClaimState::Claimed,
         }
     }
 
-    /// Claims a key, or finds what became of it.
+    /// Claims a key, or returns the outcome of an earlier call.
     ///
     /// # Errors
-    /// Tells why neither could be done; nothing was sent on behalf of this request.
-    pub async fn make(
+    /// Why neither was possible; the call was not sent on behalf of this request.
+    pub async fn claim(
         &self,
         call: &KeyedCall,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<ClaimOutcome, ClaimError> {
-        let end = self.timer.now() + patience;
+        let deadline = self.timer.now() + timeout;
         let key = row_key(call);
-        let mut pause = LOOK_PAUSE;
-        // Most keys are new, so the first try is a write and not a look.
-        let mut look = self
-            .look_here(call, &key)?
-            .unwrap_or(Look::Free { base: 0 });
+        let mut pause = POLL_PAUSE;
+        // Most keys are new, so the first attempt writes without reading the row.
+        let mut status = self
+            .local_status(call, &key)?
+            .unwrap_or(KeyStatus::Free { base: 0 });
         loop {
-            match look {
-                Look::Ended(claimed) => return Ok(claimed),
-                Look::Free { base } => {
+            match status {
+                KeyStatus::Resolved(claimed) => return Ok(claimed),
+                KeyStatus::Free { base } => {
                     if self.claim_free(call, &key, base).await? {
                         return Ok(ClaimOutcome::Acquired);
                     }
                 }
-                Look::Running => {
-                    if self.timer.now() >= end {
+                KeyStatus::Running => {
+                    if self.timer.now() >= deadline {
                         return Err(ClaimError::StillRunning);
                     }
-                    let left = end.saturating_sub(self.timer.now());
+                    let left = deadline.saturating_sub(self.timer.now());
                     self.timer.sleep(pause.min(left)).await;
-                    pause = (pause * 2).min(LOOK_PAUSE_LIMIT);
+                    pause = (pause * 2).min(MAX_POLL_PAUSE);
                 }
             }
-            look = self.look(call, &key).await?;
+            status = self.read_status(call, &key).await?;
         }
     }
 
-    /// Claims a free key; tells whether it is ours now.
+    /// Claims a free key; returns whether this request owns the claim.
     async fn claim_free(
         &self,
         call: &KeyedCall,
@@ -203,60 +206,71 @@
         if self.open.lock().is_full() {
             return Err(ClaimError::StoreUnavailable);
         }
-        let open = Open {
+        let open = OpenClaim {
             key: key.clone(),
             row: self.new_row(call),
             base,
             since: self.timer.now(),
         };
         match self.try_claim(&open).await {
-            Tried::Stands => {
-                self.open.lock().start(open);
+            WriteOutcome::Written => {
+                self.open.lock().insert_running(open);
                 Ok(true)
             }
-            Tried::Taken => Ok(false),
-            Tried::Down => Err(ClaimError::StoreUnavailable),
-            Tried::Lost => {
-                // It may stand, now or later, and nobody will run it: it must be released, or
-                // each repeat of the key would wait for an outcome that never comes.
-                let row = open.row.with_state(State::Released);
-                self.open.lock().add(Open { row, ..open });
+            WriteOutcome::Taken => Ok(false),
+            WriteOutcome::Unavailable => Err(ClaimError::StoreUnavailable),
+            WriteOutcome::Unresolved => {
+                // The claim may take effect now or later, and no request would run its call. It
+                // must be released, or retries of the key would wait for an outcome that never
+                // comes.
+                let row = open.row.with_state(ClaimState::Released);
+                self.open.lock().add_pending(OpenClaim { row, ..open });
                 Err(ClaimError::StoreUnavailable)
             }
         }
     }
 
-    /// Writes a claim. A lost answer is settled by writing the same again: its condition lets at
-    /// most one of the two take effect, and the id in the row tells whose claim stands.
-    async fn try_claim(&self, open: &Open) -> Tried {
-        let end = self.timer.now() + TRY_TIME;
-        let mut lost = 0;
-        let mut down = 0;
+    /// Writes a claim. A lost answer is resolved by repeating the same write: its condition lets at
+    /// most one of the two take effect, and the id in the row shows whose claim it is.
+    async fn try_claim(&self, open: &OpenClaim) -> WriteOutcome {
+        let deadline = self.timer.now() + CLAIM_WRITE_TIMEOUT;
+        let mut lost_attempts = 0;
+        let mut rejected_attempts = 0;
         loop {
             match self.group.commit(claim_write(open)).await {
-                Ok(()) => return Tried::Stands,
+                Ok(()) => return WriteOutcome::Written,
                 Err(PlatformError::Conflict) => match self.table.read(&open.key).await {
-                    Ok(row) if is_of(row.as_ref(), open) => return Tried::Stands,
-                    Ok(_) => return Tried::Taken,
-                    Err(_) if lost == 0 => return Tried::Down,
-                    Err(_) => return Tried::Lost,
+                    Ok(row) if is_same_claim(row.as_ref(), open) => return WriteOutcome::Written,
+                    Ok(_) => return WriteOutcome::Taken,
+                    Err(_) if lost_attempts == 0 => return WriteOutcome::Unavailable,
+                    Err(_) => return WriteOutcome::Unresolved,
                 },
-                Err(PlatformError::Busy { .. } | PlatformError::Unavailable { .. }) => down += 1,
-                Err(PlatformError::Unknown { .. } | PlatformError::Malformed { .. }) => lost += 1,
+                Err(PlatformError::Busy { .. } | PlatformError::Unavailable { .. }) => {
+                    rejected_attempts += 1
+                }
+                Err(PlatformError::Unknown { .. } | PlatformError::Malformed { .. }) => {
+                    lost_attempts += 1
+                }
             }
-            let late = self.timer.now() >= end;
-            if lost > 0 && (late || lost + down >= LOST_TRIES) {
-                return Tried::Lost;
+            let is_late = self.timer.now() >= deadline;
+            if lost_attempts > 0
+                && (is_late || lost_attempts + rejected_attempts >= MAX_LOST_ATTEMPTS)
+            {
+                return WriteOutcome::Unresolved;
             }
-            if lost == 0 && (late || down >= DOWN_TRIES) {
-                return Tried::Down;
+            if lost_attempts == 0 && (is_late || rejected_attempts >= MAX_REJECTED_ATTEMPTS) {
+                return WriteOutcome::Unavailable;
             }
-            self.timer.sleep(TRY_PAUSE).await;
+            self.timer.sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// What this instance knows of a key without asking the table service.
-    fn look_here(&self, call: &KeyedCall, key: &RowKey) -> Result<Option<Look>, ClaimError> {
+    /// Status of a key as far as this instance knows it without reading the table.
+    fn local_status(
+        &self,
+        call: &KeyedCall,
+        key: &RowKey,
+    ) -> Result<Option<KeyStatus>, ClaimError> {
         let open = self.open.lock();
         let running = open.running(key).map(|open| &open.row);
         let Some(row) = running.or_else(|| open.outcome(key)) else {
@@ -266,55 +280,60 @@
             return Err(ClaimError::OtherCall);
         }
         Ok(Some(match &row.state {
-            State::Done(answer) => Look::Ended(ClaimOutcome::Completed(answer.clone())),
-            _ => Look::Running,
+            ClaimState::Done(answer) => {
+                KeyStatus::Resolved(ClaimOutcome::Completed(answer.clone()))
+            }
+            _ => KeyStatus::Running,
         }))
     }
 
-    async fn look(&self, call: &KeyedCall, key: &RowKey) -> Result<Look, ClaimError> {
-        if let Some(look) = self.look_here(call, key)? {
-            return Ok(look);
+    async fn read_status(&self, call: &KeyedCall, key: &RowKey) -> Result<KeyStatus, ClaimError> {
+        if let Some(status) = self.local_status(call, key)? {
+            return Ok(status);
         }
-        let down = |_| ClaimError::StoreUnavailable;
-        let Some(row) = self.table.read(key).await.map_err(down)? else {
-            return Ok(Look::Free { base: 0 });
+        let unavailable = |_| ClaimError::StoreUnavailable;
+        let Some(row) = self.table.read(key).await.map_err(unavailable)? else {
+            return Ok(KeyStatus::Free { base: 0 });
         };
-        let found = ClaimRow::read(&row).map_err(down)?;
+        let found = ClaimRow::read(&row).map_err(unavailable)?;
         if found.digest != call.digest {
             return Err(ClaimError::OtherCall);
         }
         match found.state {
-            State::Done(answer) => Ok(Look::Ended(ClaimOutcome::Completed(answer))),
-            State::Unknown => Ok(Look::Ended(ClaimOutcome::Unknown)),
-            State::Released => Ok(Look::Free { base: row.version }),
-            State::Claimed => self.look_at_claimant(&row, &found).await,
+            ClaimState::Done(answer) => Ok(KeyStatus::Resolved(ClaimOutcome::Completed(answer))),
+            ClaimState::Unknown => Ok(KeyStatus::Resolved(ClaimOutcome::Unknown)),
+            ClaimState::Released => Ok(KeyStatus::Free { base: row.version }),
+            ClaimState::Claimed => self.check_claimant(&row, &found).await,
         }
     }
 
-    /// A claimant that is gone leaves an outcome that nobody knows: the call may have run. The
-    /// row is marked so that all repeats get the same answer. Should the claimant come back, it
-    /// may still put the true outcome in place of the mark, since nobody else runs the call.
-    async fn look_at_claimant(&self, row: &Row, found: &ClaimRow) -> Result<Look, ClaimError> {
-        let earlier_life = found.instance == self.me && found.incarnation < self.incarnation;
-        let gone = earlier_life || self.alive.has_ended(&found.instance, found.incarnation);
-        if !gone {
-            return Ok(Look::Running);
+    /// Checks whether the claimant has ended. If so, the call may or may not have run, and the row
+    /// is marked as unknown so that all retries get the same answer. If the claimant turns out to
+    /// be alive, it may still replace the mark by the true outcome, since no other request runs the
+    /// call.
+    async fn check_claimant(&self, row: &Row, found: &ClaimRow) -> Result<KeyStatus, ClaimError> {
+        let is_earlier_incarnation =
+            found.instance == self.me && found.incarnation < self.incarnation;
+        let has_ended =
+            is_earlier_incarnation || self.alive.has_ended(&found.instance, found.incarnation);
+        if !has_ended {
+            return Ok(KeyStatus::Running);
         }
         let write = Write::Replace {
             key: row.key.clone(),
             version: row.version,
-            body: found.with_state(State::Unknown).body(),
+            body: found.with_state(ClaimState::Unknown).body(),
         };
         match self.group.commit(write).await {
-            Ok(()) => Ok(Look::Ended(ClaimOutcome::Unknown)),
-            // Somebody was faster; the next look tells what it is now.
-            Err(PlatformError::Conflict) => Ok(Look::Running),
+            Ok(()) => Ok(KeyStatus::Resolved(ClaimOutcome::Unknown)),
+            // The row was changed in the meantime; the next poll reads its new state.
+            Err(PlatformError::Conflict) => Ok(KeyStatus::Running),
             Err(_) => Err(ClaimError::StoreUnavailable),
         }
     }
 
-    /// Ends a claim: one try now, the rest in the background.
-    pub async fn end(&self, call: &KeyedCall, state: State) {
+    /// Finishes a claim: one write now; if that fails, the background task retries it.
+    pub async fn finish(&self, call: &KeyedCall, state: ClaimState) {
         let key = row_key(call);
         let Some(open) = self.open.lock().finish(&key, state) else {
             return;
@@ -325,18 +344,18 @@
             body: open.row.body(),
         };
         if self.group.commit(write).await.is_ok() {
-            self.open.lock().settled(&open);
+            self.open.lock().remove_finalized(&open);
         }
     }
 
-    /// Counts of running and pending claims and bytes of pending answers.
+    /// Number of running claims, number of pending claims, and bytes of pending answers.
     #[must_use]
     pub fn counts(&self) -> (usize, usize, usize) {
         self.open.lock().counts()
     }
 }
 
-fn claim_write(open: &Open) -> Write {
+fn claim_write(open: &OpenClaim) -> Write {
     let key = open.key.clone();
     let body = open.row.body();
     match open.base {
@@ -345,7 +364,7 @@
     }
 }
 
-fn is_of(row: Option<&Row>, open: &Open) -> bool {
+fn is_same_claim(row: Option<&Row>, open: &OpenClaim) -> bool {
     let found = row.and_then(|row| ClaimRow::read(row).ok());
     found.is_some_and(|found| found.id == open.row.id)
 }
--- a/components/claims/src/open.rs
+++ b/components/claims/src/open.rs
@@ -1,108 +1,111 @@
-//! Claims of this instance that are not settled in the table service yet.
+//! Claims of this instance that are not finalized in the table service yet.
 
 use std::{collections::HashMap, time::Duration};
 
 use stores::RowKey;
 use types::Moment;
 
-use crate::row::{ClaimRow, State};
+use crate::row::{ClaimRow, ClaimState};
 
-/// Claims with an outcome that the table service has not taken yet. Beyond this many, no further
-/// keys are claimed: each one more would stay blocked if it were forgotten.
-pub const PENDING_LIMIT: usize = 20_000;
-/// Bytes of answers kept while the table service does not take them.
-pub const PENDING_BYTES: usize = 16 * 1024 * 1024;
-/// A claim open for longer than any request may take: whoever made it lost track of it.
-pub const OPEN_LIMIT: Duration = Duration::from_secs(2 * 3600);
+/// Most claims whose outcome the table service has not accepted yet. Beyond this, no further keys
+/// are claimed: a claim that had to be dropped would block its key.
+pub const MAX_PENDING_CLAIMS: usize = 20_000;
+/// Most bytes of answers retained while the table service does not accept them.
+pub const MAX_PENDING_BYTES: usize = 16 * 1024 * 1024;
+/// Longest time that a claim may be running; it exceeds the duration of any request, so an older
+/// claim has been lost track of.
+pub const MAX_OPEN_TIME: Duration = Duration::from_secs(2 * 3600);
 
-/// A claim of this instance.
+/// A claim of this instance that is not finalized yet.
 #[derive(Clone, Debug)]
-pub struct Open {
-    /// Where it is kept.
+pub struct OpenClaim {
+    /// Key of the claim's row.
     pub key: RowKey,
-    /// As it should stand in the table service.
+    /// The row as it should be in the table.
     pub row: ClaimRow,
-    /// The version that the claiming write was made against; 0 if there was no row.
+    /// The row version that the write of the claim is conditional on; 0 if there was no row.
     pub base: u64,
-    /// When it was made.
+    /// When the claim was made.
     pub since: Moment,
 }
 
-/// Claims of this instance by the place they are kept at.
+/// Claims of this instance by the key of their row.
 #[derive(Default)]
 pub struct OpenClaims {
-    running: HashMap<RowKey, Open>,
+    running: HashMap<RowKey, OpenClaim>,
     /// A key may have an abandoned claim and a later one at the same time.
-    pending: HashMap<RowKey, Vec<Open>>,
-    count: usize,
-    bytes: usize,
+    pending: HashMap<RowKey, Vec<OpenClaim>>,
+    pending_count: usize,
+    pending_bytes: usize,
 }
 
 impl OpenClaims {
-    /// A claim that is this instance's to run.
-    pub fn start(&mut self, open: Open) {
+    /// Adds a claim whose call this instance runs.
+    pub fn insert_running(&mut self, open: OpenClaim) {
         self.running.insert(open.key.clone(), open);
     }
 
-    /// The claim that runs at this place.
+    /// The running claim with this key.
     #[must_use]
-    pub fn running(&self, key: &RowKey) -> Option<&Open> {
+    pub fn running(&self, key: &RowKey) -> Option<&OpenClaim> {
         self.running.get(key)
     }
 
-    /// Ends a running claim with an outcome, to be settled; `None` if none runs here.
-    pub fn finish(&mut self, key: &RowKey, state: State) -> Option<Open> {
+    /// Moves a running claim to the pending ones with its outcome; `None` if there is no running
+    /// claim with this key.
+    pub fn finish(&mut self, key: &RowKey, state: ClaimState) -> Option<OpenClaim> {
         let mut open = self.running.remove(key)?;
         open.row.state = state;
-        self.add(open.clone());
+        self.add_pending(open.clone());
         Some(open)
     }
 
-    /// Takes in a claim that has to be settled.
-    pub fn add(&mut self, mut open: Open) {
+    /// Adds a claim that has to be finalized. Its answer is dropped if the pending answers exceed
+    /// `MAX_PENDING_BYTES`.
+    pub fn add_pending(&mut self, mut open: OpenClaim) {
         let size = answer_size(&open.row.state);
-        if self.bytes + size > PENDING_BYTES {
+        if self.pending_bytes + size > MAX_PENDING_BYTES {
             open.row.state = crate::answer::without_body(&open.row.state);
         }
-        self.bytes += answer_size(&open.row.state);
-        self.count += 1;
+        self.pending_bytes += answer_size(&open.row.state);
+        self.pending_count += 1;
         self.pending.entry(open.key.clone()).or_default().push(open);
     }
 
-    /// The claim was settled.
-    pub fn settled(&mut self, settled: &Open) {
-        let Some(list) = self.pending.get_mut(&settled.key) else {
+    /// Removes a claim that has been finalized.
+    pub fn remove_finalized(&mut self, finalized: &OpenClaim) {
+        let Some(list) = self.pending.get_mut(&finalized.key) else {
             return;
         };
-        let Some(place) = list.iter().position(|open| open.row.id == settled.row.id) else {
+        let Some(position) = list.iter().position(|open| open.row.id == finalized.row.id) else {
             return;
         };
-        let open = list.remove(place);
+        let open = list.remove(position);
         if list.is_empty() {
-            self.pending.remove(&settled.key);
+            self.pending.remove(&finalized.key);
         }
-        self.count -= 1;
-        self.bytes -= answer_size(&open.row.state);
+        self.pending_count -= 1;
+        self.pending_bytes -= answer_size(&open.row.state);
     }
 
-    /// The outcome of a call at this place that the table service has not taken yet.
+    /// The answered call with this key whose outcome the table service has not accepted yet.
     #[must_use]
     pub fn outcome(&self, key: &RowKey) -> Option<&ClaimRow> {
-        let at_place = self.pending.get(key)?.iter();
-        let mut done = at_place.filter(|open| matches!(open.row.state, State::Done(_)));
+        let at_key = self.pending.get(key)?.iter();
+        let mut done = at_key.filter(|open| matches!(open.row.state, ClaimState::Done(_)));
         done.next().map(|open| &open.row)
     }
 
-    /// All that have to be settled.
+    /// All claims that have to be finalized.
     #[must_use]
-    pub fn pending(&self) -> Vec<Open> {
+    pub fn pending(&self) -> Vec<OpenClaim> {
         self.pending.values().flatten().cloned().collect()
     }
 
-    /// Running claims older than `limit`.
+    /// Keys of running claims older than `limit`.
     #[must_use]
     pub fn overdue(&self, now: Moment, limit: Duration) -> Vec<RowKey> {
-        let old = |open: &&Open| now.saturating_sub(open.since) > limit;
+        let old = |open: &&OpenClaim| now.saturating_sub(open.since) > limit;
         let all = self.running.values();
         all.filter(old).map(|open| open.key.clone()).collect()
     }
@@ -110,19 +113,19 @@
     /// Whether no further claim may be made.
     #[must_use]
     pub fn is_full(&self) -> bool {
-        self.count >= PENDING_LIMIT
+        self.pending_count >= MAX_PENDING_CLAIMS
     }
 
-    /// Counts of running and pending claims and bytes of pending answers.
+    /// Number of running claims, number of pending claims, and bytes of pending answers.
     #[must_use]
     pub fn counts(&self) -> (usize, usize, usize) {
-        (self.running.len(), self.count, self.bytes)
+        (self.running.len(), self.pending_count, self.pending_bytes)
     }
 }
 
-fn answer_size(state: &State) -> usize {
+fn answer_size(state: &ClaimState) -> usize {
     match state {
-        State::Done(answer) => answer.body.len(),
+        ClaimState::Done(answer) => answer.body.len(),
         _ => 0,
     }
 }
--- a/components/claims/src/row.rs
+++ b/components/claims/src/row.rs
@@ -1,4 +1,4 @@
-//! The row that keeps a claim in the table service.
+//! The row that stores a claim in the table service.
 
 use std::{
     fmt::Write as _,
@@ -13,27 +13,28 @@
 
 use crate::api::{KeyedCall, RecordedAnswer};
 
-/// Partitions that claims are spread over.
+/// Number of partitions that claims are distributed over.
 pub const PARTITIONS: u16 = 256;
 
-/// What is known of a claimed call.
+/// State of a claimed call.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum State {
-    /// The claimant runs it, or is about to.
+pub enum ClaimState {
+    /// The claimant runs the call, or is about to.
     Claimed,
-    /// The claimant is gone and told no outcome. The claimant itself may still replace this.
+    /// The claimant has ended without an outcome, or has abandoned the call. A claimant that is
+    /// still alive may replace this state.
     Unknown,
-    /// It provably did not run; the next repeat may run it.
+    /// The call certainly did not run; the next retry may run it.
     Released,
-    /// It ran, and this was the answer.
+    /// The call ran and had this answer.
     Done(RecordedAnswer),
 }
 
-impl State {
-    /// How final a state is: a claim only moves up.
+impl ClaimState {
+    /// How final a state is: the finality of a claim never decreases.
     #[must_use]
-    pub const fn rank(&self) -> u8 {
+    pub const fn finality(&self) -> u8 {
         match self {
             Self::Claimed => 0,
             Self::Unknown => 1,
@@ -42,49 +43,49 @@
     }
 }
 
-/// A claim as kept.
+/// A claim as stored.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimRow {
-    /// Unique per claim; only its maker runs the call.
+    /// Unique per claim; only the request that made the claim runs the call.
     pub id: Arc<str>,
-    /// Hash of the call.
+    /// Digest of the call.
     pub digest: Arc<str>,
     /// The claimant.
     pub instance: InstanceId,
-    /// Which life of the claimant.
+    /// Incarnation of the claimant.
     pub incarnation: Incarnation,
-    /// When it was last written, in seconds since 1970 by the writer's clock.
+    /// When the row was last written, in seconds since 1970 by the writer's clock.
     #[serde(rename = "at")]
     pub written_at: u64,
-    /// What is known.
-    pub state: State,
+    /// State of the call.
+    pub state: ClaimState,
 }
 
 impl ClaimRow {
-    /// Reads a row.
+    /// Parses a row.
     ///
     /// # Errors
-    /// Tells that the row is no claim.
+    /// `Malformed` if the row is not a claim.
     pub fn read(row: &Row) -> Result<Self, PlatformError> {
         serde_json::from_str(&row.body).map_err(|e| PlatformError::Malformed {
             reason: format!("row {}: {e}", row.key).into(),
         })
     }
 
-    /// The row's content, stamped now.
+    /// The content of the row, with the current time.
     #[must_use]
     pub fn body(&self) -> Arc<str> {
         let stamped = Self {
             written_at: now_seconds(),
             ..self.clone()
         };
-        // Text keys and plain values only: this can't fail.
+        // Can't fail: the claim has only text keys and plain values.
         serde_json::to_string(&stamped).unwrap_or_default().into()
     }
 
     /// The same claim in another state.
     #[must_use]
-    pub fn with_state(&self, state: State) -> Self {
+    pub fn with_state(&self, state: ClaimState) -> Self {
         Self {
             state,
             ..self.clone()
@@ -92,11 +93,12 @@
     }
 }
 
-/// Where a call's claim is kept. The key itself is not stored, only its hash.
+/// Key of the row for a call's claim. Only a hash of the idempotency key is stored.
 #[must_use]
 pub fn row_key(call: &KeyedCall) -> RowKey {
     let mut hasher = Sha256::new();
-    // With its length first, no two pairs of workspace and key run together to the same text.
+    // Hashing the length first keeps different pairs of workspace and key from forming the same
+    // text.
     hasher.update((call.workspace.len() as u64).to_be_bytes());
     hasher.update(call.workspace.as_bytes());
     hasher.update(call.key.as_bytes());
@@ -105,17 +107,17 @@
         // Writing to a string can't fail.
         let _ = write!(hash, "{byte:02x}");
     }
-    RowKey::new(&partition_of(&hash[..2]), &hash)
+    RowKey::new(&partition_with_prefix(&hash[..2]), &hash)
 }
 
-/// Name of a partition by number.
+/// Name of the partition with this number.
 #[must_use]
-pub fn partition(number: u16) -> String {
-    partition_of(&format!("{:02x}", number % PARTITIONS))
+pub fn partition_name(number: u16) -> String {
+    partition_with_prefix(&format!("{:02x}", number % PARTITIONS))
 }
 
-fn partition_of(first: &str) -> String {
-    format!("claim/{first}")
+fn partition_with_prefix(prefix: &str) -> String {
+    format!("claim/{prefix}")
 }
 
 /// Seconds since 1970 by this machine's clock.
--- a/components/claims/src/store.rs
+++ b/components/claims/src/store.rs
@@ -1,4 +1,4 @@
-//! Claims as the gateway sees them.
+//! Claims stored in the table service, as used by the gateway.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,16 +13,16 @@
     api::{ClaimError, ClaimOutcome, Claims, KeyedCall, RecordedAnswer},
     liveness::Liveness,
     manager::ClaimManager,
-    row::State,
+    row::ClaimState,
 };
 
-/// Claims of one life of an instance, kept in the table service.
+/// Claims of one incarnation of an instance, stored in the table service.
 pub struct StoreClaims {
     manager: Arc<ClaimManager>,
 }
 
 impl StoreClaims {
-    /// Makes the claims of this life of an instance. `run` has to run beside it.
+    /// Creates the claims of this incarnation of the instance. `run` has to run alongside.
     #[must_use]
     pub fn new(
         me: InstanceId,
@@ -35,63 +35,60 @@
         Arc::new(Self { manager })
     }
 
-    /// Settles what the table service did not take at once, and deletes old claims, for as long
-    /// as the process lives.
+    /// Finalizes claims that the table service has not accepted yet and deletes expired claims, for
+    /// as long as the process runs.
     pub async fn run(self: Arc<Self>) {
         self.manager.run().await;
     }
 }
 
 impl StoreClaims {
-    /// Waits until the table service has taken every outcome, at most this long; tells how many
-    /// it has not taken. For a planned stop: an outcome that dies with its instance leaves
-    /// `unknown` to repeats of a call whose answer was known.
-    pub async fn drain(&self, patience: Duration) -> usize {
-        self.manager.drain(patience).await
+    /// Waits up to `timeout` until the table service has accepted every outcome; returns how many
+    /// it has not. Used on a planned stop: an outcome that is lost with its instance would be
+    /// reported as unknown to retries although it was known.
+    pub async fn drain(&self, timeout: Duration) -> usize {
+        self.manager.drain(timeout).await
     }
 }
 
 #[async_trait]
 impl Claims for StoreClaims {
-    /// A caller that goes away drops its request at any point. The claim's write could then take
-    /// effect with nobody to run the call or to give the key back, and each repeat would wait
-    /// for nothing. So the work goes on by itself, and releases a claim that was not taken over.
-    async fn claim(
-        &self,
-        call: &KeyedCall,
-        patience: Duration,
-    ) -> Result<ClaimOutcome, ClaimError> {
+    /// A caller that disconnects cancels its request at any point. The write of its claim could
+    /// still take effect with no request left to run the call or to release the key, and every
+    /// retry would wait in vain. The claim is therefore made in a task of its own, which releases
+    /// the key if the request no longer waits for it.
+    async fn claim(&self, call: &KeyedCall, timeout: Duration) -> Result<ClaimOutcome, ClaimError> {
         let (tx, rx) = bounded(1);
-        let (taken_tx, taken_rx) = bounded::<()>(1);
+        let (accepted_tx, accepted_rx) = bounded::<()>(1);
         let manager = Arc::clone(&self.manager);
         let call = call.clone();
-        let work = async move {
-            let result = manager.make(&call, patience).await;
-            let mine = result == Ok(ClaimOutcome::Acquired);
+        let claim = async move {
+            let result = manager.claim(&call, timeout).await;
+            let is_acquired = result == Ok(ClaimOutcome::Acquired);
             let sent = tx.send(result).await.is_ok();
-            let taken = sent && taken_rx.recv().await.is_ok();
-            if mine && !taken {
-                manager.end(&call, State::Released).await;
+            let accepted = sent && accepted_rx.recv().await.is_ok();
+            if is_acquired && !accepted {
+                manager.finish(&call, ClaimState::Released).await;
             }
         };
-        workers::spawn(work).detach();
+        workers::spawn(claim).detach();
         let result = rx.recv().await.unwrap_or(Err(ClaimError::StoreUnavailable));
-        // There is room for it, and nothing is awaited between this and the return.
-        let _ = taken_tx.try_send(());
+        // The channel has room for it, and nothing is awaited between this line and the return.
+        let _ = accepted_tx.try_send(());
         result
     }
 
     async fn record(&self, call: &KeyedCall, answer: RecordedAnswer) {
-        let answer = answer::fitting(answer);
-        self.manager.end(call, State::Done(answer)).await;
+        let answer = answer::fit_to_limit(answer);
+        self.manager.finish(call, ClaimState::Done(answer)).await;
     }
 
     async fn release(&self, call: &KeyedCall) {
-        self.manager.end(call, State::Released).await;
+        self.manager.finish(call, ClaimState::Released).await;
     }
 
     async fn abandon(&self, call: &KeyedCall) {
-        self.manager.end(call, State::Unknown).await;
+        self.manager.finish(call, ClaimState::Unknown).await;
     }
 
     fn dump(&self) -> Vec<String> {
--- a/components/claims/src/sweep.rs
+++ b/components/claims/src/sweep.rs
@@ -1,35 +1,37 @@
-//! Deleting claims that nobody will repeat any more.
+//! Deletes expired claims.
 
 use std::{sync::Arc, time::Duration};
 
 use stores::{Row, Table, Write};
 use types::{InstanceId, Moment};
 
-use crate::row::{ClaimRow, PARTITIONS, now_seconds, partition};
+use crate::row::{ClaimRow, PARTITIONS, now_seconds, partition_name};
 
-/// Time that a claim is kept, in seconds. A repeat that comes later runs the call again; callers
-/// are told this limit. It is far longer than any write can stay under way.
+/// Time that a claim is retained, in seconds. A later retry runs the call again; callers are told
+/// this limit. It is far longer than any write can be in flight.
 pub const RETENTION_SECONDS: u64 = 24 * 3600;
-/// How old the newest claim of another instance may look for our clock to be trusted.
-const TRUST_SECONDS: u64 = 3600;
+/// Largest age of the newest claim of another instance at which the local clock is still trusted.
+const MAX_CLOCK_LEAD_SECONDS: u64 = 3600;
 /// Time between two pages.
 const PAGE_PERIOD: Duration = Duration::from_secs(10);
-/// Rows of a page.
-const PAGE: usize = 100;
+/// Rows in one page.
+const PAGE_ROWS: usize = 100;
 
-/// Goes through all claims page by page, at a pace that leaves the table service its budget.
+/// Scans all claims page by page, slowly enough to leave the call budget of the table service to
+/// requests.
 pub struct ExpirySweep {
     table: Arc<dyn Table>,
     partition: u16,
-    after: Arc<str>,
-    next: Moment,
+    resume_after: Arc<str>,
+    next_step_at: Moment,
     me: InstanceId,
-    /// When another instance last wrote a claim, by its clock, as far as we have seen.
-    newest: u64,
+    /// The latest time at which another instance wrote a claim, by its clock, among the rows seen.
+    newest_seen: u64,
 }
 
 impl ExpirySweep {
-    /// Begins at a place that differs between instances.
+    /// Starts at a partition that depends on the instance, so that instances don't scan in
+    /// parallel.
     #[must_use]
     pub fn new(me: &InstanceId, table: Arc<dyn Table>) -> Self {
         let start = me.bytes().fold(0_u16, |sum, byte| {
@@ -38,56 +40,61 @@
         Self {
             table,
             partition: start % PARTITIONS,
-            after: "".into(),
-            next: PAGE_PERIOD,
+            resume_after: "".into(),
+            next_step_at: PAGE_PERIOD,
             me: InstanceId::clone(me),
-            newest: 0,
+            newest_seen: 0,
         }
     }
 
-    /// Looks at one page if it is time; an outage leaves it for later.
+    /// Scans one page if it is due; during an outage the page is retried later.
     pub async fn step(&mut self, now: Moment) {
-        if now < self.next {
+        if now < self.next_step_at {
             return;
         }
-        self.next = now + PAGE_PERIOD;
-        let partition = partition(self.partition);
-        let Ok(rows) = self.table.list(&partition, &self.after, PAGE).await else {
+        self.next_step_at = now + PAGE_PERIOD;
+        let partition = partition_name(self.partition);
+        let Ok(rows) = self
+            .table
+            .list(&partition, &self.resume_after, PAGE_ROWS)
+            .await
+        else {
             return;
         };
         let deletes = self.deletes(&rows, now_seconds());
         if !deletes.is_empty() {
-            // A row that was written meanwhile keeps all of them; the next pass gets them.
+            // If one of the rows was written in the meantime, the commit fails as a whole and the
+            // next pass deletes the others.
             let _ = self.table.commit(&deletes).await;
         }
-        self.go_on(&rows);
+        self.advance(&rows);
     }
 
-    /// The deletions of rows that are old.
+    /// Builds the deletions of expired rows.
     ///
-    /// A machine whose clock is a day ahead would take every claim for old and delete it, and
-    /// repeats of calls that just ran would run again, with nobody to notice. By such a clock
-    /// even the newest claims of other instances look old, and then nothing is deleted. Claims
-    /// of our own prove nothing: they bear our clock.
-    fn deletes(&mut self, rows: &[Row], clock: u64) -> Vec<Write> {
+    /// An instance whose clock is a day ahead would take every claim for expired and delete it, and
+    /// retries of calls that have just run would silently run again. With such a clock even the
+    /// newest claims of other instances look old, so nothing is deleted then. The instance's own
+    /// claims prove nothing, because they carry its own clock.
+    fn deletes(&mut self, rows: &[Row], clock_seconds: u64) -> Vec<Write> {
         let read = |row| ClaimRow::read(row).ok().map(|claim| (row, claim));
         let claims: Vec<(&Row, ClaimRow)> = rows.iter().filter_map(read).collect();
         let others = claims.iter().filter(|(_, claim)| claim.instance != self.me);
         let newest = others.map(|(_, claim)| claim.written_at).max();
-        self.newest = self.newest.max(newest.unwrap_or(0));
-        if clock.saturating_sub(self.newest) > TRUST_SECONDS {
+        self.newest_seen = self.newest_seen.max(newest.unwrap_or(0));
+        if clock_seconds.saturating_sub(self.newest_seen) > MAX_CLOCK_LEAD_SECONDS {
             return Vec::new();
         }
-        let old = clock.saturating_sub(RETENTION_SECONDS);
-        let old = claims.iter().filter(|(_, claim)| claim.written_at < old);
-        old.map(|(row, _)| delete(row)).collect()
+        let cutoff = clock_seconds.saturating_sub(RETENTION_SECONDS);
+        let expired = claims.iter().filter(|(_, claim)| claim.written_at < cutoff);
+        expired.map(|(row, _)| delete(row)).collect()
     }
 
-    fn go_on(&mut self, rows: &[Row]) {
+    fn advance(&mut self, rows: &[Row]) {
         match rows.last() {
-            Some(last) if rows.len() == PAGE => self.after = Arc::clone(&last.key.sort),
+            Some(last) if rows.len() == PAGE_ROWS => self.resume_after = Arc::clone(&last.key.sort),
             _ => {
-                self.after = "".into();
+                self.resume_after = "".into();
                 self.partition = (self.partition + 1) % PARTITIONS;
             }
         }
--- a/components/claims/tests/claiming/common.rs
+++ b/components/claims/tests/claiming/common.rs
@@ -1,4 +1,4 @@
-//! Instances with claims over one table in memory.
+//! Instances with claims over one shared table in memory.
 
 use std::{
     collections::HashSet,
@@ -14,32 +14,34 @@
 use types::{Incarnation, InstanceId};
 
 /// Longest wait for anything that has to happen.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Instances that others take for gone.
+/// Incarnations of instances that have ended as far as others know.
 #[derive(Default)]
-pub struct Gone {
-    lives: Mutex<HashSet<(InstanceId, Incarnation)>>,
+pub struct EndedInstances {
+    incarnations: Mutex<HashSet<(InstanceId, Incarnation)>>,
 }
 
-impl Gone {
+impl EndedInstances {
     pub fn add(&self, instance: &str, incarnation: Incarnation) {
-        self.lives.lock().insert((instance.into(), incarnation));
+        self.incarnations
+            .lock()
+            .insert((instance.into(), incarnation));
     }
 }
 
-impl Liveness for Gone {
+impl Liveness for EndedInstances {
     fn has_ended(&self, instance: &InstanceId, incarnation: Incarnation) -> bool {
-        let life = (Arc::clone(instance), incarnation);
-        self.lives.lock().contains(&life)
+        let incarnation = (Arc::clone(instance), incarnation);
+        self.incarnations.lock().contains(&incarnation)
     }
 }
 
-/// One table and those who use it.
+/// A shared table and the liveness of its instances.
 #[derive(Default)]
 pub struct Deployment {
     pub table: Arc<MemoryTable>,
-    pub gone: Arc<Gone>,
+    pub ended: Arc<EndedInstances>,
 }
 
 /// One running instance.
@@ -51,8 +53,8 @@
 impl Deployment {
     pub fn start(&self, name: &str, incarnation: Incarnation) -> Instance {
         let table = self.table.clone();
-        let gone = self.gone.clone();
-        let claims = StoreClaims::new(name.into(), incarnation, table, gone, Timer::new());
+        let ended = self.ended.clone();
+        let claims = StoreClaims::new(name.into(), incarnation, table, ended, Timer::new());
         let run = workers::spawn(Arc::clone(&claims).run());
         Instance { claims, _run: run }
     }
@@ -60,15 +62,16 @@
 
 impl Instance {
     pub async fn claim(&self, call: &KeyedCall) -> Result<ClaimOutcome, claims::ClaimError> {
-        self.claims.claim(call, PATIENCE).await
+        self.claims.claim(call, TIMEOUT).await
     }
 
-    /// Claims again while the table service is said to be down: it may take a while to settle.
+    /// Claims again while the table service is reported as unavailable, since pending claims may
+    /// take a while to finalize.
     pub async fn claim_when_up(
         &self,
         call: &KeyedCall,
     ) -> Result<ClaimOutcome, claims::ClaimError> {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         loop {
             let result = self.claim(call).await;
             if result != Err(claims::ClaimError::StoreUnavailable) || Instant::now() > end {
@@ -80,9 +83,9 @@
 }
 
 impl Instance {
-    /// Waits until the table service knows all that this instance has to tell it.
-    pub async fn until_settled(&self) {
-        let end = Instant::now() + PATIENCE;
+    /// Waits until the table service has accepted all outcomes of this instance.
+    pub async fn until_finalized(&self) {
+        let end = Instant::now() + TIMEOUT;
         while !self.claims.dump()[0].contains(" 0 to be settled") {
             assert!(Instant::now() < end, "{:?}", self.claims.dump());
             Timer::new().sleep(Duration::from_millis(20)).await;
--- a/components/claims/tests/claiming/one.rs
+++ b/components/claims/tests/claiming/failures.rs
@@ -1,29 +1,33 @@
-//! Failures that a keyed call meets one at a time.
+//! Single failures during a keyed call.
 
 use std::time::Duration;
 
-use crate::common::{Deployment, PATIENCE, answer, call};
+use crate::common::{Deployment, TIMEOUT, answer, call};
 use claims::{ClaimError, ClaimOutcome, Claims};
 use stores::memory::Fault;
 use timer::Timer;
 
-const SHORT: Duration = Duration::from_millis(50);
+const SHORT_TIMEOUT: Duration = Duration::from_millis(50);
 
-// A viewer presses play three times and the balancer sends each to another instance. Only one of
-// them may grant the rental; the others get the same answer.
+// A client sends a call three times and the load balancer sends each to another instance. Only one
+// of them may run the call; the others must get the same answer.
 #[test]
-fn of_repeats_at_many_instances_one_runs_and_all_get_its_answer() {
+fn of_retries_at_many_instances_one_runs_and_all_get_its_answer() {
     smol::block_on(async {
-        let all = Deployment::default();
-        let (a, b, c) = (all.start("a", 1), all.start("b", 1), all.start("c", 1));
+        let deployment = Deployment::default();
+        let (a, b, c) = (
+            deployment.start("a", 1),
+            deployment.start("b", 1),
+            deployment.start("c", 1),
+        );
         let call = call("k", "d");
         assert_eq!(a.claim(&call).await, Ok(ClaimOutcome::Acquired));
-        let waits = b.claims.claim(&call, SHORT).await;
+        let waits = b.claims.claim(&call, SHORT_TIMEOUT).await;
         assert_eq!(waits, Err(ClaimError::StillRunning));
         let (b_claims, c_claims) = (b.claims.clone(), c.claims.clone());
         let (b_call, c_call) = (call.clone(), call.clone());
-        let at_b = workers::spawn(async move { b_claims.claim(&b_call, PATIENCE).await });
-        let at_c = workers::spawn(async move { c_claims.claim(&c_call, PATIENCE).await });
+        let at_b = workers::spawn(async move { b_claims.claim(&b_call, TIMEOUT).await });
+        let at_c = workers::spawn(async move { c_claims.claim(&c_call, TIMEOUT).await });
         a.claims.record(&call, answer("granted")).await;
         let granted = Ok(ClaimOutcome::Completed(answer("granted")));
         assert_eq!(at_b.await, granted);
@@ -32,24 +36,23 @@
     });
 }
 
-// The write of a claim takes effect, or is lost on the way, or arrives only later, and its
-// answer is lost each time. The caller must not be refused for it, and the late one must not
-// undo anything.
+// The write of a claim takes effect, is lost, or arrives late, and its answer is lost each time.
+// The call must not be refused because of it, and the late write must not undo anything.
 #[test]
-fn a_claim_whose_answer_was_lost_is_settled_and_runs_once() {
+fn a_claim_whose_answer_was_lost_is_resolved_and_runs_once() {
     smol::block_on(async {
         for fault in [Fault::AnswerLost, Fault::CommitLost, Fault::Late] {
-            let all = Deployment::default();
-            let (a, b) = (all.start("a", 1), all.start("b", 1));
+            let deployment = Deployment::default();
+            let (a, b) = (deployment.start("a", 1), deployment.start("b", 1));
             let call = call("k", "d");
-            all.table.add_faults([fault]);
+            deployment.table.add_faults([fault]);
             assert_eq!(
                 a.claim(&call).await,
                 Ok(ClaimOutcome::Acquired),
                 "{fault:?}"
             );
             assert_eq!(
-                all.table.apply_late_commits(),
+                deployment.table.apply_late_commits(),
                 0,
                 "{fault:?}: a late claim took effect"
             );
@@ -60,40 +63,41 @@
     });
 }
 
-// The table service is down. The caller is refused at once with "not run", and once the service
-// is back the same key runs as if nothing had been.
+// The table service is unavailable. The call must be refused at once as not run, and once the
+// service is available the same key must run normally.
 #[test]
-fn a_claim_while_the_store_is_down_is_refused_and_leaves_nothing_behind() {
+fn a_claim_while_the_store_is_down_is_refused_and_leaves_no_row() {
     smol::block_on(async {
-        let all = Deployment::default();
-        let a = all.start("a", 1);
+        let deployment = Deployment::default();
+        let a = deployment.start("a", 1);
         let call = call("k", "d");
-        all.table.set_down(true);
+        deployment.table.set_down(true);
         assert_eq!(a.claim(&call).await, Err(ClaimError::StoreUnavailable));
-        all.table.set_down(false);
-        assert_eq!(all.table.rows(), []);
+        deployment.table.set_down(false);
+        assert_eq!(deployment.table.rows(), []);
         assert_eq!(a.claim(&call).await, Ok(ClaimOutcome::Acquired));
     });
 }
 
-// The answer to a claim is lost and the table service stays out of reach, so the caller is told
-// "not run". The claim's write arrives much later. Nobody runs the call under it, so a repeat
-// would wait for good if the claim were not given back.
+// The answer to the write of a claim is lost and the table service stays out of reach, so the
+// caller is told that the call did not run. The write takes effect much later. No request runs the
+// call under this claim, so retries would wait forever if it were not released.
 #[test]
 fn a_claim_that_arrives_after_its_caller_was_refused_does_not_block_the_key() {
     smol::block_on(async {
         for land_first in [true, false] {
-            let all = Deployment::default();
-            let (a, b) = (all.start("a", 1), all.start("b", 1));
+            let deployment = Deployment::default();
+            let (a, b) = (deployment.start("a", 1), deployment.start("b", 1));
             let call = call("k", "d");
-            all.table
+            deployment
+                .table
                 .add_faults([Fault::Late, Fault::Late, Fault::Late]);
             assert_eq!(a.claim(&call).await, Err(ClaimError::StoreUnavailable));
             if land_first {
-                all.table.apply_late_commits();
+                deployment.table.apply_late_commits();
             }
             assert_eq!(b.claim_when_up(&call).await, Ok(ClaimOutcome::Acquired));
-            all.table.apply_late_commits();
+            deployment.table.apply_late_commits();
             b.claims.record(&call, answer("1")).await;
             let before = Ok(ClaimOutcome::Completed(answer("1")));
             assert_eq!(a.claim_when_up(&call).await, before);
@@ -101,29 +105,32 @@
     });
 }
 
-// As before, but the write arrives only after the instance has looked for it in vain. A look
-// that finds nothing proves nothing about a write that is still on its way, so it must leave a
-// marker that makes the late write fail.
+// As above, but the write arrives only after the instance has read the row and not found the claim.
+// A missing claim proves nothing about a write in flight, so the instance must write a marker that
+// makes the late write fail.
 #[test]
-fn a_claim_that_arrives_after_it_was_looked_for_in_vain_does_not_block_the_key() {
+fn a_claim_that_arrives_after_it_was_found_missing_does_not_block_the_key() {
     smol::block_on(async {
         for released_before in [false, true] {
-            let all = Deployment::default();
-            let (a, b) = (all.start("a", 1), all.start("b", 1));
+            let deployment = Deployment::default();
+            let (a, b) = (deployment.start("a", 1), deployment.start("b", 1));
             let call = call("k", "d");
             if released_before {
                 assert_eq!(b.claim(&call).await, Ok(ClaimOutcome::Acquired));
                 b.claims.release(&call).await;
             }
-            // Over a released row the first write of a claim fails its condition.
-            all.table
+            // With a released row, the first write of a claim fails its condition, so the faults
+            // begin with the second one.
+            deployment
+                .table
                 .add_faults([Fault::None].repeat(usize::from(released_before)));
-            all.table
+            deployment
+                .table
                 .add_faults([Fault::Late, Fault::Late, Fault::Late]);
             assert_eq!(a.claim(&call).await, Err(ClaimError::StoreUnavailable));
-            a.until_settled().await;
+            a.until_finalized().await;
             assert_eq!(
-                all.table.apply_late_commits(),
+                deployment.table.apply_late_commits(),
                 0,
                 "a late claim took effect"
             );
@@ -132,23 +139,27 @@
     });
 }
 
-// An instance dies between its claim and its record. Whether the order was placed nobody knows,
-// so no repeat may place it again, and every one is told the same. If the instance had only been
-// paused, its record comes after all and is the better answer.
+// An instance crashes between its claim and its record. Whether the call ran can't be determined,
+// so no retry may run it again and all must get the same answer. If the instance was only paused,
+// its record arrives later and must replace the unknown outcome.
 #[test]
-fn a_claimant_that_is_gone_leaves_unknown_until_it_comes_back() {
+fn a_claimant_that_has_ended_leaves_unknown_until_it_records_an_outcome() {
     smol::block_on(async {
-        let all = Deployment::default();
-        let (a, b, c) = (all.start("a", 1), all.start("b", 1), all.start("c", 1));
+        let deployment = Deployment::default();
+        let (a, b, c) = (
+            deployment.start("a", 1),
+            deployment.start("b", 1),
+            deployment.start("c", 1),
+        );
         let call = call("k", "d");
         assert_eq!(a.claim(&call).await, Ok(ClaimOutcome::Acquired));
-        all.gone.add("a", 1);
+        deployment.ended.add("a", 1);
         assert_eq!(b.claim(&call).await, Ok(ClaimOutcome::Unknown));
         assert_eq!(c.claim(&call).await, Ok(ClaimOutcome::Unknown));
         a.claims.record(&call, answer("placed")).await;
-        let end = std::time::Instant::now() + PATIENCE;
+        let end = std::time::Instant::now() + TIMEOUT;
         while c.claim(&call).await == Ok(ClaimOutcome::Unknown) && std::time::Instant::now() < end {
-            Timer::new().sleep(SHORT).await;
+            Timer::new().sleep(SHORT_TIMEOUT).await;
         }
         let placed = Ok(ClaimOutcome::Completed(answer("placed")));
         assert_eq!(c.claim(&call).await, placed);
@@ -156,26 +167,26 @@
     });
 }
 
-// The instance is restarted under its name and finds a claim of its life before.
+// An instance is restarted under the same name and finds a claim of its previous incarnation.
 #[test]
-fn a_claim_of_an_earlier_life_is_unknown() {
+fn a_claim_of_an_earlier_incarnation_is_unknown() {
     smol::block_on(async {
-        let all = Deployment::default();
+        let deployment = Deployment::default();
         let call = call("k", "d");
-        let before = all.start("a", 1);
+        let before = deployment.start("a", 1);
         assert_eq!(before.claim(&call).await, Ok(ClaimOutcome::Acquired));
-        let after = all.start("a", 2);
+        let after = deployment.start("a", 2);
         assert_eq!(after.claim(&call).await, Ok(ClaimOutcome::Unknown));
     });
 }
 
-// A caller's program reuses a key by mistake. Answering with the other call's answer would hide
-// an order that was never placed.
+// A client reuses a key for another call by mistake. Returning the recorded answer of the first
+// call would hide that the second one was never run.
 #[test]
 fn the_same_key_with_another_call_is_an_error_everywhere() {
     smol::block_on(async {
-        let all = Deployment::default();
-        let (a, b) = (all.start("a", 1), all.start("b", 1));
+        let deployment = Deployment::default();
+        let (a, b) = (deployment.start("a", 1), deployment.start("b", 1));
         assert_eq!(a.claim(&call("k", "d")).await, Ok(ClaimOutcome::Acquired));
         assert_eq!(a.claim(&call("k", "e")).await, Err(ClaimError::OtherCall));
         assert_eq!(b.claim(&call("k", "e")).await, Err(ClaimError::OtherCall));
@@ -190,8 +201,8 @@
 #[test]
 fn a_key_that_was_released_may_run_again() {
     smol::block_on(async {
-        let all = Deployment::default();
-        let (a, b) = (all.start("a", 1), all.start("b", 1));
+        let deployment = Deployment::default();
+        let (a, b) = (deployment.start("a", 1), deployment.start("b", 1));
         let call = call("k", "d");
         assert_eq!(a.claim(&call).await, Ok(ClaimOutcome::Acquired));
         a.claims.release(&call).await;
@@ -201,21 +212,21 @@
     });
 }
 
-// The caller's connection breaks while its key is being claimed. The claim takes effect with
-// nobody left to run the call; a repeat must not wait for an outcome that never comes.
+// The caller disconnects while its key is being claimed. The claim takes effect with no request
+// left to run the call; a retry must not wait for an outcome that never comes.
 #[test]
-fn a_caller_that_goes_away_during_its_claim_does_not_block_the_key() {
+fn a_caller_that_disconnects_during_its_claim_does_not_block_the_key() {
     smol::block_on(async {
-        let all = Deployment::default();
-        let (a, b) = (all.start("a", 1), all.start("b", 1));
+        let deployment = Deployment::default();
+        let (a, b) = (deployment.start("a", 1), deployment.start("b", 1));
         let call = call("k", "d");
-        all.table.set_delay(Duration::from_secs(1));
+        deployment.table.set_delay(Duration::from_secs(1));
         let timer = Timer::new();
         let given_up = timer.within(Duration::from_millis(10), a.claim(&call));
         assert_eq!(given_up.await, None);
-        all.table.set_delay(Duration::ZERO);
-        let end = std::time::Instant::now() + PATIENCE;
-        while all.table.rows().is_empty() {
+        deployment.table.set_delay(Duration::ZERO);
+        let end = std::time::Instant::now() + TIMEOUT;
+        while deployment.table.rows().is_empty() {
             assert!(std::time::Instant::now() < end, "the claim never arrives");
             timer.sleep(Duration::from_millis(10)).await;
         }
@@ -223,41 +234,43 @@
     });
 }
 
-// The order was placed, and the table service fails before its answer is recorded. Repeats at
-// the same instance get the answer all the same, others once the service is back.
+// The call ran, and the table service fails before its answer is recorded. Retries at the same
+// instance must get the answer nevertheless, those at other instances once the service is
+// available.
 #[test]
-fn an_answer_that_the_store_could_not_take_is_kept_and_recorded_later() {
+fn an_answer_that_the_store_rejected_is_retained_and_recorded_later() {
     smol::block_on(async {
-        let all = Deployment::default();
-        let (a, b) = (all.start("a", 1), all.start("b", 1));
+        let deployment = Deployment::default();
+        let (a, b) = (deployment.start("a", 1), deployment.start("b", 1));
         let call = call("k", "d");
         assert_eq!(a.claim(&call).await, Ok(ClaimOutcome::Acquired));
-        all.table.set_down(true);
+        deployment.table.set_down(true);
         a.claims.record(&call, answer("placed")).await;
         let placed = Ok(ClaimOutcome::Completed(answer("placed")));
         assert_eq!(a.claim(&call).await, placed);
         assert_eq!(b.claim(&call).await, Err(ClaimError::StoreUnavailable));
-        all.table.set_down(false);
+        deployment.table.set_down(false);
         assert_eq!(b.claim_when_up(&call).await, placed);
     });
 }
 
-// An instance is stopped on purpose just after a call ran whose answer the table service has not
-// taken. If it left without waiting, a repeat would be told `unknown` about a known answer.
+// An instance is stopped just after a call ran whose answer the table service has not accepted yet.
+// If it stopped without waiting, a retry would get the outcome `unknown` although the answer was
+// known.
 #[test]
-fn a_planned_stop_waits_for_outcomes_to_be_recorded() {
+fn a_planned_stop_waits_until_outcomes_are_recorded() {
     smol::block_on(async {
-        let all = Deployment::default();
-        let (a, b) = (all.start("a", 1), all.start("b", 1));
+        let deployment = Deployment::default();
+        let (a, b) = (deployment.start("a", 1), deployment.start("b", 1));
         let call = call("k", "d");
         assert_eq!(a.claim(&call).await, Ok(ClaimOutcome::Acquired));
-        all.table.set_down(true);
+        deployment.table.set_down(true);
         a.claims.record(&call, answer("placed")).await;
-        assert_eq!(a.claims.drain(SHORT).await, 1);
-        all.table.set_down(false);
-        assert_eq!(a.claims.drain(PATIENCE).await, 0);
+        assert_eq!(a.claims.drain(SHORT_TIMEOUT).await, 1);
+        deployment.table.set_down(false);
+        assert_eq!(a.claims.drain(TIMEOUT).await, 0);
         drop(a);
-        all.gone.add("a", 1);
+        deployment.ended.add("a", 1);
         assert_eq!(
             b.claim(&call).await,
             Ok(ClaimOutcome::Completed(answer("placed")))
@@ -266,10 +279,10 @@
 }
 
 #[test]
-fn an_answer_too_large_to_keep_is_told_as_run() {
+fn an_answer_too_large_to_store_is_reported_as_run() {
     smol::block_on(async {
-        let all = Deployment::default();
-        let (a, b) = (all.start("a", 1), all.start("b", 1));
+        let deployment = Deployment::default();
+        let (a, b) = (deployment.start("a", 1), deployment.start("b", 1));
         let call = call("k", "d");
         assert_eq!(a.claim(&call).await, Ok(ClaimOutcome::Acquired));
         let large = "x".repeat(200_000);
@@ -283,26 +296,26 @@
     });
 }
 
-// A hundred new keys come at one instance at once while the table service is slow, among them
-// one that is taken. They go in few commits, and the one that fails does not fail the others.
+// A hundred new keys arrive at one instance while the table service is slow, and one of them is
+// already claimed. The claims must share commits, and the one that fails must not fail the others.
 #[test]
-fn claims_of_many_requests_share_commits_but_not_their_fates() {
+fn claims_of_many_requests_share_commits_but_not_failures() {
     smol::block_on(async {
-        let all = Deployment::default();
-        let (a, b) = (all.start("a", 1), all.start("b", 1));
+        let deployment = Deployment::default();
+        let (a, b) = (deployment.start("a", 1), deployment.start("b", 1));
         let taken = call("7", "other call");
         assert_eq!(b.claim(&taken).await, Ok(ClaimOutcome::Acquired));
-        // Long enough for all of them to arrive while the first are under way.
-        all.table.set_delay(Duration::from_secs(1));
-        let before = all.table.commits();
+        // Long enough for all of them to arrive while the first ones are in flight.
+        deployment.table.set_delay(Duration::from_secs(1));
+        let before = deployment.table.commits();
         let start = |key: u32| {
             let claims = a.claims.clone();
             let call = call(&key.to_string(), "d");
-            workers::spawn(async move { claims.claim(&call, PATIENCE).await })
+            workers::spawn(async move { claims.claim(&call, TIMEOUT).await })
         };
         let tasks: Vec<_> = (0..100).map(start).collect();
         Timer::new().sleep(Duration::from_millis(500)).await;
-        all.table.set_delay(Duration::ZERO);
+        deployment.table.set_delay(Duration::ZERO);
         for (key, task) in tasks.into_iter().enumerate() {
             let expected = match key {
                 7 => Err(ClaimError::OtherCall),
@@ -310,7 +323,7 @@
             };
             assert_eq!(task.await, expected, "key {key}");
         }
-        let commits = all.table.commits() - before;
+        let commits = deployment.table.commits() - before;
         assert!(commits < 60, "{commits} commits for 100 claims");
     });
 }
--- a/components/claims/tests/claiming/main.rs
+++ b/components/claims/tests/claiming/main.rs
@@ -1,7 +1,7 @@
-//! Claims under failures: one at a time, at random, and over the real client.
+//! Claims under failures: single ones, random sequences, and over the real client.
 
 mod common;
-mod one;
+mod failures;
 mod platform;
 mod random;
 mod sweep;
--- a/components/claims/tests/claiming/platform.rs
+++ b/components/claims/tests/claiming/platform.rs
@@ -1,8 +1,8 @@
-//! Claims over the real client, against a stand-in of the platform that fails.
+//! Claims over the real client against a stand-in of the table service with faults.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
-use crate::common::{Gone, PATIENCE, answer, call};
+use crate::common::{EndedInstances, TIMEOUT, answer, call};
 use claims::{ClaimError, ClaimOutcome, Claims, StoreClaims};
 use net::Client;
 use smol::Task;
@@ -25,8 +25,8 @@
         let client = DynamoTable::new(Client::new(), &base, None).expect("a valid address");
         let timer = Timer::new();
         let table = PacedTable::new(Arc::new(client), CallBudget::default(), timer);
-        let gone = Arc::new(Gone::default());
-        let claims = StoreClaims::new(name.into(), 1, Arc::new(table.clone()), gone, timer);
+        let ended = Arc::new(EndedInstances::default());
+        let claims = StoreClaims::new(name.into(), 1, Arc::new(table.clone()), ended, timer);
         let run = workers::spawn(Arc::clone(&claims).run());
         Self {
             claims,
@@ -36,11 +36,11 @@
     }
 
     async fn claim(&self, key: &str) -> Result<ClaimOutcome, ClaimError> {
-        self.claims.claim(&call(key, "d"), PATIENCE).await
+        self.claims.claim(&call(key, "d"), TIMEOUT).await
     }
 
     async fn until_up(&self) {
-        let end = std::time::Instant::now() + PATIENCE;
+        let end = std::time::Instant::now() + TIMEOUT;
         while !self.table.is_up() {
             assert!(std::time::Instant::now() < end, "the table counts as down");
             Timer::new().sleep(Duration::from_millis(10)).await;
@@ -53,10 +53,10 @@
     start(addr, Faults::default()).await.expect("a free port")
 }
 
-// The connection to the service breaks right after it has taken a claim, and again after it has
-// taken the record of its answer.
+// The connection to the service breaks right after it has applied a claim, and again after it has
+// applied the record of the answer.
 #[test]
-fn answers_lost_on_the_way_cost_neither_the_call_nor_its_record() {
+fn lost_answers_lose_neither_the_call_nor_its_record() {
     smol::block_on(async {
         let platform = platform().await;
         let (a, b) = (
@@ -81,10 +81,10 @@
     });
 }
 
-// The service hangs up on every call for a while. A call that ran just before is answered from
-// memory, new keys are refused as not run, and afterwards none of them is blocked.
+// The service closes the connection of every call for a while. A call that ran just before must be
+// answered from memory, new keys must be refused as not run, and no key may be blocked afterwards.
 #[test]
-fn an_outage_blocks_no_key_for_longer_than_it_lasts() {
+fn an_outage_blocks_no_key_after_it_ends() {
     smol::block_on(async {
         let platform = platform().await;
         let (a, b) = (
@@ -117,10 +117,10 @@
     });
 }
 
-// More keyed calls come than the service takes. Those above are refused as not run; each of the
-// others is claimed once.
+// More keyed calls arrive than the service accepts. The excess calls must be refused as not run and
+// leave no row; each of the others must be claimed once.
 #[test]
-fn a_flood_is_refused_and_not_lost() {
+fn calls_above_the_rate_are_refused_and_leave_no_claim() {
     smol::block_on(async {
         let platform = platform().await;
         let a = Instance::start("a", &platform);
@@ -132,15 +132,15 @@
                     .await
             })
         };
-        let mut mine = 0;
+        let mut acquired = 0;
         for task in (0..400).map(start).collect::<Vec<_>>() {
             match task.await {
-                Ok(ClaimOutcome::Acquired) => mine += 1,
+                Ok(ClaimOutcome::Acquired) => acquired += 1,
                 other => assert_eq!(other, Err(ClaimError::StoreUnavailable)),
             }
         }
         let rows = platform.standin.log().rows.len();
-        assert_eq!(rows, mine, "a refused claim was left behind");
-        assert!(mine > 0 && mine < 400, "{mine} claims");
+        assert_eq!(rows, acquired, "a refused claim was left behind");
+        assert!(acquired > 0 && acquired < 400, "{acquired} claims");
     });
 }
--- a/components/claims/tests/claiming/random.rs
+++ b/components/claims/tests/claiming/random.rs
@@ -1,4 +1,4 @@
-//! Randomised runs: several instances, few keys, and a table service that fails in every way.
+//! Random runs: several instances, few keys, and a table service with all kinds of faults.
 //!
 //! Longer runs: `PROPTEST_CASES=2000 cargo test --release -p claims --test claiming random`.
 
@@ -11,7 +11,7 @@
     time::Duration,
 };
 
-use crate::common::{Deployment, Instance, PATIENCE, answer, call};
+use crate::common::{Deployment, Instance, TIMEOUT, answer, call};
 use claims::{ClaimError, ClaimOutcome, Claims, KeyedCall};
 use parking_lot::Mutex;
 use proptest::prelude::*;
@@ -21,18 +21,19 @@
 const INSTANCES: usize = 4;
 const KEYS: usize = 3;
 
-/// What a claimant does with a key that is its own.
+/// What a claimant does after it has acquired a key.
 #[derive(Clone, Copy, Debug)]
-enum Then {
+enum ClaimantAction {
     Record,
     Release,
-    GiveUp,
-    /// Others take its instance for gone; it runs the call and records all the same.
+    Abandon,
+    /// Other instances consider the claimant ended; it runs the call and records the answer all the
+    /// same.
     PausedThenRecord,
-    /// Its instance dies before the call is sent.
-    DieBefore,
-    /// Its instance dies after the call was sent.
-    DieAfter,
+    /// The instance crashes before the call is sent.
+    CrashBeforeCall,
+    /// The instance crashes after the call was sent.
+    CrashAfterCall,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -40,12 +41,12 @@
     Request {
         instance: usize,
         key: usize,
-        then: Then,
-        runs_ms: u64,
-        patience_ms: u64,
+        action: ClaimantAction,
+        call_ms: u64,
+        timeout_ms: u64,
     },
-    /// A request whose caller goes away soon after.
-    GoesAway {
+    /// A request whose caller disconnects soon after.
+    CallerDisconnects {
         instance: usize,
         key: usize,
         after_ms: u64,
@@ -53,18 +54,18 @@
     Faults(Fault, usize),
     Down(bool),
     Slow(u64),
-    Land,
+    ApplyLateCommits,
     Wait(u64),
 }
 
-fn then() -> impl Strategy<Value = Then> {
+fn action() -> impl Strategy<Value = ClaimantAction> {
     prop_oneof![
-        4 => Just(Then::Record),
-        2 => Just(Then::Release),
-        1 => Just(Then::GiveUp),
-        1 => Just(Then::PausedThenRecord),
-        1 => Just(Then::DieBefore),
-        1 => Just(Then::DieAfter),
+        4 => Just(ClaimantAction::Record),
+        2 => Just(ClaimantAction::Release),
+        1 => Just(ClaimantAction::Abandon),
+        1 => Just(ClaimantAction::PausedThenRecord),
+        1 => Just(ClaimantAction::CrashBeforeCall),
+        1 => Just(ClaimantAction::CrashAfterCall),
     ]
 }
 
@@ -75,37 +76,37 @@
         Just(Fault::Late),
         Just(Fault::Throttled),
     ];
-    let request = (0..INSTANCES, 0..KEYS, then(), 0..15_u64, 0..200_u64);
+    let request = (0..INSTANCES, 0..KEYS, action(), 0..15_u64, 0..200_u64);
     prop_oneof![
-        8 => request.prop_map(|(instance, key, then, runs_ms, patience_ms)| Step::Request {
-            instance, key, then, runs_ms, patience_ms,
+        8 => request.prop_map(|(instance, key, action, call_ms, timeout_ms)| Step::Request {
+            instance, key, action, call_ms, timeout_ms,
         }),
         1 => (0..INSTANCES, 0..KEYS, 0..10_u64).prop_map(|(instance, key, after_ms)| {
-            Step::GoesAway { instance, key, after_ms }
+            Step::CallerDisconnects { instance, key, after_ms }
         }),
         3 => (fault, 1..5_usize).prop_map(|(fault, count)| Step::Faults(fault, count)),
         1 => any::<bool>().prop_map(Step::Down),
         1 => (0..5_u64).prop_map(Step::Slow),
-        2 => Just(Step::Land),
+        2 => Just(Step::ApplyLateCommits),
         2 => (0..20_u64).prop_map(Step::Wait),
     ]
 }
 
-/// The world outside: what took effect, and what callers were told.
+/// Effects of calls at their target, and the answers that callers received.
 #[derive(Default)]
-struct Outside {
+struct ExternalState {
     effects: [AtomicUsize; KEYS],
     answers: Mutex<HashMap<usize, Vec<String>>>,
 }
 
-impl Outside {
+impl ExternalState {
     fn run(&self, key: usize) -> String {
         let before = self.effects[key].fetch_add(1, Ordering::SeqCst);
         assert_eq!(before, 0, "the call of key {key} ran twice");
         format!("answer {key}")
     }
 
-    fn told(&self, key: usize, answer: &str) {
+    fn record_answer(&self, key: usize, answer: &str) {
         let mut answers = self.answers.lock();
         answers.entry(key).or_default().push(answer.to_owned());
     }
@@ -116,8 +117,8 @@
 }
 
 struct Request {
-    all: Arc<Deployment>,
-    outside: Arc<Outside>,
+    deployment: Arc<Deployment>,
+    external: Arc<ExternalState>,
     instance: Arc<Instance>,
     name: String,
     key: usize,
@@ -125,55 +126,57 @@
 }
 
 impl Request {
-    async fn serve(self, then: Then, runs: Duration, patience: Duration) {
-        match self.instance.claims.claim(&self.call, patience).await {
-            Ok(ClaimOutcome::Acquired) => self.act(then, runs).await,
-            Ok(ClaimOutcome::Completed(answer)) => self.outside.told(self.key, &answer.body),
-            // Nothing is said about the outcome, or nothing ran on behalf of this request.
+    async fn serve(self, action: ClaimantAction, call_duration: Duration, timeout: Duration) {
+        match self.instance.claims.claim(&self.call, timeout).await {
+            Ok(ClaimOutcome::Acquired) => self.act(action, call_duration).await,
+            Ok(ClaimOutcome::Completed(answer)) => {
+                self.external.record_answer(self.key, &answer.body)
+            }
+            // The outcome is not known, or nothing ran on behalf of this request.
             Ok(ClaimOutcome::Unknown) | Err(_) => {}
         }
     }
 
-    async fn act(&self, then: Then, runs: Duration) {
+    async fn act(&self, action: ClaimantAction, call_duration: Duration) {
         let claims = &self.instance.claims;
         let timer = Timer::new();
-        match then {
-            Then::Release => {
-                timer.sleep(runs).await;
+        match action {
+            ClaimantAction::Release => {
+                timer.sleep(call_duration).await;
                 claims.release(&self.call).await;
             }
-            Then::DieBefore => self.all.gone.add(&self.name, 1),
-            Then::DieAfter => {
-                self.outside.run(self.key);
-                self.all.gone.add(&self.name, 1);
+            ClaimantAction::CrashBeforeCall => self.deployment.ended.add(&self.name, 1),
+            ClaimantAction::CrashAfterCall => {
+                self.external.run(self.key);
+                self.deployment.ended.add(&self.name, 1);
             }
-            Then::GiveUp => {
-                self.outside.run(self.key);
+            ClaimantAction::Abandon => {
+                self.external.run(self.key);
                 claims.abandon(&self.call).await;
             }
-            Then::Record | Then::PausedThenRecord => {
-                if matches!(then, Then::PausedThenRecord) {
-                    self.all.gone.add(&self.name, 1);
+            ClaimantAction::Record | ClaimantAction::PausedThenRecord => {
+                if matches!(action, ClaimantAction::PausedThenRecord) {
+                    self.deployment.ended.add(&self.name, 1);
                 }
-                timer.sleep(runs).await;
-                let text = self.outside.run(self.key);
-                self.outside.told(self.key, &text);
+                timer.sleep(call_duration).await;
+                let text = self.external.run(self.key);
+                self.external.record_answer(self.key, &text);
                 claims.record(&self.call, answer(&text)).await;
             }
         }
     }
 }
 
-async fn play(steps: Vec<Step>, settle_first: bool) {
-    let all = Arc::new(Deployment::default());
-    let outside = Arc::new(Outside::default());
+async fn run_steps(steps: Vec<Step>, finalize_first: bool) {
+    let deployment = Arc::new(Deployment::default());
+    let external = Arc::new(ExternalState::default());
     let name = |number: usize| format!("i{number}");
     let instances: Vec<Arc<Instance>> = (0..INSTANCES)
-        .map(|number| Arc::new(all.start(&name(number), 1)))
+        .map(|number| Arc::new(deployment.start(&name(number), 1)))
         .collect();
     let request = |instance: usize, key: usize| Request {
-        all: all.clone(),
-        outside: outside.clone(),
+        deployment: deployment.clone(),
+        external: external.clone(),
         instance: instances[instance].clone(),
         name: name(instance),
         key,
@@ -186,103 +189,103 @@
             Step::Request {
                 instance,
                 key,
-                then,
-                runs_ms,
-                patience_ms,
+                action,
+                call_ms,
+                timeout_ms,
             } => {
-                let runs = Duration::from_millis(runs_ms);
-                let patience = Duration::from_millis(patience_ms);
-                let serve = request(instance, key).serve(then, runs, patience);
+                let call_duration = Duration::from_millis(call_ms);
+                let timeout = Duration::from_millis(timeout_ms);
+                let serve = request(instance, key).serve(action, call_duration, timeout);
                 tasks.push(workers::spawn(serve));
             }
-            Step::GoesAway {
+            Step::CallerDisconnects {
                 instance,
                 key,
                 after_ms,
             } => {
                 let request = request(instance, key);
                 tasks.push(workers::spawn(async move {
-                    let claim = request.instance.claims.claim(&request.call, PATIENCE);
+                    let claim = request.instance.claims.claim(&request.call, TIMEOUT);
                     let after = Duration::from_millis(after_ms);
                     if Timer::new().within(after, claim).await == Some(Ok(ClaimOutcome::Acquired)) {
                         request.instance.claims.release(&request.call).await;
                     }
                 }));
             }
-            Step::Faults(fault, count) => all.table.add_faults(vec![fault; count]),
-            Step::Down(down) => all.table.set_down(down),
-            Step::Slow(ms) => all.table.set_delay(Duration::from_millis(ms)),
-            Step::Land => {
-                all.table.apply_late_commits();
+            Step::Faults(fault, count) => deployment.table.add_faults(vec![fault; count]),
+            Step::Down(down) => deployment.table.set_down(down),
+            Step::Slow(ms) => deployment.table.set_delay(Duration::from_millis(ms)),
+            Step::ApplyLateCommits => {
+                deployment.table.apply_late_commits();
             }
             Step::Wait(ms) => timer.sleep(Duration::from_millis(ms)).await,
         }
     }
-    all.table.set_down(false);
-    all.table.set_delay(Duration::ZERO);
-    all.table.clear_faults();
+    deployment.table.set_down(false);
+    deployment.table.set_delay(Duration::ZERO);
+    deployment.table.clear_faults();
     for task in tasks {
-        let ended = timer.within(PATIENCE, task).await;
+        let ended = timer.within(TIMEOUT, task).await;
         assert!(ended.is_some(), "a request hangs");
     }
-    if settle_first {
+    if finalize_first {
         for instance in &instances {
-            instance.until_settled().await;
+            instance.until_finalized().await;
         }
-        all.table.apply_late_commits();
+        deployment.table.apply_late_commits();
     }
-    check(&all, &outside).await;
+    check(&deployment, &external).await;
 }
 
-/// Once the faults are over, each key comes to an end that fits what happened, and stays there.
-async fn check(all: &Deployment, outside: &Outside) {
-    let late = all.start("late", 1);
+/// Checks that once the faults are over, each key gets a final outcome that matches what happened.
+async fn check(deployment: &Deployment, external: &ExternalState) {
+    let last = deployment.start("late", 1);
     for key in 0..KEYS {
         let call = call(&key.to_string(), "d");
-        match late.claim_when_up(&call).await {
+        match last.claim_when_up(&call).await {
             Ok(ClaimOutcome::Acquired) => {
-                let text = outside.run(key);
-                outside.told(key, &text);
-                late.claims.record(&call, answer(&text)).await;
+                let text = external.run(key);
+                external.record_answer(key, &text);
+                last.claims.record(&call, answer(&text)).await;
             }
-            Ok(ClaimOutcome::Completed(answer)) => outside.told(key, &answer.body),
+            Ok(ClaimOutcome::Completed(answer)) => external.record_answer(key, &answer.body),
             Ok(ClaimOutcome::Unknown) => {}
             Err(error @ (ClaimError::StillRunning | ClaimError::StoreUnavailable)) => {
                 panic!("key {key} is blocked: {error}");
             }
             Err(ClaimError::OtherCall) => panic!("there is one call for key {key}"),
         }
-        all.table.apply_late_commits();
-        let again = late.claim_when_up(&call).await;
+        deployment.table.apply_late_commits();
+        let again = last.claim_when_up(&call).await;
         let ended = matches!(
             again,
             Ok(ClaimOutcome::Completed(_) | ClaimOutcome::Unknown)
         );
         assert!(ended, "key {key} could run again: {again:?}");
         if let Ok(ClaimOutcome::Completed(answer)) = again {
-            outside.told(key, &answer.body);
+            external.record_answer(key, &answer.body);
             assert_eq!(
-                outside.effects(key),
+                external.effects(key),
                 1,
                 "an answer of key {key} without a run"
             );
         }
     }
-    for (key, answers) in outside.answers.lock().iter() {
+    for (key, answers) in external.answers.lock().iter() {
         let expected = format!("answer {key}");
         assert!(answers.iter().all(|a| *a == expected), "{answers:?}");
     }
 }
 
 proptest! {
-    // Instances die, pause and race over a few keys while the table service goes down, slows,
-    // refuses, loses answers and lets writes take effect late. A caller would notice a call that
-    // ran twice, two different answers, or a key that never comes to an end.
+    // Instances crash, pause and race for a few keys while the table service becomes unavailable or
+    // slow, rejects writes, loses answers and applies writes late. No call may run twice or have
+    // two different answers, and every key must get a final outcome.
     #[test]
-    fn a_key_runs_at_most_once_and_comes_to_an_end(
+    fn a_key_runs_at_most_once_and_gets_a_final_outcome(
         steps in prop::collection::vec(step(), 1..40),
-        settle_first in any::<bool>(),
+        finalize_first in any::<bool>(),
     ) {
-        smol::block_on(play(steps, settle_first));
+        smol::block_on(run_steps(steps, finalize_first));
     }
 }
--- a/components/claims/tests/claiming/sweep.rs
+++ b/components/claims/tests/claiming/sweep.rs
@@ -1,4 +1,4 @@
-//! Deleting old claims.
+//! Deletion of expired claims.
 
 use std::{
     sync::Arc,
@@ -12,7 +12,7 @@
 /// More pages than there are partitions.
 const PAGES: u64 = 600;
 
-/// Writes a claim of an instance, as old as that.
+/// Writes a claim of `instance` that is `age` seconds old.
 async fn claim(table: &MemoryTable, key: &str, instance: &str, age: u64) {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     let at = now.expect("a clock after 1970").as_secs() - age;
@@ -26,7 +26,7 @@
     table.commit(&[insert]).await.expect("the table is up");
 }
 
-/// Goes through all claims twice.
+/// Scans all claims twice and returns the sort keys of the remaining rows.
 async fn sweep(table: &Arc<MemoryTable>) -> Vec<Arc<str>> {
     let mut sweep = ExpirySweep::new(&"me".into(), table.clone());
     for page in 1..PAGES {
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn old_claims_are_deleted_and_others_kept() {
+fn expired_claims_are_deleted_and_others_retained() {
     smol::block_on(async {
         let table = Arc::new(MemoryTable::new());
         claim(&table, "fresh", "other", 0).await;
@@ -52,15 +52,15 @@
     });
 }
 
-// The clock of this machine is more than a day ahead, so every claim looks old. Were they
-// deleted, a repeat of an order that was just placed would place it again.
+// The local clock is more than a day ahead, so that every claim looks expired. If the claims were
+// deleted, a retry of a call that has just run would run it again.
 #[test]
 fn a_clock_that_is_ahead_deletes_nothing() {
     smol::block_on(async {
         let table = Arc::new(MemoryTable::new());
         claim(&table, "a", "other", RETENTION_SECONDS + HOUR).await;
         claim(&table, "b", "third", RETENTION_SECONDS + 2 * HOUR).await;
-        // Our own claims bear the same wrong clock.
+        // The instance's own claim carries the same wrong clock.
         claim(&table, "c", "me", 0).await;
         assert_eq!(sweep(&table).await, ["a".into(), "b".into(), "c".into()]);
     });
