--- a/components/admin/src/api.rs
+++ b/components/admin/src/api.rs
@@ -1,4 +1,4 @@
-//! The handler of the admin address.
+//! The HTTP handler of the administration API.
 
 use std::net::SocketAddr;
 
@@ -14,33 +14,33 @@
     message::{Ready, Status},
     metrics,
     parts::AdminParts,
-    problem::{Now, Problem},
+    problem::{CurrentNode, Problem},
+    redact::redact,
     route::Route,
-    scrub::scrub,
     throttle::Throttle,
     tree_api,
 };
 
-/// Accepted changes that are listed if the request names no number.
-const HISTORY_DEFAULT: usize = 20;
-/// Accepted changes that are listed at most.
-const HISTORY_LIMIT: usize = 1000;
-/// Content type of metrics.
+/// Number of accepted changes that are returned if the request names no limit.
+const DEFAULT_HISTORY: usize = 20;
+/// Maximum number of accepted changes in one answer.
+const MAX_HISTORY: usize = 1000;
+/// Content type of the metrics.
 const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Answers requests on the admin address.
+/// Serves requests on the admin address.
 pub struct AdminApi {
     parts: AdminParts,
-    wrong_keys: Throttle,
+    key_failures: Throttle,
 }
 
 impl AdminApi {
-    /// Makes it of its parts.
+    /// Creates the handler.
     #[must_use]
     pub fn new(parts: AdminParts) -> Self {
         Self {
             parts,
-            wrong_keys: Throttle::new(),
+            key_failures: Throttle::new(),
         }
     }
 
@@ -51,9 +51,9 @@
     ) -> Result<Response<Body>, Problem> {
         let (head, body) = req.into_parts();
         let route = Route::find(&head.method, head.uri.path())?;
-        if !route.is_open() && !auth::allows(&head.headers, &self.parts.key_hashes) {
+        if !route.is_public() && !auth::allows(&head.headers, &self.parts.key_hashes) {
             let peer = peer.ip().to_string().into();
-            self.wrong_keys.emit(&Event::OperatorUnknown { peer });
+            self.key_failures.emit(&Event::OperatorUnknown { peer });
             return Err(unauthorized());
         }
         self.serve(route, &head.uri, &head.headers, body).await
@@ -76,7 +76,7 @@
             Route::ReadTree => document::read(config),
             Route::WriteTree => document::write(config, headers, read_json(body).await?).await,
             Route::ReadNode(path) if query(uri, "in-force") == Some("true") => {
-                tree_api::in_force(config, &path)
+                tree_api::effective_values(config, &path)
             }
             Route::ReadNode(path) => tree_api::read(config, &path),
             Route::WriteNode(path) => {
@@ -87,13 +87,13 @@
             Route::Validate => document::validate(config, &read_json(body).await?),
             Route::History => self.history(uri).await,
             Route::DataCentre(id, direction) => {
-                data_centre::turn(config, headers, &id, direction).await
+                data_centre::set_service_state(config, headers, &id, direction).await
             }
             Route::Override(id) => {
-                let ask = read_json(body).await?;
-                data_centre::keep_out(config, headers, &id, &ask).await
+                let request = read_json(body).await?;
+                data_centre::override_out(config, headers, &id, &request).await
             }
-            Route::Withdraw(id) => data_centre::withdraw(config, headers, &id).await,
+            Route::WithdrawOverride(id) => data_centre::withdraw(config, headers, &id).await,
         }
     }
 
@@ -115,7 +115,7 @@
 
     fn dump(&self) -> Response<Body> {
         let mut state = self.parts.dump.dump();
-        scrub(&mut state);
+        redact(&mut state);
         Reply::json(200, &state).done()
     }
 
@@ -137,14 +137,14 @@
     async fn history(&self, uri: &Uri) -> Result<Response<Body>, Problem> {
         let limit = match query(uri, "limit") {
             Some(text) => text.parse().map_err(|_| bad_limit(text))?,
-            None => HISTORY_DEFAULT,
+            None => DEFAULT_HISTORY,
         };
         let entries = self
             .parts
             .config
-            .history(limit.min(HISTORY_LIMIT))
+            .history(limit.min(MAX_HISTORY))
             .await
-            .map_err(|e| Problem::of_change(e, Now::default()))?;
+            .map_err(|e| Problem::from_change_error(e, CurrentNode::default()))?;
         Ok(Reply::json(200, &entries).done())
     }
 }
@@ -159,7 +159,7 @@
     }
 }
 
-/// The value of a query parameter. Names and values here need no percent-encoding.
+/// The value of a query parameter. It is not percent-decoded, since no parameter of this API needs it.
 fn query<'a>(uri: &'a Uri, name: &str) -> Option<&'a str> {
     let pairs = uri.query()?.split('&');
     pairs
--- a/components/admin/src/body.rs
+++ b/components/admin/src/body.rs
@@ -1,4 +1,4 @@
-//! Reading the bodies that operators send.
+//! Reading of request bodies.
 
 use std::time::Duration;
 
@@ -8,21 +8,21 @@
 
 use crate::problem::Problem;
 
-/// Bytes of a body: a document of some ten thousand nodes.
-const BODY_LIMIT: usize = 8 * 1024 * 1024;
-/// Time between two parts of a body.
-const BODY_PATIENCE: Duration = Duration::from_secs(10);
+/// Maximum size of a body, in bytes: enough for a document of about ten thousand nodes.
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
+/// Maximum gap between two parts of a body.
+const BODY_GAP_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Reads a JSON body.
 ///
 /// # Errors
-/// 400, 408 or 413 with what is wrong with it.
+/// 400 if the body is malformed, 408 if it arrives too slowly, 413 if it is too large.
 pub async fn read_json<T: DeserializeOwned>(body: Incoming) -> Result<T, Problem> {
-    let buf = read_limited(body, BODY_LIMIT, BODY_PATIENCE)
+    let buf = read_limited(body, MAX_BODY_BYTES, BODY_GAP_TIMEOUT)
         .await
         .map_err(unreadable)?;
-    // The decoder takes a list for a message too: its items for the fields in their order. An
-    // empty list would then pass for a node that writes nothing.
+    // `serde` also decodes a struct from a list of its fields' values. An empty list would be
+    // accepted as a node that sets nothing.
     if buf.trim_ascii_start().first() != Some(&b'{') {
         return Err(malformed("an object is expected, in braces"));
     }
--- a/components/admin/src/data_centre.rs
+++ b/components/admin/src/data_centre.rs
@@ -1,4 +1,5 @@
-//! Taking data centres out of service and back in.
+//! Taking data centres out of service and bringing them back, by a regular change or, while the table
+//! service is unavailable, by a temporary override.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,23 +14,23 @@
 
 use crate::{
     document::not_loaded,
-    message::{Accepted, Overridden, OverrideAsk, OverrideView},
+    message::{Accepted, OverrideOutcome, OverrideRequest, OverrideView},
     problem::{CONFLICT, Problem},
     route::Direction,
-    tree_api::{commit, now, who},
+    tree_api::{commit, current_node, operator_name},
 };
 
-/// How often a change is tried against other operators.
-const ATTEMPTS: usize = 5;
-/// Seconds of a minute.
-const MINUTE: u64 = 60;
+/// Attempts to commit a change that conflicts with changes of other operators.
+const MAX_ATTEMPTS: usize = 5;
+/// Seconds in a minute.
+const MINUTE_SECONDS: u64 = 60;
 
-/// Takes a data centre out of service or back in. It is idempotent, so it is tried again after a
-/// conflict.
+/// Takes a data centre out of service or brings it back. The change is idempotent, so it is retried
+/// after a conflict.
 ///
 /// # Errors
 /// 404 if the tree has no such data centre, otherwise as [`crate::tree_api::write`].
-pub async fn turn(
+pub async fn set_service_state(
     config: &dyn Config,
     headers: &HeaderMap,
     id: &DataCentreId,
@@ -37,32 +38,33 @@
 ) -> Result<Response<Body>, Problem> {
     let path: NodePath = format!("/data-centres/{id}").into();
     let out = direction == Direction::Out;
-    let mut attempts_left = ATTEMPTS;
+    let mut attempts_left = MAX_ATTEMPTS;
     loop {
-        let before = now(config, &path);
+        let before = current_node(config, &path);
         let mut node = before.node.ok_or_else(|| unknown_data_centre(config, id))?;
-        // Also if it is so here already: this instance may be behind, and the operator would be
-        // told that a data centre is out which another operator has just brought back.
+        // Commits the change even if the node already has this value: this instance may be behind,
+        // and the operator would be told that a data centre is out although another operator has
+        // just brought it back.
         node.out = Some(out);
         let change = Change {
             path: Arc::clone(&path),
             node: Some(node),
             expected_version: before.version,
-            operator: who(headers),
+            operator: operator_name(headers),
         };
         attempts_left -= 1;
         match commit(config, change).await {
             Err(problem) if problem.status == CONFLICT && attempts_left > 0 => {}
             outcome => {
                 let version = outcome?;
-                tell_turn(id, direction, who(headers));
+                log_service_state(id, direction, operator_name(headers));
                 return Ok(Reply::json(200, &Accepted { version }).done());
             }
         }
     }
 }
 
-fn tell_turn(id: &DataCentreId, direction: Direction, who: Arc<str>) {
+fn log_service_state(id: &DataCentreId, direction: Direction, who: Arc<str>) {
     let data_centre = Arc::clone(id);
     match direction {
         Direction::Out => emit(&Event::DataCentreOut { data_centre, who }),
@@ -70,73 +72,73 @@
     }
 }
 
-/// Keeps a data centre out for a limited time although the table service is down.
+/// Takes a data centre out for a limited time although the table service is unavailable.
 ///
 /// # Errors
-/// 400 if the time is out of range, 404 if the tree has no such data centre, 409 if there is a
-/// newer order, 503 before the first configuration was found.
-pub async fn keep_out(
+/// 400 if the duration is out of range, 404 if the tree has no such data centre, 409 if there is a
+/// newer override, 503 before the first configuration was found.
+pub async fn override_out(
     config: &dyn Config,
     headers: &HeaderMap,
     id: &DataCentreId,
-    ask: &OverrideAsk,
+    request: &OverrideRequest,
 ) -> Result<Response<Body>, Problem> {
-    let within = Duration::from_secs(MINUTE * u64::from(ask.minutes));
-    if within.is_zero() || within > MAX_OVERRIDE_DURATION {
-        return Err(bad_minutes(ask.minutes));
+    let duration = Duration::from_secs(MINUTE_SECONDS * u64::from(request.minutes));
+    if duration.is_zero() || duration > MAX_OVERRIDE_DURATION {
+        return Err(bad_minutes(request.minutes));
     }
-    let overridden = give_order(config, headers, id, within).await?;
+    let outcome = send_override(config, headers, id, duration).await?;
     emit(&Event::OverrideGiven {
         data_centre: Arc::clone(id),
-        who: who(headers),
-        minutes: ask.minutes,
+        who: operator_name(headers),
+        minutes: request.minutes,
     });
-    Ok(Reply::json(200, &overridden).done())
+    Ok(Reply::json(200, &outcome).done())
 }
 
-/// Withdraws such an order.
+/// Withdraws an override.
 ///
 /// # Errors
-/// As [`keep_out`].
+/// As [`override_out`], except 400.
 pub async fn withdraw(
     config: &dyn Config,
     headers: &HeaderMap,
     id: &DataCentreId,
 ) -> Result<Response<Body>, Problem> {
-    let overridden = give_order(config, headers, id, Duration::ZERO).await?;
+    let outcome = send_override(config, headers, id, Duration::ZERO).await?;
     emit(&Event::OverrideWithdrawn {
         data_centre: Arc::clone(id),
-        who: who(headers),
+        who: operator_name(headers),
     });
-    Ok(Reply::json(200, &overridden).done())
+    Ok(Reply::json(200, &outcome).done())
 }
 
-/// The orders that keep a data centre out at present.
+/// Returns the active overrides that take a data centre out.
 #[must_use]
 pub fn overrides(config: &dyn Config) -> Vec<OverrideView> {
-    let view = |order: Override| OverrideView {
-        data_centre: order.data_centre,
-        who: order.operator,
-        seconds_left: order.time_left.as_secs(),
+    let view = |entry: Override| OverrideView {
+        data_centre: entry.data_centre,
+        who: entry.operator,
+        seconds_left: entry.time_left.as_secs(),
     };
     let all = config.overrides().into_iter();
-    all.filter(|order| order.out).map(view).collect()
+    all.filter(|entry| entry.out).map(view).collect()
 }
 
-/// Gives an order that holds for some time, or with no time withdraws it.
-async fn give_order(
+/// Sends an override of this duration to all instances; zero withdraws the current one.
+async fn send_override(
     config: &dyn Config,
     headers: &HeaderMap,
     id: &DataCentreId,
-    within: Duration,
-) -> Result<Overridden, Problem> {
+    duration: Duration,
+) -> Result<OverrideOutcome, Problem> {
     let order = OverrideOrder {
         data_centre: Arc::clone(id),
-        out: !within.is_zero(),
-        duration: within,
-        operator: who(headers),
+        out: !duration.is_zero(),
+        duration,
+        operator: operator_name(headers),
     };
-    let told = config
+    let report = config
         .override_data_centre(order)
         .await
         .map_err(|e| match e {
@@ -146,18 +148,18 @@
                 Problem::new(409, "not-taken", "The order was not taken", e.to_string())
             }
         })?;
-    Ok(Overridden {
-        data_centre: told.order.data_centre,
-        out: told.order.out,
-        seconds_left: within.as_secs(),
-        taken: told.accepted_by,
-        missed: told.unanswered_by,
+    Ok(OverrideOutcome {
+        data_centre: report.order.data_centre,
+        out: report.order.out,
+        seconds_left: duration.as_secs(),
+        accepted_by: report.accepted_by,
+        unanswered_by: report.unanswered_by,
     })
 }
 
 fn bad_minutes(minutes: u32) -> Problem {
-    let most = MAX_OVERRIDE_DURATION.as_secs() / MINUTE;
-    let detail = format!("{minutes} minutes are out of range; give 1 to {most}");
+    let max = MAX_OVERRIDE_DURATION.as_secs() / MINUTE_SECONDS;
+    let detail = format!("{minutes} minutes are out of range; give 1 to {max}");
     Problem::new(400, "malformed", "The time is out of range", detail)
 }
 
--- a/components/admin/src/document.rs
+++ b/components/admin/src/document.rs
@@ -1,4 +1,4 @@
-//! Documents of many nodes: import, export, validation.
+//! Export, import and validation of the tree as a document of many nodes.
 
 use std::sync::Arc;
 
@@ -7,12 +7,12 @@
 use net::{Body, Reply};
 
 use crate::{
-    message::{Document, DocumentOutcome, Verdict},
-    problem::{Now, Problem},
-    tree_api::{commit, current_version, now, who},
+    message::{Document, DocumentOutcome, ValidationResult},
+    problem::{CurrentNode, Problem},
+    tree_api::{commit, current_node, current_version, operator_name},
 };
 
-/// The whole tree as written.
+/// Returns the whole tree as written, without inherited values.
 ///
 /// # Errors
 /// 503 before the first configuration was found.
@@ -28,13 +28,12 @@
         .done())
 }
 
-/// Writes the nodes of a document that differ from the tree, one after another: upper ones first,
-/// since a node must not come before the one that it stands below. The document is checked as a
-/// whole before the first is written.
+/// Writes the nodes of a document that differ from the tree, one after another, parents before their
+/// children, since a node needs its parent. The whole document is checked before the first write.
 ///
 /// # Errors
-/// As for a single node. The detail tells how many nodes had been written by then; sending the
-/// same document again goes on from there.
+/// As for a single node. The detail says how many nodes were written before; sending the same
+/// document again continues from there.
 pub async fn write(
     config: &dyn Config,
     headers: &HeaderMap,
@@ -43,11 +42,11 @@
     let faults = faults(config, &document)?;
     if !faults.is_empty() {
         let error = ChangeError::Invalid { faults };
-        return Err(Problem::of_change(error, Now::default()));
+        return Err(Problem::from_change_error(error, CurrentNode::default()));
     }
     let mut outcome = DocumentOutcome::default();
     for (path, node) in document.nodes {
-        let before = now(config, &path);
+        let before = current_node(config, &path);
         if before.node.as_ref() == Some(&node) {
             outcome.unchanged.push(path);
             continue;
@@ -56,33 +55,35 @@
             path: Arc::clone(&path),
             node: Some(node),
             expected_version: before.version,
-            operator: who(headers),
+            operator: operator_name(headers),
         };
         commit(config, change)
             .await
-            .map_err(|problem| told_progress(problem, &path, outcome.written.len()))?;
+            .map_err(|problem| with_progress(problem, &path, outcome.written.len()))?;
         outcome.written.push(path);
     }
     outcome.version = current_version(config).unwrap_or_default();
     Ok(Reply::json(200, &outcome).done())
 }
 
-fn told_progress(mut problem: Problem, path: &str, written: usize) -> Problem {
+/// Adds to a problem at which node, and after how many written nodes, the import stopped.
+fn with_progress(mut problem: Problem, path: &str, written: usize) -> Problem {
     let detail = &problem.detail;
     problem.detail = format!("{path}: {detail}; {written} nodes were written before").into();
     problem
 }
 
-/// Tells whether a document would be accepted as the tree is now.
+/// Checks whether a document would be accepted, given the current tree.
 ///
 /// # Errors
 /// 503 before the first configuration was found.
 pub fn validate(config: &dyn Config, document: &Document) -> Result<Response<Body>, Problem> {
     let faults = faults(config, document)?;
     let valid = faults.is_empty();
-    Ok(Reply::json(200, &Verdict { valid, faults }).done())
+    Ok(Reply::json(200, &ValidationResult { valid, faults }).done())
 }
 
+/// The faults that the tree would have with the nodes of the document.
 fn faults(config: &dyn Config, document: &Document) -> Result<Vec<Fault>, Problem> {
     let current = config.current().ok_or_else(not_loaded)?;
     let mut after = current.snapshot.clone();
@@ -92,7 +93,7 @@
     Ok(tree::check(&after))
 }
 
-/// Tells that no configuration is in force yet.
+/// The problem that no configuration is in force yet.
 #[must_use]
 pub fn not_loaded() -> Problem {
     Problem::new(
--- a/components/admin/src/lib.rs
+++ b/components/admin/src/lib.rs
@@ -1,7 +1,8 @@
-//! The administration API of one instance: health, metrics, dump, and the configuration tree.
+//! The administration API of one instance: health, metrics, state dump, and the configuration tree.
 //!
-//! The node gives [`AdminApi::new`] its [`AdminParts`] and serves it on the admin address by
-//! `net::Server`.
+//! The node creates an [`AdminApi`] from its [`AdminParts`] and serves it on the admin address with
+//! `net::Server`. `docs/admin-api.yml` describes the API. Only health, readiness and metrics are
+//! available without an operator's key.
 
 pub mod api;
 pub mod auth;
@@ -12,8 +13,8 @@
 pub mod metrics;
 pub mod parts;
 pub mod problem;
+pub mod redact;
 pub mod route;
-pub mod scrub;
 pub mod throttle;
 pub mod tree_api;
 
--- a/components/admin/src/message.rs
+++ b/components/admin/src/message.rs
@@ -1,4 +1,5 @@
-//! What operators send and get.
+//! The messages of the API. `docs/admin-api.yml` describes them under their names as schemas, some of
+//! which differ from the names of the types.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -7,12 +8,12 @@
 use tree::{Node, NodePath, Origin};
 use types::{ConfigVersion, DataCentreId, InstanceId};
 
-/// Whether the process takes new work.
+/// The readiness of the instance.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Ready {
-    /// Whether it does.
+    /// Whether the instance accepts requests.
     pub ready: bool,
-    /// Why not.
+    /// Why it doesn't, if so.
     pub reason: Option<Arc<str>>,
 }
 
@@ -20,116 +21,118 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Status {
-    /// Its name.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// Its data centre.
+    /// Data centre of the instance.
     pub data_centre: DataCentreId,
     /// Version of the program.
     pub program: Arc<str>,
-    /// Whether it takes new work.
+    /// Whether the instance accepts requests.
     pub ready: bool,
-    /// Why not.
+    /// Why it doesn't, if so.
     pub reason: Option<Arc<str>>,
     /// Version of the configuration in force; `None` before the first was found.
     pub config_version: Option<ConfigVersion>,
     /// Data centres that are out of service.
     pub out: Vec<DataCentreId>,
-    /// Those that are kept out by an order that was not accepted.
+    /// Data centres that are kept out by an override that is not committed.
     pub overrides: Vec<OverrideView>,
 }
 
-/// An order that keeps a data centre out although the table service is down.
+/// An override that keeps a data centre out while the table service is unavailable.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct OverrideView {
     /// The data centre.
     pub data_centre: DataCentreId,
-    /// Who gave the order.
+    /// The operator.
     pub who: Arc<str>,
-    /// Seconds until it ends by itself.
+    /// Seconds until the override expires.
     pub seconds_left: u64,
 }
 
-/// How long a data centre is to be kept out.
+/// A request to keep a data centre out for a limited time (schema `OverrideAsk`).
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct OverrideAsk {
-    /// Minutes, 60 at most.
+pub struct OverrideRequest {
+    /// Duration in minutes, from 1 to 60.
     pub minutes: u32,
 }
 
-/// How far an order got that was not accepted.
+/// Which instances have applied an override (schema `Overridden`).
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Overridden {
+pub struct OverrideOutcome {
     /// The data centre.
     pub data_centre: DataCentreId,
-    /// `true` if it is kept out, `false` if that was withdrawn.
+    /// `true` if the data centre is kept out, `false` if the override was withdrawn.
     pub out: bool,
-    /// Seconds until the order ends by itself.
+    /// Seconds until the override expires.
     pub seconds_left: u64,
-    /// Instances that have taken it.
-    pub taken: Vec<InstanceId>,
-    /// Instances that are heard but did not answer; they are told again.
-    pub missed: Vec<InstanceId>,
+    /// Instances that have applied it.
+    #[serde(rename = "taken")]
+    pub accepted_by: Vec<InstanceId>,
+    /// Instances that are alive but did not answer; the override is sent to them again.
+    #[serde(rename = "missed")]
+    pub unanswered_by: Vec<InstanceId>,
 }
 
-/// One node as written.
+/// One node as written (schema `Written`).
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Written {
-    /// Its path.
+pub struct WrittenNode {
+    /// Path of the node.
     pub path: NodePath,
-    /// The version that last wrote it, which is its `ETag` too.
+    /// Version of the last change of the node, which is also its `ETag`.
     pub version: Option<ConfigVersion>,
-    /// Its content.
+    /// Content of the node.
     pub node: Node,
 }
 
-/// The values in force at a path.
+/// The values in force at a path (schema `InForceValues`).
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct InForceValues {
-    /// The path. No node need be written there.
+pub struct EffectiveValues {
+    /// The path; there need not be a written node.
     pub path: NodePath,
     /// Version of the configuration in force.
     pub version: ConfigVersion,
-    /// Each value, and the node that wrote it; a value that no node wrote is the default.
+    /// Each value with the node that sets it; a value that no node sets is the default.
     pub values: Vec<Origin>,
 }
 
-/// A document of many nodes.
+/// The tree, or a part of it, as one document.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// Version of the whole tree that it was read at; not looked at when it is written.
+    /// Version of the tree at the time of reading; ignored on writing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<ConfigVersion>,
-    /// The nodes. Nodes of the tree that are not named here stay as they are.
+    /// The nodes. On writing, nodes of the tree that are missing here stay as they are.
     pub nodes: BTreeMap<NodePath, Node>,
 }
 
-/// What became of each node of a document.
+/// The outcome of writing a document.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct DocumentOutcome {
     /// Version in force after the last accepted change.
     pub version: ConfigVersion,
     /// Nodes that were written.
     pub written: Vec<NodePath>,
-    /// Nodes that were the same already.
+    /// Nodes that already had the same content.
     pub unchanged: Vec<NodePath>,
 }
 
-/// The configuration version that a change made.
+/// The answer to an accepted change.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Accepted {
-    /// The version.
+    /// Version of the configuration that the change created.
     pub version: ConfigVersion,
 }
 
-/// Whether changes would be accepted.
+/// The result of validating a document (schema `Verdict`).
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Verdict {
-    /// Whether they would.
+pub struct ValidationResult {
+    /// Whether the document would be accepted.
     pub valid: bool,
-    /// All that is wrong.
+    /// All faults of the document.
     pub faults: Vec<Fault>,
 }
--- a/components/admin/src/metrics.rs
+++ b/components/admin/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics: those of the process's parts, and what the API itself knows of its state.
+//! The metrics page: the metrics of the process's components, and those of the instance's state.
 
 use std::fmt;
 
@@ -11,19 +11,20 @@
 
 use crate::parts::AdminParts;
 
-/// All metrics as OpenMetrics text.
+/// Returns all metrics in the OpenMetrics text format.
 ///
 /// # Errors
-/// The text can't be written.
+/// A metric can't be encoded.
 pub fn text(parts: &AdminParts) -> Result<String, fmt::Error> {
     let mut text = String::new();
     encode_registry(&mut text, &parts.registry)?;
-    encode_registry(&mut text, &own(parts))?;
+    encode_registry(&mut text, &instance_metrics(parts))?;
     encode_eof(&mut text)?;
     Ok(text)
 }
 
-fn own(parts: &AdminParts) -> Registry {
+/// The metrics that are computed when the page is read.
+fn instance_metrics(parts: &AdminParts) -> Registry {
     let mut registry = Registry::default();
     registry.register(
         "ready",
--- a/components/admin/src/parts.rs
+++ b/components/admin/src/parts.rs
@@ -1,4 +1,4 @@
-//! What the administration API needs of the process around it.
+//! The interfaces through which the administration API reads the state of its process.
 
 use std::sync::Arc;
 
@@ -7,27 +7,27 @@
 use serde_json::Value;
 use types::{DataCentreId, InstanceId};
 
-/// Shows the state of a process.
+/// Provides the state of the process for dumps.
 pub trait Dump: Send + Sync {
-    /// The state as JSON: members, shards, permits, queue, claims, configuration version. It
-    /// holds no keys, no hashes of keys and no bodies of requests.
+    /// Returns the state as JSON: members, shards, permits, queue, claims, configuration version. It
+    /// must not contain keys, hashes of keys or bodies of requests.
     fn dump(&self) -> Value;
 }
 
-/// Tells whether a process can take new work.
+/// Provides the readiness of the process.
 pub trait Readiness: Send + Sync {
-    /// Whether it can.
+    /// Whether the process accepts requests.
     ///
     /// # Errors
-    /// The reason why it can't, in a short sentence for an operator.
+    /// The reason why it doesn't, as a short sentence for an operator.
     fn ready(&self) -> Result<(), Arc<str>>;
 }
 
-/// The parts that the administration API is made of.
+/// The dependencies of the administration API.
 pub struct AdminParts {
     /// Name of this instance.
     pub instance: InstanceId,
-    /// Its data centre.
+    /// Data centre of this instance.
     pub data_centre: DataCentreId,
     /// SHA-256 of each operator's bearer key, in hexadecimal.
     pub key_hashes: Vec<Arc<str>>,
@@ -35,8 +35,8 @@
     pub config: Arc<dyn Config>,
     /// The state of the process.
     pub dump: Arc<dyn Dump>,
-    /// Whether it can take new work.
+    /// The readiness of the process.
     pub readiness: Arc<dyn Readiness>,
-    /// Its metrics; all are registered before it is served.
+    /// The metrics of the process's components; all must be registered before the API is served.
     pub registry: Arc<Registry>,
 }
--- a/components/admin/src/problem.rs
+++ b/components/admin/src/problem.rs
@@ -1,4 +1,4 @@
-//! Errors as `application/problem+json`.
+//! Error responses of type `application/problem+json`.
 
 use std::sync::Arc;
 
@@ -9,45 +9,45 @@
 use tree::Node;
 use types::ConfigVersion;
 
-/// Seconds after which to try again when the table service is down.
+/// `Retry-After` in seconds while the table service is unavailable.
 const STORE_RETRY_SECONDS: &str = "5";
 
-/// Status after a conflict.
+/// Status of a change that conflicts with another one (412, precondition failed).
 pub const CONFLICT: u16 = 412;
 
-/// What went wrong with one request.
+/// The description of a failed request.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Problem {
-    /// Always `about:blank`; the code tells more.
+    /// Always `about:blank`; `code` identifies the kind of problem.
     #[serde(rename = "type")]
     pub kind: Arc<str>,
-    /// Short summary.
+    /// Short summary, the same for all problems with this code.
     pub title: Arc<str>,
     /// HTTP status.
     pub status: u16,
-    /// Short machine-readable name.
+    /// Short machine-readable code.
     pub code: Arc<str>,
-    /// What happened and what to do.
+    /// What happened, and what the operator can do.
     pub detail: Arc<str>,
-    /// All that is wrong with a change.
+    /// All faults of a rejected change.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<Fault>,
-    /// After a conflict: what the node is now.
+    /// After a conflict, the current state of the node.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub now: Option<Box<Now>>,
+    pub now: Option<Box<CurrentNode>>,
 }
 
-/// What a node is at present.
+/// The current state of a node.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Now {
-    /// The version that last wrote it; `None` if it does not exist.
+pub struct CurrentNode {
+    /// Version of its last change; `None` if the node does not exist.
     pub version: Option<ConfigVersion>,
-    /// Its content.
+    /// Its content; `None` if the node does not exist.
     pub node: Option<Node>,
 }
 
 impl Problem {
-    /// Describes a problem.
+    /// Creates a problem.
     #[must_use]
     pub fn new(status: u16, code: &str, title: &str, detail: impl Into<Arc<str>>) -> Self {
         Self {
@@ -60,23 +60,23 @@
         }
     }
 
-    /// Sets what is wrong with a change.
+    /// Sets the faults of a rejected change.
     #[must_use]
     pub fn with_faults(mut self, faults: Vec<Fault>) -> Self {
         self.faults = faults;
         self
     }
 
-    /// Sets what the node is now.
+    /// Sets the current state of the node.
     #[must_use]
-    pub fn with_now(mut self, now: Now) -> Self {
+    pub fn with_now(mut self, now: CurrentNode) -> Self {
         self.now = Some(Box::new(now));
         self
     }
 
-    /// Tells why a change was not accepted.
+    /// Creates the problem for a change that was not accepted; `now` is the current state of its node.
     #[must_use]
-    pub fn of_change(error: ChangeError, now: Now) -> Self {
+    pub fn from_change_error(error: ChangeError, now: CurrentNode) -> Self {
         let detail = error.to_string();
         match error {
             ChangeError::Invalid { faults } => {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The answer that tells it.
+    /// Builds the HTTP response.
     #[must_use]
     pub fn reply(&self) -> Response<Body> {
         let reply =
--- a/components/admin/src/route.rs
+++ b/components/admin/src/route.rs
@@ -1,4 +1,4 @@
-//! Which request asks for what.
+//! Routing of requests by method and path.
 
 use std::sync::Arc;
 
@@ -9,22 +9,22 @@
 
 use crate::problem::Problem;
 
-/// What a request asks for.
+/// An operation of the API.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Route {
-    /// Whether the process is alive.
+    /// Checks whether the process is alive.
     Health,
-    /// Whether it takes new work.
+    /// Checks whether the instance accepts requests.
     Ready,
-    /// Its metrics.
+    /// Reads the metrics.
     Metrics,
-    /// Its state.
+    /// Reads the state of the process.
     Dump,
-    /// A summary of its state.
+    /// Reads a summary of the state.
     Status,
-    /// The whole tree as written.
+    /// Reads the whole tree as written.
     ReadTree,
-    /// Writes many nodes.
+    /// Writes the nodes of a document.
     WriteTree,
     /// Reads one node.
     ReadNode(NodePath),
@@ -32,19 +32,19 @@
     WriteNode(NodePath),
     /// Deletes one node.
     DeleteNode(NodePath),
-    /// Checks changes without applying them.
+    /// Checks a document without writing it.
     Validate,
-    /// Accepted changes.
+    /// Reads the latest accepted changes.
     History,
-    /// Takes a data centre out or back in.
+    /// Takes a data centre out of service or brings it back.
     DataCentre(DataCentreId, Direction),
-    /// Keeps a data centre out for a limited time although the table service is down.
+    /// Takes a data centre out for a limited time although the table service is unavailable.
     Override(DataCentreId),
-    /// Withdraws that.
-    Withdraw(DataCentreId),
+    /// Withdraws an override.
+    WithdrawOverride(DataCentreId),
 }
 
-/// Whether a data centre goes out of service or comes back.
+/// Whether a data centre is taken out of service or brought back.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum Direction {
     /// Out of service.
@@ -55,7 +55,7 @@
     In,
 }
 
-/// All routes as the OpenAPI file writes them.
+/// Method and path of all routes, as `docs/admin-api.yml` writes them.
 pub const ROUTES: &[(&str, &str)] = &[
     ("get", "/health"),
     ("get", "/ready"),
@@ -76,10 +76,10 @@
 ];
 
 impl Route {
-    /// Finds what a request asks for.
+    /// Finds the operation of a request.
     ///
     /// # Errors
-    /// 404 or 405.
+    /// 404 if the path is unknown, 405 if it does not allow the method.
     pub fn find(method: &Method, path: &str) -> Result<Self, Problem> {
         if let Some(node) = path.strip_prefix("/v1/tree/") {
             return node_route(method, format!("/{node}").into());
@@ -98,17 +98,17 @@
             ("/v1/history", "GET") => Ok(Self::History),
             ("/v1/validate", "POST") => Ok(Self::Validate),
             ("/health" | "/ready" | "/metrics" | "/dump" | "/v1/status" | "/v1/history", _) => {
-                Err(wrong_method("GET"))
+                Err(method_not_allowed("GET"))
             }
-            ("/v1/tree", _) => Err(wrong_method("GET, PUT")),
-            ("/v1/validate", _) => Err(wrong_method("POST")),
+            ("/v1/tree", _) => Err(method_not_allowed("GET, PUT")),
+            ("/v1/validate", _) => Err(method_not_allowed("POST")),
             _ => Err(not_found(path)),
         }
     }
 
-    /// Whether it is answered without an operator's key: what balancers and monitoring ask.
+    /// Whether the operation needs no operator key, as those of load balancers and monitoring.
     #[must_use]
-    pub const fn is_open(&self) -> bool {
+    pub const fn is_public(&self) -> bool {
         matches!(self, Self::Health | Self::Ready | Self::Metrics)
     }
 }
@@ -118,25 +118,25 @@
         "GET" => Ok(Route::ReadNode(path)),
         "PUT" => Ok(Route::WriteNode(path)),
         "DELETE" => Ok(Route::DeleteNode(path)),
-        _ => Err(wrong_method("GET, PUT, DELETE")),
+        _ => Err(method_not_allowed("GET, PUT, DELETE")),
     }
 }
 
 fn data_centre_route(method: &Method, path: &str, rest: &str) -> Result<Route, Problem> {
-    let (id, order) = rest.split_once('/').ok_or_else(|| not_found(path))?;
+    let (id, action) = rest.split_once('/').ok_or_else(|| not_found(path))?;
     let id: DataCentreId = id.into();
-    match (order, method.as_str()) {
+    match (action, method.as_str()) {
         ("out", "POST") => Ok(Route::DataCentre(id, Direction::Out)),
         ("in", "POST") => Ok(Route::DataCentre(id, Direction::In)),
         ("override", "PUT") => Ok(Route::Override(id)),
-        ("override", "DELETE") => Ok(Route::Withdraw(id)),
-        ("out" | "in", _) => Err(wrong_method("POST")),
-        ("override", _) => Err(wrong_method("PUT, DELETE")),
+        ("override", "DELETE") => Ok(Route::WithdrawOverride(id)),
+        ("out" | "in", _) => Err(method_not_allowed("POST")),
+        ("override", _) => Err(method_not_allowed("PUT, DELETE")),
         _ => Err(not_found(path)),
     }
 }
 
-fn wrong_method(allowed: &str) -> Problem {
+fn method_not_allowed(allowed: &str) -> Problem {
     let detail = format!("allowed here: {allowed}");
     Problem::new(405, "method", "The method is not allowed here", detail)
 }
--- a/components/admin/tests/api/main.rs
+++ b/components/admin/tests/api/main.rs
@@ -1,4 +1,4 @@
-//! The administration API as operators and monitoring see it.
+//! The administration API over HTTP, as operators and monitoring use it.
 
 mod state;
 mod support;
--- a/components/admin/tests/api/state.rs
+++ b/components/admin/tests/api/state.rs
@@ -1,4 +1,4 @@
-//! Health, readiness, metrics, dump, status and keys.
+//! Health, readiness, metrics, dump, status and authentication.
 
 use crate::support::{Api, FakeConfig, KEY};
 use admin::message::{Ready, Status};
@@ -7,7 +7,7 @@
 fn health_readiness_and_metrics_need_no_key() {
     let api = Api::start(&FakeConfig::with_tree());
     for path in ["/health", "/ready", "/metrics"] {
-        assert_eq!(api.ask_plain("GET", path, &[], "").status, 200, "{path}");
+        assert_eq!(api.send_raw("GET", path, &[], "").status, 200, "{path}");
     }
     let metrics = api.get("/metrics");
     assert!(metrics.text.contains("asked_total 0"), "{}", metrics.text);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn everything_else_needs_a_key_of_an_operator() {
+fn all_other_routes_need_an_operator_key() {
     let api = Api::start(&FakeConfig::with_tree());
     let wrong = ["Bearer wrong", "Bearer ", "Basic abc", "", KEY];
     for path in [
@@ -29,22 +29,22 @@
         "/v1/history",
     ] {
         for value in wrong {
-            let answer = api.ask_plain("GET", path, &[("authorization", value)], "");
+            let answer = api.send_raw("GET", path, &[("authorization", value)], "");
             assert_eq!(answer.status, 401, "{path} with {value:?}");
             assert_eq!(answer.header("www-authenticate"), "Bearer");
         }
         assert_eq!(api.get(path).status, 200, "{path}");
     }
-    let counted = r#"events_total{number="802",event="OperatorUnknown",level="warn"}"#;
-    assert!(api.get("/metrics").text.contains(counted));
+    let counter = r#"events_total{number="802",event="OperatorUnknown",level="warn"}"#;
+    assert!(api.get("/metrics").text.contains(counter));
 }
 
-// An instance that can't serve yet says so and why. Otherwise the balancer sends callers to it,
-// who are all refused.
+// Guards against an instance that reports ready before it can serve: the load balancer would send it
+// callers, who would all be refused.
 #[test]
-fn an_instance_that_is_not_ready_says_why() {
+fn an_instance_that_is_not_ready_gives_the_reason() {
     let api = Api::start_with(&FakeConfig::with_tree(), Some("no configuration yet"));
-    let answer = api.ask_plain("GET", "/ready", &[], "");
+    let answer = api.send_raw("GET", "/ready", &[], "");
     assert_eq!(answer.status, 503);
     let ready: Ready = answer.read();
     assert_eq!(ready.reason.as_deref(), Some("no configuration yet"));
@@ -55,11 +55,11 @@
 }
 
 #[test]
-fn status_tells_version_and_data_centres_that_are_out() {
+fn status_shows_the_version_and_the_data_centres_that_are_out() {
     let config = FakeConfig::with_tree();
     let api = Api::start(&config);
     assert_eq!(
-        api.ask("POST", "/v1/data-centres/south/out", &[], "")
+        api.send("POST", "/v1/data-centres/south/out", &[], "")
             .status,
         200
     );
@@ -68,10 +68,10 @@
     assert_eq!(status.out, vec!["south".into()]);
 }
 
-// A part of the process puts a key, a token or somebody's text into its state. The dump goes into
-// a ticket, and whoever reads it there can use the key.
+// Guards against secrets in dumps: a component may put a key, a token or a customer's text into its
+// state, and dumps are attached to tickets.
 #[test]
-fn a_dump_shows_state_and_no_secret() {
+fn a_dump_contains_the_state_without_secrets() {
     let api = Api::start(&FakeConfig::with_tree());
     let dump = api.get("/dump").text;
     for shown in ["entry-1", "\"config-version\":3", "\"tokens\":5", "editors"] {
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn what_is_not_there_and_wrong_methods_are_told() {
+fn unknown_paths_and_wrong_methods_are_rejected() {
     let api = Api::start(&FakeConfig::with_tree());
     for (method, path, status) in [
         ("GET", "/nothing", 404),
@@ -94,7 +94,7 @@
         ("DELETE", "/v1/tree", 405),
         ("GET", "/v1/history?limit=many", 400),
     ] {
-        let answer = api.ask(method, path, &[], "");
+        let answer = api.send(method, path, &[], "");
         assert_eq!(answer.status, status, "{method} {path}");
         assert_eq!(answer.header("content-type"), "application/problem+json");
     }
--- a/components/admin/tests/api/support.rs
+++ b/components/admin/tests/api/support.rs
@@ -26,17 +26,18 @@
 
 /// The key that the API under test knows.
 pub const KEY: &str = "an operator's key";
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long to wait for a part of a body.
+const BODY_GAP_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// State of the fake configuration.
 #[derive(Default)]
 struct State {
     snapshot: Snapshot,
-    changed: BTreeMap<NodePath, ConfigVersion>,
+    node_versions: BTreeMap<NodePath, ConfigVersion>,
     entries: Vec<HistoryEntry>,
     loaded: bool,
     next_error: Option<ChangeError>,
-    rival: Option<(NodePath, Node)>,
+    concurrent_write: Option<(NodePath, Node)>,
     overrides: Vec<Override>,
 }
 
@@ -47,7 +48,7 @@
 }
 
 impl FakeConfig {
-    /// A tree with one service, two data centres and a workspace.
+    /// Creates a configuration whose tree has one service, two data centres and a workspace.
     pub fn with_tree() -> Arc<Self> {
         let fake = Self::default();
         fake.state.lock().loaded = true;
@@ -66,17 +67,17 @@
         Arc::new(fake)
     }
 
-    /// The next change fails with this error.
+    /// Makes the next change fail with this error.
     pub fn fail_next(&self, error: ChangeError) {
         self.state.lock().next_error = Some(error);
     }
 
-    /// Another operator writes this node right before the next change.
-    pub fn race_next(&self, path: &str, node: Node) {
-        self.state.lock().rival = Some((path.into(), node));
+    /// Writes this node right before the next change, as another operator would.
+    pub fn write_before_next(&self, path: &str, node: Node) {
+        self.state.lock().concurrent_write = Some((path.into(), node));
     }
 
-    /// The node as it is now.
+    /// The current content of a node.
     pub fn node(&self, path: &str) -> Option<Node> {
         self.state.lock().snapshot.nodes.get(path).cloned()
     }
@@ -86,7 +87,7 @@
         self.state.lock().snapshot.version
     }
 
-    /// Writes or deletes a node whatever it is now.
+    /// Writes or deletes a node without a precondition.
     pub fn put(&self, path: &str, node: Option<Node>) -> ConfigVersion {
         let mut state = self.state.lock();
         let path: NodePath = path.into();
@@ -94,11 +95,11 @@
         let version = state.snapshot.version;
         match node {
             Some(node) => {
-                state.changed.insert(Arc::clone(&path), version);
+                state.node_versions.insert(Arc::clone(&path), version);
                 state.snapshot.nodes.insert(path, node);
             }
             None => {
-                state.changed.remove(&path);
+                state.node_versions.remove(&path);
                 state.snapshot.nodes.remove(&path);
             }
         }
@@ -119,7 +120,7 @@
     }
 
     fn node_version(&self, path: &str) -> Option<ConfigVersion> {
-        self.state.lock().changed.get(path).copied()
+        self.state.lock().node_versions.get(path).copied()
     }
 
     fn check(&self, change: &Change) -> Result<(), Vec<Fault>> {
@@ -140,8 +141,8 @@
         if let Some(error) = error {
             return Err(error);
         }
-        let rival = self.state.lock().rival.take();
-        if let Some((path, node)) = rival {
+        let concurrent_write = self.state.lock().concurrent_write.take();
+        if let Some((path, node)) = concurrent_write {
             self.put(&path, Some(node));
         }
         let now = self.node_version(&change.path);
@@ -203,7 +204,7 @@
 }
 
 struct FakeProcess {
-    unready: Option<Arc<str>>,
+    unready_reason: Option<Arc<str>>,
 }
 
 impl Dump for FakeProcess {
@@ -220,33 +221,33 @@
 
 impl Readiness for FakeProcess {
     fn ready(&self) -> Result<(), Arc<str>> {
-        self.unready.clone().map_or(Ok(()), Err)
+        self.unready_reason.clone().map_or(Ok(()), Err)
     }
 }
 
-/// An API that is being served.
+/// A running server of the API with a client.
 pub struct Api {
     addr: SocketAddr,
     client: Client,
 }
 
-/// An answer.
+/// A response of the API.
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Headers.
+    /// HTTP headers.
     pub headers: HeaderMap,
     /// The body.
     pub text: String,
 }
 
 impl Answer {
-    /// The body as a message.
+    /// Decodes the body from JSON.
     pub fn read<T: DeserializeOwned>(&self) -> T {
         serde_json::from_str(&self.text).expect(&self.text)
     }
 
-    /// A header.
+    /// The text of a header; empty if it is missing.
     pub fn header(&self, name: &str) -> &str {
         let value = self.headers.get(name);
         value.map_or("", |value| value.to_str().expect("text"))
@@ -254,17 +255,17 @@
 }
 
 impl Api {
-    /// Serves a ready process.
+    /// Starts the API of a process that is ready.
     pub fn start(config: &Arc<FakeConfig>) -> Self {
         Self::start_with(config, None)
     }
 
-    /// Serves a process that is not ready for a reason.
-    pub fn start_with(config: &Arc<FakeConfig>, unready: Option<&str>) -> Self {
+    /// Starts the API of a process that is not ready if a reason is given.
+    pub fn start_with(config: &Arc<FakeConfig>, unready_reason: Option<&str>) -> Self {
         let mut registry = Registry::default();
         registry.register("asked", "Requests asked", Counter::<u64>::default());
         let process = Arc::new(FakeProcess {
-            unready: unready.map(Arc::from),
+            unready_reason: unready_reason.map(Arc::from),
         });
         let parts = AdminParts {
             instance: "entry-1".into(),
@@ -275,9 +276,9 @@
             readiness: process,
             registry: Arc::new(registry),
         };
-        let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+        let any_port: SocketAddr = "127.0.0.1:0".parse().expect("an address");
         let handler = Arc::new(AdminApi::new(parts));
-        let server = smol::block_on(Server::bind(any, ServeLimits::default(), handler));
+        let server = smol::block_on(Server::bind(any_port, ServeLimits::default(), handler));
         let server = server.expect("a free port");
         let addr = server.addr().expect("an address");
         workers::spawn(server.run()).detach();
@@ -287,21 +288,21 @@
         }
     }
 
-    /// Asks with the operator's key.
-    pub fn ask(&self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Answer {
+    /// Sends a request with the operator's key.
+    pub fn send(&self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Answer {
         let bearer = format!("Bearer {KEY}");
         let mut headers = headers.to_vec();
         headers.push(("authorization", &bearer));
-        self.ask_plain(method, path, &headers, body)
+        self.send_raw(method, path, &headers, body)
     }
 
-    /// Reads with the operator's key.
+    /// Sends a `GET` request with the operator's key.
     pub fn get(&self, path: &str) -> Answer {
-        self.ask("GET", path, &[], "")
+        self.send("GET", path, &[], "")
     }
 
-    /// Asks with just these headers.
-    pub fn ask_plain(
+    /// Sends a request with only these headers.
+    pub fn send_raw(
         &self,
         method: &str,
         path: &str,
@@ -317,7 +318,9 @@
         smol::block_on(async {
             let resp = self.client.send(self.addr, req).await.expect("an answer");
             let (head, body) = resp.into_parts();
-            let buf = read_all(body, 1 << 20, PATIENCE).await.expect("a body");
+            let buf = read_all(body, 1 << 20, BODY_GAP_TIMEOUT)
+                .await
+                .expect("a body");
             Answer {
                 status: head.status.as_u16(),
                 headers: head.headers,
--- a/components/admin/tests/openapi.rs
+++ b/components/admin/tests/openapi.rs
@@ -1,4 +1,4 @@
-//! `docs/admin-api.yml` against the code.
+//! Compares the OpenAPI description, `docs/admin-api.yml`, with the code.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -8,10 +8,10 @@
 
 use admin::{
     message::{
-        Accepted, Document, DocumentOutcome, InForceValues, Overridden, OverrideAsk, OverrideView,
-        Ready, Status, Verdict, Written,
+        Accepted, Document, DocumentOutcome, EffectiveValues, OverrideOutcome, OverrideRequest,
+        OverrideView, Ready, Status, ValidationResult, WrittenNode,
     },
-    problem::{Now, Problem},
+    problem::{CurrentNode, Problem},
     route::{ROUTES, Route},
 };
 use config::{Change, Fault, HistoryEntry};
@@ -33,7 +33,7 @@
     object.keys().cloned().collect()
 }
 
-fn described() -> BTreeSet<(String, String)> {
+fn described_routes() -> BTreeSet<(String, String)> {
     let document = document();
     let paths = document["paths"].as_object().expect("paths");
     let mut all = BTreeSet::new();
@@ -48,24 +48,24 @@
 }
 
 #[test]
-fn the_file_describes_the_routes_and_no_others() {
+fn the_description_lists_exactly_the_routes() {
     let served = ROUTES
         .iter()
         .map(|(method, path)| ((*method).to_owned(), (*path).to_owned()))
         .collect();
-    assert_eq!(described(), served);
+    assert_eq!(described_routes(), served);
 }
 
 #[test]
-fn each_listed_route_is_served_and_its_other_methods_are_not() {
+fn only_the_listed_methods_of_a_path_are_served() {
     let listed: BTreeSet<(&str, &str)> = ROUTES.iter().copied().collect();
     for (_, path) in ROUTES {
         for method in METHODS {
-            let real = path
+            let concrete_path = path
                 .replace("{path}", "services/drafts")
                 .replace("{id}", "north");
             let verb = Method::from_bytes(method.to_uppercase().as_bytes()).expect("a method");
-            let found = Route::find(&verb, &real);
+            let found = Route::find(&verb, &concrete_path);
             assert_eq!(
                 found.is_ok(),
                 listed.contains(&(method, path)),
@@ -76,22 +76,22 @@
 }
 
 #[test]
-fn the_file_says_which_routes_need_no_key() {
+fn the_description_marks_the_routes_without_a_key() {
     let document = document();
     for (method, path) in ROUTES {
         let verb = Method::from_bytes(method.to_uppercase().as_bytes()).expect("a method");
-        let open = Route::find(&verb, path).expect("a route").is_open();
-        let written = &document["paths"][path][method]["security"];
+        let is_public = Route::find(&verb, path).expect("a route").is_public();
+        let security = &document["paths"][path][method]["security"];
         assert_eq!(
-            written.as_array().is_some_and(Vec::is_empty),
-            open,
+            security.as_array().is_some_and(Vec::is_empty),
+            is_public,
             "{path}"
         );
     }
 }
 
-/// Names of a message's fields as they are sent.
-fn fields(message: &impl Serialize) -> BTreeSet<String> {
+/// The names of a message's fields in JSON.
+fn field_names(message: &impl Serialize) -> BTreeSet<String> {
     keys(&serde_json::to_value(message).expect("JSON"))
 }
 
@@ -115,7 +115,7 @@
     };
     Problem::new(412, "conflict", "", "")
         .with_faults(vec![fault])
-        .with_now(Now {
+        .with_now(CurrentNode {
             version: Some(1),
             node: Some(full_node()),
         })
@@ -130,7 +130,7 @@
     }
 }
 
-/// The fields of every message of the API, by the name of its schema.
+/// The names of the fields of every message of the API, by the name of its schema.
 fn messages() -> BTreeMap<&'static str, BTreeSet<String>> {
     let problem = full_problem();
     let status = Status {
@@ -148,14 +148,14 @@
         who: "".into(),
         seconds_left: 0,
     };
-    let overridden = Overridden {
+    let override_outcome = OverrideOutcome {
         data_centre: "".into(),
         out: true,
         seconds_left: 0,
-        taken: Vec::new(),
-        missed: Vec::new(),
+        accepted_by: Vec::new(),
+        unanswered_by: Vec::new(),
     };
-    let written = Written {
+    let written = WrittenNode {
         path: "/".into(),
         version: None,
         node: full_node(),
@@ -165,7 +165,7 @@
         value: Value::Null,
         from: None,
     };
-    let in_force = InForceValues {
+    let effective = EffectiveValues {
         path: "/".into(),
         version: 1,
         values: Vec::new(),
@@ -180,7 +180,7 @@
         change: change(),
         id: "".into(),
     };
-    let verdict = Verdict {
+    let validation = ValidationResult {
         valid: true,
         faults: Vec::new(),
     };
@@ -189,24 +189,24 @@
         reason: None,
     };
     BTreeMap::from([
-        ("Accepted", fields(&Accepted { version: 1 })),
-        ("Change", fields(&change())),
-        ("Document", fields(&document)),
-        ("DocumentOutcome", fields(&DocumentOutcome::default())),
-        ("Entry", fields(&entry)),
-        ("Fault", fields(&problem.faults[0])),
-        ("InForceValues", fields(&in_force)),
-        ("Knobs", fields(&Knobs::defaults())),
-        ("Node", fields(&full_node())),
-        ("Origin", fields(&origin)),
-        ("Overridden", fields(&overridden)),
-        ("OverrideAsk", fields(&OverrideAsk { minutes: 1 })),
-        ("OverrideView", fields(&view)),
-        ("Problem", fields(&problem)),
-        ("Ready", fields(&ready)),
-        ("Status", fields(&status)),
-        ("Verdict", fields(&verdict)),
-        ("Written", fields(&written)),
+        ("Accepted", field_names(&Accepted { version: 1 })),
+        ("Change", field_names(&change())),
+        ("Document", field_names(&document)),
+        ("DocumentOutcome", field_names(&DocumentOutcome::default())),
+        ("Entry", field_names(&entry)),
+        ("Fault", field_names(&problem.faults[0])),
+        ("InForceValues", field_names(&effective)),
+        ("Knobs", field_names(&Knobs::defaults())),
+        ("Node", field_names(&full_node())),
+        ("Origin", field_names(&origin)),
+        ("Overridden", field_names(&override_outcome)),
+        ("OverrideAsk", field_names(&OverrideRequest { minutes: 1 })),
+        ("OverrideView", field_names(&view)),
+        ("Problem", field_names(&problem)),
+        ("Ready", field_names(&ready)),
+        ("Status", field_names(&status)),
+        ("Verdict", field_names(&validation)),
+        ("Written", field_names(&written)),
     ])
 }
 
@@ -214,7 +214,7 @@
 fn the_schemas_have_the_fields_of_the_messages() {
     let document = document();
     let schemas = &document["components"]["schemas"];
-    let written: BTreeMap<String, BTreeSet<String>> = schemas
+    let described: BTreeMap<String, BTreeSet<String>> = schemas
         .as_object()
         .expect("schemas")
         .iter()
@@ -224,14 +224,14 @@
         .into_iter()
         .map(|(name, fields)| (name.to_owned(), fields))
         .collect();
-    assert_eq!(written, sent);
+    assert_eq!(described, sent);
 }
 
 #[test]
-fn every_reference_in_the_file_leads_somewhere() {
+fn every_reference_of_the_description_resolves() {
     let document = document();
     let mut references = Vec::new();
-    gather(&document, &mut references);
+    collect_references(&document, &mut references);
     assert!(!references.is_empty());
     for reference in references {
         let pointer = reference.strip_prefix('#').expect("a local reference");
@@ -239,17 +239,19 @@
     }
 }
 
-fn gather(value: &Value, references: &mut Vec<String>) {
+fn collect_references(value: &Value, references: &mut Vec<String>) {
     match value {
         Value::Object(map) => {
             for (name, inner) in map {
                 match (name.as_str(), inner.as_str()) {
                     ("$ref", Some(text)) => references.push(text.to_owned()),
-                    _ => gather(inner, references),
+                    _ => collect_references(inner, references),
                 }
             }
         }
-        Value::Array(list) => list.iter().for_each(|inner| gather(inner, references)),
+        Value::Array(list) => list
+            .iter()
+            .for_each(|inner| collect_references(inner, references)),
         _ => {}
     }
 }
--- a/components/errors/src/lib.rs
+++ b/components/errors/src/lib.rs
@@ -1,19 +1,19 @@
-//! Errors with context, for what ends a command or a daemon's start.
+//! An error type with context, for failures that end a command or the start of the daemon.
 
 use std::fmt::{self, Display, Formatter};
 
-/// What went wrong and what was being done at the time.
+/// A cause, with descriptions of the operations during which it occurred.
 #[derive(Debug)]
 pub struct Error {
     context: Vec<String>,
     cause: String,
 }
 
-/// A result that carries context.
+/// A result whose error carries context.
 pub type Result<T> = std::result::Result<T, Error>;
 
 impl Error {
-    /// Makes an error from its cause.
+    /// Creates an error from its cause, without context.
     #[must_use]
     pub fn new(cause: impl Display) -> Self {
         Self {
@@ -22,18 +22,18 @@
         }
     }
 
-    /// Adds what was being done.
+    /// Adds a description of the operation that failed, outside of those added before.
     #[must_use]
-    pub fn with_context(mut self, doing: impl Display) -> Self {
-        self.context.push(doing.to_string());
+    pub fn with_context(mut self, operation: impl Display) -> Self {
+        self.context.push(operation.to_string());
         self
     }
 }
 
 impl Display for Error {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        for doing in self.context.iter().rev() {
-            write!(f, "{doing}: ")?;
+        for operation in self.context.iter().rev() {
+            write!(f, "{operation}: ")?;
         }
         f.write_str(&self.cause)
     }
@@ -41,17 +41,17 @@
 
 impl std::error::Error for Error {}
 
-/// Adds context to the results of other libraries.
+/// Adds context to results with any displayable error.
 pub trait Context<T> {
-    /// Tells what was being done.
+    /// Adds a description of the operation that returned this result.
     ///
     /// # Errors
-    /// Passes the cause on, with the context.
-    fn context(self, doing: impl Display) -> Result<T>;
+    /// The original error as the cause, with the context.
+    fn context(self, operation: impl Display) -> Result<T>;
 }
 
 impl<T, E: Display> Context<T> for std::result::Result<T, E> {
-    fn context(self, doing: impl Display) -> Result<T> {
-        self.map_err(|cause| Error::new(cause).with_context(doing))
+    fn context(self, operation: impl Display) -> Result<T> {
+        self.map_err(|cause| Error::new(cause).with_context(operation))
     }
 }
--- a/components/events/src/event.rs
+++ b/components/events/src/event.rs
@@ -229,7 +229,7 @@
         800, Info, "{who} changed {path}, version {version}",
         "Nothing.",
     ),
-    /// An operator's change was rejected.
+    /// An operator's change was rejected, or its outcome is unknown.
     ChangeRefused {
         /// The operator.
         who: Arc<str>,
@@ -238,7 +238,7 @@
         /// Why.
         reason: Arc<str>,
     } = (
-        801, Info, "the change of {path} by {who} was rejected: {reason}",
+        801, Info, "the change of {path} by {who} was not accepted: {reason}",
         "Nothing. The operator got the same reason.",
     ),
     /// A request to the administration API had no valid operator key. Logged at most once a second.
--- a/src/cmd/data_centre.rs
+++ b/src/cmd/data_centre.rs
@@ -1,6 +1,6 @@
 //! `celerystand data-centre out|in|override|withdraw`.
 
-use admin::message::{Accepted, Overridden, OverrideAsk};
+use admin::message::{Accepted, OverrideOutcome, OverrideRequest};
 use clap::ArgMatches;
 use errors::Error;
 use hyper::Method;
@@ -57,16 +57,16 @@
 fn keep_out(args: &ArgMatches) -> Outcome {
     let path = override_path(args)?;
     let minutes = args.get_one::<u32>("minutes").copied().unwrap_or_default();
-    let ask = OverrideAsk { minutes };
+    let ask = OverrideRequest { minutes };
     let client = operator::client(args)?;
-    let overridden: Overridden = client.send(Method::PUT, &path, Seen::Any, &ask)?;
+    let overridden: OverrideOutcome = client.send(Method::PUT, &path, Seen::Any, &ask)?;
     tell(args, &overridden, "is kept out, not accepted")
 }
 
 fn withdraw(args: &ArgMatches) -> Outcome {
     let path = override_path(args)?;
     let client = operator::client(args)?;
-    let overridden: Overridden = client.order(Method::DELETE, &path, Seen::Any)?;
+    let overridden: OverrideOutcome = client.order(Method::DELETE, &path, Seen::Any)?;
     tell(args, &overridden, "is no longer kept out")
 }
 
@@ -75,16 +75,19 @@
     Ok(format!("/v1/data-centres/{name}/override"))
 }
 
-fn tell(args: &ArgMatches, overridden: &Overridden, what: &str) -> Outcome {
-    let Overridden {
+fn tell(args: &ArgMatches, overridden: &OverrideOutcome, what: &str) -> Outcome {
+    let OverrideOutcome {
         data_centre,
-        taken,
-        missed,
+        accepted_by,
+        unanswered_by,
         ..
     } = overridden;
-    let mut line = format!("data centre {data_centre} {what}; taken by {}", list(taken));
-    if !missed.is_empty() {
-        line.push_str(&format!("; not yet heard of by {}", list(missed)));
+    let mut line = format!(
+        "data centre {data_centre} {what}; taken by {}",
+        list(accepted_by)
+    );
+    if !unanswered_by.is_empty() {
+        line.push_str(&format!("; not yet heard of by {}", list(unanswered_by)));
     }
     Ok(print::either(args, overridden, &line)?)
 }
--- a/src/cmd/document.rs
+++ b/src/cmd/document.rs
@@ -2,7 +2,7 @@
 
 use std::fs;
 
-use admin::message::{Document, DocumentOutcome, Verdict};
+use admin::message::{Document, DocumentOutcome, ValidationResult};
 use clap::ArgMatches;
 use errors::{Context, Error};
 use hyper::Method;
@@ -48,7 +48,7 @@
 /// The file can't be read, the instance can't be reached, or the document has faults.
 pub fn validate(args: &ArgMatches) -> Outcome {
     let document = read(args)?;
-    let verdict: Verdict =
+    let verdict: ValidationResult =
         operator::client(args)?.send(Method::POST, "/v1/validate", Seen::Any, &document)?;
     if verdict.valid {
         return Ok(print::either(args, &verdict, "no faults")?);
@@ -59,7 +59,7 @@
     Err(faults(&verdict))
 }
 
-fn faults(verdict: &Verdict) -> Failure {
+fn faults(verdict: &ValidationResult) -> Failure {
     let mut message = format!("{} faults", verdict.faults.len());
     for fault in &verdict.faults {
         message.push_str("\n  ");
--- a/src/cmd/node.rs
+++ b/src/cmd/node.rs
@@ -2,7 +2,7 @@
 
 use std::{fs, path::PathBuf};
 
-use admin::message::{Accepted, InForceValues, Written};
+use admin::message::{Accepted, EffectiveValues, WrittenNode};
 use clap::ArgMatches;
 use errors::{Context, Error, Result};
 use hyper::Method;
@@ -44,7 +44,7 @@
     if args.get_flag("in-force") {
         return get_in_force(args, &client, &path);
     }
-    let written: Written = client.get(&path)?;
+    let written: WrittenNode = client.get(&path)?;
     if print::wants_json(args) {
         return Ok(print::json(&written)?);
     }
@@ -52,7 +52,7 @@
 }
 
 fn get_in_force(args: &ArgMatches, client: &AdminClient, path: &str) -> Outcome {
-    let in_force: InForceValues = client.get(&format!("{path}?in-force=true"))?;
+    let in_force: EffectiveValues = client.get(&format!("{path}?in-force=true"))?;
     if print::wants_json(args) {
         return Ok(print::json(&in_force)?);
     }
@@ -92,7 +92,7 @@
     let client = operator::client(args)?;
     let seen = match args.get_one::<ConfigVersion>("if-version") {
         Some(version) => Seen::Version(*version),
-        None => seen_of(client.get::<Written>(&path)?.version),
+        None => seen_of(client.get::<WrittenNode>(&path)?.version),
     };
     let accepted: Accepted = client.order(Method::DELETE, &path, seen)?;
     done(args, &accepted)
@@ -140,7 +140,7 @@
     Ok((seen, with_values(&node, values)?))
 }
 
-fn find(client: &AdminClient, path: &str) -> Outcome<Option<Written>> {
+fn find(client: &AdminClient, path: &str) -> Outcome<Option<WrittenNode>> {
     match client.get(path) {
         Ok(written) => Ok(Some(written)),
         Err(Failure {
