--- a/src/bin/bench.rs
+++ b/src/bin/bench.rs
@@ -1,4 +1,4 @@
-//! The load and experiment tool.
+//! `celerystand-bench`: generates load and runs experiments.
 
 use std::process::ExitCode;
 
--- a/src/bin/soak.rs
+++ b/src/bin/soak.rs
@@ -1,4 +1,5 @@
-//! `celerystand-soak`: real instances under random faults, checked against the promises.
+//! `celerystand-soak`: runs real instances under random faults and checks that the promises to
+//! callers are kept.
 
 use std::{io, path::PathBuf, process::ExitCode, time::Duration};
 
@@ -57,7 +58,7 @@
 }
 
 fn main() -> ExitCode {
-    match play(&command().get_matches()) {
+    match run_seeds(&command().get_matches()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
@@ -67,8 +68,9 @@
     }
 }
 
-/// Plays all seeds; tells whether every promise was kept.
-fn play(args: &ArgMatches) -> io::Result<bool> {
+/// Runs all seeds one after the other and prints a report of each. Returns whether every promise
+/// was kept.
+fn run_seeds(args: &ArgMatches) -> io::Result<bool> {
     let number = |name: &str| args.get_one::<u64>(name).copied().unwrap_or(1);
     let count = |name: &str| usize::try_from(number(name)).unwrap_or(usize::MAX);
     let program = match args.get_one::<PathBuf>("program") {
@@ -76,7 +78,7 @@
         None => std::env::current_exe()?.with_file_name("celerystand"),
     };
     let dir = args.get_one::<PathBuf>("dir").cloned().unwrap_or_default();
-    let mut kept = true;
+    let mut passed = true;
     for seed in number("seed")..number("seed").saturating_add(number("seeds")) {
         let soak = Soak {
             program: program.clone(),
@@ -93,14 +95,14 @@
                 ..Sizes::default()
             },
         };
-        let shown = smol::block_on(run(&soak))?;
-        let verdict = if shown.breaches.is_empty() {
+        let report = smol::block_on(run(&soak))?;
+        let verdict = if report.breaches.is_empty() {
             "kept"
         } else {
             "BROKEN"
         };
-        println!("seed {seed}: {verdict}\n{shown}");
-        kept &= shown.breaches.is_empty();
+        println!("seed {seed}: {verdict}\n{report}");
+        passed &= report.breaches.is_empty();
     }
-    Ok(kept)
+    Ok(passed)
 }
--- a/src/bin/standin.rs
+++ b/src/bin/standin.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the platform, model engines and plain services.
+//! `celerystand-standin`: stand-ins for the platform, model engines and plain services.
 
 use std::process::ExitCode;
 
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,14 +1,14 @@
-//! The command line.
+//! Definition of the command line: commands, options and their help texts.
 
 use std::{net::SocketAddr, path::PathBuf};
 
 use clap::{Arg, ArgAction, Command, value_parser};
 use clap_complete::Shell;
 
-/// Where an instance's administration API is looked for.
-pub const DEFAULT_ADMIN: &str = "127.0.0.1:9090";
+/// Address of an instance's administration API if none is given.
+pub const DEFAULT_ADMIN_ADDR: &str = "127.0.0.1:9090";
 
-/// Text below the list of commands.
+/// Help text below the list of commands.
 const AFTER_HELP: &str =
     "Commands that talk to an instance read the operator's key from --key-file or from the
 environment variable CELERYSTAND_KEY, and the address from --admin or CELERYSTAND_ADMIN.
@@ -21,7 +21,7 @@
   4  the instance or the table service can't be reached; nothing was changed
   5  unknown: the change may have been accepted; read before you try again";
 
-/// The whole command line.
+/// Returns the definition of the whole command line.
 #[must_use]
 pub fn command() -> Command {
     Command::new("celerystand")
@@ -96,7 +96,7 @@
                 .required(true)
                 .help("The request's id"),
         )
-        .arg(logs_arg())
+        .arg(log_files_arg())
 }
 
 fn losses() -> Command {
@@ -107,10 +107,10 @@
              served to its caller's next try counts as both.\n\n\
              Example:\n  celerystand losses instance-1.log instance-2.log",
         )
-        .arg(logs_arg())
+        .arg(log_files_arg())
 }
 
-fn logs_arg() -> Arg {
+fn log_files_arg() -> Arg {
     Arg::new("logs")
         .value_name("LOG")
         .num_args(0..)
@@ -146,7 +146,7 @@
 }
 
 fn get() -> Command {
-    remote("get")
+    admin_command("get")
         .about("Reads a node of the configuration tree")
         .after_help(
             "What it prints can be edited and given to `set --file`.\n\n\
@@ -163,7 +163,7 @@
 }
 
 fn set() -> Command {
-    remote("set")
+    admin_command("set")
         .about("Writes a node of the configuration tree")
         .after_help(
             "With key=value the other values of the node stay; `key=` takes a value back, so that\n\
@@ -190,7 +190,7 @@
 }
 
 fn delete() -> Command {
-    remote("delete")
+    admin_command("delete")
         .about("Deletes a node of the configuration tree")
         .after_help("Example:\n  celerystand delete /workspaces/editors/routes/catalogue/tags")
         .arg(path_arg())
@@ -204,27 +204,27 @@
 }
 
 fn export() -> Command {
-    remote("export")
+    admin_command("export")
         .about("Prints the whole configuration tree as one document")
         .after_help("Example:\n  celerystand export > tree.yml")
 }
 
 fn import() -> Command {
-    remote("import")
+    admin_command("import")
         .about("Writes the nodes of a document that differ from the tree; others stay")
         .after_help("Example:\n  celerystand import tree.yml")
         .arg(file_arg("file", "The document, as `export` prints it"))
 }
 
 fn validate() -> Command {
-    remote("validate")
+    admin_command("validate")
         .about("Tells whether a document would be accepted, without applying it")
         .after_help("Example:\n  celerystand validate tree.yml")
         .arg(file_arg("file", "The document, as `export` prints it"))
 }
 
 fn history() -> Command {
-    remote("history")
+    admin_command("history")
         .about("Lists accepted changes, newest first")
         .after_help("Example:\n  celerystand history --limit 5")
         .arg(
@@ -238,8 +238,8 @@
 }
 
 fn data_centre() -> Command {
-    let order = |name: &'static str, about: &'static str| {
-        remote(name).about(about).arg(
+    let subcommand = |name: &'static str, about: &'static str| {
+        admin_command(name).about(about).arg(
             Arg::new("name")
                 .value_name("NAME")
                 .required(true)
@@ -261,29 +261,32 @@
         )
         .subcommand_required(true)
         .arg_required_else_help(true)
-        .subcommand(order(
+        .subcommand(subcommand(
             "out",
             "No new work goes there; what runs is finished",
         ))
-        .subcommand(order("in", "New work goes there again, slowly at first"))
+        .subcommand(subcommand(
+            "in",
+            "New work goes there again, slowly at first",
+        ))
         .subcommand(
-            order(
+            subcommand(
                 "override",
                 "Keeps it out for a limited time while the table service is down",
             )
             .arg(minutes),
         )
-        .subcommand(order("withdraw", "Takes such an order back"))
+        .subcommand(subcommand("withdraw", "Takes such an order back"))
 }
 
 fn status() -> Command {
-    remote("status")
+    admin_command("status")
         .about("Shows whether an instance is ready and which configuration it has")
         .after_help("Example:\n  celerystand status --admin 10.4.1.11:9090")
 }
 
 fn dump() -> Command {
-    remote("dump")
+    admin_command("dump")
         .about("Prints the state of an instance as JSON, without secrets")
         .after_help("Example:\n  celerystand dump > state.json")
 }
@@ -325,8 +328,8 @@
         )
 }
 
-/// A command that talks to an instance.
-fn remote(name: &'static str) -> Command {
+/// A command that calls an instance's administration API, with the options common to all of these.
+fn admin_command(name: &'static str) -> Command {
     Command::new(name)
         .arg(
             Arg::new("admin")
--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,5 @@
-//! Calls to the administration API of one instance.
+//! Client of the administration API of one instance. It tells a change that was certainly not made
+//! from one that may have been accepted.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,51 +16,51 @@
 
 use crate::failure::{Failure, FailureKind, Outcome};
 
-/// Bytes of an answer.
-const ANSWER_LIMIT: usize = 64 * 1024 * 1024;
-/// Time to wait for an answer. The table service may be slow.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum size of a response body.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
+/// Timeout of a response. The instance may itself be waiting for a slow table service.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A client of one instance's administration API.
 pub struct AdminClient {
     addr: SocketAddr,
     key: Arc<str>,
-    who: Arc<str>,
+    operator: Arc<str>,
     client: Client,
 }
 
-/// What the operator saw of a node before the change.
+/// The state that a node must be in for a change to apply.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Seen {
-    /// It does not matter.
-    Any,
-    /// The node did not exist.
+pub enum Precondition {
+    /// The change applies in any state.
+    None,
+    /// The node must not exist.
     Absent,
-    /// This version had last written it.
+    /// The node must have last been written by this version.
     Version(ConfigVersion),
 }
 
 impl AdminClient {
-    /// Makes a client that names `who` as the one who makes changes.
+    /// Makes a client whose changes are recorded under the name `operator`.
     #[must_use]
-    pub fn new(addr: SocketAddr, key: Arc<str>, who: Arc<str>) -> Self {
+    pub fn new(addr: SocketAddr, key: Arc<str>, operator: Arc<str>) -> Self {
         Self {
             addr,
             key,
-            who,
+            operator,
             client: Client::new(),
         }
     }
 
-    /// Reads something.
+    /// Sends a `GET` request and returns the decoded response.
     ///
     /// # Errors
     /// The instance can't be reached or refuses.
     pub fn get<T: DeserializeOwned>(&self, path: &str) -> Outcome<T> {
-        self.call(Method::GET, path, Seen::Any, None)
+        self.call(Method::GET, path, Precondition::None, None)
     }
 
-    /// Changes something.
+    /// Makes a change by a request with a JSON body and returns the decoded response.
     ///
     /// # Errors
     /// The instance can't be reached or refuses, or the outcome is unknown.
@@ -67,37 +68,42 @@
         &self,
         method: Method,
         path: &str,
-        seen: Seen,
+        precondition: Precondition,
         body: &impl Serialize,
     ) -> Outcome<T> {
         let text = serde_json::to_vec(body)
             .map_err(|e| Failure::new(FailureKind::Failed, e.to_string()))?;
-        self.call(method, path, seen, Some(text))
+        self.call(method, path, precondition, Some(text))
     }
 
-    /// Changes something by a request without a body.
+    /// Makes a change by a request without a body and returns the decoded response.
     ///
     /// # Errors
     /// As [`Self::send`].
-    pub fn order<T: DeserializeOwned>(&self, method: Method, path: &str, seen: Seen) -> Outcome<T> {
-        self.call(method, path, seen, None)
+    pub fn send_empty<T: DeserializeOwned>(
+        &self,
+        method: Method,
+        path: &str,
+        precondition: Precondition,
+    ) -> Outcome<T> {
+        self.call(method, path, precondition, None)
     }
 
     fn call<T: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
-        seen: Seen,
+        precondition: Precondition,
         body: Option<Vec<u8>>,
     ) -> Outcome<T> {
-        let safe = method == Method::GET;
-        let req = self.request(method, path, seen, body)?;
-        let (status, buf) = smol::block_on(self.exchange(req, safe))?;
+        let is_read = method == Method::GET;
+        let req = self.request(method, path, precondition, body)?;
+        let (status, buf) = smol::block_on(self.exchange(req, is_read))?;
         if status >= 400 {
-            return Err(refusal(status, &buf));
+            return Err(error_response(status, &buf));
         }
         serde_json::from_slice(&buf).map_err(|e| {
-            let message = format!("{} gave an answer that can't be read: {e}", self.addr);
+            let message = format!("{} sent a response that can't be decoded: {e}", self.addr);
             Failure::new(FailureKind::Failed, message)
         })
     }
@@ -106,18 +112,18 @@
         &self,
         method: Method,
         path: &str,
-        seen: Seen,
+        precondition: Precondition,
         body: Option<Vec<u8>>,
     ) -> Outcome<Request<Full<Bytes>>> {
         let mut builder = Request::builder()
             .method(method)
             .uri(path)
             .header(AUTHORIZATION, format!("Bearer {}", self.key))
-            .header(FROM, &*self.who);
+            .header(FROM, &*self.operator);
         if body.is_some() {
             builder = builder.header(CONTENT_TYPE, "application/json");
         }
-        if let Some((name, value)) = precondition(seen) {
+        if let Some((name, value)) = precondition_header(precondition) {
             builder = builder.header(name, value);
         }
         builder
@@ -125,53 +131,57 @@
             .map_err(|e| Failure::new(FailureKind::Failed, format!("{path}: {e}")))
     }
 
-    async fn exchange(&self, req: Request<Full<Bytes>>, safe: bool) -> Outcome<(u16, Bytes)> {
+    async fn exchange(&self, req: Request<Full<Bytes>>, is_read: bool) -> Outcome<(u16, Bytes)> {
         let addr = self.addr;
         let exchange = async {
             let resp = self
                 .client
                 .send(addr, req)
                 .await
-                .map_err(|e| lost(addr, &e, safe))?;
+                .map_err(|e| send_failure(addr, &e, is_read))?;
             let status = resp.status().as_u16();
-            let buf = read_all(resp.into_body(), ANSWER_LIMIT, PATIENCE)
+            let buf = read_all(resp.into_body(), MAX_RESPONSE_BYTES, RESPONSE_TIMEOUT)
                 .await
-                .map_err(|e| cut(addr, &e.to_string(), safe))?;
+                .map_err(|e| no_response(addr, &e.to_string(), is_read))?;
             Ok((status, buf))
         };
         timer::Timer::new()
-            .within(PATIENCE, exchange)
+            .within(RESPONSE_TIMEOUT, exchange)
             .await
-            .unwrap_or_else(|| Err(cut(addr, "no answer in time", safe)))
+            .unwrap_or_else(|| Err(no_response(addr, "no response in time", is_read)))
     }
 }
 
-fn precondition(seen: Seen) -> Option<(HeaderName, String)> {
-    match seen {
-        Seen::Any => None,
-        Seen::Absent => Some((IF_NONE_MATCH, "*".to_owned())),
-        Seen::Version(version) => Some((IF_MATCH, format!("\"{version}\""))),
+fn precondition_header(precondition: Precondition) -> Option<(HeaderName, String)> {
+    match precondition {
+        Precondition::None => None,
+        Precondition::Absent => Some((IF_NONE_MATCH, "*".to_owned())),
+        Precondition::Version(version) => Some((IF_MATCH, format!("\"{version}\""))),
     }
 }
 
-fn refusal(status: u16, buf: &[u8]) -> Failure {
+/// The failure that a response with an error status describes.
+fn error_response(status: u16, buf: &[u8]) -> Failure {
     let problem: Problem = serde_json::from_slice(buf).unwrap_or_else(|_| {
         let text = String::from_utf8_lossy(buf);
         Problem::new(status, "", &format!("status {status}"), text)
     });
-    Failure::of_problem(&problem)
+    Failure::from_problem(&problem)
 }
 
-/// No connection, or one that broke: only in the second case may a change have been accepted.
-fn lost(addr: SocketAddr, error: &SendError, safe: bool) -> Failure {
+/// The failure of a request that could not be sent, or whose connection was lost after sending.
+/// Only in the second case may a change have been accepted.
+fn send_failure(addr: SocketAddr, error: &SendError, is_read: bool) -> Failure {
     match error {
         SendError::Unsent { .. } => Failure::new(FailureKind::Unavailable, error.to_string()),
-        SendError::Lost { .. } => cut(addr, &error.to_string(), safe),
+        SendError::Lost { .. } => no_response(addr, &error.to_string(), is_read),
     }
 }
 
-fn cut(addr: SocketAddr, reason: &str, safe: bool) -> Failure {
-    if safe {
+/// The failure of a request that was sent and got no complete response: the outcome of a change is
+/// unknown, whereas a read can simply be repeated.
+fn no_response(addr: SocketAddr, reason: &str, is_read: bool) -> Failure {
+    if is_read {
         return Failure::new(FailureKind::Unavailable, format!("{addr}: {reason}"));
     }
     let message =
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -1,4 +1,4 @@
-//! `celerystand check`: lists every fault of a settings file.
+//! `celerystand check`: lists every fault in a settings file.
 
 use std::path::Path;
 
@@ -6,14 +6,14 @@
 use errors::Error;
 use settings::Settings;
 
-use crate::{cmd::file, failure::Outcome, output};
+use crate::{cmd::file_arg, failure::Outcome, output};
 
 /// Checks a settings file.
 ///
 /// # Errors
-/// Lists the faults.
+/// As [`load`].
 pub fn run(args: &ArgMatches) -> Outcome {
-    let path = file(args, "file")?;
+    let path = file_arg(args, "file")?;
     load(path)?;
     output::line(format_args!("{}: no faults", path.display()))?;
     Ok(())
@@ -22,7 +22,7 @@
 /// Loads a settings file.
 ///
 /// # Errors
-/// One line for each fault.
+/// The file can't be read or has faults; the message has a line for each of them.
 pub fn load(path: &Path) -> Outcome<Settings> {
     settings::load(path).map_err(|faults| {
         let mut text = match faults.len() {
--- a/src/cmd/complete.rs
+++ b/src/cmd/complete.rs
@@ -1,4 +1,4 @@
-//! `celerystand completions`: completions for a shell.
+//! `celerystand completions`: prints completions for a shell.
 
 use clap::ArgMatches;
 use clap_complete::{Shell, generate};
@@ -6,7 +6,7 @@
 
 use crate::{cli, failure::Outcome, output};
 
-/// Prints the completions.
+/// Prints the completion script for the shell that the command line names.
 ///
 /// # Errors
 /// No shell was named.
--- a/src/cmd/data_centre.rs
+++ b/src/cmd/data_centre.rs
@@ -1,4 +1,5 @@
-//! `celerystand data-centre out|in|override|withdraw`.
+//! `celerystand data-centre out|in|override|withdraw`: takes a data centre out of service or back
+//! in.
 
 use admin::message::{Accepted, OverrideOutcome, OverrideRequest};
 use clap::ArgMatches;
@@ -6,41 +7,41 @@
 use hyper::Method;
 
 use crate::{
-    client::Seen,
-    cmd::{operator, print, text},
+    client::Precondition,
+    cmd::{operator, print, text_arg},
     failure::{Failure, FailureKind, Outcome},
 };
 
-/// Takes a data centre out of service or back in.
+/// Runs the subcommand that the command line names.
 ///
 /// # Errors
 /// The instance can't be reached or refuses.
 pub fn run(args: &ArgMatches) -> Outcome {
     match args.subcommand() {
-        Some((direction @ ("out" | "in"), args)) => turn(args, direction),
-        Some(("override", args)) => keep_out(args),
+        Some((direction @ ("out" | "in"), args)) => set_service_state(args, direction),
+        Some(("override", args)) => override_out(args),
         Some(("withdraw", args)) => withdraw(args),
         _ => Err(Error::new("say out, in, override or withdraw").into()),
     }
 }
 
-fn turn(args: &ArgMatches, direction: &str) -> Outcome {
-    let name = text(args, "name")?;
+fn set_service_state(args: &ArgMatches, direction: &str) -> Outcome {
+    let name = text_arg(args, "name")?;
     let path = format!("/v1/data-centres/{name}/{direction}");
     let accepted: Accepted = operator::client(args)?
-        .order(Method::POST, &path, Seen::Any)
-        .map_err(|failure| with_way_out(failure, name, direction))?;
+        .send_empty(Method::POST, &path, Precondition::None)
+        .map_err(|failure| suggest_override(failure, name, direction))?;
     let line = format!(
         "data centre {name} is {direction}, configuration version {}",
         accepted.version
     );
-    Ok(print::either(args, &accepted, &line)?)
+    Ok(print::json_or_text(args, &accepted, &line)?)
 }
 
-/// Without the table service nothing is accepted, but there is another way to take a data centre
-/// out, and this is when an operator needs to hear of it.
-fn with_way_out(failure: Failure, name: &str, direction: &str) -> Failure {
-    // Only an instance that answered can take the other order.
+/// Adds a hint at `override` to the failure of `out`. While the table service is down no change of
+/// the configuration is accepted, and an override is the only way to take a data centre out.
+fn suggest_override(failure: Failure, name: &str, direction: &str) -> Failure {
+    // An instance that did not answer at all could not accept an override either.
     if failure.kind != FailureKind::Unavailable || failure.status.is_none() || direction != "out" {
         return failure;
     }
@@ -54,45 +55,48 @@
     }
 }
 
-fn keep_out(args: &ArgMatches) -> Outcome {
+fn override_out(args: &ArgMatches) -> Outcome {
     let path = override_path(args)?;
     let minutes = args.get_one::<u32>("minutes").copied().unwrap_or_default();
-    let ask = OverrideRequest { minutes };
+    let request = OverrideRequest { minutes };
     let client = operator::client(args)?;
-    let overridden: OverrideOutcome = client.send(Method::PUT, &path, Seen::Any, &ask)?;
-    tell(args, &overridden, "is kept out, not accepted")
+    let outcome: OverrideOutcome = client.send(Method::PUT, &path, Precondition::None, &request)?;
+    print_outcome(args, &outcome, "is kept out, not accepted")
 }
 
 fn withdraw(args: &ArgMatches) -> Outcome {
     let path = override_path(args)?;
     let client = operator::client(args)?;
-    let overridden: OverrideOutcome = client.order(Method::DELETE, &path, Seen::Any)?;
-    tell(args, &overridden, "is no longer kept out")
+    let outcome: OverrideOutcome = client.send_empty(Method::DELETE, &path, Precondition::None)?;
+    print_outcome(args, &outcome, "is no longer kept out")
 }
 
 fn override_path(args: &ArgMatches) -> Outcome<String> {
-    let name = text(args, "name")?;
+    let name = text_arg(args, "name")?;
     Ok(format!("/v1/data-centres/{name}/override"))
 }
 
-fn tell(args: &ArgMatches, overridden: &OverrideOutcome, what: &str) -> Outcome {
+fn print_outcome(args: &ArgMatches, outcome: &OverrideOutcome, what: &str) -> Outcome {
     let OverrideOutcome {
         data_centre,
         accepted_by,
         unanswered_by,
         ..
-    } = overridden;
+    } = outcome;
     let mut line = format!(
         "data centre {data_centre} {what}; taken by {}",
-        list(accepted_by)
+        instance_list(accepted_by)
     );
     if !unanswered_by.is_empty() {
-        line.push_str(&format!("; not yet heard of by {}", list(unanswered_by)));
+        line.push_str(&format!(
+            "; no answer yet from {}",
+            instance_list(unanswered_by)
+        ));
     }
-    Ok(print::either(args, overridden, &line)?)
+    Ok(print::json_or_text(args, outcome, &line)?)
 }
 
-fn list(names: &[types::InstanceId]) -> String {
+fn instance_list(names: &[types::InstanceId]) -> String {
     match names {
         [] => "nobody else".to_owned(),
         names => names.join(", "),
--- a/src/cmd/docs.rs
+++ b/src/cmd/docs.rs
@@ -1,16 +1,16 @@
-//! `celerystand docs`: reference pages that are made from the code.
+//! `celerystand docs`: prints reference pages that are generated from the code.
 
 use clap::ArgMatches;
 use errors::Error;
 
-use crate::{cmd::text, failure::Outcome, output};
+use crate::{cmd::text_arg, failure::Outcome, output};
 
-/// Prints a page.
+/// Prints the page that the command line names.
 ///
 /// # Errors
 /// There is no such page.
 pub fn run(args: &ArgMatches) -> Outcome {
-    let page = match text(args, "page")? {
+    let page = match text_arg(args, "page")? {
         "events" => events::catalogue::page(),
         "settings" => settings::reference::page(),
         other => return Err(Error::new(format!("there is no page {other}")).into()),
--- a/src/cmd/document.rs
+++ b/src/cmd/document.rs
@@ -1,4 +1,4 @@
-//! `celerystand export`, `import` and `validate`.
+//! `celerystand export`, `import` and `validate`: the whole tree as one document.
 
 use std::fs;
 
@@ -8,12 +8,12 @@
 use hyper::Method;
 
 use crate::{
-    client::Seen,
-    cmd::{file, operator, print},
+    client::Precondition,
+    cmd::{file_arg, operator, print},
     failure::{Failure, FailureKind, Outcome},
 };
 
-/// Prints the whole tree.
+/// Prints the whole tree as YAML, or as JSON if asked.
 ///
 /// # Errors
 /// The instance can't be reached or refuses.
@@ -25,51 +25,55 @@
     Ok(print::yaml(&document)?)
 }
 
-/// Writes the nodes of a document.
+/// Writes the nodes of a document that differ from the tree.
 ///
 /// # Errors
-/// The file can't be read, the instance can't be reached or refuses.
+/// The file can't be read, or the instance can't be reached or refuses.
 pub fn import(args: &ArgMatches) -> Outcome {
-    let document = read(args)?;
+    let document = read_document(args)?;
     let outcome: DocumentOutcome =
-        operator::client(args)?.send(Method::PUT, "/v1/tree", Seen::Any, &document)?;
+        operator::client(args)?.send(Method::PUT, "/v1/tree", Precondition::None, &document)?;
     let line = format!(
         "{} nodes written, {} were the same; configuration version {}",
         outcome.written.len(),
         outcome.unchanged.len(),
         outcome.version
     );
-    Ok(print::either(args, &outcome, &line)?)
+    Ok(print::json_or_text(args, &outcome, &line)?)
 }
 
-/// Tells whether a document would be accepted.
+/// Checks whether a document would be accepted, without applying it.
 ///
 /// # Errors
 /// The file can't be read, the instance can't be reached, or the document has faults.
 pub fn validate(args: &ArgMatches) -> Outcome {
-    let document = read(args)?;
-    let verdict: ValidationResult =
-        operator::client(args)?.send(Method::POST, "/v1/validate", Seen::Any, &document)?;
-    if verdict.valid {
-        return Ok(print::either(args, &verdict, "no faults")?);
+    let document = read_document(args)?;
+    let result: ValidationResult = operator::client(args)?.send(
+        Method::POST,
+        "/v1/validate",
+        Precondition::None,
+        &document,
+    )?;
+    if result.valid {
+        return Ok(print::json_or_text(args, &result, "no faults")?);
     }
     if print::wants_json(args) {
-        print::json(&verdict)?;
+        print::json(&result)?;
     }
-    Err(faults(&verdict))
+    Err(validation_failure(&result))
 }
 
-fn faults(verdict: &ValidationResult) -> Failure {
-    let mut message = format!("{} faults", verdict.faults.len());
-    for fault in &verdict.faults {
+fn validation_failure(result: &ValidationResult) -> Failure {
+    let mut message = format!("{} faults", result.faults.len());
+    for fault in &result.faults {
         message.push_str("\n  ");
         message.push_str(&fault.to_string());
     }
     Failure::new(FailureKind::Failed, message)
 }
 
-fn read(args: &ArgMatches) -> Outcome<Document> {
-    let path = file(args, "file")?;
+fn read_document(args: &ArgMatches) -> Outcome<Document> {
+    let path = file_arg(args, "file")?;
     let text = fs::read_to_string(path).context(format!("reading {}", path.display()))?;
     let document = serde_saphyr::from_str(&text)
         .map_err(|e| Error::new(e).with_context(format!("reading {}", path.display())))?;
--- a/src/cmd/explain.rs
+++ b/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! `celerystand explain`: one request's story from the logs of several instances.
+//! `celerystand explain`: shows what happened to one request, from the logs of several instances.
 
 use std::collections::BTreeSet;
 
@@ -8,66 +8,72 @@
 
 use crate::{
     cmd::{
-        logs::{self, Found},
-        text,
+        logs::{self, SourcedEntry},
+        text_arg,
     },
     failure::Outcome,
     output,
 };
 
-/// Events that say what an instance had lost or learned, and so may be a request's cause.
-const SURROUNDINGS: [u64; 11] = [100, 101, 103, 105, 106, 910, 912, 915, 916, 918, 919];
-/// How long before a request's first line its surroundings are shown, in milliseconds. An engine
-/// that leaves is gone two seconds after its notice, and keys are honoured for five without news.
-const BEFORE_MS: u64 = 6_000;
+/// Numbers of events about the state of an instance, its peers, its targets and the store, which
+/// may be the cause of what happened to a request.
+const CONTEXT_EVENTS: [u64; 11] = [100, 101, 103, 105, 106, 910, 912, 915, 916, 918, 919];
+/// How long before a request's first entry such events are shown, in milliseconds. An engine that
+/// leaves may be gone two seconds after its notice, and keys are honoured for five seconds without
+/// an update from the store, so that a cause can lie that far back.
+const CONTEXT_BEFORE_MS: u64 = 6_000;
 
-/// Prints what happened to a request.
+/// Prints the entries of a request and the events around it, with times relative to the first.
 ///
 /// # Errors
 /// A log can't be read, or none says anything about the request.
 pub fn run(args: &ArgMatches) -> Outcome {
-    let id = text(args, "id")?;
+    let id = text_arg(args, "id")?;
     let all = logs::read(args)?;
-    let story = story(&all, id);
-    if story.is_empty() {
+    let entries = related_entries(&all, id);
+    if entries.is_empty() {
         return Err(Error::new(format!("no log says anything about {id}")).into());
     }
-    let from = story[0].line.time_ms;
-    for found in &story {
-        let at = i128::from(found.line.time_ms) - i128::from(from);
+    let from = entries[0].entry.time_ms;
+    for sourced in &entries {
+        let at = i128::from(sourced.entry.time_ms) - i128::from(from);
         output::line(format_args!(
             "{at:>8} ms  {}  {}",
-            found.log, found.line.message
+            sourced.log, sourced.entry.message
         ))?;
     }
     Ok(())
 }
 
-/// The request's own lines, and what its logs and targets say around them.
-fn story(all: &[Found], id: &str) -> Vec<Found> {
-    let own: Vec<&Found> = all.iter().filter(|found| about(found, "id", id)).collect();
+/// Returns the entries that carry the request's id, and those of [`CONTEXT_EVENTS`] in the same
+/// logs shortly before or during the request, except those about targets that it was not sent to.
+fn related_entries(all: &[SourcedEntry], id: &str) -> Vec<SourcedEntry> {
+    let own: Vec<&SourcedEntry> = all
+        .iter()
+        .filter(|sourced| has_field(sourced, "id", id))
+        .collect();
     let (Some(first), Some(last)) = (own.first(), own.last()) else {
         return Vec::new();
     };
-    let window = first.line.time_ms.saturating_sub(BEFORE_MS)..=last.line.time_ms;
-    let logs: BTreeSet<&str> = own.iter().map(|found| &*found.log).collect();
+    let window = first.entry.time_ms.saturating_sub(CONTEXT_BEFORE_MS)..=last.entry.time_ms;
+    let logs: BTreeSet<&str> = own.iter().map(|sourced| &*sourced.log).collect();
     let targets: BTreeSet<&str> = own
         .iter()
-        .flat_map(|found| ["target", "from", "to"].map(|name| &found.line.fields[name]))
+        .flat_map(|sourced| ["target", "from", "to"].map(|name| &sourced.entry.fields[name]))
         .filter_map(Value::as_str)
         .collect();
-    let belongs = |found: &&Found| {
-        if about(found, "id", id) {
+    let is_related = |sourced: &&SourcedEntry| {
+        if has_field(sourced, "id", id) {
             return true;
         }
-        let near = window.contains(&found.line.time_ms) && logs.contains(&*found.log);
-        let target = found.line.fields["target"].as_str();
-        let other = target.is_some_and(|target| !targets.contains(target));
-        near && !other && SURROUNDINGS.contains(&found.line.number)
+        let is_near = window.contains(&sourced.entry.time_ms) && logs.contains(&*sourced.log);
+        let target = sourced.entry.fields["target"].as_str();
+        let is_of_other_target = target.is_some_and(|target| !targets.contains(target));
+        is_near && !is_of_other_target && CONTEXT_EVENTS.contains(&sourced.entry.number)
     };
-    all.iter().filter(belongs).cloned().collect()
+    all.iter().filter(is_related).cloned().collect()
 }
 
-fn about(found: &Found, name: &str, value: &str) -> bool {
-    found.line.fields[name] == value
+fn has_field(sourced: &SourcedEntry, name: &str, value: &str) -> bool {
+    sourced.entry.fields[name] == value
 }
--- a/src/cmd/key.rs
+++ b/src/cmd/key.rs
@@ -1,4 +1,4 @@
-//! `celerystand key`: hashes of keys.
+//! `celerystand key`: prints hashes of keys.
 
 use std::io::{self, Read};
 
@@ -8,7 +8,7 @@
 
 use crate::{failure::Outcome, output};
 
-/// Prints the hash of the key on standard input, without the line's end.
+/// Prints the hash of the key that standard input holds, leaving out white space around the key.
 ///
 /// # Errors
 /// Standard input can't be read or holds no key.
--- a/src/cmd/logging.rs
+++ b/src/cmd/logging.rs
@@ -1,8 +1,8 @@
-//! Logging by settings.
+//! Initialises logging from the settings.
 
 use settings::{Log, LogFormat, LogLevel};
 
-/// Sets up logging.
+/// Initialises logging to standard error with the level and format of the settings.
 pub fn start(log: &Log) {
     let level = match log.level {
         LogLevel::Error => events::Level::Error,
--- a/src/cmd/logs.rs
+++ b/src/cmd/logs.rs
@@ -1,4 +1,4 @@
-//! Lines of instances' logs, as commands read them.
+//! Reads instances' logs in JSON for the commands that analyse them.
 
 use std::{
     fs::File,
@@ -11,58 +11,60 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-/// A line of a log, as far as it is used.
+/// An entry of a log; fields that no command uses are ignored.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Line {
-    /// When it was written, in milliseconds since 1970.
+pub struct LogEntry {
+    /// Time of the event, in milliseconds since 1970.
     pub time_ms: u64,
     /// The event's number.
     pub number: u64,
-    /// What it says to people.
+    /// The readable message.
     pub message: String,
-    /// What it says to programs.
+    /// The event's fields by name.
     #[serde(default)]
     pub fields: Value,
 }
 
-/// A line and the log that it stands in.
+/// An entry and the log that it was read from.
 #[derive(Clone, Debug)]
-pub struct Found {
-    /// The log.
+pub struct SourcedEntry {
+    /// The log's file name, or `-` for standard input.
     pub log: String,
-    /// The line.
-    pub line: Line,
+    /// The entry.
+    pub entry: LogEntry,
 }
 
-/// All lines of the logs that a command names, or of standard input, by their time.
+/// Returns all entries of the logs that the command line names, or of standard input if it names
+/// none, in the order of their times.
 ///
 /// # Errors
 /// A log can't be read.
-pub fn read(args: &ArgMatches) -> errors::Result<Vec<Found>> {
+pub fn read(args: &ArgMatches) -> errors::Result<Vec<SourcedEntry>> {
     let files: Vec<&PathBuf> = args.get_many("logs").unwrap_or_default().collect();
     let mut all = Vec::new();
     if files.is_empty() {
-        all.extend(lines("-", stdin())?);
+        all.extend(read_entries("-", stdin())?);
     }
     for file in files {
         let name = file.display().to_string();
         let log = File::open(file).context(format!("opening {name}"))?;
-        all.extend(lines(&name, log)?);
+        all.extend(read_entries(&name, log)?);
     }
-    all.sort_by_key(|found| found.line.time_ms);
+    all.sort_by_key(|sourced| sourced.entry.time_ms);
     Ok(all)
 }
 
-/// The lines of a log; those that are none are passed over, for a log may be cut anywhere.
-fn lines(name: &str, log: impl Read) -> errors::Result<Vec<Found>> {
+/// Returns the entries of a log. Lines that can't be decoded are skipped, because a log may have
+/// been truncated at any point.
+fn read_entries(name: &str, log: impl Read) -> errors::Result<Vec<SourcedEntry>> {
     let mut all = Vec::new();
     for line in BufReader::new(log).lines() {
         let line = line.context(format!("reading {name}"))?;
-        // Other programs may put words of their own before a line.
+        // Log collectors may put a prefix before the JSON.
         let json = line.find('{').map_or("", |at| &line[at..]);
-        if let Ok(line) = serde_json::from_str(json) {
+        if let Ok(entry) = serde_json::from_str(json) {
             let log = name.to_owned();
-            all.push(Found { log, line });
+            all.push(SourcedEntry { log, entry });
         }
     }
     Ok(all)
--- a/src/cmd/losses.rs
+++ b/src/cmd/losses.rs
@@ -1,4 +1,4 @@
-//! `celerystand losses`: what became of the requests that were not served, summed by cause.
+//! `celerystand losses`: counts by cause the requests that were not served.
 
 use std::{
     cmp::Reverse,
@@ -9,37 +9,38 @@
 use errors::Error;
 
 use crate::{
-    cmd::logs::{self, Found},
+    cmd::logs::{self, SourcedEntry},
     failure::Outcome,
     output,
 };
 
-/// Events that end a request, or tell that it was sent.
+/// Number of the event that a request got an answer of the instance in place of a target's.
 const REFUSED: u64 = 900;
-/// See [`REFUSED`].
+/// Number of the event that a request was sent to a target.
 const SENT: u64 = 901;
-/// See [`REFUSED`].
+/// Number of the event that a target's whole answer was passed on.
 const ANSWERED: u64 = 903;
-/// See [`REFUSED`].
-const CUT: u64 = 905;
-/// See [`REFUSED`].
+/// Number of the event that a generation's stream could not be continued.
+const STREAM_CUT: u64 = 905;
+/// Number of the event that a request's caller closed its connection before there was an answer.
 const DROPPED: u64 = 923;
-/// See [`REFUSED`].
+/// Number of the event that the process ended before it answered a request.
 const UNANSWERED: u64 = 924;
 
-/// What one cause has cost.
+/// The requests that were lost to one cause.
 #[derive(Debug, Default)]
-struct Loss {
-    /// Requests.
+struct CauseTotals {
+    /// Number of requests.
     count: usize,
-    /// How long each was held, in milliseconds, where that is known.
+    /// How long each request was held, in milliseconds, where that is known.
     held: Vec<u64>,
-    /// When the first and the last of them ended, in milliseconds since 1970.
+    /// When the first of them ended, in milliseconds since 1970.
     first: u64,
+    /// When the last of them ended, in milliseconds since 1970.
     last: u64,
 }
 
-impl Loss {
+impl CauseTotals {
     fn add(&mut self, at: u64, held: Option<u64>) {
         self.first = if self.count == 0 {
             at
@@ -58,63 +59,63 @@
     }
 }
 
-/// Prints the causes, the most frequent first.
+/// Prints the number of served requests, then the causes of the others, the most frequent first.
 ///
 /// # Errors
-/// A log can't be read, or there is no line of an instance in them.
+/// A log can't be read, or the logs have no entry of an instance.
 pub fn run(args: &ArgMatches) -> Outcome {
     let all = logs::read(args)?;
     let Some(first) = all.first() else {
         return Err(Error::new("there is no line of an instance in these logs").into());
     };
-    let from = first.line.time_ms;
-    let (served, losses) = sum(&all);
+    let from = first.entry.time_ms;
+    let (served, losses) = sum_by_cause(&all);
     output::line(format_args!("{served:>8}  served"))?;
-    let mut losses: Vec<(String, Loss)> = losses.into_iter().collect();
-    losses.sort_by_key(|(_, loss)| Reverse(loss.count));
-    for (cause, loss) in losses {
+    let mut losses: Vec<(String, CauseTotals)> = losses.into_iter().collect();
+    losses.sort_by_key(|(_, totals)| Reverse(totals.count));
+    for (cause, totals) in losses {
         let seconds = |ms: u64| u128::from(ms.saturating_sub(from)) / 1_000;
-        let held = loss
+        let held = totals
             .median_held()
             .map_or(String::new(), |ms| format!(", held {ms} ms at the median"));
         output::line(format_args!(
             "{:>8}  {cause}; from second {} to {}{held}",
-            loss.count,
-            seconds(loss.first),
-            seconds(loss.last),
+            totals.count,
+            seconds(totals.first),
+            seconds(totals.last),
         ))?;
     }
     Ok(())
 }
 
-/// Requests that were served, and the others by cause.
-fn sum(all: &[Found]) -> (usize, BTreeMap<String, Loss>) {
-    let mut losses: BTreeMap<String, Loss> = BTreeMap::new();
+/// Returns the number of requests that were served, and the others by cause.
+fn sum_by_cause(all: &[SourcedEntry]) -> (usize, BTreeMap<String, CauseTotals>) {
+    let mut losses: BTreeMap<String, CauseTotals> = BTreeMap::new();
     let mut served = BTreeSet::new();
     let mut ended = BTreeSet::new();
     let mut sent = BTreeMap::new();
-    for found in all {
-        let line = &found.line;
-        let Some(id) = line.fields["id"].as_str() else {
+    for sourced in all {
+        let entry = &sourced.entry;
+        let Some(id) = entry.fields["id"].as_str() else {
             continue;
         };
-        let status = line.fields["status"].as_u64().unwrap_or_default();
-        match line.number {
+        let status = entry.fields["status"].as_u64().unwrap_or_default();
+        match entry.number {
             SENT => {
-                sent.insert(id, line.time_ms);
+                sent.insert(id, entry.time_ms);
             }
             ANSWERED if status < 400 => {
                 served.insert(id);
                 ended.insert(id);
             }
             ANSWERED => {
-                // A call that failed at one target may be answered by the next.
-                sent.insert(id, line.time_ms);
+                // A failed call may be retried at another target, so this does not end the request.
+                sent.insert(id, entry.time_ms);
             }
-            REFUSED | CUT | DROPPED | UNANSWERED => {
-                let cause = cause(line.number, status, &line.fields["reason"]);
-                let held = line.fields["held_ms"].as_u64();
-                losses.entry(cause).or_default().add(line.time_ms, held);
+            REFUSED | STREAM_CUT | DROPPED | UNANSWERED => {
+                let cause = cause(entry.number, status, &entry.fields["reason"]);
+                let held = entry.fields["held_ms"].as_u64();
+                losses.entry(cause).or_default().add(entry.time_ms, held);
                 ended.insert(id);
             }
             _ => {}
@@ -122,8 +123,8 @@
     }
     let failed: BTreeSet<&str> = all
         .iter()
-        .filter(|found| found.line.number == ANSWERED)
-        .filter_map(|found| found.line.fields["id"].as_str())
+        .filter(|sourced| sourced.entry.number == ANSWERED)
+        .filter_map(|sourced| sourced.entry.fields["id"].as_str())
         .collect();
     for (id, at) in sent {
         if ended.contains(id) {
@@ -139,19 +140,19 @@
     (served.len(), losses)
 }
 
-/// A cause without what differs from request to request.
+/// Returns the cause of a loss as a text that is the same for all requests with this cause.
 fn cause(number: u64, status: u64, reason: &serde_json::Value) -> String {
-    let reason = alike(reason.as_str().unwrap_or_default());
+    let reason = mask_numbers(reason.as_str().unwrap_or_default());
     match number {
-        CUT => format!("cut: {reason}"),
+        STREAM_CUT => format!("cut: {reason}"),
         DROPPED => "its caller's connection ended before the answer".to_owned(),
         UNANSWERED => "its instance ended without an answer".to_owned(),
         _ => format!("answered {status}: {reason}"),
     }
 }
 
-/// A text with each figure, and each word that holds one, written as `*`.
-fn alike(text: &str) -> String {
+/// Replaces each word that contains a digit by `*`.
+fn mask_numbers(text: &str) -> String {
     let word = |word: &str| {
         if word.contains(|c: char| c.is_ascii_digit()) {
             "*".to_owned()
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Implementations of the commands, and the dispatch to them.
 
 pub mod check;
 pub mod complete;
@@ -30,13 +30,14 @@
 
 use crate::failure::Outcome;
 
-/// Runs the command that the command line names.
+/// Runs the command that the command line names. Prints a failure to standard error and returns its
+/// exit code.
 #[must_use]
 pub fn run(matches: &ArgMatches) -> ExitCode {
     match dispatch(matches) {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
-            // Where even this can't be written, the exit code still tells.
+            // If standard error can't be written either, the exit code still reports the failure.
             let _ = writeln!(io::stderr(), "celerystand: {failure}");
             failure.exit_code()
         }
@@ -71,14 +72,20 @@
     }
 }
 
-/// A file that the command line names; the command line makes sure that it is there.
-fn file<'a>(args: &'a ArgMatches, id: &str) -> Outcome<&'a PathBuf> {
+/// The value of a required argument that names a file.
+///
+/// # Errors
+/// The argument is missing, which the definition of the command line rules out.
+fn file_arg<'a>(args: &'a ArgMatches, id: &str) -> Outcome<&'a PathBuf> {
     args.get_one(id)
         .ok_or_else(|| Error::new("no file was named").into())
 }
 
-/// A text that the command line names; the command line makes sure that it is there.
-fn text<'a>(args: &'a ArgMatches, id: &str) -> Outcome<&'a str> {
+/// The value of a required text argument.
+///
+/// # Errors
+/// As [`file_arg`].
+fn text_arg<'a>(args: &'a ArgMatches, id: &str) -> Outcome<&'a str> {
     args.get_one::<String>(id)
         .map(String::as_str)
         .ok_or_else(|| Error::new(format!("no {id} was named")).into())
--- a/src/cmd/operator.rs
+++ b/src/cmd/operator.rs
@@ -1,29 +1,30 @@
-//! Which instance a command talks to, and with which key.
+//! Address and key of the instance that a command calls, from the command line and the environment.
 
 use std::{env, fs, net::SocketAddr, path::PathBuf, sync::Arc};
 
 use clap::ArgMatches;
 use errors::{Context, Error};
 
-use crate::{cli::DEFAULT_ADMIN, client::AdminClient, failure::Outcome};
+use crate::{cli::DEFAULT_ADMIN_ADDR, client::AdminClient, failure::Outcome};
 
-/// The client that the command line and the environment describe.
+/// Makes a client from the command line and the environment. Changes are recorded under the name in
+/// `USER`, or `operator` if that is not set.
 ///
 /// # Errors
-/// The address or the key is missing or can't be read.
+/// The address is not `IP:PORT`, or the key is missing or can't be read.
 pub fn client(args: &ArgMatches) -> Outcome<AdminClient> {
-    let who = env::var("USER").unwrap_or_else(|_| "operator".to_owned());
-    Ok(AdminClient::new(addr(args)?, key(args)?, who.into()))
+    let operator = env::var("USER").unwrap_or_else(|_| "operator".to_owned());
+    Ok(AdminClient::new(addr(args)?, key(args)?, operator.into()))
 }
 
 fn addr(args: &ArgMatches) -> Outcome<SocketAddr> {
     if let Some(addr) = args.get_one::<SocketAddr>("admin") {
         return Ok(*addr);
     }
-    let text = env::var("CELERYSTAND_ADMIN").unwrap_or_else(|_| DEFAULT_ADMIN.to_owned());
+    let text = env::var("CELERYSTAND_ADMIN").unwrap_or_else(|_| DEFAULT_ADMIN_ADDR.to_owned());
     let addr = text
         .parse()
-        .context(format!("CELERYSTAND_ADMIN={text} is no IP:PORT"))?;
+        .context(format!("CELERYSTAND_ADMIN={text} is not IP:PORT"))?;
     Ok(addr)
 }
 
--- a/src/cmd/platform.rs
+++ b/src/cmd/platform.rs
@@ -15,13 +15,14 @@
 
 use crate::failure::{Failure, FailureKind, Outcome};
 
-/// Worker threads. An instance has a part of one core, and threads only take turns on it.
+/// Number of worker threads. An instance has less than one core, on which further threads would run
+/// in turn and gain nothing.
 const WORKERS: usize = 1;
 
-/// Runs one instance until it is told to stop. The settings are those that the platform wrote.
+/// Runs one instance with the settings that the platform wrote, until it is told to stop.
 ///
 /// # Errors
-/// Tells why it could not start.
+/// The settings or the decisions can't be read, or the instance could not start.
 pub fn run(args: &ArgMatches) -> Outcome {
     let level = if args.get_flag("quiet") {
         Level::Warn
@@ -46,21 +47,20 @@
     Ok(result?)
 }
 
-/// Reads what operators have set of the decisions.
+/// Reads the decisions file, in which operators override defaults of the decisions.
 ///
 /// # Errors
-/// The file can't be read, is not what it should be, or has figures that make no sense; all of
-/// these are told.
+/// The file can't be read or decoded, or has invalid figures; the message lists all of them.
 pub fn decisions(path: &Path) -> Outcome<Decisions> {
-    let shown = path.display().to_string();
-    let text = fs::read_to_string(path).context(shown.clone())?;
-    let decisions: Decisions = serde_saphyr::from_str(&text).context(shown.clone())?;
+    let file = path.display().to_string();
+    let text = fs::read_to_string(path).context(file.clone())?;
+    let decisions: Decisions = serde_saphyr::from_str(&text).context(file.clone())?;
     let faults = decisions.placing.faults();
     if faults.is_empty() {
         return Ok(decisions);
     }
     Err(Failure::new(
         FailureKind::Failed,
-        format!("{shown}: {}", faults.join("; ")),
+        format!("{file}: {}", faults.join("; ")),
     ))
 }
--- a/src/cmd/serve.rs
+++ b/src/cmd/serve.rs
@@ -3,16 +3,16 @@
 use clap::ArgMatches;
 
 use crate::{
-    cmd::{check, file, logging},
+    cmd::{check, file_arg, logging},
     failure::Outcome,
 };
 
 /// Runs one instance until it is told to stop.
 ///
 /// # Errors
-/// Tells why it could not start.
+/// The settings have faults, or the instance could not start.
 pub fn run(args: &ArgMatches) -> Outcome {
-    let settings = check::load(file(args, "settings")?)?;
+    let settings = check::load(file_arg(args, "settings")?)?;
     logging::start(&settings.log);
     let result = node::serve(&settings);
     events::flush();
--- a/src/cmd/state.rs
+++ b/src/cmd/state.rs
@@ -1,4 +1,4 @@
-//! `celerystand status`, `dump` and `history`.
+//! `celerystand status`, `dump` and `history`: the state of an instance and the accepted changes.
 
 use std::time::SystemTime;
 
@@ -13,13 +13,13 @@
     output,
 };
 
-/// Shows a summary of an instance.
+/// Prints a summary of an instance's state.
 ///
 /// # Errors
 /// The instance can't be reached or refuses.
 pub fn status(args: &ArgMatches) -> Outcome {
     let status: Status = operator::client(args)?.get("/v1/status")?;
-    Ok(print::either(args, &status, &status_lines(&status))?)
+    Ok(print::json_or_text(args, &status, &status_lines(&status))?)
 }
 
 fn status_lines(status: &Status) -> String {
@@ -42,16 +42,16 @@
     )
 }
 
-fn override_line(order: &OverrideView) -> String {
+fn override_line(view: &OverrideView) -> String {
     let OverrideView {
         data_centre,
         who,
         seconds_left,
-    } = order;
+    } = view;
     format!("\nnot accepted   {data_centre}, kept out by {who} for another {seconds_left} s")
 }
 
-/// Prints the state of an instance.
+/// Prints the whole state of an instance as JSON.
 ///
 /// # Errors
 /// The instance can't be reached or refuses.
@@ -60,7 +60,7 @@
     Ok(print::json(&state)?)
 }
 
-/// Lists accepted changes.
+/// Prints the accepted changes, newest first.
 ///
 /// # Errors
 /// The instance or the table service can't be reached, or the instance refuses.
--- a/src/cmd/try_platform.rs
+++ b/src/cmd/try_platform.rs
@@ -1,4 +1,5 @@
-//! `celerystand try --platform`: one instance on stand-ins of the users' platform.
+//! `celerystand try --platform`: a demonstration of one instance on stand-ins of the users'
+//! platform.
 
 use std::{net::SocketAddr, sync::Arc, thread, time::Duration};
 
@@ -15,55 +16,55 @@
 
 use crate::{failure::Outcome, output};
 
-/// Bounds of the demonstration's instance.
+/// Entries of the section `bounds` in the instance's settings.
 const BOUNDS: &str = "revoke_ms = 2500\ngrace_s = 6";
 /// Key of the demonstration's one workspace.
 const KEY: &str = "key-1";
-/// Time for the instance to serve.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Time between two tries.
-const POLL: Duration = Duration::from_millis(50);
-/// Events of the generation that is carried over: about two seconds.
+/// Timeout for the instance to serve its first call.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time between two attempts at the first call.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of events of the migrated generation, which takes about two seconds.
 const EVENTS: u32 = 130;
-/// Requests a second that a process in need takes.
-const TAKES: f64 = 4.0;
-/// How long it is in need.
-const NEED: Duration = Duration::from_secs(2);
-/// Time between two calls meanwhile.
-const CALL_EVERY: Duration = Duration::from_millis(20);
-/// Engines beside the first ones for a request that crashes them.
-const ENGINES: usize = 5;
-/// Times that it is sent.
-const REPEATS: usize = 6;
-/// Time after which its engine is said to leave.
-const BEFORE_LEAVING: Duration = Duration::from_millis(300);
+/// Limit that a process of the plain service reports, in requests per second.
+const RATE_LIMIT: f64 = 4.0;
+/// How long it reports this limit.
+const OVERLOAD_DURATION: Duration = Duration::from_secs(2);
+/// Time between two calls in the meantime.
+const CALL_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of engines that are added for a request that crashes engines.
+const EXTRA_ENGINES: usize = 5;
+/// How often this request is sent.
+const CRASH_ATTEMPTS: usize = 6;
+/// Delay until an engine is listed as leaving, or one that has crashed is removed from the list.
+const LEAVE_DELAY: Duration = Duration::from_millis(300);
 
 /// Runs the demonstration and stays up, or ends with `once`.
 ///
 /// # Errors
-/// Tells what did not work.
+/// The instance did not start, or a step of the demonstration failed.
 pub fn run(once: bool) -> Outcome {
     let deployment = smol::block_on(Deployment::start());
     let store = platform_standin::listen(Arc::new(deployment.store.clone()));
     let cfg = config(smol::block_on(store))?;
     output::line("One instance, two engines, a plain service and a store, in one process.")?;
     output::line(format_args!("  callers    http://{}", cfg.callers))?;
-    let (callers, kept) = (cfg.callers, cfg.clone());
+    let (callers, reloaded) = (cfg.callers, cfg.clone());
     let adapters = Adapters {
         protocol: Arc::new(HttpAdapter::new()),
         engines: Arc::new(EngineClient::new(Client::new())),
         store: Arc::new(RowStore::new(Client::new(), cfg.store)),
-        reload: Box::new(move || Ok(kept.clone())),
+        reload: Box::new(move || Ok(reloaded.clone())),
     };
     let instance = thread::spawn(move || front::serve(cfg, adapters));
     smol::block_on(demonstrate(&deployment, callers))?;
     if once {
         return Ok(());
     }
-    // Ctrl-C ends the instance, and it the process.
+    // Ctrl-C shuts the instance down, which ends the process.
     match instance.join() {
         Ok(ended) => Ok(ended?),
-        Err(_) => Err(Error::new("the instance broke down").into()),
+        Err(_) => Err(Error::new("the thread of the instance panicked").into()),
     }
 }
 
@@ -77,7 +78,7 @@
 
 async fn demonstrate(deployment: &Deployment, to: SocketAddr) -> errors::Result<()> {
     let caller = Caller::new(KEY);
-    let first = until_served(&caller, to).await?;
+    let first = wait_until_served(&caller, to).await?;
     output::line(format_args!(
         "\nA plain call: {} {}",
         first.status, first.body
@@ -86,64 +87,77 @@
         .call(to, "GET", "/titles/1", "try-denied")
         .await;
     output::line(format_args!("With a wrong key: {}", denied.status))?;
-    in_need(deployment, &caller, to).await?;
-    carried(deployment, &caller, to).await?;
-    crashing(deployment, &caller, to).await
+    rate_limited_target(deployment, &caller, to).await?;
+    migrated_generation(deployment, &caller, to).await?;
+    crashing_request(deployment, &caller, to).await
 }
 
-/// A process of the plain service that takes few requests a second.
-async fn in_need(deployment: &Deployment, caller: &Caller, to: SocketAddr) -> errors::Result<()> {
+/// Shows that a process of the plain service that reports a limit gets few of the calls.
+async fn rate_limited_target(
+    deployment: &Deployment,
+    caller: &Caller,
+    to: SocketAddr,
+) -> errors::Result<()> {
     let plain = &deployment.plain[0];
-    plain.set_limit(Some(TAKES));
+    plain.set_limit(Some(RATE_LIMIT));
     let (timer, before, mut calls) = (Timer::new(), plain.ran(), 0);
-    while timer.now() < NEED {
+    while timer.now() < OVERLOAD_DURATION {
         let id = format!("try-need-{calls}");
         caller.call(to, "GET", "/titles/1", &id).await;
         calls += 1;
-        timer.sleep(CALL_EVERY).await;
+        timer.sleep(CALL_INTERVAL).await;
     }
     plain.set_limit(None);
     let got = plain.ran() - before;
     output::line(format_args!(
-        "A process that takes {TAKES} requests a second got {got} of {calls} calls in {NEED:?}"
+        "A process that takes {RATE_LIMIT} requests a second got {got} of {calls} calls in \
+         {OVERLOAD_DURATION:?}"
     ))?;
     if got * 2 < calls {
         return Ok(());
     }
-    Err(Error::new("the process got more than it takes"))
+    Err(Error::new(
+        "the process got more calls than its limit allows",
+    ))
 }
 
-/// A request that crashes each engine that runs it, sent again and again.
-async fn crashing(deployment: &Deployment, caller: &Caller, to: SocketAddr) -> errors::Result<()> {
+/// Shows that a request that crashes each engine that runs it is rejected before it has crashed all
+/// engines.
+async fn crashing_request(
+    deployment: &Deployment,
+    caller: &Caller,
+    to: SocketAddr,
+) -> errors::Result<()> {
     let mut engines = Vec::new();
-    for number in 3..3 + ENGINES {
+    for number in 3..3 + EXTRA_ENGINES {
         engines.push(deployment.add_engine(&format!("e-{number}")).await);
     }
     engines.push(deployment.engines[1].clone());
     let timer = Timer::new();
     let mut last = Got::default();
-    for number in 0..REPEATS {
+    for number in 0..CRASH_ATTEMPTS {
         let id = format!("try-crash-{number}");
         last = caller.crash(to, "POST", "/drafts/1", &id).await;
-        timer.sleep(BEFORE_LEAVING).await;
+        timer.sleep(LEAVE_DELAY).await;
         for engine in engines.iter().filter(|engine| engine.has_crashed()) {
             deployment.store.drop_row("servers", &engine.id());
         }
-        timer.sleep(BEFORE_LEAVING).await;
+        timer.sleep(LEAVE_DELAY).await;
     }
-    let ended = engines.iter().filter(|engine| engine.has_crashed()).count();
+    let crashed = engines.iter().filter(|engine| engine.has_crashed()).count();
     output::line(format_args!(
-        "A request that crashes what runs it, sent {REPEATS} times: {ended} engines ended; the last \
-         answer: {} {}",
+        "A request that crashes what runs it, sent {CRASH_ATTEMPTS} times: {crashed} engines \
+         ended; the last answer: {} {}",
         last.status, last.body
     ))?;
-    if ended < ENGINES {
+    if crashed < EXTRA_ENGINES {
         return Ok(());
     }
     Err(Error::new("the request was not rejected"))
 }
 
-async fn until_served(caller: &Caller, to: SocketAddr) -> errors::Result<Got> {
+/// Repeats a plain call until it is served.
+async fn wait_until_served(caller: &Caller, to: SocketAddr) -> errors::Result<Got> {
     let timer = Timer::new();
     loop {
         let id = format!("try-{}", timer.now().as_millis());
@@ -151,30 +165,34 @@
         if got.status == 200 {
             return Ok(got);
         }
-        if timer.now() > PATIENCE {
+        if timer.now() > READY_TIMEOUT {
             return Err(Error::new(got.body).with_context("the first call"));
         }
-        timer.sleep(POLL).await;
+        timer.sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// A generation whose engine leaves in the middle.
-async fn carried(deployment: &Deployment, caller: &Caller, to: SocketAddr) -> errors::Result<()> {
+/// Shows that a generation whose engine leaves while it runs is migrated without losing an event.
+async fn migrated_generation(
+    deployment: &Deployment,
+    caller: &Caller,
+    to: SocketAddr,
+) -> errors::Result<()> {
     let resp = caller
         .send(to, "POST", "/drafts/1", "try-carried", EVENTS)
         .await;
     let resp = resp.ok_or_else(|| Error::new("no answer to a generation"))?;
-    Timer::new().sleep(BEFORE_LEAVING).await;
+    Timer::new().sleep(LEAVE_DELAY).await;
     deployment.engine_leaves(0);
     let got = read(resp).await;
-    let whole = got.whole && got.body == all_events(EVENTS);
+    let is_complete = got.whole && got.body == all_events(EVENTS);
     let second = deployment.engines[1].began().len();
     output::line(format_args!(
-        "A generation of {EVENTS} events whose engine left: all of them once and in order: {whole}; \
-         begun anew elsewhere: {second}"
+        "A generation of {EVENTS} events whose engine left: all of them once and in order: \
+         {is_complete}; begun anew elsewhere: {second}"
     ))?;
-    if whole {
+    if is_complete {
         return Ok(());
     }
-    Err(Error::new("the generation did not come whole"))
+    Err(Error::new("events of the migrated generation are missing"))
 }
--- a/src/demo/call.rs
+++ b/src/demo/call.rs
@@ -1,4 +1,4 @@
-//! Requests of the demonstration's caller.
+//! HTTP client of the demonstration's caller.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,29 +15,29 @@
 
 use crate::demo::CALLER_KEY;
 
-/// Time for each step of an exchange.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Bytes of an answer.
-const ANSWER_LIMIT: usize = 1024 * 1024;
+/// Timeout of each step of an exchange: the head of the answer, and each read of its body.
+const STEP_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum size of the body of an answer.
+const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
-/// A whole answer.
+/// A complete answer.
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// When to come back, if the answer says so.
+    /// The value of `Retry-After`, if the answer has one.
     pub retry_after: Option<String>,
     /// The body.
     pub text: String,
 }
 
-/// A caller with a key.
+/// A caller that uses the key of the demonstration's workspace.
 pub struct Caller {
     addr: SocketAddr,
     client: Client,
 }
 
 impl Caller {
-    /// Makes a caller of the instance at this address.
+    /// Makes a caller that sends to this address.
     #[must_use]
     pub fn new(addr: SocketAddr) -> Self {
         Self {
@@ -46,11 +46,11 @@
         }
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete answer.
     ///
     /// # Errors
-    /// No whole answer came in time.
-    pub async fn ask(
+    /// No complete answer came in time.
+    pub async fn request(
         &self,
         method: &str,
         path: &str,
@@ -59,7 +59,9 @@
     ) -> Result<Answer> {
         let resp = self.send(method, path, headers, body).await?;
         let (head, body) = resp.into_parts();
-        let buf = read_all(body, ANSWER_LIMIT, PATIENCE).await.context(path)?;
+        let buf = read_all(body, MAX_ANSWER_BYTES, STEP_TIMEOUT)
+            .await
+            .context(path)?;
         let retry_after = head.headers.get("retry-after");
         Ok(Answer {
             status: head.status.as_u16(),
@@ -68,20 +70,20 @@
         })
     }
 
-    /// Sends a request for a streamed answer and hands on each line as it comes.
+    /// Sends a request for a streamed answer and calls `on_line` with each line as it arrives.
     ///
     /// # Errors
-    /// The answer is no stream, or broke off, or a line could not be dealt with.
+    /// The answer has an error status or was truncated, no data came in time, or `on_line` failed.
     pub async fn stream(
         &self,
         path: &str,
         body: &str,
-        mut each: impl FnMut(&str) -> Result<()>,
+        mut on_line: impl FnMut(&str) -> Result<()>,
     ) -> Result<()> {
         let resp = self.send("POST", path, &[], body).await?;
         let status = resp.status();
         if !status.is_success() {
-            let buf = read_all(resp.into_body(), ANSWER_LIMIT, PATIENCE).await;
+            let buf = read_all(resp.into_body(), MAX_ANSWER_BYTES, STEP_TIMEOUT).await;
             let text = buf.map(|buf| String::from_utf8_lossy(&buf).into_owned());
             let reason = format!("status {status}: {}", text.unwrap_or_default());
             return Err(Error::new(reason).with_context(path));
@@ -89,8 +91,8 @@
         let mut body = resp.into_body();
         let mut buf = String::new();
         loop {
-            let frame = Timer::new().within(PATIENCE, body.frame()).await;
-            let frame = frame.ok_or_else(|| Error::new("the stream fell silent"))?;
+            let frame = Timer::new().within(STEP_TIMEOUT, body.frame()).await;
+            let frame = frame.ok_or_else(|| Error::new("no data on the stream in time"))?;
             let Some(frame) = frame else {
                 return Ok(());
             };
@@ -98,7 +100,7 @@
                 buf.push_str(&String::from_utf8_lossy(data));
             }
             while let Some(end) = buf.find('\n') {
-                each(buf[..end].trim_end())?;
+                on_line(buf[..end].trim_end())?;
                 buf.drain(..=end);
             }
         }
@@ -122,7 +124,7 @@
         let body = Full::new(Bytes::copy_from_slice(body.as_bytes()));
         let req = builder.body(body).context(path)?;
         let sent = self.client.send(self.addr, req);
-        let resp = Timer::new().within(PATIENCE, sent).await;
+        let resp = Timer::new().within(STEP_TIMEOUT, sent).await;
         resp.ok_or_else(|| Error::new("no answer in time"))?
             .context(path)
     }
--- a/src/demo/place.rs
+++ b/src/demo/instance.rs
@@ -1,4 +1,4 @@
-//! Addresses, settings and tree of the demonstration's instance.
+//! Addresses, settings and configuration tree of the demonstration's instance.
 
 use std::{
     collections::BTreeMap,
@@ -14,33 +14,33 @@
 
 use crate::demo::{CALLER_KEY, DATA_CENTRE, INSTANCE, MODEL, OPERATOR_KEY, PLAIN};
 
-/// The port that callers use if it is free.
+/// Preferred port for callers.
 const LISTEN_PORT: u16 = 8080;
-/// The port that operators use if it is free; the commands look there by default.
+/// Preferred port for operators; the default of the commands.
 const ADMIN_PORT: u16 = 9090;
-/// The port that peers use if it is free.
+/// Preferred port for peers.
 const PEER_PORT: u16 = 7070;
-/// Worker threads.
+/// Number of worker threads.
 const WORKERS: usize = 2;
 
-/// Where the instance listens.
+/// The addresses on which the instance listens.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Place {
-    /// For callers.
+pub struct InstanceAddrs {
+    /// Address for callers.
     pub listen: SocketAddr,
-    /// For operators.
+    /// Address for operators.
     pub admin: SocketAddr,
-    /// For peers.
+    /// Address for peers.
     pub peer: SocketAddr,
 }
 
-impl Place {
-    /// Finds three free addresses, the usual ports first.
+impl InstanceAddrs {
+    /// Finds three free addresses on this machine, with the preferred ports if these are free.
     ///
     /// # Errors
     /// The system has no free port.
-    pub fn find() -> io::Result<Self> {
-        // All three are held until the last was found, so that no two are the same.
+    pub fn allocate() -> io::Result<Self> {
+        // All three stay bound until the last is found, so that no port is returned twice.
         let callers = bind(LISTEN_PORT)?;
         let operators = bind(ADMIN_PORT)?;
         let peers = bind(PEER_PORT)?;
@@ -51,7 +51,7 @@
         })
     }
 
-    /// The settings of the instance.
+    /// Returns the settings of the instance on the platform at this address.
     #[must_use]
     pub fn settings(&self, platform: SocketAddr) -> Settings {
         let platform: Arc<str> = format!("http://{platform}").into();
@@ -87,12 +87,13 @@
     }
 }
 
+/// Binds the port, or any free one if the port is taken.
 fn bind(port: u16) -> io::Result<TcpListener> {
-    let usual = TcpListener::bind((Ipv4Addr::LOCALHOST, port));
-    usual.or_else(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0)))
+    let preferred = TcpListener::bind((Ipv4Addr::LOCALHOST, port));
+    preferred.or_else(|_| TcpListener::bind((Ipv4Addr::LOCALHOST, 0)))
 }
 
-/// The configuration tree: one data centre, a model, a plain service and a workspace.
+/// Returns the configuration tree: one data centre, a model, a plain service and a workspace.
 #[must_use]
 pub fn tree() -> Document {
     let service = |kind| Node {
--- a/src/demo/mod.rs
+++ b/src/demo/mod.rs
@@ -1,13 +1,13 @@
-//! The demonstration behind `celerystand try`: one instance and stand-ins for all that it talks
-//! to, in one process.
+//! The demonstration behind `celerystand try`: one instance and stand-ins for everything that it
+//! communicates with, in one process.
 
 pub mod call;
-pub mod place;
+pub mod instance;
 pub mod show;
-pub mod surroundings;
+pub mod stand_ins;
 
-pub use place::Place;
-pub use surroundings::Surroundings;
+pub use instance::InstanceAddrs;
+pub use stand_ins::StandIns;
 
 /// Bearer key of the demonstration's one workspace.
 pub const CALLER_KEY: &str = "try-caller";
--- a/src/demo/show.rs
+++ b/src/demo/show.rs
@@ -1,4 +1,5 @@
-//! What the demonstration shows, step by step.
+//! The steps of the demonstration. Each prints what it shows and fails if the instance does not
+//! behave as promised.
 
 use std::{env, time::Duration};
 
@@ -7,17 +8,17 @@
 use timer::Timer;
 
 use crate::{
-    demo::{CALLER_KEY, MODEL, OPERATOR_KEY, Place, Surroundings, call::Caller},
+    demo::{CALLER_KEY, InstanceAddrs, MODEL, OPERATOR_KEY, StandIns, call::Caller},
     output,
 };
 
-/// Time for the instance to become ready.
-const READY_PATIENCE: Duration = Duration::from_secs(60);
-/// Time between two looks.
-const POLL: Duration = Duration::from_millis(100);
+/// Timeout for the instance to serve each kind of request.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time between two checks of readiness.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Path of chat completions.
 const CHAT: &str = "/v1/chat/completions";
-/// Metrics that are worth showing after a few requests.
+/// Prefixes of the metrics that are printed.
 const SHOWN_METRICS: [&str; 4] = [
     "gateway_requests_total",
     "gateway_refusals_total",
@@ -25,51 +26,53 @@
     "gateway_first_token_seconds_count",
 ];
 
-/// Waits until the instance says that it takes work, and has heard of a target for each service:
-/// the platform's list lags, so its first answers may be that there is none.
+/// Waits until the instance reports that it is ready and serves a request to each service.
+/// Readiness alone is not enough: the platform's list of targets lags, so that the first requests
+/// may be refused for lack of a target.
 ///
 /// # Errors
-/// It does not in time.
-pub async fn until_served(place: &Place) -> Result<()> {
-    let ready = Caller::new(place.admin);
-    until_ok(&ready, "GET", "/ready", "").await?;
-    let caller = Caller::new(place.listen);
-    until_ok(&caller, "GET", "/orders/1", "").await?;
-    until_ok(&caller, "POST", CHAT, &chat("Hello.", 1, false)).await
+/// The instance does not serve within `READY_TIMEOUT`.
+pub async fn wait_until_ready(addrs: &InstanceAddrs) -> Result<()> {
+    let ready = Caller::new(addrs.admin);
+    wait_until_ok(&ready, "GET", "/ready", "").await?;
+    let caller = Caller::new(addrs.listen);
+    wait_until_ok(&caller, "GET", "/orders/1", "").await?;
+    wait_until_ok(&caller, "POST", CHAT, &chat("Hello.", 1, false)).await
 }
 
-async fn until_ok(caller: &Caller, method: &str, path: &str, body: &str) -> Result<()> {
+/// Repeats a request until it is answered with 200.
+async fn wait_until_ok(caller: &Caller, method: &str, path: &str, body: &str) -> Result<()> {
     let timer = Timer::new();
     let mut last = String::from("no answer");
-    while timer.now() < READY_PATIENCE {
-        match caller.ask(method, path, &[], body).await {
+    while timer.now() < READY_TIMEOUT {
+        match caller.request(method, path, &[], body).await {
             Ok(answer) if answer.status == 200 => return Ok(()),
             Ok(answer) => last = answer.text,
             Err(error) => last = error.to_string(),
         }
-        timer.sleep(POLL).await;
+        timer.sleep(POLL_INTERVAL).await;
     }
     Err(Error::new(last).with_context(path))
 }
 
-/// Streams an answer token by token.
+/// Prints a streamed answer token by token.
 ///
 /// # Errors
-/// The stream did not end well.
+/// The stream failed, was empty or ended without its end marker.
 pub async fn streamed_answer(caller: &Caller) -> Result<()> {
     output::line("\nA streamed answer:")?;
     let body = chat("Draft a sign for a tea shop.", 24, true);
     let mut tokens = 0;
     let mut ended = false;
-    let each = |line: &str| {
+    let on_line = |line: &str| {
         ended |= line == "data: [DONE]";
-        if let Some(text) = token(line) {
+        if let Some(text) = token_text(line) {
             tokens += 1;
             output::text(&text)?;
         }
         Ok(())
     };
-    caller.stream(CHAT, &body, each).await?;
+    caller.stream(CHAT, &body, on_line).await?;
     output::line(format_args!("\n  ({tokens} tokens)"))?;
     if !ended || tokens == 0 {
         return Err(Error::new("the stream ended too early"));
@@ -77,43 +80,44 @@
     Ok(())
 }
 
-/// Sends a plain call that is not repeatable, with an idempotency key, twice.
+/// Sends a plain call that is not repeatable twice with the same idempotency key.
 ///
 /// # Errors
-/// It was not answered, or ran twice.
-pub async fn keyed_call(caller: &Caller, around: &Surroundings) -> Result<()> {
+/// The answers differ or are not 200, or the call did not run exactly once.
+pub async fn idempotent_call(caller: &Caller, stand_ins: &StandIns) -> Result<()> {
     output::line("\nAn order with an idempotency key, sent twice and run once:")?;
     let headers = [("idempotency-key", "order-1")];
     let mut answers = Vec::new();
     for _ in 0..2 {
         let answer = caller
-            .ask("POST", "/orders", &headers, r#"{"sheets":3}"#)
+            .request("POST", "/orders", &headers, r#"{"sheets":3}"#)
             .await?;
         output::line(format_args!("  {} {}", answer.status, answer.text))?;
         answers.push((answer.status, answer.text));
     }
     output::line(format_args!(
         "  effects at the service: {}",
-        around.effects()
+        stand_ins.effects()
     ))?;
-    if answers[0] != answers[1] || answers[0].0 != 200 || around.effects() != 1 {
+    if answers[0] != answers[1] || answers[0].0 != 200 || stand_ins.effects() != 1 {
         return Err(Error::new("the order did not run exactly once"));
     }
     Ok(())
 }
 
-/// Shows a truthful refusal: the table service is down, so a keyed order can't be checked.
+/// Shows a refusal that states that the request did not run: while the table service is down, the
+/// idempotency key of an order can't be checked.
 ///
 /// # Errors
-/// It was not refused.
-pub async fn refusal(caller: &Caller, around: &Surroundings) -> Result<()> {
+/// The order was not refused.
+pub async fn refusal(caller: &Caller, stand_ins: &StandIns) -> Result<()> {
     output::line(
         "\nThe table service goes down. A keyed order is refused, and says that it did not run:",
     )?;
-    around.set_table_down(true);
+    stand_ins.set_table_down(true);
     let headers = [("idempotency-key", "order-2")];
-    let answer = caller.ask("POST", "/orders", &headers, "{}").await;
-    around.set_table_down(false);
+    let answer = caller.request("POST", "/orders", &headers, "{}").await;
+    stand_ins.set_table_down(false);
     let answer = answer?;
     let retry_after = answer.retry_after.unwrap_or_default();
     output::line(format_args!(
@@ -128,17 +132,17 @@
     Ok(())
 }
 
-/// Prints some metrics.
+/// Prints the metrics of `SHOWN_METRICS`.
 ///
 /// # Errors
-/// They can't be read.
-pub async fn metrics(place: &Place) -> Result<()> {
+/// The metrics can't be read.
+pub async fn metrics(addrs: &InstanceAddrs) -> Result<()> {
     output::line(format_args!(
         "\nSome of its metrics (http://{}/metrics):",
-        place.admin
+        addrs.admin
     ))?;
-    let answer = Caller::new(place.admin)
-        .ask("GET", "/metrics", &[], "")
+    let answer = Caller::new(addrs.admin)
+        .request("GET", "/metrics", &[], "")
         .await?;
     let shown = |line: &&str| SHOWN_METRICS.iter().any(|name| line.starts_with(name));
     for line in answer.text.lines().filter(shown) {
@@ -147,13 +151,13 @@
     Ok(())
 }
 
-/// Prints lines to copy.
+/// Prints commands that can be copied to try the instance.
 ///
 /// # Errors
 /// Standard output can't be written.
-pub fn lines_to_copy(place: &Place) -> Result<()> {
-    let Place { listen, admin, .. } = place;
-    let program = program();
+pub fn example_commands(addrs: &InstanceAddrs) -> Result<()> {
+    let InstanceAddrs { listen, admin, .. } = addrs;
+    let program = program_path();
     let body = chat("Draft a sign for a tea shop.", 40, true);
     output::line("\nIt stays up until Ctrl-C. To copy:\n")?;
     output::line(format_args!(
@@ -167,24 +171,25 @@
     output::line("")
 }
 
-/// How to call this program: it need not lie on the path.
-fn program() -> String {
+/// Returns the path of this program, which need not be in a directory of `PATH`.
+fn program_path() -> String {
     let path = env::current_exe();
     path.map_or_else(|_| "celerystand".to_owned(), |p| p.display().to_string())
 }
 
-fn chat(prompt: &str, most: u32, stream: bool) -> String {
+/// Returns the body of a chat completion.
+fn chat(prompt: &str, max_tokens: u32, stream: bool) -> String {
     json!({
         "model": MODEL,
         "messages": [{"role": "user", "content": prompt}],
-        "max_tokens": most,
+        "max_tokens": max_tokens,
         "stream": stream,
     })
     .to_string()
 }
 
-/// The text that a line of a stream of chat completions adds.
-fn token(line: &str) -> Option<String> {
+/// Returns the text that a line of a stream of chat completions adds, if any.
+fn token_text(line: &str) -> Option<String> {
     let event: Value = serde_json::from_str(line.strip_prefix("data: ")?).ok()?;
     let text = event["choices"][0]["delta"]["content"].as_str()?;
     (!text.is_empty()).then(|| text.to_owned())
--- a/src/demo/surroundings.rs
+++ b/src/demo/stand_ins.rs
@@ -16,24 +16,24 @@
 
 use crate::demo::{DATA_CENTRE, INSTANCE, MODEL, PLAIN};
 
-/// Name under which instances are listed.
+/// Service name under which the platform lists the instances.
 const MEMBERS: &str = "celerystand";
 /// Number of engines.
 const ENGINES: u64 = 2;
 
-/// Everything around the instance; it ends when this is dropped.
-pub struct Surroundings {
+/// The running stand-ins; they stop when this is dropped.
+pub struct StandIns {
     /// The platform.
     pub platform: Running<Platform>,
     _engines: Vec<Running<Engine>>,
     service: Running<Service>,
 }
 
-impl Surroundings {
+impl StandIns {
     /// Starts all stand-ins on free ports.
     ///
     /// # Errors
-    /// Passes on why one could not listen.
+    /// A stand-in could not listen.
     pub async fn start() -> io::Result<Self> {
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let platform = platform::start(any, Faults::default()).await?;
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Puts the instance into the platform's list.
+    /// Adds the instance, which listens for peers at this address, to the platform's list.
     pub fn list_instance(&self, peer: SocketAddr) {
         self.platform.standin.register(Listed {
             name: INSTANCE.to_owned(),
@@ -78,13 +78,13 @@
         });
     }
 
-    /// How many effects the plain service has had.
+    /// Returns how many effects the plain service has had: runs of calls that change something.
     #[must_use]
     pub fn effects(&self) -> u32 {
         self.service.standin.log().effects.values().sum()
     }
 
-    /// Takes the table service down or brings it back.
+    /// Makes the table service refuse all calls, or serve them again.
     pub fn set_table_down(&self, down: bool) {
         self.platform.standin.set(Faults {
             table_down: Some(down),
--- a/src/failure.rs
+++ b/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and the exit code that says so to scripts.
+//! Failures of commands and the exit codes that report them to scripts.
 
 use std::{process::ExitCode, sync::Arc};
 
@@ -9,20 +9,20 @@
 #[derive(Clone, Debug, Display, Error, PartialEq)]
 #[display("{message}")]
 pub struct Failure {
-    /// The kind, which decides the exit code.
+    /// The kind, which determines the exit code.
     pub kind: FailureKind,
-    /// What went wrong and what to do.
+    /// What failed and what the operator can do.
     pub message: Arc<str>,
-    /// The HTTP status, if an instance refused.
+    /// The HTTP status, if an instance answered with an error.
     pub status: Option<u16>,
 }
 
-/// Kinds of failure that a script may want to tell apart.
+/// Kinds of failure that scripts may need to distinguish.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FailureKind {
-    /// It was refused or failed.
+    /// The command was refused or failed.
     Failed,
-    /// Somebody else changed the node meanwhile.
+    /// Another operator changed the node in the meantime.
     Conflict,
     /// The instance or the table service can't be reached; nothing was changed.
     Unavailable,
@@ -31,7 +31,7 @@
 }
 
 impl FailureKind {
-    /// The exit code. 2 is left to a wrong command line.
+    /// The exit code. 2 is reserved for an invalid command line.
     #[must_use]
     pub const fn code(self) -> u8 {
         match self {
@@ -47,7 +47,7 @@
 pub type Outcome<T = ()> = Result<T, Failure>;
 
 impl Failure {
-    /// Describes a failure.
+    /// Makes a failure that no HTTP status belongs to.
     #[must_use]
     pub fn new(kind: FailureKind, message: impl Into<Arc<str>>) -> Self {
         Self {
@@ -57,9 +57,9 @@
         }
     }
 
-    /// Tells why an instance refused a request.
+    /// Makes a failure from the problem document of a refused request.
     #[must_use]
-    pub fn of_problem(problem: &Problem) -> Self {
+    pub fn from_problem(problem: &Problem) -> Self {
         let kind = match problem.status {
             409 | 412 => FailureKind::Conflict,
             503 => FailureKind::Unavailable,
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `celerystand` program.
+//! The `celerystand` program; see the library for its commands.
 
 use std::process::ExitCode;
 
--- a/src/output.rs
+++ b/src/output.rs
@@ -7,14 +7,14 @@
 
 use errors::{Context, Result};
 
-/// Writes a text at once, so that a person sees it as it comes.
+/// Writes a text and flushes it, so that streamed text appears at once.
 ///
-/// The macros of the standard library panic when the text can't be written. A command whose reader
-/// has seen enough, as in `celerystand export | head`, would end with a crash report. That is no
-/// failure: the command has done its work. A full disk is one.
+/// The macros of the standard library panic when the text can't be written, so that a command whose
+/// reader closes the pipe early, as in `celerystand export | head`, would end with a panic message.
+/// A closed pipe is not an error here, because the command has done its work; a full disk is one.
 ///
 /// # Errors
-/// The text can't be written, though somebody wants it.
+/// The text can't be written, for another reason than a closed pipe.
 pub fn text(text: &str) -> Result<()> {
     let mut out = io::stdout().lock();
     let written = out.write_all(text.as_bytes()).and_then(|()| out.flush());
@@ -24,7 +24,7 @@
     }
 }
 
-/// Writes a line.
+/// Writes a line and flushes it.
 ///
 /// # Errors
 /// As [`text`].
