--- a/components/tree/src/check.rs
+++ b/components/tree/src/check.rs
@@ -1,4 +1,4 @@
-//! Checking a whole tree: every fault at once.
+//! Validation of a tree; reports all faults at once.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -10,48 +10,48 @@
     api::{Knobs, Node, Snapshot},
     knobs::effective_knobs,
     path::ParsedPath,
-    rules::{DEFAULT_ROUTE, read_hash},
+    rules::{DEFAULT_ROUTE, parse_hash},
 };
 
-/// Longest deadline, in milliseconds.
-const DEADLINE_LIMIT_MS: u64 = 3_600_000;
-/// Most tokens of one answer.
-const OUTPUT_LIMIT: u64 = 10_000_000;
-/// Largest number of anything else that is counted.
-const COUNT_LIMIT: u64 = 1_000_000;
-/// Largest memory of an engine, in tokens.
-const MEMORY_LIMIT: u64 = 1_000_000_000;
-/// Most nodes of a tree.
-const NODE_LIMIT: usize = 100_000;
-/// Most keys of a workspace.
-const KEY_LIMIT: usize = 64;
+/// Maximum deadline, in milliseconds.
+const MAX_DEADLINE_MS: u64 = 3_600_000;
+/// Maximum tokens of one answer.
+const MAX_OUTPUT_TOKENS: u64 = 10_000_000;
+/// Maximum of all other counts.
+const MAX_COUNT: u64 = 1_000_000;
+/// Maximum memory of an engine, in tokens.
+const MAX_MEMORY_TOKENS: u64 = 1_000_000_000;
+/// Maximum nodes of a tree.
+const MAX_NODES: usize = 100_000;
+/// Maximum keys of a workspace.
+const MAX_KEYS: usize = 64;
 
-/// One thing wrong with a tree.
+/// One fault of a tree.
 #[derive(Clone, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[display("{path}: {problem}; {expected}")]
 pub struct Fault {
-    /// The node, and the field within it.
+    /// Path of the node, with the field after `#` if the fault is about one.
     pub path: Arc<str>,
     /// What is wrong.
     #[serde(rename = "what")]
     pub problem: Arc<str>,
-    /// What would be right.
+    /// What would be valid.
     #[serde(rename = "right")]
     pub expected: Arc<str>,
 }
 
-/// Finds all faults of a tree.
+/// Returns all faults of a tree.
 #[must_use]
 pub fn check(snapshot: &Snapshot) -> Vec<Fault> {
-    let mut check = Check {
+    let mut checker = Checker {
         snapshot,
         faults: Vec::new(),
     };
-    check.size();
+    checker.check_size();
     for (path, node) in &snapshot.nodes {
         match ParsedPath::parse(path) {
-            Some(place) => check.node(path, &place, node),
-            None => check.fault(
+            Some(parsed) => checker.check_node(path, &parsed, node),
+            None => checker.add_fault(
                 path,
                 "no node can stand here",
                 "use /, /data-centres/D, /services/S, /services/S/routes/R, /workspaces/W or \
@@ -60,119 +60,123 @@
             ),
         }
     }
-    check.unique_keys();
-    check.unique_models();
-    check.unique_routes();
-    check.faults
+    checker.check_unique_keys();
+    checker.check_unique_models();
+    checker.check_unique_routes();
+    checker.faults
 }
 
-struct Check<'a> {
+struct Checker<'a> {
     snapshot: &'a Snapshot,
     faults: Vec<Fault>,
 }
 
-impl Check<'_> {
-    fn fault(&mut self, path: &str, what: &str, right: &str) {
+impl Checker<'_> {
+    fn add_fault(&mut self, path: &str, problem: &str, expected: &str) {
         self.faults.push(Fault {
             path: path.into(),
-            problem: what.into(),
-            expected: right.into(),
+            problem: problem.into(),
+            expected: expected.into(),
         });
     }
 
-    fn size(&mut self) {
+    fn check_size(&mut self) {
         let count = self.snapshot.nodes.len();
-        if count > NODE_LIMIT {
-            let what = format!("the tree has {count} nodes");
-            self.fault("/", &what, &format!("at most {NODE_LIMIT}"));
+        if count > MAX_NODES {
+            let problem = format!("the tree has {count} nodes");
+            self.add_fault("/", &problem, &format!("at most {MAX_NODES}"));
         }
     }
 
-    fn node(&mut self, path: &str, place: &ParsedPath, node: &Node) {
-        self.parents(path, place);
-        self.fields(path, place, node);
-        self.ranges(path, &node.knobs);
-        self.limits_in_order(path, place);
-        self.route(path, node);
-        self.keys(path, node);
+    fn check_node(&mut self, path: &str, parsed: &ParsedPath, node: &Node) {
+        self.check_parents(path, parsed);
+        self.check_fields(path, parsed, node);
+        self.check_ranges(path, &node.knobs);
+        self.check_limit_order(path, parsed);
+        self.check_route(path, node);
+        self.check_keys(path, node);
     }
 
-    fn exists(&self, place: &ParsedPath) -> bool {
-        self.snapshot.nodes.contains_key(&place.path())
+    fn parent_exists(&self, parsed: &ParsedPath) -> bool {
+        self.snapshot.nodes.contains_key(&parsed.path())
     }
 
-    fn parents(&mut self, path: &str, place: &ParsedPath) {
-        let mut needed = Vec::new();
-        match place {
-            ParsedPath::Route(service, _) => needed.push(ParsedPath::Service(Arc::clone(service))),
+    fn check_parents(&mut self, path: &str, parsed: &ParsedPath) {
+        let mut parents = Vec::new();
+        match parsed {
+            ParsedPath::Route(service, _) => parents.push(ParsedPath::Service(Arc::clone(service))),
             ParsedPath::WorkspaceRoute(id, service, route) => {
-                needed.push(ParsedPath::Workspace(Arc::clone(id)));
-                needed.push(ParsedPath::Service(Arc::clone(service)));
+                parents.push(ParsedPath::Workspace(Arc::clone(id)));
+                parents.push(ParsedPath::Service(Arc::clone(service)));
                 if &**route != DEFAULT_ROUTE {
-                    needed.push(ParsedPath::Route(Arc::clone(service), Arc::clone(route)));
+                    parents.push(ParsedPath::Route(Arc::clone(service), Arc::clone(route)));
                 }
             }
             _ => {}
         }
-        for parent in needed
+        for parent in parents
             .iter()
-            .filter(|p| !self.exists(p))
+            .filter(|p| !self.parent_exists(p))
             .collect::<Vec<_>>()
         {
             let parent = parent.path();
-            let what = format!("it needs {parent}, which does not exist");
-            self.fault(
+            let problem = format!("it needs {parent}, which does not exist");
+            self.add_fault(
                 path,
-                &what,
+                &problem,
                 &format!("write {parent} first, or delete this"),
             );
         }
     }
 
-    fn fields(&mut self, path: &str, place: &ParsedPath, node: &Node) {
-        let of_service = matches!(place, ParsedPath::Service(_));
-        let of_plain_route = match place {
+    fn check_fields(&mut self, path: &str, parsed: &ParsedPath, node: &Node) {
+        let is_service = matches!(parsed, ParsedPath::Service(_));
+        let is_plain_route = match parsed {
             ParsedPath::Route(service, _) => self.kind(service) != Some(ServiceKind::Model),
             _ => false,
         };
         let checks = [
-            ("kind", node.kind.is_some(), of_service, "services"),
-            ("model", node.model.is_some(), of_service, "services"),
+            ("kind", node.kind.is_some(), is_service, "services"),
+            ("model", node.model.is_some(), is_service, "services"),
             (
                 "method",
                 node.method.is_some(),
-                of_plain_route,
+                is_plain_route,
                 "routes of plain services",
             ),
             (
                 "path",
                 node.path.is_some(),
-                of_plain_route,
+                is_plain_route,
                 "routes of plain services",
             ),
             (
                 "key-hashes",
                 !node.key_hashes.is_empty(),
-                matches!(place, ParsedPath::Workspace(_)),
+                matches!(parsed, ParsedPath::Workspace(_)),
                 "workspaces",
             ),
             (
                 "out",
                 node.out.is_some(),
-                matches!(place, ParsedPath::DataCentre(_)),
+                matches!(parsed, ParsedPath::DataCentre(_)),
                 "data centres",
             ),
             (
                 "knobs",
                 node.knobs != Knobs::default(),
-                !matches!(place, ParsedPath::DataCentre(_)),
+                !matches!(parsed, ParsedPath::DataCentre(_)),
                 "nodes other than data centres",
             ),
         ];
         for (field, written, allowed, only) in checks {
             if written && !allowed {
-                let right = format!("leave it out: only {only} have it");
-                self.fault(&at(path, field), "it has no meaning here", &right);
+                let expected = format!("leave it out: only {only} have it");
+                self.add_fault(
+                    &field_path(path, field),
+                    "it has no meaning here",
+                    &expected,
+                );
             }
         }
     }
@@ -183,92 +187,109 @@
         Some(node.kind.unwrap_or_default())
     }
 
-    fn ranges(&mut self, path: &str, knobs: &Knobs) {
+    fn check_ranges(&mut self, path: &str, knobs: &Knobs) {
         let count = |value: Option<u32>| value.map(u64::from);
         let checks = [
-            ("deadline-ms", knobs.deadline_ms, 1, DEADLINE_LIMIT_MS),
-            ("max-output", knobs.max_output, 1, OUTPUT_LIMIT),
-            ("in-flight", count(knobs.in_flight), 1, COUNT_LIMIT),
-            ("queue-limit", count(knobs.queue_limit), 0, COUNT_LIMIT),
-            ("cold-limit", count(knobs.cold_limit), 1, COUNT_LIMIT),
-            ("warm-limit", count(knobs.warm_limit), 1, COUNT_LIMIT),
-            ("warm-after", count(knobs.warm_after), 1, COUNT_LIMIT),
-            ("memory", knobs.memory, 1, MEMORY_LIMIT),
+            ("deadline-ms", knobs.deadline_ms, 1, MAX_DEADLINE_MS),
+            ("max-output", knobs.max_output, 1, MAX_OUTPUT_TOKENS),
+            ("in-flight", count(knobs.in_flight), 1, MAX_COUNT),
+            ("queue-limit", count(knobs.queue_limit), 0, MAX_COUNT),
+            ("cold-limit", count(knobs.cold_limit), 1, MAX_COUNT),
+            ("warm-limit", count(knobs.warm_limit), 1, MAX_COUNT),
+            ("warm-after", count(knobs.warm_after), 1, MAX_COUNT),
+            ("memory", knobs.memory, 1, MAX_MEMORY_TOKENS),
             ("retry-percent", count(knobs.retry_percent), 0, 100),
         ];
-        for (field, value, least, most) in checks {
-            if let Some(value) = value.filter(|v| *v < least || *v > most) {
-                let field = at(path, &format!("knobs/{field}"));
-                let right = format!("a whole number from {least} to {most}");
-                self.fault(&field, &format!("{value} is out of range"), &right);
+        for (field, value, min, max) in checks {
+            if let Some(value) = value.filter(|v| *v < min || *v > max) {
+                let field = field_path(path, &format!("knobs/{field}"));
+                let expected = format!("a whole number from {min} to {max}");
+                self.add_fault(&field, &format!("{value} is out of range"), &expected);
             }
         }
     }
 
-    /// A cold target must not be allowed more than a warm one, wherever the two were written.
-    fn limits_in_order(&mut self, path: &str, place: &ParsedPath) {
-        if matches!(place, ParsedPath::DataCentre(_)) {
+    /// Checks that a cold target is not allowed more requests than a warm one, also if the two
+    /// limits are set on different nodes.
+    fn check_limit_order(&mut self, path: &str, parsed: &ParsedPath) {
+        if matches!(parsed, ParsedPath::DataCentre(_)) {
             return;
         }
-        let knobs = effective_knobs(self.snapshot, place);
+        let knobs = effective_knobs(self.snapshot, parsed);
         if let (Some(cold), Some(warm)) = (knobs.cold_limit, knobs.warm_limit)
             && cold > warm
         {
-            let what = format!("in force here, cold-limit {cold} is above warm-limit {warm}");
-            self.fault(&at(path, "knobs/cold-limit"), &what, "at most warm-limit");
+            let problem = format!("in force here, cold-limit {cold} is above warm-limit {warm}");
+            self.add_fault(
+                &field_path(path, "knobs/cold-limit"),
+                &problem,
+                "at most warm-limit",
+            );
         }
     }
 
-    fn route(&mut self, path: &str, node: &Node) {
+    fn check_route(&mut self, path: &str, node: &Node) {
         if let Some(method) = &node.method {
-            let letters = method.chars().all(|c| c.is_ascii_uppercase());
-            if method.is_empty() || !letters {
-                let what = format!("{method:?} is no HTTP method");
-                self.fault(&at(path, "method"), &what, "for instance GET or POST");
+            let is_uppercase = method.chars().all(|c| c.is_ascii_uppercase());
+            if method.is_empty() || !is_uppercase {
+                let problem = format!("{method:?} is no HTTP method");
+                self.add_fault(
+                    &field_path(path, "method"),
+                    &problem,
+                    "for instance GET or POST",
+                );
             }
         }
         if let Some(prefix) = &node.path {
-            let clean = |c: char| c.is_ascii_graphic() && !matches!(c, '?' | '#');
-            if !prefix.starts_with('/') || !prefix.chars().all(clean) {
-                let what = format!("{prefix:?} is no path prefix");
-                let right = "begin with '/', no spaces, '?' or '#'";
-                self.fault(&at(path, "path"), &what, right);
+            let is_allowed = |c: char| c.is_ascii_graphic() && !matches!(c, '?' | '#');
+            if !prefix.starts_with('/') || !prefix.chars().all(is_allowed) {
+                let problem = format!("{prefix:?} is no path prefix");
+                let expected = "begin with '/', no spaces, '?' or '#'";
+                self.add_fault(&field_path(path, "path"), &problem, expected);
             }
         }
     }
 
-    fn keys(&mut self, path: &str, node: &Node) {
-        if node.key_hashes.len() > KEY_LIMIT {
-            let what = format!("{} keys", node.key_hashes.len());
-            self.fault(
-                &at(path, "key-hashes"),
-                &what,
-                &format!("at most {KEY_LIMIT}"),
+    fn check_keys(&mut self, path: &str, node: &Node) {
+        if node.key_hashes.len() > MAX_KEYS {
+            let problem = format!("{} keys", node.key_hashes.len());
+            self.add_fault(
+                &field_path(path, "key-hashes"),
+                &problem,
+                &format!("at most {MAX_KEYS}"),
             );
         }
-        for (place, hash) in node.key_hashes.iter().enumerate() {
-            if read_hash(hash).is_none() {
-                let field = at(path, &format!("key-hashes/{place}"));
-                // The text is not repeated: it may be a key that was pasted by mistake.
-                let what = "it is no SHA-256 hash";
-                self.fault(&field, what, "64 hexadecimal digits, never the key itself");
+        for (index, hash) in node.key_hashes.iter().enumerate() {
+            if parse_hash(hash).is_none() {
+                let field = field_path(path, &format!("key-hashes/{index}"));
+                // The message does not show the text, which may be a key pasted by mistake.
+                let problem = "it is no SHA-256 hash";
+                self.add_fault(
+                    &field,
+                    problem,
+                    "64 hexadecimal digits, never the key itself",
+                );
             }
         }
     }
 
-    fn unique_keys(&mut self) {
+    fn check_unique_keys(&mut self) {
         let mut seen = BTreeMap::new();
         for (path, node) in &self.snapshot.nodes {
-            for hash in node.key_hashes.iter().filter_map(|text| read_hash(text)) {
+            for hash in node.key_hashes.iter().filter_map(|text| parse_hash(text)) {
                 if let Some(first) = seen.insert(hash, path) {
-                    let what = format!("{first} has the same key");
-                    self.fault(&at(path, "key-hashes"), &what, "a key of its own");
+                    let problem = format!("{first} has the same key");
+                    self.add_fault(
+                        &field_path(path, "key-hashes"),
+                        &problem,
+                        "a key of its own",
+                    );
                 }
             }
         }
     }
 
-    fn unique_models(&mut self) {
+    fn check_unique_models(&mut self) {
         let mut seen = BTreeMap::new();
         for (path, node) in &self.snapshot.nodes {
             let Some(ParsedPath::Service(service)) = ParsedPath::parse(path) else {
@@ -279,16 +300,20 @@
             }
             let model = node.model.clone().unwrap_or(service);
             if model.is_empty() {
-                self.fault(&at(path, "model"), "it is empty", "the name callers give");
+                self.add_fault(
+                    &field_path(path, "model"),
+                    "it is empty",
+                    "the name callers give",
+                );
             }
             if let Some(first) = seen.insert(Arc::clone(&model), path) {
-                let what = format!("{first} has the model name {model:?} too");
-                self.fault(&at(path, "model"), &what, "a name of its own");
+                let problem = format!("{first} has the model name {model:?} too");
+                self.add_fault(&field_path(path, "model"), &problem, "a name of its own");
             }
         }
     }
 
-    fn unique_routes(&mut self) {
+    fn check_unique_routes(&mut self) {
         let mut seen = BTreeMap::new();
         for (path, node) in &self.snapshot.nodes {
             let (Some(ParsedPath::Route(..)), Some(prefix)) = (ParsedPath::parse(path), &node.path)
@@ -296,14 +321,18 @@
                 continue;
             };
             if let Some(first) = seen.insert((prefix, &node.method), path) {
-                let what = format!("{first} has the same method and path");
-                self.fault(&at(path, "path"), &what, "a method or path of its own");
+                let problem = format!("{first} has the same method and path");
+                self.add_fault(
+                    &field_path(path, "path"),
+                    &problem,
+                    "a method or path of its own",
+                );
             }
         }
     }
 }
 
-/// Names a field of a node.
-fn at(path: &str, field: &str) -> String {
+/// Path of a field of a node.
+fn field_path(path: &str, field: &str) -> String {
     format!("{path}#{field}")
 }
--- a/components/tree/src/delta.rs
+++ b/components/tree/src/delta.rs
@@ -1,4 +1,4 @@
-//! Changes of one node, put into a snapshot in the order of their versions.
+//! Changes of single nodes, applied to a snapshot in the order of their versions.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
@@ -9,18 +9,18 @@
 /// One accepted change.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Delta {
-    /// The version that it makes.
+    /// The version that the change creates.
     pub version: ConfigVersion,
-    /// The node.
+    /// Path of the node.
     pub path: NodePath,
-    /// Its new content; `None` deletes it.
+    /// New content of the node; `None` deletes it.
     pub node: Option<Node>,
 }
 
-/// Why a change can't be put into a snapshot.
+/// Why a change can't be applied to a snapshot.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum DeltaError {
-    /// The snapshot has it already.
+    /// The snapshot already contains the change.
     #[display("version {version} is not newer than {have}")]
     Old {
         /// Version of the change.
@@ -28,7 +28,7 @@
         /// Version of the snapshot.
         have: ConfigVersion,
     },
-    /// Changes between the two are missing.
+    /// Changes between the two versions are missing.
     #[display("changes are missing between version {have} and {version}")]
     Gap {
         /// Version of the change.
@@ -39,10 +39,10 @@
 }
 
 impl Snapshot {
-    /// Puts the next change in.
+    /// Applies the next change.
     ///
     /// # Errors
-    /// Tells that the change is not the next one; the snapshot stays as it was.
+    /// If the change is not the next one; the snapshot is not modified then.
     pub fn apply(&mut self, delta: &Delta) -> Result<(), DeltaError> {
         let (version, have) = (delta.version, self.version);
         if version <= have {
@@ -56,7 +56,7 @@
         Ok(())
     }
 
-    /// Writes or deletes a node and leaves the version as it is.
+    /// Sets or deletes a node without changing the version.
     pub fn write(&mut self, path: &NodePath, node: Option<&Node>) {
         match node {
             Some(node) => self.nodes.insert(path.clone(), node.clone()),
--- a/components/tree/src/document.rs
+++ b/components/tree/src/document.rs
@@ -1,4 +1,4 @@
-//! Many nodes in one file, to bring a tree in or take it out.
+//! Import and export of a tree as one document.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -10,21 +10,21 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// The nodes as written.
+    /// The nodes by their paths.
     pub nodes: BTreeMap<NodePath, Node>,
 }
 
-/// One change on the way from a tree to a document.
+/// One change needed to make a tree equal to a document.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Step {
-    /// The node.
+pub struct NodeChange {
+    /// Path of the node.
     pub path: NodePath,
-    /// Its new content; `None` deletes it.
+    /// New content of the node; `None` deletes it.
     pub node: Option<Node>,
 }
 
 impl Document {
-    /// A whole tree as a document.
+    /// Exports a tree.
     #[must_use]
     pub fn new(snapshot: &Snapshot) -> Self {
         Self {
@@ -32,31 +32,31 @@
         }
     }
 
-    /// The changes that bring a tree to this document; with `prune`, nodes that the document
-    /// leaves out are deleted. Each node comes after those it needs: written from the top down,
-    /// deleted from the bottom up, and workspaces last to be written and first to be deleted,
-    /// since their routes name services.
+    /// Returns the changes that make the tree `from` equal to this document. With `prune`, nodes
+    /// that are missing from the document are deleted. Every node is written after the nodes that
+    /// it depends on and deleted before them: workspaces are written last and deleted first,
+    /// because their routes refer to services.
     #[must_use]
-    pub fn steps(&self, from: &Snapshot, prune: bool) -> Vec<Step> {
-        let mut steps = Vec::new();
+    pub fn changes_from(&self, from: &Snapshot, prune: bool) -> Vec<NodeChange> {
+        let mut changes = Vec::new();
         for (path, node) in &self.nodes {
             if from.nodes.get(path) != Some(node) {
-                steps.push(Step {
+                changes.push(NodeChange {
                     path: Arc::clone(path),
                     node: Some(node.clone()),
                 });
             }
         }
         if prune {
-            let gone = from.nodes.keys().rev();
-            steps.extend(gone.filter(|p| !self.nodes.contains_key(*p)).map(delete));
+            let removed = from.nodes.keys().rev();
+            changes.extend(removed.filter(|p| !self.nodes.contains_key(*p)).map(delete));
         }
-        steps
+        changes
     }
 }
 
-fn delete(path: &NodePath) -> Step {
-    Step {
+fn delete(path: &NodePath) -> NodeChange {
+    NodeChange {
         path: Arc::clone(path),
         node: None,
     }
--- a/components/tree/src/knobs.rs
+++ b/components/tree/src/knobs.rs
@@ -1,4 +1,4 @@
-//! Inheritance of values, their defaults, and where a value in force comes from.
+//! Inheritance of values, their defaults, and the origin of effective values.
 
 use std::sync::Arc;
 
@@ -11,29 +11,29 @@
     path::ParsedPath,
 };
 
-/// Time a caller waits where nobody wrote one, in milliseconds.
+/// Default deadline of a caller, in milliseconds.
 pub const DEFAULT_DEADLINE_MS: u64 = 30_000;
-/// The most tokens of an answer where nobody wrote it.
+/// Default maximum tokens of an answer.
 pub const DEFAULT_MAX_OUTPUT: u64 = 4096;
-/// Plain calls are not repeated unless an operator says that they may be.
+/// Plain calls are not retried unless an operator allows it.
 pub const DEFAULT_IDEMPOTENT: bool = false;
-/// Requests of a workspace in flight at one instance.
+/// Default maximum requests of a workspace in flight at one instance.
 pub const DEFAULT_IN_FLIGHT: u32 = 256;
-/// Asks that may wait at an owner for one shard.
+/// Default maximum permit requests that wait at an owner for one shard.
 pub const DEFAULT_QUEUE_LIMIT: u32 = 512;
-/// Concurrent requests of a target in cold start.
+/// Default maximum concurrent requests of a target in cold start.
 pub const DEFAULT_COLD_LIMIT: u32 = 1;
-/// Concurrent requests of a warm target.
+/// Default maximum concurrent requests of a warm target.
 pub const DEFAULT_WARM_LIMIT: u32 = 64;
-/// Finished requests after which a target counts as warm.
+/// Default number of finished requests after which a target counts as warm.
 pub const DEFAULT_WARM_AFTER: u32 = 4;
-/// Tokens of an engine's memory where it reports none.
+/// Default memory of an engine in tokens, if the engine reports none.
 pub const DEFAULT_MEMORY: u64 = 100_000;
-/// Retries per 100 requests.
+/// Default retries per 100 requests.
 pub const DEFAULT_RETRY_PERCENT: u32 = 10;
 
 impl Knobs {
-    /// The values that hold where nobody wrote any.
+    /// The default values.
     #[must_use]
     pub const fn defaults() -> Self {
         Self {
@@ -51,26 +51,26 @@
         }
     }
 
-    /// These values with those that `lower` writes put over them.
+    /// These values, overridden by those that `child` sets.
     #[must_use]
-    pub fn with_lower(&self, lower: &Self) -> Self {
+    pub fn merged_with(&self, child: &Self) -> Self {
         Self {
-            class: lower.class.or(self.class),
-            deadline_ms: lower.deadline_ms.or(self.deadline_ms),
-            max_output: lower.max_output.or(self.max_output),
-            idempotent: lower.idempotent.or(self.idempotent),
-            in_flight: lower.in_flight.or(self.in_flight),
-            queue_limit: lower.queue_limit.or(self.queue_limit),
-            cold_limit: lower.cold_limit.or(self.cold_limit),
-            warm_limit: lower.warm_limit.or(self.warm_limit),
-            warm_after: lower.warm_after.or(self.warm_after),
-            memory: lower.memory.or(self.memory),
-            retry_percent: lower.retry_percent.or(self.retry_percent),
+            class: child.class.or(self.class),
+            deadline_ms: child.deadline_ms.or(self.deadline_ms),
+            max_output: child.max_output.or(self.max_output),
+            idempotent: child.idempotent.or(self.idempotent),
+            in_flight: child.in_flight.or(self.in_flight),
+            queue_limit: child.queue_limit.or(self.queue_limit),
+            cold_limit: child.cold_limit.or(self.cold_limit),
+            warm_limit: child.warm_limit.or(self.warm_limit),
+            warm_after: child.warm_after.or(self.warm_after),
+            memory: child.memory.or(self.memory),
+            retry_percent: child.retry_percent.or(self.retry_percent),
         }
     }
 
-    /// The values written here, by name.
-    fn written(&self) -> Map<String, Value> {
+    /// The values set here, by their outer names.
+    fn written_values(&self) -> Map<String, Value> {
         match serde_json::to_value(self) {
             Ok(Value::Object(map)) => map,
             _ => Map::new(),
@@ -78,24 +78,24 @@
     }
 }
 
-/// A value in force and where it comes from.
+/// An effective value and the node that set it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Origin {
-    /// Name of the value, as nodes write it.
+    /// Name of the value, as in nodes.
     pub knob: Arc<str>,
-    /// The value in force.
+    /// The effective value.
     pub value: Value,
-    /// The node that wrote it; `None` if it is the default.
+    /// The node that set the value; `None` for the default.
     pub from: Option<NodePath>,
 }
 
-/// Tells for each value in force at a path where it comes from, in order of names; `None` if no
-/// node can stand there. The node itself need not exist.
+/// Returns every effective value at a path with its origin, sorted by name; `None` if the path is
+/// not valid. The node itself need not exist.
 #[must_use]
 pub fn origins(snapshot: &Snapshot, path: &str) -> Option<Vec<Origin>> {
     let chain = ParsedPath::parse(path)?.inheritance_chain();
     let mut found: Vec<Origin> = Knobs::defaults()
-        .written()
+        .written_values()
         .into_iter()
         .map(|(knob, value)| Origin {
             knob: knob.into(),
@@ -103,12 +103,12 @@
             from: None,
         })
         .collect();
-    for place in chain {
-        let path = place.path();
+    for parsed in chain {
+        let path = parsed.path();
         let Some(node) = snapshot.nodes.get(&path) else {
             continue;
         };
-        let written = node.knobs.written();
+        let written = node.knobs.written_values();
         for origin in &mut found {
             if let Some(value) = written.get(&*origin.knob) {
                 origin.value = value.clone();
@@ -120,15 +120,15 @@
     Some(found)
 }
 
-/// The values in force at a place.
+/// The effective values at a path.
 #[must_use]
-pub fn effective_knobs(snapshot: &Snapshot, place: &ParsedPath) -> Knobs {
-    place
+pub fn effective_knobs(snapshot: &Snapshot, parsed: &ParsedPath) -> Knobs {
+    parsed
         .inheritance_chain()
         .iter()
-        .fold(Knobs::defaults(), |knobs, place| {
-            match snapshot.nodes.get(&place.path()) {
-                Some(node) => knobs.with_lower(&node.knobs),
+        .fold(Knobs::defaults(), |knobs, parsed| {
+            match snapshot.nodes.get(&parsed.path()) {
+                Some(node) => knobs.merged_with(&node.knobs),
                 None => knobs,
             }
         })
--- a/components/tree/src/lib.rs
+++ b/components/tree/src/lib.rs
@@ -1,4 +1,7 @@
-//! The configuration tree: nodes as written, what is in force, versions.
+//! The configuration tree: nodes, inheritance, validation and versions.
+//!
+//! A tree of nodes is validated as a whole. Each accepted change sets or deletes one node and
+//! increases the version by one.
 
 pub mod api;
 pub mod check;
@@ -11,7 +14,7 @@
 pub use api::{EffectiveConfig, Knobs, Node, NodePath, RouteRule, Snapshot};
 pub use check::{Fault, check};
 pub use delta::{Delta, DeltaError};
-pub use document::{Document, Step};
+pub use document::{Document, NodeChange};
 pub use knobs::{Origin, origins};
 pub use path::ParsedPath;
 pub use rules::{DEFAULT_ROUTE, Rules};
--- a/components/tree/src/path.rs
+++ b/components/tree/src/path.rs
@@ -1,4 +1,4 @@
-//! Paths of nodes: reading them and the chain that a node inherits along.
+//! Paths of nodes, and the order in which nodes inherit values.
 
 use std::sync::Arc;
 
@@ -6,10 +6,10 @@
 
 use crate::api::NodePath;
 
-/// Most characters in one name of a path.
-pub const NAME_LIMIT: usize = 63;
+/// Maximum characters of one name in a path.
+pub const MAX_NAME_LENGTH: usize = 63;
 
-/// What a path names.
+/// A valid path, split into the names in it.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum ParsedPath {
     /// `/`
@@ -27,27 +27,29 @@
 }
 
 impl ParsedPath {
-    /// Reads a path; `None` if no node can stand there.
+    /// Parses a path; `None` if it is not valid.
     #[must_use]
     pub fn parse(path: &str) -> Option<Self> {
         if path == "/" {
             return Some(Self::Root);
         }
         let parts: Vec<&str> = path.strip_prefix('/')?.split('/').collect();
-        let place = match parts[..] {
-            ["data-centres", id] => Self::DataCentre(name(id)?),
-            ["services", service] => Self::Service(name(service)?),
-            ["services", service, "routes", route] => Self::Route(name(service)?, name(route)?),
-            ["workspaces", id] => Self::Workspace(name(id)?),
+        let parsed = match parts[..] {
+            ["data-centres", id] => Self::DataCentre(parse_name(id)?),
+            ["services", service] => Self::Service(parse_name(service)?),
+            ["services", service, "routes", route] => {
+                Self::Route(parse_name(service)?, parse_name(route)?)
+            }
+            ["workspaces", id] => Self::Workspace(parse_name(id)?),
             ["workspaces", id, "routes", service, route] => {
-                Self::WorkspaceRoute(name(id)?, name(service)?, name(route)?)
+                Self::WorkspaceRoute(parse_name(id)?, parse_name(service)?, parse_name(route)?)
             }
             _ => return None,
         };
-        Some(place)
+        Some(parsed)
     }
 
-    /// The path that names this place.
+    /// The path as text.
     #[must_use]
     pub fn path(&self) -> NodePath {
         match self {
@@ -62,7 +64,8 @@
         }
     }
 
-    /// The places whose values hold here, the last one winning; this place comes last.
+    /// The paths of which values are inherited here, in increasing precedence; the last one is this
+    /// path.
     #[must_use]
     pub fn inheritance_chain(&self) -> Vec<Self> {
         let mut chain = vec![Self::Root];
@@ -84,9 +87,9 @@
     }
 }
 
-fn name(text: &str) -> Option<Arc<str>> {
+fn parse_name(text: &str) -> Option<Arc<str>> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    let starts_well = text.starts_with(|c: char| c.is_ascii_alphanumeric());
-    let fits = text.len() <= NAME_LIMIT;
-    (starts_well && fits && text.chars().all(allowed)).then(|| text.into())
+    let starts_alphanumeric = text.starts_with(|c: char| c.is_ascii_alphanumeric());
+    let is_short_enough = text.len() <= MAX_NAME_LENGTH;
+    (starts_alphanumeric && is_short_enough && text.chars().all(allowed)).then(|| text.into())
 }
--- a/components/tree/src/rules.rs
+++ b/components/tree/src/rules.rs
@@ -1,4 +1,4 @@
-//! A snapshot prepared for look-ups on the path of requests.
+//! A snapshot indexed for look-ups on the request path.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -11,19 +11,18 @@
     path::ParsedPath,
 };
 
-/// The route of requests that name none.
+/// The route of requests that don't name one.
 pub const DEFAULT_ROUTE: &str = "default";
 
-/// Bytes of a SHA-256 hash.
+/// Length of a SHA-256 hash.
 const HASH_BYTES: usize = 32;
 
 type KeyHash = [u8; HASH_BYTES];
 
 /// All rules of one snapshot.
 ///
-/// Rules of services and their routes are merged ahead of time; what a workspace writes is put
-/// over them at look-up. All combinations ahead of time would need memory for workspaces times
-/// routes.
+/// Rules of services and their routes are merged in advance; the values of a workspace are merged
+/// at look-up. Merging all combinations in advance would need memory for workspaces times routes.
 pub struct Rules {
     version: ConfigVersion,
     services: HashMap<ServiceId, ServiceRules>,
@@ -55,13 +54,14 @@
 
 impl PlainRoute {
     fn matches(&self, method: &str, path: &str) -> bool {
-        let right_method = self.method.as_ref().is_none_or(|m| &**m == method);
-        right_method && starts_at_border(path, &self.prefix)
+        let method_matches = self.method.as_ref().is_none_or(|m| &**m == method);
+        method_matches && is_path_prefix(path, &self.prefix)
     }
 }
 
-/// Whether `path` lies at or below `prefix`: `/watch` covers `/watch/1` but not `/watchlist`.
-fn starts_at_border(path: &str, prefix: &str) -> bool {
+/// Whether `prefix` matches whole segments of `path`: `/watch` matches `/watch/1` but not
+/// `/watchlist`.
+fn is_path_prefix(path: &str, prefix: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else {
         return false;
     };
@@ -69,7 +69,7 @@
 }
 
 impl Rules {
-    /// Prepares a snapshot. Nodes that are not valid are passed over.
+    /// Indexes a snapshot. Nodes with invalid paths are skipped.
     #[must_use]
     pub fn new(snapshot: &Snapshot) -> Self {
         let mut rules = Self {
@@ -81,27 +81,27 @@
             keys: HashMap::new(),
             out: Vec::new(),
         };
-        // Services come before their routes in the order of paths, workspaces likewise.
+        // In path order, a service precedes its routes and a workspace precedes its own routes.
         for (path, node) in &snapshot.nodes {
-            if let Some(place) = ParsedPath::parse(path) {
-                rules.add(snapshot, &place, node);
+            if let Some(parsed) = ParsedPath::parse(path) {
+                rules.add(snapshot, &parsed, node);
             }
         }
-        rules.sort_plain();
+        rules.sort_plain_routes();
         rules
     }
 
-    fn add(&mut self, snapshot: &Snapshot, place: &ParsedPath, node: &Node) {
-        match place {
+    fn add(&mut self, snapshot: &Snapshot, parsed: &ParsedPath, node: &Node) {
+        match parsed {
             ParsedPath::Root => {}
             ParsedPath::DataCentre(id) => {
                 if node.out == Some(true) {
                     self.out.push(Arc::clone(id));
                 }
             }
-            ParsedPath::Service(service) => self.add_service(snapshot, place, service, node),
+            ParsedPath::Service(service) => self.add_service(snapshot, parsed, service, node),
             ParsedPath::Route(service, route) => {
-                self.add_route(snapshot, place, service, route, node)
+                self.add_route(snapshot, parsed, service, route, node)
             }
             ParsedPath::Workspace(id) => self.add_workspace(id, node),
             ParsedPath::WorkspaceRoute(id, service, route) => {
@@ -115,7 +115,7 @@
     fn add_service(
         &mut self,
         snapshot: &Snapshot,
-        place: &ParsedPath,
+        parsed: &ParsedPath,
         service: &ServiceId,
         node: &Node,
     ) {
@@ -128,7 +128,7 @@
             service: Arc::clone(service),
             kind,
             route: DEFAULT_ROUTE.into(),
-            knobs: effective_knobs(snapshot, place),
+            knobs: effective_knobs(snapshot, parsed),
         };
         let routes = HashMap::new();
         self.services
@@ -138,18 +138,18 @@
     fn add_route(
         &mut self,
         snapshot: &Snapshot,
-        place: &ParsedPath,
+        parsed: &ParsedPath,
         service: &ServiceId,
         route: &RouteId,
         node: &Node,
     ) {
-        let Some(of) = self.services.get_mut(service) else {
+        let Some(service_rules) = self.services.get_mut(service) else {
             return;
         };
         let rule = RouteRule {
             route: Arc::clone(route),
-            knobs: effective_knobs(snapshot, place),
-            ..of.rule.clone()
+            knobs: effective_knobs(snapshot, parsed),
+            ..service_rules.rule.clone()
         };
         if let (ServiceKind::Plain, Some(prefix)) = (rule.kind, &node.path) {
             self.plain.push(PlainRoute {
@@ -159,20 +159,21 @@
                 route: Arc::clone(route),
             });
         }
-        of.routes.insert(Arc::clone(route), rule);
+        service_rules.routes.insert(Arc::clone(route), rule);
     }
 
     fn add_workspace(&mut self, id: &WorkspaceId, node: &Node) {
         let workspace = self.workspaces.entry(Arc::clone(id)).or_default();
         workspace.knobs = node.knobs.clone();
-        for hash in node.key_hashes.iter().filter_map(|text| read_hash(text)) {
+        for hash in node.key_hashes.iter().filter_map(|text| parse_hash(text)) {
             let bucket = self.keys.entry(hash[0]).or_default();
             bucket.push((hash, Arc::clone(id)));
         }
     }
 
-    /// Longest prefix first; among equals, a route with a method before one for any.
-    fn sort_plain(&mut self) {
+    /// Sorts by decreasing length of the prefix; for equal prefixes, routes with a method come
+    /// before those for any method.
+    fn sort_plain_routes(&mut self) {
         self.plain.sort_by(|a, b| {
             let longest = b.prefix.len().cmp(&a.prefix.len());
             longest.then(b.method.is_some().cmp(&a.method.is_some()))
@@ -180,16 +181,20 @@
     }
 
     fn rule_for(&self, workspace: &str, service: &str, route: &str) -> Option<RouteRule> {
-        let own = self.workspaces.get(workspace)?;
-        let of = self.services.get(service)?;
-        let mut rule = match of.routes.get(route) {
+        let workspace_rules = self.workspaces.get(workspace)?;
+        let service_rules = self.services.get(service)?;
+        let mut rule = match service_rules.routes.get(route) {
             Some(rule) => rule.clone(),
-            None if route == DEFAULT_ROUTE => of.rule.clone(),
+            None if route == DEFAULT_ROUTE => service_rules.rule.clone(),
             None => return None,
         };
-        rule.knobs = rule.knobs.with_lower(&own.knobs);
-        if let Some(knobs) = own.routes.get(service).and_then(|r| r.get(route)) {
-            rule.knobs = rule.knobs.with_lower(knobs);
+        rule.knobs = rule.knobs.merged_with(&workspace_rules.knobs);
+        if let Some(knobs) = workspace_rules
+            .routes
+            .get(service)
+            .and_then(|r| r.get(route))
+        {
+            rule.knobs = rule.knobs.merged_with(knobs);
         }
         Some(rule)
     }
@@ -201,9 +206,9 @@
     }
 
     fn workspace(&self, hash: &str) -> Option<WorkspaceId> {
-        let hash = read_hash(hash)?;
-        // The time taken tells an attacker no more than the first byte of a hash. Each entry of
-        // the bucket is compared in full, whichever one matches.
+        let hash = parse_hash(hash)?;
+        // Timing reveals at most the first byte of a hash to an attacker: every entry of the bucket
+        // is compared in full, whichever one matches.
         let bucket = self.keys.get(&hash[0])?;
         let mut found = None;
         for (known, id) in bucket {
@@ -225,7 +230,9 @@
     }
 
     fn service(&self, service: &ServiceId) -> Option<RouteRule> {
-        self.services.get(service).map(|of| of.rule.clone())
+        self.services
+            .get(service)
+            .map(|service_rules| service_rules.rule.clone())
     }
 
     fn services(&self) -> Vec<ServiceId> {
@@ -239,8 +246,8 @@
     }
 }
 
-/// Reads a hash in hexadecimal.
-pub(crate) fn read_hash(text: &str) -> Option<KeyHash> {
+/// Parses a hexadecimal hash; upper and lower case are allowed.
+pub(crate) fn parse_hash(text: &str) -> Option<KeyHash> {
     let digits = text.as_bytes();
     if digits.len() != 2 * HASH_BYTES {
         return None;
--- a/components/tree/tests/tree/checks.rs
+++ b/components/tree/tests/tree/checks.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a tree: all of it at once, each with the place and what would be right.
+//! Validation reports all faults of a tree at once, each with its path and what would be valid.
 
 use tree::{Document, Snapshot, check};
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn every_fault_is_told_with_its_place() {
+fn every_fault_is_reported_with_its_path() {
     let found = faults(
         r#"
 nodes:
@@ -61,10 +61,10 @@
     assert_eq!(found, expected);
 }
 
-// Two workspaces with one key, two services with one model name, two routes with one path: a
-// request would be served as either, depending on chance.
+// Two workspaces with one key, two services with one model name, two routes with one path: it would
+// be undefined which of the two serves a request.
 #[test]
-fn what_must_be_unique_is_checked_over_the_whole_tree() {
+fn uniqueness_is_checked_across_the_whole_tree() {
     let hash = "ab".repeat(32);
     let yaml = format!(
         r#"
@@ -89,18 +89,19 @@
     assert_eq!(faults(&yaml), expected);
 }
 
-// An operator pastes a key where its hash belongs. The message goes to logs and screens.
+// An operator pastes a key where its hash belongs. The message is shown in logs and on screens, so
+// it must not contain the text.
 #[test]
-fn a_key_pasted_by_mistake_is_not_repeated() {
+fn a_key_pasted_by_mistake_is_not_shown() {
     let yaml = "nodes: {/workspaces/w: {key-hashes: [my-secret-key]}}";
     let document: Document = serde_saphyr::from_str(yaml).expect("it is well formed");
     let snapshot = Snapshot {
         version: 1,
         nodes: document.nodes,
     };
-    let told: Vec<String> = check(&snapshot).iter().map(ToString::to_string).collect();
-    assert_eq!(told.len(), 1);
-    assert!(!told[0].contains("my-secret-key"), "{told:?}");
+    let messages: Vec<String> = check(&snapshot).iter().map(ToString::to_string).collect();
+    assert_eq!(messages.len(), 1);
+    assert!(!messages[0].contains("my-secret-key"), "{messages:?}");
 }
 
 #[test]
--- a/components/tree/tests/tree/laws.rs
+++ b/components/tree/tests/tree/laws.rs
@@ -1,4 +1,4 @@
-//! Laws that hold for any tree.
+//! Properties of arbitrary trees.
 
 use std::collections::BTreeMap;
 
@@ -68,16 +68,16 @@
 
 proptest! {
     #[test]
-    fn putting_values_over_each_other_is_associative(a in knobs(), b in knobs(), c in knobs()) {
-        let left = a.with_lower(&b).with_lower(&c);
-        let right = a.with_lower(&b.with_lower(&c));
+    fn merging_values_is_associative(a in knobs(), b in knobs(), c in knobs()) {
+        let left = a.merged_with(&b).merged_with(&c);
+        let right = a.merged_with(&b.merged_with(&c));
         prop_assert_eq!(left, right);
-        prop_assert_eq!(&a.with_lower(&Knobs::default()), &a);
-        prop_assert_eq!(&Knobs::default().with_lower(&a), &a);
-        prop_assert_eq!(&a.with_lower(&a), &a);
+        prop_assert_eq!(&a.merged_with(&Knobs::default()), &a);
+        prop_assert_eq!(&Knobs::default().merged_with(&a), &a);
+        prop_assert_eq!(&a.merged_with(&a), &a);
     }
 
-    // What a request gets is what `get --in-force` shows, for each value.
+    // For every value, the rule used for requests must agree with the output of `get --in-force`.
     #[test]
     fn the_rule_of_a_request_and_the_origins_agree(mut nodes in nodes()) {
         for needed in ["/services/s", "/services/s/routes/r", "/workspaces/w"] {
@@ -87,11 +87,11 @@
         let rules = Rules::new(&snapshot);
         let rule = rules.model(&"w".into(), "s", "r").expect("a route");
         let shown = origins(&snapshot, "/workspaces/w/routes/s/r").expect("a path");
-        let in_force = serde_json::to_value(&rule.knobs).expect("plain values");
-        let in_force = in_force.as_object().expect("an object");
-        prop_assert_eq!(shown.len(), in_force.len());
+        let effective = serde_json::to_value(&rule.knobs).expect("plain values");
+        let effective = effective.as_object().expect("an object");
+        prop_assert_eq!(shown.len(), effective.len());
         for origin in shown {
-            prop_assert_eq!(&origin.value, &in_force[&*origin.knob]);
+            prop_assert_eq!(&origin.value, &effective[&*origin.knob]);
             if let Some(from) = origin.from {
                 let written = serde_json::to_value(&snapshot.nodes[&from].knobs).expect("values");
                 prop_assert_eq!(&origin.value, &written[&*origin.knob]);
@@ -99,10 +99,10 @@
         }
     }
 
-    // Changes come late, twice and with gaps. Whatever their order, the version never goes back
-    // and grows by one only; a refused change leaves no trace.
+    // Changes arrive late, more than once and with gaps. In any order, the version must grow by one
+    // at a time and never decrease, and a rejected change must not modify the snapshot.
     #[test]
-    fn changes_apply_in_order_of_their_versions_only(deltas in prop::collection::vec(delta(), 0..30)) {
+    fn changes_apply_in_version_order_only(deltas in prop::collection::vec(delta(), 0..30)) {
         let mut snapshot = Snapshot::default();
         for delta in deltas {
             let before = snapshot.clone();
@@ -124,36 +124,36 @@
     }
 
     #[test]
-    fn a_document_leads_from_any_tree_to_its_own(from in nodes(), to in nodes()) {
+    fn applying_the_changes_of_a_document_yields_its_tree(from in nodes(), to in nodes()) {
         let mut snapshot = Snapshot { version: 1, nodes: from };
         let document = Document { nodes: to };
-        for step in document.steps(&snapshot.clone(), true) {
-            snapshot.write(&step.path, step.node.as_ref());
+        for change in document.changes_from(&snapshot.clone(), true) {
+            snapshot.write(&change.path, change.node.as_ref());
         }
         prop_assert_eq!(Document::new(&snapshot), document);
     }
 
     #[test]
-    fn a_path_that_is_read_is_written_the_same(text in "(/[a-z]{0,11}){1,6}|/(services|workspaces|data-centres)/[-a-zA-Z0-9._]{1,5}(/routes(/[a-z0-9]{1,3}){1,2})?") {
-        if let Some(place) = ParsedPath::parse(&text) {
-            prop_assert_eq!(&*place.path(), &*text);
-            let chain = place.inheritance_chain();
+    fn parsed_paths_round_trip(text in "(/[a-z]{0,11}){1,6}|/(services|workspaces|data-centres)/[-a-zA-Z0-9._]{1,5}(/routes(/[a-z0-9]{1,3}){1,2})?") {
+        if let Some(parsed) = ParsedPath::parse(&text) {
+            prop_assert_eq!(&*parsed.path(), &*text);
+            let chain = parsed.inheritance_chain();
             prop_assert_eq!(chain.first(), Some(&ParsedPath::Root));
-            prop_assert_eq!(chain.last(), Some(&place));
+            prop_assert_eq!(chain.last(), Some(&parsed));
         }
     }
 
-    // Whatever a peer, the store or an operator's file holds: an error or a tree, and a tree can
-    // be checked and put to use however wrong it is.
+    // Whatever a peer, the table service or an operator's file contains, parsing gives an error or
+    // a tree, and any tree can be checked and indexed, however wrong it is.
     #[test]
-    fn no_text_makes_the_reader_of_trees_panic(
+    fn no_input_makes_parsing_or_checking_a_tree_panic(
         nodes in prop::collection::btree_map("(/[-a-z.]{0,9}){0,5}", node(), 0..4),
         noise in prop::collection::vec((0..400_usize, any::<u8>()), 0..4),
     ) {
         let nodes = nodes.into_iter().map(|(path, node)| (path.into(), node)).collect();
         let mut text = serde_json::to_vec(&Snapshot { version: 1, nodes }).expect("plain values");
-        for (place, byte) in noise {
-            if let Some(old) = text.get_mut(place) {
+        for (position, byte) in noise {
+            if let Some(old) = text.get_mut(position) {
                 *old = byte;
             }
         }
--- a/components/tree/tests/tree/lookups.rs
+++ b/components/tree/tests/tree/lookups.rs
@@ -1,9 +1,9 @@
-//! What is in force for a request.
+//! Effective configuration of requests.
 
 use tree::{Document, EffectiveConfig, Rules, Snapshot, check, origins};
 use types::{Class, ServiceKind};
 
-/// Two hashes that differ in the last digit only.
+/// Two hashes that differ only in the last digit.
 const KEY_A: &str = "aa00000000000000000000000000000000000000000000000000000000000001";
 const KEY_B: &str = "aa00000000000000000000000000000000000000000000000000000000000002";
 
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_tree_in_yaml_is_valid_and_in_force() {
+fn a_tree_in_yaml_is_valid_and_effective() {
     let snapshot = snapshot();
     assert_eq!(check(&snapshot), []);
     let rules = Rules::new(&snapshot);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_key_finds_its_own_workspace_only() {
+fn a_key_matches_its_own_workspace_only() {
     let rules = Rules::new(&snapshot());
     assert_eq!(rules.workspace(KEY_A).as_deref(), Some("editors"));
     assert_eq!(rules.workspace(KEY_B).as_deref(), Some("viewers"));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn the_last_value_written_along_the_chain_wins() {
+fn the_most_specific_value_wins() {
     let rules = Rules::new(&snapshot());
     let (editors, viewers) = ("editors".into(), "viewers".into());
     let drafts = rules
@@ -90,20 +90,20 @@
 }
 
 #[test]
-fn what_does_not_exist_has_no_rule() {
+fn unknown_names_have_no_rule() {
     let rules = Rules::new(&snapshot());
-    let (editors, nobody) = ("editors".into(), "nobody".into());
+    let (editors, unknown) = ("editors".into(), "nobody".into());
     assert_eq!(rules.model(&editors, "catalogue", "default"), None);
     assert_eq!(rules.model(&editors, "catalogue-7b", "unknown"), None);
-    assert_eq!(rules.model(&nobody, "catalogue-7b", "default"), None);
+    assert_eq!(rules.model(&unknown, "catalogue-7b", "default"), None);
     assert_eq!(rules.model(&editors, "viewer", "default"), None);
-    assert_eq!(rules.plain(&nobody, "GET", "/play"), None);
+    assert_eq!(rules.plain(&unknown, "GET", "/play"), None);
     assert_eq!(rules.plain(&editors, "GET", "play"), None);
     assert_eq!(rules.service(&"unknown".into()), None);
 }
 
 #[test]
-fn the_longest_prefix_wins_and_ends_at_a_border() {
+fn the_longest_prefix_wins_and_ends_at_a_segment_boundary() {
     let rules = Rules::new(&snapshot());
     let viewers = "viewers".into();
     let cases = [
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn each_value_in_force_tells_where_it_comes_from() {
+fn every_effective_value_reports_its_origin() {
     let snapshot = snapshot();
     let path = "/workspaces/editors/routes/catalogue/drafts";
     let all = origins(&snapshot, path).expect("a path");
--- a/components/tree/tests/tree/main.rs
+++ b/components/tree/tests/tree/main.rs
@@ -1,4 +1,4 @@
-//! The tree: look-ups, inheritance, checks and versions.
+//! Look-ups, inheritance, validation and versions of a tree.
 
 mod checks;
 mod laws;
