--- a/components/admin/src/api.rs
+++ b/components/admin/src/api.rs
@@ -159,7 +159,8 @@
     }
 }
 
-/// The value of a query parameter. It is not percent-decoded, since no parameter of this API needs it.
+/// The value of a query parameter. It is not percent-decoded, since no parameter of this API needs
+/// it.
 fn query<'a>(uri: &'a Uri, name: &str) -> Option<&'a str> {
     let pairs = uri.query()?.split('&');
     pairs
--- a/components/admin/src/auth.rs
+++ b/components/admin/src/auth.rs
@@ -19,8 +19,8 @@
 
 /// Whether a request carries a valid operator key.
 ///
-/// Settings hold only hashes of keys, and every hash is compared in constant time: neither a copy of
-/// the settings nor the response time reveals anything about a key.
+/// Settings hold only hashes of keys, and every hash is compared in constant time: neither a copy
+/// of the settings nor the response time reveals anything about a key.
 #[must_use]
 pub fn allows(headers: &HeaderMap, key_hashes: &[Arc<str>]) -> bool {
     let Some(key) = bearer_key(headers) else {
--- a/components/admin/src/data_centre.rs
+++ b/components/admin/src/data_centre.rs
@@ -1,5 +1,5 @@
-//! Taking data centres out of service and bringing them back, by a regular change or, while the table
-//! service is unavailable, by a temporary override.
+//! Taking data centres out of service and bringing them back, by a regular change or, while the
+//! table service is unavailable, by a temporary override.
 
 use std::{sync::Arc, time::Duration};
 
--- a/components/admin/src/document.rs
+++ b/components/admin/src/document.rs
@@ -28,8 +28,9 @@
         .done())
 }
 
-/// Writes the nodes of a document that differ from the tree, one after another, parents before their
-/// children, since a node needs its parent. The whole document is checked before the first write.
+/// Writes the nodes of a document that differ from the tree, one after another, parents before
+/// their children, since a node needs its parent. The whole document is checked before the first
+/// write.
 ///
 /// # Errors
 /// As for a single node. The detail says how many nodes were written before; sending the same
--- a/components/admin/src/message.rs
+++ b/components/admin/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages of the API. `docs/admin-api.yml` describes them under their names as schemas, some of
-//! which differ from the names of the types.
+//! The messages of the API. `docs/admin-api.yml` describes them under their names as schemas, some
+//! of which differ from the names of the types.
 
 use std::{collections::BTreeMap, sync::Arc};
 
--- a/components/admin/src/parts.rs
+++ b/components/admin/src/parts.rs
@@ -9,8 +9,8 @@
 
 /// Provides the state of the process for dumps.
 pub trait Dump: Send + Sync {
-    /// Returns the state as JSON: members, shards, permits, queue, claims, configuration version. It
-    /// must not contain keys, hashes of keys or bodies of requests.
+    /// Returns the state as JSON: members, shards, permits, queue, claims, configuration version.
+    /// It must not contain keys, hashes of keys or bodies of requests.
     fn dump(&self) -> Value;
 }
 
--- a/components/admin/src/problem.rs
+++ b/components/admin/src/problem.rs
@@ -74,7 +74,8 @@
         self
     }
 
-    /// Creates the problem for a change that was not accepted; `now` is the current state of its node.
+    /// Creates the problem for a change that was not accepted; `now` is the current state of its
+    /// node.
     #[must_use]
     pub fn from_change_error(error: ChangeError, now: CurrentNode) -> Self {
         let detail = error.to_string();
--- a/components/admin/src/throttle.rs
+++ b/components/admin/src/throttle.rs
@@ -10,8 +10,8 @@
 
 /// Logs an event at most once a second.
 ///
-/// Anyone who can reach the admin address can send thousands of wrong keys. Logging each of them would
-/// hide the relevant lines and cost money at a log service that charges by volume.
+/// Anyone who can reach the admin address can send thousands of wrong keys. Logging each of them
+/// would hide the relevant lines and cost money at a log service that charges by volume.
 #[derive(Default)]
 pub struct Throttle {
     last: Mutex<Option<Instant>>,
--- a/components/admin/src/tree_api.rs
+++ b/components/admin/src/tree_api.rs
@@ -75,13 +75,13 @@
     Ok(Reply::json(200, &effective).done())
 }
 
-/// Writes a node, or deletes it if `node` is `None`, provided that it still has the version that the
-/// operator read.
+/// Writes a node, or deletes it if `node` is `None`, provided that it still has the version that
+/// the operator read.
 ///
 /// # Errors
 /// 412 if the node has another version, 422 if the change is not valid, 400 or 428 if the
-/// precondition is malformed or missing, 503 if the table service is unavailable, 504 if the outcome
-/// is unknown.
+/// precondition is malformed or missing, 503 if the table service is unavailable, 504 if the
+/// outcome is unknown.
 pub async fn write(
     config: &dyn Config,
     headers: &HeaderMap,
--- a/components/admin/tests/api/state.rs
+++ b/components/admin/tests/api/state.rs
@@ -39,8 +39,8 @@
     assert!(api.get("/metrics").text.contains(counter));
 }
 
-// Guards against an instance that reports ready before it can serve: the load balancer would send it
-// callers, who would all be refused.
+// Guards against an instance that reports ready before it can serve: the load balancer would send
+// it callers, who would all be refused.
 #[test]
 fn an_instance_that_is_not_ready_gives_the_reason() {
     let api = Api::start_with(&FakeConfig::with_tree(), Some("no configuration yet"));
--- a/components/admin/tests/api/tree.rs
+++ b/components/admin/tests/api/tree.rs
@@ -127,8 +127,8 @@
     assert!(!answer.read::<Problem>().faults.is_empty());
 }
 
-// If the table service is unavailable, nothing was changed; if its answer to the commit was lost, the
-// operator has to read the node. The two cases need different answers.
+// If the table service is unavailable, nothing was changed; if its answer to the commit was lost,
+// the operator has to read the node. The two cases need different answers.
 #[test]
 fn a_store_outage_and_a_lost_answer_give_different_problems() {
     let config = FakeConfig::with_tree();
@@ -179,8 +179,8 @@
     assert!(detail.contains("north, south"), "{detail}");
 }
 
-// Another operator brings the data centre back at the same moment. Taking it out must still succeed,
-// since the operator who requests it sees requests being sent there.
+// Another operator brings the data centre back at the same moment. Taking it out must still
+// succeed, since the operator who requests it sees requests being sent there.
 #[test]
 fn taking_a_data_centre_out_succeeds_despite_a_concurrent_change() {
     let config = FakeConfig::with_tree();
@@ -194,8 +194,8 @@
     assert_eq!(config.version(), before + 2);
 }
 
-// The table service may be unavailable together with a data centre. The operator must still be able to
-// take the data centre out, and see that this is not committed and which instances lack it.
+// The table service may be unavailable together with a data centre. The operator must still be able
+// to take the data centre out, and see that this is not committed and which instances lack it.
 #[test]
 fn an_override_takes_a_data_centre_out_without_a_commit() {
     let config = FakeConfig::with_tree();
@@ -269,8 +269,8 @@
     assert_eq!(config.version(), before);
 }
 
-// If the table service becomes unavailable while a document is written, the operator must see that a
-// part was written, and sending the same document again must write the rest.
+// If the table service becomes unavailable while a document is written, the operator must see that
+// a part was written, and sending the same document again must write the rest.
 #[test]
 fn an_interrupted_document_is_completed_by_sending_it_again() {
     let config = FakeConfig::with_tree();
@@ -300,7 +300,8 @@
         ..ProptestConfig::default()
     })]
 
-    // Any body that is not a valid node gets a 4xx status and leaves the tree unchanged.
+    // A write to an invalid path gets a 4xx status and leaves the tree unchanged, whatever its
+    // body.
     #[test]
     fn random_bodies_are_rejected(body in ".{0,200}") {
         let config = FakeConfig::with_tree();
--- a/components/events/src/declare.rs
+++ b/components/events/src/declare.rs
@@ -47,8 +47,8 @@
     pub action: &'static str,
 }
 
-/// Declares the events as `Name { fields } = (number, Level, "log line", "advice")`. The doc comment
-/// of an event is its meaning in the catalogue.
+/// Declares the events as `Name { fields } = (number, Level, "log line", "advice")`. The doc
+/// comment of an event is its meaning in the catalogue.
 macro_rules! declare_events {
     ($(
         #[doc = $meaning:literal]
--- a/components/events/src/event.rs
+++ b/components/events/src/event.rs
@@ -20,7 +20,7 @@
         100, Info, "instance {instance} has started",
         "Nothing. If you did not start the instance, find out why its previous process ended.",
     ),
-    /// A shutdown has begun: the instance reports that it is not ready and completes the running requests.
+    /// A shutdown has begun: the instance reports that it is not ready and completes its requests.
     Draining {
         /// Requests that are still running.
         open: usize,
@@ -126,7 +126,7 @@
         workspace: WorkspaceId,
         /// Target that ran it.
         target: TargetId,
-        /// Reason of the stop.
+        /// The reason why it stopped.
         reason: Arc<str>,
     } = (
         400, Warn, "an answer for workspace {workspace} from {target} was truncated: {reason}",
@@ -144,7 +144,7 @@
         401, Warn, "call {request} of workspace {workspace} to {target} may have run: its response was lost",
         "Ask the service whether the call ran. If this happens often, check the target and the network connection to it.",
     ),
-    /// The connection to a target failed or timed out during a stream, which was resumed over new connections.
+    /// The connection to a target failed or timed out, and its stream was resumed over new connections.
     LinkReplaced {
         /// The target.
         target: TargetId,
@@ -156,7 +156,7 @@
     ),
     /// The table service is unreachable.
     TableDown {
-        /// Why.
+        /// The reason.
         reason: Arc<str>,
     } = (
         600, Warn, "the table service is unreachable: {reason}",
@@ -169,7 +169,7 @@
     ),
     /// A version of the configuration took effect.
     ConfigInForce {
-        /// Its version.
+        /// Its version number.
         version: ConfigVersion,
     } = (
         700, Info, "configuration {version} is in force",
@@ -183,7 +183,7 @@
         701, Warn, "no configuration found yet, the instance is not ready: {reason}",
         "Check the table service, or run the instance alongside a peer that has a configuration.",
     ),
-    /// An operator overrode the configuration to take a data centre out, or withdrew that, while the table service was unavailable.
+    /// An operator took a data centre out by an override, or withdrew it, without the table service.
     Overridden {
         /// The data centre.
         data_centre: DataCentreId,
@@ -235,7 +235,7 @@
         who: Arc<str>,
         /// Path of the node.
         path: Arc<str>,
-        /// Why.
+        /// The reason.
         reason: Arc<str>,
     } = (
         801, Info, "the change of {path} by {who} was not accepted: {reason}",
@@ -297,7 +297,7 @@
         id: Arc<str>,
         /// HTTP status of the answer.
         status: u16,
-        /// Why.
+        /// The reason.
         reason: Arc<str>,
         /// Time after which the caller may retry, in milliseconds; 0 if the answer names none.
         retry_ms: u64,
@@ -335,7 +335,7 @@
         id: Arc<str>,
         /// The target.
         target: TargetId,
-        /// Reason of the failure.
+        /// The reason of the failure.
         reason: Arc<str>,
         /// Whether it is certain that the target did not run the request.
         not_run: bool,
@@ -375,7 +375,7 @@
         id: Arc<str>,
         /// The target.
         target: TargetId,
-        /// Why.
+        /// The reason.
         reason: Arc<str>,
         /// Number of the last event that was forwarded; 0 if there was none.
         last_event: u64,
@@ -407,7 +407,7 @@
         from: TargetId,
         /// The intended destination.
         to: TargetId,
-        /// Why.
+        /// The reason.
         reason: Arc<str>,
     } = (
         907, Info, "{id}: not migrated from {from} to {to}: {reason}",
@@ -417,13 +417,13 @@
     EngineUnheard {
         /// The engine.
         target: TargetId,
-        /// Why.
+        /// The reason.
         reason: Arc<str>,
     } = (
         908, Info, "{target} does not report its generations: {reason}",
         "Nothing, unless one engine is affected repeatedly.",
     ),
-    /// A generation whose stream was lost was recovered: its engine's memory was copied to another engine, which continues it.
+    /// A generation whose stream was lost continues at another engine, to which its memory was copied.
     GenerationRescued {
         /// Id of the request.
         id: Arc<str>,
@@ -485,7 +485,7 @@
     StoreLost {
         /// The topic.
         topic: Arc<str>,
-        /// Why.
+        /// The reason.
         reason: Arc<str>,
     } = (
         915, Warn, "the store's feed of {topic} was lost: {reason}",
@@ -507,7 +507,7 @@
         topic: Arc<str>,
         /// Key of the row.
         key: Arc<str>,
-        /// Why.
+        /// The reason.
         reason: Arc<str>,
     } = (
         917, Warn, "row {key} of {topic} can't be decoded: {reason}",
@@ -517,7 +517,7 @@
     PeerLost {
         /// The peer.
         peer: InstanceId,
-        /// Why.
+        /// The reason.
         reason: Arc<str>,
     } = (
         918, Warn, "peer {peer} does not answer: {reason}",
@@ -541,13 +541,13 @@
     ),
     /// The settings file could not be reloaded; the previous settings stay in effect.
     SettingsKept {
-        /// Why.
+        /// The reason.
         reason: Arc<str>,
     } = (
         921, Warn, "the settings can't be reloaded, the previous ones stay in effect: {reason}",
         "Fix the file.",
     ),
-    /// The reloaded settings have other names, addresses or sizes, which a running instance does not change.
+    /// The reloaded settings change names, addresses or sizes, which takes effect only after a restart.
     SettingsNeedRestart = (
         922, Warn, "some of the changed settings take effect only after a restart",
         "Restart the instance at a suitable time. The new bounds and seeds are in effect already.",
--- a/components/events/src/lib.rs
+++ b/components/events/src/lib.rs
@@ -1,8 +1,8 @@
 //! Numbered log events.
 //!
-//! Everything that the program logs is an [`Event`] with a number, a name, a level and advice for the
-//! operator. Events are counted for the metrics and written by a separate thread, so that a slow
-//! reader of the log never blocks the process.
+//! Everything that the program logs is an [`Event`] with a number, a name, a level and advice for
+//! the operator. Events are counted for the metrics and written by a separate thread, so that a
+//! slow reader of the log never blocks the process.
 
 pub mod catalogue;
 pub mod count;
--- a/components/events/src/log.rs
+++ b/components/events/src/log.rs
@@ -34,8 +34,8 @@
 
 static COUNTERS: OnceLock<Arc<QueueCounters>> = OnceLock::new();
 
-/// Initializes logging with the minimum severity that is written, the format and the destination, and
-/// installs a panic hook that logs panics. The process runs without a log if this fails.
+/// Initializes logging with the minimum severity that is written, the format and the destination,
+/// and installs a hook that logs panics. If this fails, the process runs without a log.
 pub fn init(level: Level, format: Format, output: Output) {
     let queue = match output {
         Output::Stdout => Queue::start(io::stdout()),
@@ -66,7 +66,8 @@
     }
 }
 
-/// Creates a logger that writes lines of at least this severity to a sink; `None` if it can't be built.
+/// Creates a logger that writes lines of at least this severity to a sink; `None` if it can't be
+/// built.
 #[must_use]
 pub fn logger(level: Level, sink: Arc<dyn Sink>) -> Option<Arc<Logger>> {
     Logger::builder()
--- a/components/events/src/panics.rs
+++ b/components/events/src/panics.rs
@@ -4,8 +4,8 @@
 
 use crate::{event::Event, log::emit};
 
-/// Installs a hook that logs each panic, after the previous hook. The executor silently drops a task
-/// that panics, and standard error may not be stored.
+/// Installs a hook that logs each panic, after the previous hook. The executor silently drops a
+/// task that panics, and standard error may not be kept.
 pub fn install_hook() {
     let previous = panic::take_hook();
     panic::set_hook(Box::new(move |info| {
