--- a/components/claims/src/group.rs
+++ b/components/claims/src/group.rs
@@ -29,7 +29,7 @@
 
 struct PendingWrite {
     write: Write,
-    answer: Sender<Result<(), PlatformError>>,
+    reply: Sender<Result<(), PlatformError>>,
 }
 
 impl GroupCommitter {
@@ -47,10 +47,10 @@
     /// # Errors
     /// As returned by the table service for this write.
     pub async fn commit(self: &Arc<Self>, write: Write) -> Result<(), PlatformError> {
-        let (answer, rx) = bounded(1);
+        let (reply, rx) = bounded(1);
         let has_free_slot = {
             let mut queue = self.queue.lock();
-            queue.waiting.push(PendingWrite { write, answer });
+            queue.waiting.push(PendingWrite { write, reply });
             let has_free_slot = queue.in_flight < MAX_IN_FLIGHT;
             queue.in_flight += usize::from(has_free_slot);
             has_free_slot
@@ -87,19 +87,19 @@
         if result == Err(PlatformError::Conflict) && group.len() > 1 {
             for item in group {
                 let result = self.table.commit(std::slice::from_ref(&item.write)).await;
-                answer(&item, result);
+                reply(&item, result);
             }
             return;
         }
         for item in &group {
-            answer(item, result.clone());
+            reply(item, result.clone());
         }
     }
 }
 
-fn answer(item: &PendingWrite, result: Result<(), PlatformError>) {
+fn reply(item: &PendingWrite, result: Result<(), PlatformError>) {
     // The channel has room for the one answer; the receiver may have been dropped.
-    let _ = item.answer.try_send(result);
+    let _ = item.reply.try_send(result);
 }
 
 /// Removes the first writes from the queue, no two of them for the same row, since the table
--- a/components/claims/src/manager.rs
+++ b/components/claims/src/manager.rs
@@ -47,7 +47,7 @@
     incarnation: Incarnation,
     table: Arc<dyn Table>,
     group: Arc<GroupCommitter>,
-    alive: Arc<dyn Liveness>,
+    liveness: Arc<dyn Liveness>,
     timer: Timer,
     open: Mutex<OpenClaims>,
     claim_counter: AtomicU64,
@@ -84,7 +84,7 @@
         me: InstanceId,
         incarnation: Incarnation,
         table: Arc<dyn Table>,
-        alive: Arc<dyn Liveness>,
+        liveness: Arc<dyn Liveness>,
         timer: Timer,
     ) -> Self {
         Self {
@@ -92,7 +92,7 @@
             incarnation,
             group: GroupCommitter::new(Arc::clone(&table)),
             table,
-            alive,
+            liveness,
             timer,
             open: Mutex::default(),
             claim_counter: AtomicU64::new(0),
@@ -177,7 +177,7 @@
             .unwrap_or(KeyStatus::Free { base: 0 });
         loop {
             match status {
-                KeyStatus::Resolved(claimed) => return Ok(claimed),
+                KeyStatus::Resolved(outcome) => return Ok(outcome),
                 KeyStatus::Free { base } => {
                     if self.claim_free(call, &key, base).await? {
                         return Ok(ClaimOutcome::Acquired);
@@ -315,7 +315,7 @@
         let is_earlier_incarnation =
             found.instance == self.me && found.incarnation < self.incarnation;
         let has_ended =
-            is_earlier_incarnation || self.alive.has_ended(&found.instance, found.incarnation);
+            is_earlier_incarnation || self.liveness.has_ended(&found.instance, found.incarnation);
         if !has_ended {
             return Ok(KeyStatus::Running);
         }
--- a/components/claims/tests/claiming/failures.rs
+++ b/components/claims/tests/claiming/failures.rs
@@ -22,8 +22,8 @@
         );
         let call = call("k", "d");
         assert_eq!(a.claim(&call).await, Ok(ClaimOutcome::Acquired));
-        let waits = b.claims.claim(&call, SHORT_TIMEOUT).await;
-        assert_eq!(waits, Err(ClaimError::StillRunning));
+        let waiting = b.claims.claim(&call, SHORT_TIMEOUT).await;
+        assert_eq!(waiting, Err(ClaimError::StillRunning));
         let (b_claims, c_claims) = (b.claims.clone(), c.claims.clone());
         let (b_call, c_call) = (call.clone(), call.clone());
         let at_b = workers::spawn(async move { b_claims.claim(&b_call, TIMEOUT).await });
@@ -222,8 +222,8 @@
         let call = call("k", "d");
         deployment.table.set_delay(Duration::from_secs(1));
         let timer = Timer::new();
-        let given_up = timer.within(Duration::from_millis(10), a.claim(&call));
-        assert_eq!(given_up.await, None);
+        let cancelled = timer.within(Duration::from_millis(10), a.claim(&call));
+        assert_eq!(cancelled.await, None);
         deployment.table.set_delay(Duration::ZERO);
         let end = std::time::Instant::now() + TIMEOUT;
         while deployment.table.rows().is_empty() {
@@ -287,12 +287,16 @@
         assert_eq!(a.claim(&call).await, Ok(ClaimOutcome::Acquired));
         let large = "x".repeat(200_000);
         a.claims.record(&call, answer(&large)).await;
-        let Ok(ClaimOutcome::Completed(kept)) = b.claim(&call).await else {
+        let Ok(ClaimOutcome::Completed(stored)) = b.claim(&call).await else {
             panic!("the call ran before");
         };
-        assert_eq!(kept.status, 201);
-        assert_eq!(&*kept.content_type, "application/problem+json");
-        assert!(kept.body.contains(r#""run":"partial""#), "{}", kept.body);
+        assert_eq!(stored.status, 201);
+        assert_eq!(&*stored.content_type, "application/problem+json");
+        assert!(
+            stored.body.contains(r#""run":"partial""#),
+            "{}",
+            stored.body
+        );
     });
 }
 
--- a/components/claims/tests/claiming/random.rs
+++ b/components/claims/tests/claiming/random.rs
@@ -225,8 +225,8 @@
     deployment.table.set_delay(Duration::ZERO);
     deployment.table.clear_faults();
     for task in tasks {
-        let ended = timer.within(TIMEOUT, task).await;
-        assert!(ended.is_some(), "a request hangs");
+        let finished = timer.within(TIMEOUT, task).await;
+        assert!(finished.is_some(), "a request hangs");
     }
     if finalize_first {
         for instance in &instances {
@@ -257,11 +257,11 @@
         }
         deployment.table.apply_late_commits();
         let again = last.claim_when_up(&call).await;
-        let ended = matches!(
+        let is_final = matches!(
             again,
             Ok(ClaimOutcome::Completed(_) | ClaimOutcome::Unknown)
         );
-        assert!(ended, "key {key} could run again: {again:?}");
+        assert!(is_final, "key {key} could run again: {again:?}");
         if let Ok(ClaimOutcome::Completed(answer)) = again {
             external.record_answer(key, &answer.body);
             assert_eq!(
--- a/components/config/examples/measure_config.rs
+++ b/components/config/examples/measure_config.rs
@@ -72,10 +72,10 @@
 fn measure_tree(workspaces: usize) {
     let snapshot = snapshot(workspaces);
     let count = snapshot.nodes.len();
-    let changed = snapshot.nodes.keys().map(|p| (p.clone(), 1)).collect();
+    let node_versions = snapshot.nodes.keys().map(|p| (p.clone(), 1)).collect();
     let tree = VersionedTree {
         snapshot,
-        node_versions: changed,
+        node_versions,
     };
     let update = Update::Full(tree.snapshot.clone(), tree.node_versions.clone());
     let full_bytes = serde_json::to_string(&update).map_or(0, |text| text.len());
@@ -90,8 +90,8 @@
         let entry = entry(version);
         let update = Update::Changes(vec![entry.clone()]);
         bytes = serde_json::to_string(&update).map_or(0, |text| text.len());
-        let taken = cache.apply_changes(&[entry]);
-        assert_eq!(taken, Ok(true), "the change applies");
+        let result = cache.apply_changes(&[entry]);
+        assert_eq!(result, Ok(true), "the change applies");
     }
     let apply = start.elapsed() / u32::try_from(CHANGES).unwrap_or(1);
 
--- a/components/config/src/api.rs
+++ b/components/config/src/api.rs
@@ -17,7 +17,7 @@
 
 /// The configuration that an instance uses at present.
 pub struct CurrentConfig {
-    /// The nodes as written.
+    /// The accepted tree.
     pub snapshot: Snapshot,
     /// The same configuration, indexed for look-ups.
     pub effective: Box<dyn EffectiveConfig>,
@@ -91,7 +91,7 @@
     /// Validates a change without applying it.
     ///
     /// # Errors
-    /// All faults that the change would add.
+    /// All faults that the change would add, and all faults of the changed node.
     fn check(&self, change: &Change) -> Result<(), Vec<Fault>>;
 
     /// Commits a change and applies it on this instance.
--- a/components/config/src/cache.rs
+++ b/components/config/src/cache.rs
@@ -139,8 +139,8 @@
     /// Data centres that overrides take out at present.
     #[must_use]
     pub fn overridden(&self) -> Vec<DataCentreId> {
-        let changed = |id: &DataCentreId| self.node_version(&data_centre_path(id));
-        self.overrides.data_centres_out(changed)
+        let node_version = |id: &DataCentreId| self.node_version(&data_centre_path(id));
+        self.overrides.data_centres_out(node_version)
     }
 
     /// The accepted version that last wrote a node; `None` if the node does not exist.
@@ -166,13 +166,13 @@
     /// # Errors
     /// If changes are missing in between. Those before the gap have been applied.
     pub fn apply_changes(&mut self, entries: &[HistoryEntry]) -> Result<bool, DeltaError> {
-        let mut taken = false;
+        let mut is_changed = false;
         let mut result = Ok(());
         for entry in entries {
             match Arc::make_mut(&mut self.tree).apply(entry) {
                 Ok(()) => {
                     self.retain(entry);
-                    taken = true;
+                    is_changed = true;
                 }
                 // Already applied: an older version is never applied again.
                 Err(DeltaError::Old { .. }) => {}
@@ -182,10 +182,10 @@
                 }
             }
         }
-        if taken {
+        if is_changed {
             self.activate();
         }
-        result.map(|()| taken)
+        result.map(|()| is_changed)
     }
 
     /// Replaces the tree by a newer one and returns whether it was newer.
--- a/components/config/src/commit.rs
+++ b/components/config/src/commit.rs
@@ -53,8 +53,8 @@
 }
 
 fn is_at(fault: &Fault, path: &str) -> bool {
-    let rest = fault.path.strip_prefix(path);
-    rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('#'))
+    let remainder = fault.path.strip_prefix(path);
+    remainder.is_some_and(|remainder| remainder.is_empty() || remainder.starts_with('#'))
 }
 
 /// Checks that the node was not changed since the operator read it.
@@ -126,9 +126,9 @@
     entry: &HistoryEntry,
     writes: &[Write],
 ) -> Result<Attempt, ChangeError> {
-    let end = timer.now() + RESOLVE_TIMEOUT;
+    let deadline = timer.now() + RESOLVE_TIMEOUT;
     let mut pause = RESOLVE_PAUSE;
-    while timer.now() < end {
+    while timer.now() < deadline {
         timer.sleep(pause).await;
         pause = (pause * 2).min(MAX_RESOLVE_PAUSE);
         match store.commit(writes).await {
--- a/components/config/src/override_exchange.rs
+++ b/components/config/src/override_exchange.rs
@@ -103,22 +103,22 @@
 
     fn use_recent_round(&self) -> bool {
         let decrement = |rounds: u32| rounds.checked_sub(1);
-        let taken = self
-            .recent_rounds
-            .fetch_update(Ordering::AcqRel, Ordering::Acquire, decrement);
-        taken.is_ok()
+        let decremented =
+            self.recent_rounds
+                .fetch_update(Ordering::AcqRel, Ordering::Acquire, decrement);
+        decremented.is_ok()
     }
 
     /// Assigns a sequence number to an order and records the configuration version it is based on.
     pub(crate) fn new_override(&self, order: OverrideOrder) -> Result<Override, OverrideError> {
         let cache = self.cache.lock();
-        let base = cache.version().ok_or(OverrideError::NotReady)?;
+        let base_version = cache.version().ok_or(OverrideError::NotReady)?;
         let path = data_centre_path(&order.data_centre);
         if !cache.tree().snapshot.nodes.contains_key(&path) {
             return Err(OverrideError::NoSuchDataCentre);
         }
         // A withdrawal must outlive every copy of the override that it withdraws.
-        let left = if order.out {
+        let time_left = if order.out {
             order.duration.min(MAX_OVERRIDE_DURATION)
         } else {
             MAX_OVERRIDE_DURATION
@@ -129,8 +129,8 @@
             out: order.out,
             issued_by: Arc::clone(&self.me),
             operator: order.operator,
-            base_version: base,
-            time_left: left,
+            base_version,
+            time_left,
         })
     }
 }
--- a/components/config/src/overrides.rs
+++ b/components/config/src/overrides.rs
@@ -84,11 +84,11 @@
         }
         let known = self.active.get(&order.data_centre);
         let newer = known.is_none_or(|known| active.precedence() > known.precedence());
-        let fits = known.is_some() || self.active.len() < MAX_OVERRIDES;
-        if newer && fits {
+        let has_room = known.is_some() || self.active.len() < MAX_OVERRIDES;
+        if newer && has_room {
             self.active.insert(Arc::clone(&order.data_centre), active);
         }
-        newer && fits
+        newer && has_room
     }
 
     /// Removes expired overrides and returns whether there were any.
@@ -98,18 +98,18 @@
         self.active.len() != before
     }
 
-    /// Data centres taken out by overrides. `changed` returns the accepted version that last wrote
-    /// a data centre. A data centre that is missing from the accepted tree has been deleted since
-    /// the order was given, so its override no longer applies.
+    /// Data centres taken out by overrides. `node_version` returns the accepted version that last
+    /// wrote a data centre. A data centre that is missing from the accepted tree has been deleted
+    /// since the order was given, so its override no longer applies.
     pub fn data_centres_out(
         &self,
-        changed: impl Fn(&DataCentreId) -> Option<ConfigVersion>,
+        node_version: impl Fn(&DataCentreId) -> Option<ConfigVersion>,
     ) -> Vec<DataCentreId> {
-        let holds = |active: &&ActiveOverride| {
+        let applies = |active: &&ActiveOverride| {
             let order = &active.order;
-            order.out && changed(&order.data_centre).is_some_and(|v| v <= order.base_version)
+            order.out && node_version(&order.data_centre).is_some_and(|v| v <= order.base_version)
         };
-        let out = self.active.values().filter(holds);
+        let out = self.active.values().filter(applies);
         out.map(|active| Arc::clone(&active.order.data_centre))
             .collect()
     }
--- a/components/config/src/rows.rs
+++ b/components/config/src/rows.rs
@@ -4,7 +4,7 @@
 //! |---|---|---|
 //! | `config` | `head` | newest version and the id of the change that made it |
 //! | `config/change` | version, 20 digits | the accepted change |
-//! | `config/node` | path | the node as written, and the version that wrote it |
+//! | `config/node` | path | the node and the version that last wrote it |
 //!
 //! A change is one commit over all three. It requires the head to have the version that the change
 //! builds on, so one of two racing changes wins, and a reader of the head can rely on the other
@@ -36,7 +36,7 @@
 /// A node as stored.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct StoredNode {
-    /// The node as written.
+    /// The node.
     pub node: Node,
     /// The version that last wrote the node.
     #[serde(rename = "changed")]
@@ -52,12 +52,12 @@
 /// Key of a change.
 #[must_use]
 pub fn change_key(version: ConfigVersion) -> RowKey {
-    RowKey::new(CHANGE_PARTITION, &change_sort(version))
+    RowKey::new(CHANGE_PARTITION, &change_sort_key(version))
 }
 
 /// Sort key of a change; the keys sort in the order of versions.
 #[must_use]
-pub fn change_sort(version: ConfigVersion) -> String {
+pub fn change_sort_key(version: ConfigVersion) -> String {
     format!("{version:020}")
 }
 
--- a/components/config/src/store.rs
+++ b/components/config/src/store.rs
@@ -9,7 +9,7 @@
     api::HistoryEntry,
     cache::VersionedTree,
     rows::{
-        CHANGE_PARTITION, Head, NODE_PARTITION, StoredNode, change_key, change_sort, decode,
+        CHANGE_PARTITION, Head, NODE_PARTITION, StoredNode, change_key, change_sort_key, decode,
         encode, head_key, node_key,
     },
 };
@@ -66,7 +66,7 @@
         after: ConfigVersion,
         limit: usize,
     ) -> Result<Vec<HistoryEntry>, PlatformError> {
-        let after = change_sort(after);
+        let after = change_sort_key(after);
         let rows = self.table.list(CHANGE_PARTITION, &after, limit).await?;
         rows.iter().map(decode).collect()
     }
@@ -141,7 +141,7 @@
             return Ok(());
         };
         let rows = self.table.list(CHANGE_PARTITION, "", PRUNE_ROWS).await?;
-        let end = change_sort(oldest);
+        let end = change_sort_key(oldest);
         let old = rows.into_iter().take_while(|row| *row.key.sort <= *end);
         let deletes: Vec<Write> = old
             .map(|row| Write::Delete {
--- a/components/config/src/sync.rs
+++ b/components/config/src/sync.rs
@@ -102,11 +102,11 @@
                 Ok(changed) => (cache.version().is_some(), changed),
                 Err(_) => (false, true),
             },
-            Update::Full(snapshot, changed) => (
+            Update::Full(snapshot, node_versions) => (
                 true,
                 cache.replace_tree(VersionedTree {
                     snapshot,
-                    node_versions: changed,
+                    node_versions,
                 }),
             ),
         });
--- a/components/config/tests/keeping/common.rs
+++ b/components/config/tests/keeping/common.rs
@@ -131,11 +131,11 @@
     })
 }
 
-pub fn change(path: &str, node: Option<Node>, seen: Option<ConfigVersion>) -> Change {
+pub fn change(path: &str, node: Option<Node>, expected_version: Option<ConfigVersion>) -> Change {
     Change {
         path: path.into(),
         node,
-        expected_version: seen,
+        expected_version,
         operator: "operator".into(),
     }
 }
--- a/components/config/tests/keeping/overrides.rs
+++ b/components/config/tests/keeping/overrides.rs
@@ -15,11 +15,11 @@
 
 const PATH: &str = "/data-centres/amman-1";
 
-fn order(out: bool, within: Duration) -> OverrideOrder {
+fn order(out: bool, duration: Duration) -> OverrideOrder {
     OverrideOrder {
         data_centre: "amman-1".into(),
         out,
-        duration: within,
+        duration,
         operator: "operator".into(),
     }
 }
@@ -63,9 +63,9 @@
         let report = updaters[0]
             .override_data_centre(order(true, MAX_OVERRIDE_DURATION))
             .await;
-        let mut taken = report.expect("the override is accepted").accepted_by;
-        taken.sort();
-        assert_eq!(taken, ["b".into(), "c".into()]);
+        let mut accepted_by = report.expect("the override is accepted").accepted_by;
+        accepted_by.sort();
+        assert_eq!(accepted_by, ["b".into(), "c".into()]);
         for updater in &updaters {
             assert!(is_out(updater));
             assert_eq!(version(updater), Some(1));
@@ -89,14 +89,14 @@
             .await;
         assert!(report.is_ok(), "{report:?}");
         deployment.table.set_down(false);
-        until("it is accepted everywhere", || {
+        until("the override is committed everywhere", || {
             updaters.iter().all(|k| version(k) == Some(2) && is_out(k))
         })
         .await;
         let back = change(PATH, Some(Node::default()), Some(2));
         assert_eq!(updaters[2].change(back).await, Ok(3));
         assert!(!is_out(&updaters[2]));
-        until("it is back everywhere", || {
+        until("the data centre is in service everywhere", || {
             updaters.iter().all(|k| !is_out(k))
         })
         .await;
@@ -160,7 +160,10 @@
         let short = order(true, Duration::from_secs(2));
         assert!(updaters[0].override_data_centre(short).await.is_ok());
         assert!(is_out(&updaters[1]));
-        until("it has ended", || updaters.iter().all(|k| !is_out(k))).await;
+        until("the override has expired", || {
+            updaters.iter().all(|k| !is_out(k))
+        })
+        .await;
         assert!(
             updaters[0]
                 .override_data_centre(order(true, MAX_OVERRIDE_DURATION))
@@ -191,11 +194,17 @@
         );
         assert!(!is_out(&updaters[2]));
         deployment.links.heal();
-        until("the one cut off knows", || is_out(&updaters[2])).await;
+        until("the instance that was cut off has the override", || {
+            is_out(&updaters[2])
+        })
+        .await;
         let added_later = deployment.start("late");
         let _late = run(&added_later);
-        until("the new one is ready", || version(&added_later).is_some()).await;
-        until("the new one knows", || is_out(&added_later)).await;
+        until("the new instance is ready", || {
+            version(&added_later).is_some()
+        })
+        .await;
+        until("the new instance has the override", || is_out(&added_later)).await;
     });
 }
 
@@ -218,19 +227,21 @@
 }
 
 fn any_order() -> impl Strategy<Value = Override> {
-    (0..2_u32, any::<bool>(), 1..4_u64, 0..3_u32).prop_map(|(data_centre, out, number, by)| {
-        // One instance never issues two different orders with one sequence number.
-        let out = out && (number + u64::from(by)) % 3 > 0;
-        Override {
-            data_centre: data_centre.to_string().into(),
-            out: out || number == 2,
-            sequence: number,
-            issued_by: by.to_string().into(),
-            operator: "operator".into(),
-            base_version: 1,
-            time_left: Duration::from_secs(60),
-        }
-    })
+    (0..2_u32, any::<bool>(), 1..4_u64, 0..3_u32).prop_map(
+        |(data_centre, out, sequence, issued_by)| {
+            // One instance never issues two different orders with one sequence number.
+            let out = out && (sequence + u64::from(issued_by)) % 3 > 0;
+            Override {
+                data_centre: data_centre.to_string().into(),
+                out: out || sequence == 2,
+                sequence,
+                issued_by: issued_by.to_string().into(),
+                operator: "operator".into(),
+                base_version: 1,
+                time_left: Duration::from_secs(60),
+            }
+        },
+    )
 }
 
 proptest! {
--- a/components/config/tests/keeping/random.rs
+++ b/components/config/tests/keeping/random.rs
@@ -127,16 +127,16 @@
     async fn operator(&self, instance: usize, node: usize, mark: u64, delete: bool, stale: bool) {
         let updater = self.updater(instance);
         let path = path(node);
-        let seen = match stale {
+        let expected_version = match stale {
             true => Some(1),
             false => updater.node_version(&path),
         };
-        let content = if delete && seen.is_some() {
+        let content = if delete && expected_version.is_some() {
             None
         } else {
             content(node, mark)
         };
-        let mut wanted = change(&path, content, seen);
+        let mut wanted = change(&path, content, expected_version);
         wanted.operator = mark.to_string().into();
         let result = updater.change(wanted).await;
         let mut results = self.results.lock();
@@ -276,14 +276,14 @@
     let written = accepted.nodes.get(&*path).and_then(|node| node.out);
     let orders = updaters[0].overrides();
     let order = orders.first();
-    let overridden = order.is_some_and(|order| {
+    let is_overridden = order.is_some_and(|order| {
         let changed = updaters[0].node_version(&path);
         order.out && changed.is_some_and(|version| version <= order.base_version)
     });
     for updater in updaters {
         let current = updater.current().expect("a configuration is loaded");
         let out = !current.effective.data_centres_out().is_empty();
-        assert_eq!(out, written == Some(true) || overridden, "{orders:?}");
+        assert_eq!(out, written == Some(true) || is_overridden, "{orders:?}");
     }
 }
 
--- a/components/config/tests/keeping/updater.rs
+++ b/components/config/tests/keeping/updater.rs
@@ -156,9 +156,11 @@
         let stale = deployment.start_up_to_date("stale").await;
         let newest = deployment.start_up_to_date("newest").await;
         for mark in 1..4 {
-            let seen = newest.node_version(SERVICE);
+            let expected_version = newest.node_version(SERVICE);
             assert_eq!(
-                newest.change(change(SERVICE, service(mark), seen)).await,
+                newest
+                    .change(change(SERVICE, service(mark), expected_version))
+                    .await,
                 Ok(mark)
             );
         }
@@ -225,9 +227,9 @@
         );
         let mut last = 0;
         for mark in 1..600 {
-            let seen = a.node_version(SERVICE);
+            let expected_version = a.node_version(SERVICE);
             last = a
-                .change(change(SERVICE, service(mark), seen))
+                .change(change(SERVICE, service(mark), expected_version))
                 .await
                 .expect("accepted");
         }
@@ -261,9 +263,10 @@
         let mut deployment = Deployment::default();
         let a = deployment.start_up_to_date("a").await;
         for mark in 1..4 {
-            let seen = a.node_version(SERVICE);
+            let expected_version = a.node_version(SERVICE);
             assert_eq!(
-                a.change(change(SERVICE, service(mark), seen)).await,
+                a.change(change(SERVICE, service(mark), expected_version))
+                    .await,
                 Ok(mark)
             );
         }
@@ -391,7 +394,7 @@
         let author = deployment.start_up_to_date("author").await;
         let other = deployment.start("other");
         let _run = workers::spawn(Arc::clone(&other).run());
-        until("it has started", || version(&other).is_some()).await;
+        until("the instance has started", || version(&other).is_some()).await;
         assert_eq!(
             author.change(change(SERVICE, service(1), None)).await,
             Ok(1)
@@ -423,13 +426,15 @@
         let author = self.author.lock().take();
         if let Some(author) = author {
             for (path, mark) in [("/services/s0001", 7_001), ("/services/s0505", 7_999)] {
-                let seen = author.node_version(path);
-                let changed = author.change(change(path, service(mark), seen)).await;
+                let expected_version = author.node_version(path);
+                let changed = author
+                    .change(change(path, service(mark), expected_version))
+                    .await;
                 assert!(changed.is_ok(), "{changed:?}");
             }
-            let gone = "/services/s0002";
-            let seen = author.node_version(gone);
-            let changed = author.change(change(gone, None, seen)).await;
+            let deleted = "/services/s0002";
+            let expected_version = author.node_version(deleted);
+            let changed = author.change(change(deleted, None, expected_version)).await;
             assert!(changed.is_ok(), "{changed:?}");
         }
         rows
--- a/components/tree/src/knobs.rs
+++ b/components/tree/src/knobs.rs
@@ -94,7 +94,7 @@
 #[must_use]
 pub fn origins(snapshot: &Snapshot, path: &str) -> Option<Vec<Origin>> {
     let chain = ParsedPath::parse(path)?.inheritance_chain();
-    let mut found: Vec<Origin> = Knobs::defaults()
+    let mut origins: Vec<Origin> = Knobs::defaults()
         .written_values()
         .into_iter()
         .map(|(knob, value)| Origin {
@@ -109,15 +109,15 @@
             continue;
         };
         let written = node.knobs.written_values();
-        for origin in &mut found {
+        for origin in &mut origins {
             if let Some(value) = written.get(&*origin.knob) {
                 origin.value = value.clone();
                 origin.from = Some(Arc::clone(&path));
             }
         }
     }
-    found.sort_by(|a, b| a.knob.cmp(&b.knob));
-    Some(found)
+    origins.sort_by(|a, b| a.knob.cmp(&b.knob));
+    Some(origins)
 }
 
 /// The effective values at a path.
--- a/components/tree/src/path.rs
+++ b/components/tree/src/path.rs
@@ -88,8 +88,8 @@
 }
 
 fn parse_name(text: &str) -> Option<Arc<str>> {
-    let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     let starts_alphanumeric = text.starts_with(|c: char| c.is_ascii_alphanumeric());
     let is_short_enough = text.len() <= MAX_NAME_LENGTH;
-    (starts_alphanumeric && is_short_enough && text.chars().all(allowed)).then(|| text.into())
+    (starts_alphanumeric && is_short_enough && text.chars().all(is_allowed)).then(|| text.into())
 }
