--- a/components/bench/src/chaos.rs
+++ b/components/bench/src/chaos.rs
@@ -5,7 +5,7 @@
 use fastrand::Rng;
 use settings::Strategy;
 use standins::{
-    life::{Act, Cut, Faults},
+    lifecycle::{Cut, FaultAction, Faults},
     platform,
 };
 use timer::Timer;
@@ -193,17 +193,17 @@
             Fault::PauseInstance => self.freeze().await,
             Fault::StopInstance => self.stop().await,
             Fault::CutOffInstance => self.cut_off().await,
-            Fault::CutEngine => self.engine(act(Act::Cut)).await,
-            Fault::SilenceEngine => self.engine(act(Act::Silence)).await,
-            Fault::CrashEngine => self.engine(act(Act::Crash)).await,
-            Fault::ColdEngine => self.engine(act(Act::Cold)).await,
+            Fault::CutEngine => self.engine(act(FaultAction::Cut)).await,
+            Fault::SilenceEngine => self.engine(act(FaultAction::Silence)).await,
+            Fault::CrashEngine => self.engine(act(FaultAction::Crash)).await,
+            Fault::ColdEngine => self.engine(act(FaultAction::Cold)).await,
             Fault::StallEngine => self.engine(stall(&mut rng)).await,
             Fault::LeaveEngine => self.leave().await,
             Fault::BreakEngineAnswers => self.engine(break_answers(&mut rng, 5000)).await,
-            Fault::CutService => self.service(act(Act::Cut)).await,
-            Fault::SilenceService => self.service(act(Act::Silence)).await,
-            Fault::ColdService => self.service(act(Act::Cold)).await,
-            Fault::CrashService => self.service(act(Act::Crash)).await,
+            Fault::CutService => self.service(act(FaultAction::Cut)).await,
+            Fault::SilenceService => self.service(act(FaultAction::Silence)).await,
+            Fault::ColdService => self.service(act(FaultAction::Cold)).await,
+            Fault::CrashService => self.service(act(FaultAction::Crash)).await,
             Fault::BreakServiceCalls => self.service(break_calls(&mut rng)).await,
             Fault::BreakServiceAnswers => self.service(break_answers(&mut rng, 250)).await,
             Fault::TableDown => {
@@ -290,9 +290,9 @@
     async fn leave(&mut self) {
         let number = self.rng.usize(..self.deployment.engines.len());
         let addr = self.deployment.engines[number].addr;
-        self.deployment.fault(addr, &act(Act::Leave)).await;
+        self.deployment.fault(addr, &act(FaultAction::Leave)).await;
         self.lasts().await;
-        self.deployment.fault(addr, &act(Act::Stay)).await;
+        self.deployment.fault(addr, &act(FaultAction::Stay)).await;
     }
 
     async fn platform(&self, faults: platform::Faults) {
@@ -390,9 +390,9 @@
     format!("{} {outcome}", record.kind)
 }
 
-fn act(act: Act) -> Faults {
+fn act(act: FaultAction) -> Faults {
     Faults {
-        act: Some(act),
+        action: Some(act),
         ..Faults::default()
     }
 }
--- a/components/bench/src/cost.rs
+++ b/components/bench/src/cost.rs
@@ -142,7 +142,7 @@
     let timer = Timer::new();
     let caller = Caller::new(timer);
     let entry = deployment.instances[0].listen;
-    let streams = scenario.plan.engine.most_running * scenario.plan.engines;
+    let streams = scenario.plan.engine.max_running * scenario.plan.engines;
     let start = |length| -> Vec<_> {
         let one = |number| {
             let (caller, wanted) = (caller.clone(), generate(scenario, number, length));
--- a/components/bench/src/deployment.rs
+++ b/components/bench/src/deployment.rs
@@ -16,8 +16,8 @@
 use settings::Strategy;
 use smol::Timer;
 use standins::{
-    control::{self, Listed},
-    life::{Faults, LifeSettings},
+    control::{self, DirectoryEntry},
+    lifecycle::{Faults, LifecycleSettings},
     platform,
 };
 use tree::{Node, NodePath};
@@ -302,25 +302,37 @@
 
     fn start_targets(&mut self, plan: &Plan) -> io::Result<()> {
         let platform = self.platform.addr;
-        let life = |base: &LifeSettings, service: &str, name: String, number: usize| LifeSettings {
-            name,
-            service: service.to_owned(),
-            zone: plan.zone(number),
-            platform: Some(platform),
-            ..base.clone()
+        let life = |base: &LifecycleSettings, service: &str, name: String, number: usize| {
+            LifecycleSettings {
+                name,
+                service: service.to_owned(),
+                zone: plan.zone(number),
+                platform: Some(platform),
+                ..base.clone()
+            }
         };
         for number in 0..plan.engines {
             let mut settings = plan.engine.clone();
             settings.seed = number as u64;
-            settings.life = life(&settings.life, &plan.model, format!("e{number}"), number);
-            let engine = start_standin(&self.programs, "engine", &settings.life, &settings)?;
+            settings.lifecycle = life(
+                &settings.lifecycle,
+                &plan.model,
+                format!("e{number}"),
+                number,
+            );
+            let engine = start_standin(&self.programs, "engine", &settings.lifecycle, &settings)?;
             self.engines.push(engine);
         }
         for number in 0..plan.replicas {
             let mut settings = plan.replica.clone();
             settings.seed = number as u64;
-            settings.life = life(&settings.life, &plan.service, format!("s{number}"), number);
-            let service = start_standin(&self.programs, "service", &settings.life, &settings)?;
+            settings.lifecycle = life(
+                &settings.lifecycle,
+                &plan.service,
+                format!("s{number}"),
+                number,
+            );
+            let service = start_standin(&self.programs, "service", &settings.lifecycle, &settings)?;
             self.services.push(service);
         }
         Ok(())
@@ -376,9 +388,9 @@
             .await;
     }
 
-    fn entry(&self, number: usize, leaving: bool) -> Listed {
+    fn entry(&self, number: usize, leaving: bool) -> DirectoryEntry {
         let instance = &self.instances[number];
-        Listed {
+        DirectoryEntry {
             name: instance.name.clone(),
             service: MEMBERS.to_owned(),
             zone: instance.zone.clone(),
@@ -414,9 +426,9 @@
 }
 
 fn start_platform(programs: &Programs, plan: &Plan) -> io::Result<Standin> {
-    let life = LifeSettings {
+    let life = LifecycleSettings {
         name: "platform".to_owned(),
-        ..LifeSettings::default()
+        ..LifecycleSettings::default()
     };
     start_standin(programs, "platform", &life, &plan.platform)
 }
@@ -424,7 +436,7 @@
 fn start_standin(
     programs: &Programs,
     kind: &str,
-    life: &LifeSettings,
+    life: &LifecycleSettings,
     settings: &impl Serialize,
 ) -> io::Result<Standin> {
     let text = serde_json::to_string(settings)?;
--- a/components/bench/src/drive.rs
+++ b/components/bench/src/drive.rs
@@ -210,8 +210,8 @@
         sum.preemptions += log.totals.preemptions - start.preemptions;
         sum.stall_s += (log.totals.stall_ms - start.stall_ms) as f64 / 1000.0;
         sum.tokens += log.totals.tokens - start.tokens;
-        sum.overfills += log.life.overfills;
-        let used = log.totals.most_used as f64 / log.capacity.max(1) as f64;
+        sum.overfills += log.lifecycle.overfills;
+        let used = log.totals.max_used as f64 / log.capacity.max(1) as f64;
         sum.most_used = sum.most_used.max(used);
     }
     sum
--- a/components/bench/src/record.rs
+++ b/components/bench/src/record.rs
@@ -145,7 +145,7 @@
             self.record.stream = chunk.id;
         }
         let text = chunk.choices.first().map(|c| c.delta.content.as_str());
-        let right = standins::engine::text::token(&self.record.stream, self.record.tokens);
+        let right = standins::engine::text::token_text(&self.record.stream, self.record.tokens);
         if text != Some(&right) {
             return Some(wrong(format!("{text:?} in place of {right:?}")));
         }
--- a/components/bench/src/scenario.rs
+++ b/components/bench/src/scenario.rs
@@ -4,7 +4,7 @@
 
 use fastrand::Rng;
 use serde::{Deserialize, Serialize};
-use standins::engine::batch::{Batch, Work};
+use standins::engine::batch::{Batch, NewGeneration};
 use types::Class;
 
 use crate::{
@@ -171,7 +171,7 @@
         let mut finished = 0;
         let mut next = self.work(&mut rng);
         while now < SETTLING + MEASURED {
-            live.retain(|number| batch.all[*number].end.is_none());
+            live.retain(|number| batch.generations[*number].end.is_none());
             while fits(&batch, &live, &next) {
                 live.push(batch.add(now, 1, next));
                 next = self.work(&mut rng);
@@ -191,7 +191,7 @@
         &all[skewed as usize]
     }
 
-    fn work(&self, rng: &mut Rng) -> Work {
+    fn work(&self, rng: &mut Rng) -> NewGeneration {
         let mut left = rng.f64() * self.mix.iter().map(|kind| kind.share).sum::<f64>();
         let shapes = self
             .mix
@@ -200,14 +200,14 @@
         for (share, shape) in shapes {
             left -= share;
             if left <= 0.0 {
-                return Work {
+                return NewGeneration {
                     prompt_tokens: shape.prompt.draw(rng) + shape.prefix_tokens as u64,
-                    wanted: shape.output.draw(rng),
-                    ..Work::default()
+                    output_tokens: shape.output.draw(rng),
+                    ..NewGeneration::default()
                 };
             }
         }
-        Work::default()
+        NewGeneration::default()
     }
 
     fn arrival(&self, kind: &Kind, at: f64, number: usize, rng: &mut Rng) -> Arrival {
@@ -242,13 +242,18 @@
 }
 
 /// Whether a batch whose lengths are known never outgrows its memory with one generation more.
-fn fits(batch: &Batch, live: &[usize], more: &Work) -> bool {
+fn fits(batch: &Batch, live: &[usize], more: &NewGeneration) -> bool {
     let settings = batch.settings();
     let known = live.iter().map(|number| {
-        let one = &batch.all[*number];
-        (one.prompt + one.produced, one.wanted - one.produced)
+        let one = &batch.generations[*number];
+        (
+            one.prompt_tokens + one.produced,
+            one.output_tokens - one.produced,
+        )
     });
-    let mut all: Vec<(u64, u64)> = known.chain([(more.prompt_tokens, more.wanted)]).collect();
+    let mut all: Vec<(u64, u64)> = known
+        .chain([(more.prompt_tokens, more.output_tokens)])
+        .collect();
     all.sort_unstable_by_key(|(_, left)| *left);
     // Memory peaks right before one of them ends; each has one token more by the next step.
     let peak = (0..all.len()).map(|first| {
@@ -258,7 +263,7 @@
             .map(|(size, _)| size + left + 1)
             .sum::<u64>()
     });
-    live.len() < settings.most_running && peak.max() <= Some(settings.capacity)
+    live.len() < settings.max_running && peak.max() <= Some(settings.capacity)
 }
 
 /// Draws a generation.
--- a/components/bench/src/verify.rs
+++ b/components/bench/src/verify.rs
@@ -39,13 +39,16 @@
 
 /// No cold target had more than it bears.
 fn cold(logs: &Logs) -> Vec<String> {
-    let engines = logs.engines.iter().map(|(name, log)| (name, log.life));
-    let services = logs.services.iter().map(|(name, log)| (name, log.life));
+    let engines = logs.engines.iter().map(|(name, log)| (name, log.lifecycle));
+    let services = logs
+        .services
+        .iter()
+        .map(|(name, log)| (name, log.lifecycle));
     engines
         .chain(services)
         .filter(|(_, life)| life.overfills > 0)
         .map(|(name, life)| {
-            let (times, most) = (life.overfills, life.most_cold);
+            let (times, most) = (life.overfills, life.max_cold);
             format!("{name} was overfilled while cold, {times} times, with up to {most}")
         })
         .collect()
@@ -83,10 +86,10 @@
         return Some(format!("{name} read the answer to {}", generation.caller));
     }
     let whole = record.outcome == Outcome::Whole;
-    if whole && record.tokens != generation.wanted || record.tokens > generation.produced {
+    if whole && record.tokens != generation.output_tokens || record.tokens > generation.produced {
         return Some(format!(
             "{name} got {} tokens ({:?}) of {} produced and {} wanted",
-            record.tokens, record.outcome, generation.produced, generation.wanted,
+            record.tokens, record.outcome, generation.produced, generation.output_tokens,
         ));
     }
     None
--- a/components/claims/tests/claiming/platform.rs
+++ b/components/claims/tests/claiming/platform.rs
@@ -7,7 +7,7 @@
 use net::Client;
 use smol::Task;
 use standins::{
-    Running,
+    StandinHandle,
     platform::{Faults, Platform, start},
 };
 use stores::{CallBudget, DynamoTable, PacedTable};
@@ -20,7 +20,7 @@
 }
 
 impl Instance {
-    fn start(name: &str, platform: &Running<Platform>) -> Self {
+    fn start(name: &str, platform: &StandinHandle<Platform>) -> Self {
         let base = format!("http://{}", platform.addr);
         let client = DynamoTable::new(Client::new(), &base, None).expect("a valid address");
         let timer = Timer::new();
@@ -48,7 +48,7 @@
     }
 }
 
-async fn platform() -> Running<Platform> {
+async fn platform() -> StandinHandle<Platform> {
     let addr = SocketAddr::from(([127, 0, 0, 1], 0));
     start(addr, Faults::default()).await.expect("a free port")
 }
@@ -64,7 +64,7 @@
             Instance::start("b", &platform),
         );
         let lose = |count| {
-            platform.standin.set(Faults {
+            platform.standin.set_faults(Faults {
                 lose_answers: Some(count),
                 ..Faults::default()
             });
@@ -93,7 +93,7 @@
         );
         assert_eq!(a.claim("before").await, Ok(ClaimOutcome::Acquired));
         let down = |down| {
-            platform.standin.set(Faults {
+            platform.standin.set_faults(Faults {
                 table_down: Some(down),
                 ..Faults::default()
             });
--- a/components/standins/src/cli.rs
+++ b/components/standins/src/cli.rs
@@ -68,26 +68,26 @@
 }
 
 async fn serve(name: &str, args: &ArgMatches) -> Result<(), StartError> {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let addr = args.get_one("listen").copied().unwrap_or(any);
+    let ephemeral = SocketAddr::from(([127, 0, 0, 1], 0));
+    let addr = args.get_one("listen").copied().unwrap_or(ephemeral);
     match name {
         "platform" => {
-            let running = platform::start(addr, parse(args)?).await?;
-            stay(running.addr).await;
+            let handle = platform::start(addr, parse(args)?).await?;
+            serve_until_killed(handle.addr).await;
         }
         "engine" => {
-            let running = engine::start(addr, parse(args)?).await?;
-            stay(running.addr).await;
+            let handle = engine::start(addr, parse(args)?).await?;
+            serve_until_killed(handle.addr).await;
         }
         _ => {
-            let running = service::start(addr, parse(args)?).await?;
-            stay(running.addr).await;
+            let handle = service::start(addr, parse(args)?).await?;
+            serve_until_killed(handle.addr).await;
         }
     }
     Ok(())
 }
 
-async fn stay(addr: SocketAddr) {
+async fn serve_until_killed(addr: SocketAddr) {
     println!("listening on {addr}");
     future::pending().await
 }
--- a/components/standins/src/link.rs
+++ b/components/standins/src/connection.rs
@@ -23,36 +23,36 @@
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
 /// Starts of requests that no armed cut applies to: reports and our own control port.
-const SPARED: [&[u8]; 3] = [b"GET /load", b"GET /cache", b"POST /control"];
+const EXEMPT_REQUESTS: [&[u8]; 3] = [b"GET /load", b"GET /cache", b"POST /control"];
 
 /// One open connection.
-pub struct Link {
+pub struct Connection {
     stream: TcpStream,
     silent: AtomicBool,
-    spared: AtomicBool,
-    in_left: AtomicU64,
-    out_left: AtomicU64,
+    exempt: AtomicBool,
+    read_budget: AtomicU64,
+    write_budget: AtomicU64,
 }
 
-impl Link {
+impl Connection {
     /// Closes the connection at once; an answer under way is lost.
-    pub fn cut(&self) {
+    pub fn close(&self) {
         // It fails only where the other end has closed it already.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
     /// Closes the connection after this many more bytes have been sent.
-    pub fn cut_after(&self, bytes: u64) {
-        self.out_left.store(bytes, Ordering::Release);
+    pub fn close_after(&self, bytes: u64) {
+        self.write_budget.store(bytes, Ordering::Release);
         if bytes == 0 {
-            self.cut();
+            self.close();
         }
     }
 
     /// Spares the connection from faults of all connections: the answer to the message that
     /// makes the fault goes over it.
-    pub fn spare(&self) {
-        self.spared.store(true, Ordering::Release);
+    pub fn exempt(&self) {
+        self.exempt.store(true, Ordering::Release);
     }
 
     /// From now on nothing is heard or said on this connection, though it stays open.
@@ -63,73 +63,78 @@
 
 /// All connections of one stand-in.
 #[derive(Default)]
-pub struct Links {
-    open: Mutex<Vec<Weak<Link>>>,
-    armed: Mutex<Vec<u64>>,
+pub struct Connections {
+    open: Mutex<Vec<Weak<Connection>>>,
+    pending_cuts: Mutex<Vec<u64>>,
     down: AtomicBool,
 }
 
-impl Links {
+impl Connections {
     /// Cuts every open connection.
-    pub fn cut_all(&self) {
-        self.each(Link::cut);
+    pub fn close_all(&self) {
+        self.for_each_open(Connection::close);
     }
 
     /// Makes every open connection silent for good.
     pub fn silence_all(&self) {
-        self.each(Link::silence);
+        self.for_each_open(Connection::silence);
     }
 
     /// The next `times` requests are cut off after `bytes` of them were read.
     pub fn cut_reading(&self, bytes: u64, times: usize) {
-        self.armed.lock().extend(std::iter::repeat_n(bytes, times));
+        self.pending_cuts
+            .lock()
+            .extend(std::iter::repeat_n(bytes, times));
     }
 
     /// While down, new connections are closed at once, as by a process that is not there.
     pub fn set_down(&self, down: bool) {
         self.down.store(down, Ordering::Release);
         if down {
-            self.cut_all();
+            self.close_all();
         }
     }
 
-    fn each(&self, act: impl Fn(&Link)) {
+    fn for_each_open(&self, action: impl Fn(&Connection)) {
         self.open
             .lock()
             .iter()
             .filter_map(Weak::upgrade)
-            .filter(|link| !link.spared.load(Ordering::Acquire))
-            .for_each(|link| act(&link));
+            .filter(|connection| !connection.exempt.load(Ordering::Acquire))
+            .for_each(|connection| action(&connection));
     }
 
-    fn add(&self, link: &Arc<Link>) {
+    fn add(&self, connection: &Arc<Connection>) {
         let mut open = self.open.lock();
         open.retain(|old| old.strong_count() > 0);
-        open.push(Arc::downgrade(link));
+        open.push(Arc::downgrade(connection));
     }
 
-    fn arm(&self, link: &Link, start: &[u8]) {
-        if SPARED.iter().any(|spared| start.starts_with(spared)) {
+    fn apply_pending_cut(&self, connection: &Connection, start: &[u8]) {
+        if EXEMPT_REQUESTS
+            .iter()
+            .any(|exempt| start.starts_with(exempt))
+        {
             return;
         }
-        if let Some(bytes) = self.armed.lock().pop() {
-            link.in_left.store(bytes, Ordering::Release);
+        if let Some(bytes) = self.pending_cuts.lock().pop() {
+            connection.read_budget.store(bytes, Ordering::Release);
         }
     }
 }
 
 /// A stand-in that serves until this is dropped.
-pub struct Running<T> {
+pub struct StandinHandle<T> {
     /// Where it listens.
     pub addr: SocketAddr,
     /// The stand-in itself.
     pub standin: Arc<T>,
     /// Its connections.
-    pub links: Arc<Links>,
+    pub connections: Arc<Connections>,
     _tasks: Vec<Task<()>>,
 }
 
-impl<T> Running<T> {
+impl<T> StandinHandle<T> {
     /// Adds a task that lives as long as the stand-in.
     #[must_use]
     pub fn with_task(mut self, task: Task<()>) -> Self {
@@ -138,9 +143,9 @@
     }
 }
 
-impl<T> Drop for Running<T> {
+impl<T> Drop for StandinHandle<T> {
     fn drop(&mut self) {
-        self.links.set_down(true);
+        self.connections.set_down(true);
     }
 }
 
@@ -150,21 +155,21 @@
 /// Passes on why the address can't be listened on.
 pub async fn serve<T: Handler>(
     addr: SocketAddr,
-    links: Arc<Links>,
+    connections: Arc<Connections>,
     standin: Arc<T>,
-) -> io::Result<Running<T>> {
+) -> io::Result<StandinHandle<T>> {
     let listener = TcpListener::bind(addr).await?;
     let addr = listener.local_addr()?;
-    let accept = accept(listener, Arc::clone(&links), Arc::clone(&standin));
-    Ok(Running {
+    let accept = accept(listener, Arc::clone(&connections), Arc::clone(&standin));
+    Ok(StandinHandle {
         addr,
         standin,
-        links,
+        connections,
         _tasks: vec![workers::spawn(accept)],
     })
 }
 
-async fn accept<T: Handler>(listener: TcpListener, links: Arc<Links>, standin: Arc<T>) {
+async fn accept<T: Handler>(listener: TcpListener, connections: Arc<Connections>, standin: Arc<T>) {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
             // Out of descriptors, for instance: others may close some.
@@ -173,38 +178,44 @@
                 .await;
             continue;
         };
-        if links.down.load(Ordering::Acquire) {
+        if connections.down.load(Ordering::Acquire) {
             continue;
         }
         // Without it each token may wait for the acknowledgement of the one before.
         let _ = stream.set_nodelay(true);
-        let link = Arc::new(Link {
+        let connection = Arc::new(Connection {
             stream: stream.clone(),
             silent: AtomicBool::new(false),
-            spared: AtomicBool::new(false),
-            in_left: AtomicU64::new(u64::MAX),
-            out_left: AtomicU64::new(u64::MAX),
+            exempt: AtomicBool::new(false),
+            read_budget: AtomicU64::new(u64::MAX),
+            write_budget: AtomicU64::new(u64::MAX),
         });
-        links.add(&link);
-        let conn = serve_one(stream, peer, link, Arc::clone(&links), Arc::clone(&standin));
+        connections.add(&connection);
+        let conn = serve_connection(
+            stream,
+            peer,
+            connection,
+            Arc::clone(&connections),
+            Arc::clone(&standin),
+        );
         workers::spawn(conn).detach();
     }
 }
 
-async fn serve_one<T: Handler>(
+async fn serve_connection<T: Handler>(
     stream: TcpStream,
     peer: SocketAddr,
-    link: Arc<Link>,
-    links: Arc<Links>,
+    connection: Arc<Connection>,
+    connections: Arc<Connections>,
     standin: Arc<T>,
 ) {
-    let io = Faulty {
+    let io = FaultyStream {
         stream,
-        link: Arc::clone(&link),
-        links,
+        connection: Arc::clone(&connection),
+        connections,
     };
     let service = service_fn(move |mut req: Request<Incoming>| {
-        req.extensions_mut().insert(Arc::clone(&link));
+        req.extensions_mut().insert(Arc::clone(&connection));
         let standin = Arc::clone(&standin);
         async move { Ok::<_, Infallible>(standin.handle(peer, req).await) }
     });
@@ -215,13 +226,13 @@
         .await;
 }
 
-struct Faulty {
+struct FaultyStream {
     stream: TcpStream,
-    link: Arc<Link>,
-    links: Arc<Links>,
+    connection: Arc<Connection>,
+    connections: Arc<Connections>,
 }
 
-impl AsyncRead for Faulty {
+impl AsyncRead for FaultyStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -232,44 +243,49 @@
             if n == 0 {
                 return Poll::Ready(Ok(0));
             }
-            if self.link.silent.load(Ordering::Acquire) {
+            if self.connection.silent.load(Ordering::Acquire) {
                 continue;
             }
-            let mut left = self.link.in_left.load(Ordering::Acquire);
-            if left == u64::MAX {
-                self.links.arm(&self.link, &buf[..n]);
-                left = self.link.in_left.load(Ordering::Acquire);
+            let mut remaining = self.connection.read_budget.load(Ordering::Acquire);
+            if remaining == u64::MAX {
+                self.connections
+                    .apply_pending_cut(&self.connection, &buf[..n]);
+                remaining = self.connection.read_budget.load(Ordering::Acquire);
             }
-            if left == u64::MAX {
+            if remaining == u64::MAX {
                 return Poll::Ready(Ok(n));
             }
-            let taken = left.min(n as u64);
-            self.link.in_left.store(left - taken, Ordering::Release);
-            if left == taken {
-                self.link.cut();
+            let passed = remaining.min(n as u64);
+            self.connection
+                .read_budget
+                .store(remaining - passed, Ordering::Release);
+            if remaining == passed {
+                self.connection.close();
             }
-            return Poll::Ready(Ok(taken as usize));
+            return Poll::Ready(Ok(passed as usize));
         }
     }
 }
 
-impl AsyncWrite for Faulty {
+impl AsyncWrite for FaultyStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.link.silent.load(Ordering::Acquire) {
+        if self.connection.silent.load(Ordering::Acquire) {
             return Poll::Ready(Ok(buf.len()));
         }
-        let left = self.link.out_left.load(Ordering::Acquire);
-        if left == 0 {
+        let remaining = self.connection.write_budget.load(Ordering::Acquire);
+        if remaining == 0 {
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
-        let most = buf.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-        let n = ready!(Pin::new(&mut self.stream).poll_write(cx, &buf[..most]))?;
-        if left != u64::MAX {
-            self.link.cut_after(left - n as u64);
+        let max = buf
+            .len()
+            .min(usize::try_from(remaining).unwrap_or(usize::MAX));
+        let n = ready!(Pin::new(&mut self.stream).poll_write(cx, &buf[..max]))?;
+        if remaining != u64::MAX {
+            self.connection.close_after(remaining - n as u64);
         }
         Poll::Ready(Ok(n))
     }
--- a/components/standins/src/control.rs
+++ b/components/standins/src/control.rs
@@ -8,18 +8,18 @@
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use smol::future;
 
-use crate::link::Link;
+use crate::connection::Connection;
 
 /// Longest body a stand-in reads, in bytes.
-const BODY_LIMIT: usize = 8 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 /// Time between two parts of a body.
-const BODY_PATIENCE: Duration = Duration::from_secs(30);
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// An answer that says why something was not done.
-pub type Refused = Box<Response<Body>>;
+pub type ErrorResponse = Box<Response<Body>>;
 
 /// A request with its body read.
-pub struct Call {
+pub struct ReceivedRequest {
     /// HTTP method.
     pub method: String,
     /// Path without query.
@@ -31,25 +31,27 @@
     /// Body.
     pub body: Bytes,
     /// The connection it came over.
-    pub link: Arc<Link>,
+    pub connection: Arc<Connection>,
 }
 
-impl Call {
+impl ReceivedRequest {
     /// Reads a request whole; `None` if it broke off.
     pub async fn read(req: Request<Incoming>) -> Option<Self> {
         let (head, body) = req.into_parts();
-        let link = head.extensions.get::<Arc<Link>>().cloned()?;
+        let connection = head.extensions.get::<Arc<Connection>>().cloned()?;
         if head.uri.path().starts_with("/control/") {
-            link.spare();
+            connection.exempt();
         }
-        let body = read_limited(body, BODY_LIMIT, BODY_PATIENCE).await.ok()?;
+        let body = read_limited(body, MAX_BODY_BYTES, BODY_TIMEOUT)
+            .await
+            .ok()?;
         Some(Self {
             method: head.method.to_string(),
             path: head.uri.path().to_owned(),
             query: head.uri.query().unwrap_or_default().to_owned(),
             headers: head.headers,
             body,
-            link,
+            connection,
         })
     }
 
@@ -64,7 +66,7 @@
     ///
     /// # Errors
     /// A 400 that says what is wrong.
-    pub fn json<T: DeserializeOwned>(&self) -> Result<T, Refused> {
+    pub fn json<T: DeserializeOwned>(&self) -> Result<T, ErrorResponse> {
         let text: &[u8] = if self.body.is_empty() {
             b"{}"
         } else {
@@ -76,7 +78,7 @@
 
 /// An answer without content.
 #[must_use]
-pub fn done() -> Response<Body> {
+pub fn empty_ok() -> Response<Body> {
     Reply::json(200, &Empty {}).done()
 }
 
@@ -85,7 +87,7 @@
 
 /// The answer to a path that is not there.
 #[must_use]
-pub fn unknown() -> Response<Body> {
+pub fn not_found() -> Response<Body> {
     Reply::text(404, "no such path").done()
 }
 
@@ -116,20 +118,20 @@
 }
 
 /// Cuts the connection; what is returned reaches nobody.
-pub fn hang_up(link: &Link) -> Response<Body> {
-    link.cut();
+pub fn close_connection(connection: &Connection) -> Response<Body> {
+    connection.close();
     Reply::new(500).done()
 }
 
 /// Leaves a request without an answer for good.
-pub async fn never() -> Response<Body> {
+pub async fn pending_response() -> Response<Body> {
     future::pending().await
 }
 
 /// How a target appears in the platform's directory.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Listed {
+pub struct DirectoryEntry {
     /// Its name.
     pub name: String,
     /// Its service.
@@ -158,7 +160,7 @@
     let Ok(resp) = client.send_fresh(addr, req).await else {
         return Bytes::new();
     };
-    read_limited(resp.into_body(), usize::MAX, BODY_PATIENCE)
+    read_limited(resp.into_body(), usize::MAX, BODY_TIMEOUT)
         .await
         .unwrap_or_default()
 }
--- a/components/standins/src/engine/batch.rs
+++ b/components/standins/src/engine/batch.rs
@@ -5,12 +5,12 @@
 use async_channel::Sender;
 use serde::{Deserialize, Serialize};
 
-use crate::engine::{EngineSettings, prefix::Prefixes, text::Api};
+use crate::engine::{EngineSettings, prefix::PrefixCache, text::Api};
 
 /// How a generation ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum End {
+pub enum EndReason {
     /// It has all its tokens.
     Finished,
     /// Somebody cancelled it.
@@ -39,9 +39,11 @@
     /// Priority; a smaller one goes first.
     pub priority: i64,
     /// Tokens in the prompt.
-    pub prompt: u64,
+    #[serde(rename = "prompt")]
+    pub prompt_tokens: u64,
     /// Tokens that it will have.
-    pub wanted: u64,
+    #[serde(rename = "wanted")]
+    pub output_tokens: u64,
     /// Tokens that it has.
     pub produced: u64,
     /// How often it was preempted.
@@ -49,23 +51,23 @@
     /// Milliseconds from being preempted to the next token, in all.
     pub stall_ms: u64,
     /// How it ended.
-    pub end: Option<End>,
+    pub end: Option<EndReason>,
     #[serde(skip)]
-    run: Run,
+    progress: Progress,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Run {
+struct Progress {
     prefill: u64,
     last_token: Duration,
-    stalled: bool,
+    was_preempted: bool,
     observers: Vec<Sender<()>>,
-    seen: Duration,
+    last_read: Duration,
 }
 
 /// A new generation.
 #[derive(Clone, Debug, Default)]
-pub struct Work {
+pub struct NewGeneration {
     /// By which API it is asked for.
     pub api: Api,
     /// Name of the stream.
@@ -81,7 +83,7 @@
     /// Tokens in the prompt.
     pub prompt_tokens: u64,
     /// Tokens wanted.
-    pub wanted: u64,
+    pub output_tokens: u64,
 }
 
 /// Sums over the engine's time.
@@ -96,20 +98,22 @@
     /// Steps.
     pub steps: u64,
     /// Most streams in one step.
-    pub most_running: u32,
+    #[serde(rename = "most_running")]
+    pub max_running: u32,
     /// Most tokens in memory.
-    pub most_used: u64,
+    #[serde(rename = "most_used")]
+    pub max_used: u64,
 }
 
 /// The batch.
 pub struct Batch {
     settings: EngineSettings,
     /// All generations, by number.
-    pub all: Vec<Generation>,
+    pub generations: Vec<Generation>,
     /// Sums.
     pub totals: Totals,
     /// Prompts in the prefix cache.
-    pub prefixes: Prefixes,
+    pub prefix_cache: PrefixCache,
     running: Vec<usize>,
     waiting: BTreeMap<(i64, usize), usize>,
     used: u64,
@@ -120,9 +124,9 @@
     #[must_use]
     pub fn new(settings: EngineSettings) -> Self {
         Self {
-            prefixes: Prefixes::new(settings.prefix_blocks),
+            prefix_cache: PrefixCache::new(settings.prefix_blocks),
             settings,
-            all: Vec::new(),
+            generations: Vec::new(),
             totals: Totals::default(),
             running: Vec::new(),
             waiting: BTreeMap::new(),
@@ -150,10 +154,10 @@
 
     /// Generations in the batch or waiting, for a message.
     #[must_use]
-    pub fn inside(&self) -> String {
+    pub fn describe_active(&self) -> String {
         let numbers = self.running.iter().chain(self.waiting.values());
         let one = |number: &usize| {
-            let g = &self.all[*number];
+            let g = &self.generations[*number];
             format!("{} by {} since {} ms", g.caller, g.request, g.admitted_ms)
         };
         numbers.map(one).collect::<Vec<_>>().join(", ")
@@ -161,38 +165,35 @@
 
     /// Tokens in memory.
     #[must_use]
-    pub const fn used(&self) -> u64 {
+    pub const fn tokens_used(&self) -> u64 {
         self.used
     }
 
     /// Takes in a generation and tells its number.
-    pub fn add(&mut self, now: Duration, incarnation: u64, work: Work) -> usize {
-        let hit = self.prefixes.visit(now, &work.prompt);
-        let room = self
-            .settings
-            .capacity
-            .saturating_sub(work.prompt_tokens + 1);
-        let number = self.all.len();
-        self.waiting.insert((work.priority, number), number);
-        self.all.push(Generation {
-            api: work.api,
-            stream: work.stream,
-            request: work.request,
-            caller: work.caller,
+    pub fn add(&mut self, now: Duration, incarnation: u64, new: NewGeneration) -> usize {
+        let hit = self.prefix_cache.insert(now, &new.prompt);
+        let room = self.settings.capacity.saturating_sub(new.prompt_tokens + 1);
+        let number = self.generations.len();
+        self.waiting.insert((new.priority, number), number);
+        self.generations.push(Generation {
+            api: new.api,
+            stream: new.stream,
+            request: new.request,
+            caller: new.caller,
             incarnation,
             admitted_ms: now.as_millis() as u64,
-            priority: work.priority,
-            prompt: work.prompt_tokens,
-            wanted: work.wanted.min(room).max(1),
+            priority: new.priority,
+            prompt_tokens: new.prompt_tokens,
+            output_tokens: new.output_tokens.min(room).max(1),
             produced: 0,
             preempted: 0,
             stall_ms: 0,
             end: None,
-            run: Run {
-                prefill: work.prompt_tokens.saturating_sub(hit).max(1),
+            progress: Progress {
+                prefill: new.prompt_tokens.saturating_sub(hit).max(1),
                 last_token: now,
-                seen: now,
-                ..Run::default()
+                last_read: now,
+                ..Progress::default()
             },
         });
         number
@@ -200,19 +201,19 @@
 
     /// Adds an observer that is woken whenever there is more to read.
     pub fn observe(&mut self, number: usize, tx: Sender<()>) {
-        self.all[number].run.observers.push(tx);
+        self.generations[number].progress.observers.push(tx);
     }
 
     /// Ends a generation early.
-    pub fn end(&mut self, number: usize, end: End) {
-        let generation = &mut self.all[number];
+    pub fn end(&mut self, number: usize, end: EndReason) {
+        let generation = &mut self.generations[number];
         if generation.end.is_some() {
             return;
         }
         generation.end = Some(end);
         wake(generation);
         let priority = generation.priority;
-        let size = generation.prompt + generation.produced;
+        let size = generation.prompt_tokens + generation.produced;
         if self.waiting.remove(&(priority, number)).is_none() {
             self.running.retain(|n| *n != number);
             self.used -= size;
@@ -223,15 +224,15 @@
     pub fn drop_all(&mut self) {
         let waiting: Vec<usize> = self.waiting.values().copied().collect();
         for number in self.running.clone().into_iter().chain(waiting) {
-            self.end(number, End::Dropped);
+            self.end(number, EndReason::Dropped);
         }
-        self.prefixes.clear();
+        self.prefix_cache.clear();
         assert!(self.used == 0, "an empty batch holds {} tokens", self.used);
     }
 
     /// Prepares the next step and tells its length; `None` when there is nothing to do.
     pub fn plan(&mut self, now: Duration) -> Option<Duration> {
-        self.drop_unobserved(now);
+        self.end_unobserved(now);
         if !self.preempt() {
             self.admit();
         }
@@ -252,29 +253,31 @@
     pub fn step(&mut self, now: Duration) -> u32 {
         let totals = &mut self.totals;
         totals.steps += 1;
-        totals.most_running = totals.most_running.max(self.running.len() as u32);
+        totals.max_running = totals.max_running.max(self.running.len() as u32);
         let mut finished = Vec::new();
         for number in &self.running {
-            let generation = &mut self.all[*number];
-            if generation.run.prefill > 0 {
+            let generation = &mut self.generations[*number];
+            if generation.progress.prefill > 0 {
                 continue;
             }
             generation.produced += 1;
             self.used += 1;
             totals.tokens += 1;
-            if generation.run.stalled {
-                let stall = now.saturating_sub(generation.run.last_token).as_millis() as u64;
+            if generation.progress.was_preempted {
+                let stall = now
+                    .saturating_sub(generation.progress.last_token)
+                    .as_millis() as u64;
                 generation.stall_ms += stall;
                 totals.stall_ms += stall;
-                generation.run.stalled = false;
+                generation.progress.was_preempted = false;
             }
-            generation.run.last_token = now;
+            generation.progress.last_token = now;
             wake(generation);
-            if generation.produced >= generation.wanted {
+            if generation.produced >= generation.output_tokens {
                 finished.push(*number);
             }
         }
-        totals.most_used = totals.most_used.max(self.used);
+        totals.max_used = totals.max_used.max(self.used);
         assert!(
             self.used <= self.settings.capacity,
             "{} tokens in a memory of {}",
@@ -282,17 +285,17 @@
             self.settings.capacity
         );
         for number in &finished {
-            self.end(*number, End::Finished);
+            self.end(*number, EndReason::Finished);
         }
         finished.len() as u32
     }
 
     fn admit(&mut self) {
-        while self.running.len() < self.settings.most_running
+        while self.running.len() < self.settings.max_running
             && let Some((key, number)) = self.waiting.first_key_value()
         {
             let (key, number) = (*key, *number);
-            let size = self.all[number].prompt + self.all[number].produced;
+            let size = self.generations[number].prompt_tokens + self.generations[number].produced;
             let next_step = self.running.len() as u64 + 1;
             if self.used + size + next_step > self.settings.capacity {
                 return;
@@ -307,16 +310,16 @@
     fn preempt(&mut self) -> bool {
         let mut any = false;
         while self.used + self.running.len() as u64 > self.settings.capacity {
-            let worst = |number: &&usize| (self.all[**number].priority, **number);
+            let worst = |number: &&usize| (self.generations[**number].priority, **number);
             let Some(victim) = self.running.iter().max_by_key(worst).copied() else {
                 break;
             };
             self.running.retain(|n| *n != victim);
-            let generation = &mut self.all[victim];
-            let size = generation.prompt + generation.produced;
+            let generation = &mut self.generations[victim];
+            let size = generation.prompt_tokens + generation.produced;
             generation.preempted += 1;
-            generation.run.stalled = generation.produced > 0;
-            generation.run.prefill = size;
+            generation.progress.was_preempted = generation.produced > 0;
+            generation.progress.prefill = size;
             self.waiting.insert((generation.priority, victim), victim);
             self.used -= size;
             self.totals.preemptions += 1;
@@ -326,33 +329,33 @@
     }
 
     fn prefill(&mut self) -> u64 {
-        let mut left = self.settings.prefill_chunk;
+        let mut budget = self.settings.prefill_chunk;
         for number in &self.running {
-            let run = &mut self.all[*number].run;
-            let part = run.prefill.min(left);
-            run.prefill -= part;
-            left -= part;
+            let progress = &mut self.generations[*number].progress;
+            let part = progress.prefill.min(budget);
+            progress.prefill -= part;
+            budget -= part;
         }
-        self.settings.prefill_chunk - left
+        self.settings.prefill_chunk - budget
     }
 
-    fn drop_unobserved(&mut self, now: Duration) {
+    fn end_unobserved(&mut self, now: Duration) {
         let limit = Duration::from_millis(self.settings.unobserved_ms);
         let waiting: Vec<usize> = self.waiting.values().copied().collect();
         for number in self.running.clone().into_iter().chain(waiting) {
-            let run = &mut self.all[number].run;
-            run.observers.retain(|tx| !tx.is_closed());
-            if !run.observers.is_empty() {
-                run.seen = now;
-            } else if now.saturating_sub(run.seen) > limit {
-                self.end(number, End::Unobserved);
+            let progress = &mut self.generations[number].progress;
+            progress.observers.retain(|tx| !tx.is_closed());
+            if !progress.observers.is_empty() {
+                progress.last_read = now;
+            } else if now.saturating_sub(progress.last_read) > limit {
+                self.end(number, EndReason::Unobserved);
             }
         }
     }
 }
 
 fn wake(generation: &Generation) {
-    for tx in &generation.run.observers {
+    for tx in &generation.progress.observers {
         // A full channel means that the observer has yet to look anyway.
         let _ = tx.try_send(());
     }
--- a/components/standins/src/engine/mod.rs
+++ b/components/standins/src/engine/mod.rs
@@ -1,7 +1,7 @@
 //! A model engine with the OpenAI API.
 
 pub mod batch;
-mod feed;
+mod output;
 pub mod prefix;
 pub mod settings;
 pub mod text;
@@ -16,13 +16,13 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    control::{self, Call, Refused},
+    connection::{self, StandinHandle},
+    control::{self, ErrorResponse, ReceivedRequest},
     engine::{
-        batch::{Batch, End, Generation, Totals, Work},
-        text::{Api, Ask},
+        batch::{Batch, EndReason, Generation, NewGeneration, Totals},
+        text::{Api, CompletionRequest},
     },
-    life::{Act, Entry, Faults, Life, LifeLog, Load},
-    link::{self, Running},
+    lifecycle::{Admission, FaultAction, Faults, Lifecycle, LifecycleLog, Load},
 };
 
 pub use settings::EngineSettings;
@@ -34,7 +34,7 @@
 
 /// An order.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Order {
+pub struct Command {
     /// What to do: `load`, `adapter` or `role`.
     pub kind: String,
     /// With what.
@@ -47,19 +47,21 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct EngineLog {
     /// Its life.
-    pub life: LifeLog,
+    #[serde(rename = "life")]
+    pub lifecycle: LifecycleLog,
     /// Memory in tokens.
     pub capacity: u64,
     /// Sums.
     pub totals: Totals,
     /// Orders taken.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
     /// Every generation.
     pub generations: Vec<Generation>,
 }
 
 /// What a prompt holds that crashes the engine that runs it.
-pub const CRASHING: &str = "crashes what runs it";
+pub const CRASH_TRIGGER: &str = "crashes what runs it";
 
 /// The engine stand-in.
 pub struct Engine {
@@ -68,7 +70,7 @@
 
 struct Inner {
     settings: EngineSettings,
-    life: Arc<Life>,
+    lifecycle: Arc<Lifecycle>,
     wake: Sender<()>,
     // Locked before the life's own lock, never after it.
     state: Mutex<State>,
@@ -77,7 +79,7 @@
 struct State {
     batch: Batch,
     rng: fastrand::Rng,
-    orders: Vec<Order>,
+    commands: Vec<Command>,
     fence: u64,
 }
 
@@ -85,33 +87,36 @@
 ///
 /// # Errors
 /// Passes on why the address can't be listened on.
-pub async fn start(addr: SocketAddr, settings: EngineSettings) -> io::Result<Running<Engine>> {
-    let life = Arc::new(Life::new(settings.life.clone()));
+pub async fn start(
+    addr: SocketAddr,
+    settings: EngineSettings,
+) -> io::Result<StandinHandle<Engine>> {
+    let lifecycle = Arc::new(Lifecycle::new(settings.lifecycle.clone()));
     let (wake, woken) = bounded(1);
     let state = State {
         batch: Batch::new(settings.clone()),
         rng: fastrand::Rng::with_seed(settings.seed),
-        orders: Vec::new(),
+        commands: Vec::new(),
         fence: 0,
     };
     let inner = Arc::new(Inner {
         settings,
-        life: Arc::clone(&life),
+        lifecycle: Arc::clone(&lifecycle),
         wake,
         state: Mutex::new(state),
     });
     let engine = Arc::new(Engine {
         inner: Arc::clone(&inner),
     });
-    let running = link::serve(addr, Arc::clone(&life.links), engine).await?;
-    let steps = workers::spawn(Arc::clone(&inner).steps(woken));
-    let report = workers::spawn(life.run(running.addr, move || inner.sample()));
+    let running = connection::serve(addr, Arc::clone(&lifecycle.connections), engine).await?;
+    let steps = workers::spawn(Arc::clone(&inner).run_steps(woken));
+    let report = workers::spawn(lifecycle.run(running.addr, move || inner.sample()));
     Ok(running.with_task(steps).with_task(report))
 }
 
 impl Inner {
-    async fn steps(self: Arc<Self>, woken: Receiver<()>) {
-        let timer = self.life.timer;
+    async fn run_steps(self: Arc<Self>, woken: Receiver<()>) {
+        let timer = self.lifecycle.timer;
         loop {
             let plan = self.state.lock().batch.plan(timer.now());
             let Some(time) = plan else {
@@ -119,15 +124,17 @@
                 let _ = timer.within(Duration::from_millis(200), woken.recv()).await;
                 continue;
             };
-            let cold = if self.life.log().warm {
+            let cold = if self.lifecycle.log().warm {
                 1.0
             } else {
                 self.settings.cold_factor
             };
-            timer.sleep(time.mul_f64(cold * self.life.slow())).await;
-            self.life.stall().await;
+            timer
+                .sleep(time.mul_f64(cold * self.lifecycle.slowdown()))
+                .await;
+            self.lifecycle.wait_for_stall_end().await;
             let finished = self.state.lock().batch.step(timer.now());
-            (0..finished).for_each(|_| self.life.finished());
+            (0..finished).for_each(|_| self.lifecycle.record_finished());
         }
     }
 
@@ -136,7 +143,7 @@
         Load {
             running: state.batch.running(),
             waiting: state.batch.waiting(),
-            used: state.batch.used(),
+            used: state.batch.tokens_used(),
             capacity: self.settings.capacity,
             preemptions: state.batch.totals.preemptions,
             ..Load::default()
@@ -144,55 +151,62 @@
     }
 
     /// Takes in a generation, or says why not.
-    fn admit(&self, call: &Call, api: Api, ask: &Ask) -> Result<(usize, Receiver<()>), Refused> {
-        let prompt = ask.prompt();
-        let prompt_tokens = text::count(&prompt);
+    fn admit(
+        &self,
+        req: &ReceivedRequest,
+        api: Api,
+        body: &CompletionRequest,
+    ) -> Result<(usize, Receiver<()>), ErrorResponse> {
+        let prompt = body.prompt();
+        let prompt_tokens = text::count_tokens(&prompt);
         if prompt_tokens + 1 >= self.settings.capacity {
             return Err(control::not_run(400, "prompt-too-long").into());
         }
-        if prompt.contains(CRASHING) {
+        if prompt.contains(CRASH_TRIGGER) {
             let crash = Faults {
-                act: Some(Act::Crash),
+                action: Some(FaultAction::Crash),
                 ..Faults::default()
             };
-            self.set(crash);
-            return Err(control::hang_up(&call.link).into());
+            self.set_faults(crash);
+            return Err(control::close_connection(&req.connection).into());
         }
         let mut state = self.state.lock();
-        let inside = state.batch.running() + state.batch.waiting();
-        if state.batch.waiting() >= self.settings.most_waiting {
+        let concurrent = state.batch.running() + state.batch.waiting();
+        if state.batch.waiting() >= self.settings.max_waiting {
             return Err(control::not_run(503, "too-many-waiting").into());
         }
-        match self.life.enter(inside, &call.link) {
-            Entry::Runs => {}
-            Entry::Refused => return Err(control::not_run(503, "not-taking-work").into()),
-            Entry::FellOver => {
-                let (name, inside) = (&self.settings.life.name, state.batch.inside());
-                let caller = &ask.metadata.caller;
-                let now = self.life.timer.now().as_millis();
+        match self.lifecycle.admit(concurrent, &req.connection) {
+            Admission::Admitted => {}
+            Admission::Refused => return Err(control::not_run(503, "not-taking-work").into()),
+            Admission::Crashed => {
+                let (name, active) = (&self.settings.lifecycle.name, state.batch.describe_active());
+                let caller = &body.metadata.caller;
+                let now = self.lifecycle.timer.now().as_millis();
                 eprintln!(
-                    "{name} at {now} ms: {caller} is too much for a cold engine with {inside}"
+                    "{name} at {now} ms: cold engine crashed on request of {caller}, already holding {active}"
                 );
                 state.batch.drop_all();
-                return Err(control::hang_up(&call.link).into());
+                return Err(control::close_connection(&req.connection).into());
             }
         }
-        let told = ask.metadata.output_tokens.as_deref();
-        let length = told.and_then(|text| text.parse().ok());
-        let length = length.unwrap_or_else(|| self.draw(&mut state.rng));
-        let incarnation = self.life.log().incarnation;
-        let number = state.batch.all.len();
-        let work = Work {
+        let requested = body.metadata.output_tokens.as_deref();
+        let length = requested.and_then(|text| text.parse().ok());
+        let length = length.unwrap_or_else(|| self.draw_length(&mut state.rng));
+        let incarnation = self.lifecycle.log().incarnation;
+        let number = state.batch.generations.len();
+        let new = NewGeneration {
             api,
-            stream: format!("{}-{incarnation}-{number}", self.settings.life.name),
-            request: call.header("x-request-id").to_owned(),
-            caller: ask.metadata.caller.clone(),
-            priority: ask.priority,
+            stream: format!("{}-{incarnation}-{number}", self.settings.lifecycle.name),
+            request: req.header("x-request-id").to_owned(),
+            caller: body.metadata.caller.clone(),
+            priority: body.priority,
             prompt,
             prompt_tokens,
-            wanted: length.min(ask.max_tokens.unwrap_or(u64::MAX)),
+            output_tokens: length.min(body.max_tokens.unwrap_or(u64::MAX)),
         };
-        let number = state.batch.add(self.life.timer.now(), incarnation, work);
+        let number = state
+            .batch
+            .add(self.lifecycle.timer.now(), incarnation, new);
         let (tx, rx) = bounded(1);
         state.batch.observe(number, tx);
         // A full channel means that the engine is about to look anyway.
@@ -201,7 +215,7 @@
     }
 
     /// A heavy-tailed length: the logarithm is close to normal.
-    fn draw(&self, rng: &mut fastrand::Rng) -> u64 {
+    fn draw_length(&self, rng: &mut fastrand::Rng) -> u64 {
         let normal: f64 = (0..12).map(|_| rng.f64()).sum::<f64>() - 6.0;
         let length = self.settings.median_output * (normal * self.settings.spread_output).exp();
         length.max(1.0) as u64
@@ -210,36 +224,36 @@
     /// Finds a stream of this life by name.
     fn find(&self, state: &State, stream: &str) -> Option<usize> {
         let number: usize = stream.rsplit('-').next()?.parse().ok()?;
-        let known = state.batch.all.get(number)?;
-        let here = known.incarnation == self.life.log().incarnation;
-        let readable = matches!(known.end, None | Some(End::Finished));
-        (known.stream == stream && here && readable).then_some(number)
+        let generation = state.batch.generations.get(number)?;
+        let is_current = generation.incarnation == self.lifecycle.log().incarnation;
+        let readable = matches!(generation.end, None | Some(EndReason::Finished));
+        (generation.stream == stream && is_current && readable).then_some(number)
     }
 
-    async fn generate(self: &Arc<Self>, call: &Call, api: Api) -> Response<Body> {
-        let ask: Ask = match call.json() {
-            Ok(ask) => ask,
-            Err(refusal) => return *refusal,
+    async fn generate(self: &Arc<Self>, req: &ReceivedRequest, api: Api) -> Response<Body> {
+        let body: CompletionRequest = match req.json() {
+            Ok(body) => body,
+            Err(response) => return *response,
         };
-        let (number, woken) = match self.admit(call, api, &ask) {
+        let (number, woken) = match self.admit(req, api, &body) {
             Ok(admitted) => admitted,
-            Err(refusal) => return *refusal,
+            Err(response) => return *response,
         };
-        let name = self.state.lock().batch.all[number].stream.clone();
-        let reply = if ask.stream {
+        let name = self.state.lock().batch.generations[number].stream.clone();
+        let reply = if body.stream {
             sse(self.stream(number, 0, woken))
         } else {
-            self.whole(number, woken, call).await
+            self.buffered(number, woken, req).await
         };
         reply.with_header("x-stream-id", &name).done()
     }
 
-    fn resume(self: &Arc<Self>, call: &Call, stream: &str) -> Response<Body> {
-        let last = call.header("last-event-id").parse::<u64>();
+    fn resume(self: &Arc<Self>, req: &ReceivedRequest, stream: &str) -> Response<Body> {
+        let last = req.header("last-event-id").parse::<u64>();
         let from = last.map_or(0, |last| last + 1);
         let mut state = self.state.lock();
         let Some(number) = self.find(&state, stream) else {
-            return control::unknown();
+            return control::not_found();
         };
         let (tx, woken) = bounded(1);
         state.batch.observe(number, tx);
@@ -252,45 +266,48 @@
     fn cancel(&self, stream: &str) -> Response<Body> {
         let mut state = self.state.lock();
         let Some(number) = self.find(&state, stream) else {
-            return control::unknown();
+            return control::not_found();
         };
-        state.batch.end(number, End::Cancelled);
-        control::done()
+        state.batch.end(number, EndReason::Cancelled);
+        control::empty_ok()
     }
 
-    fn order(&self, call: &Call) -> Result<Response<Body>, Refused> {
-        let order: Order = call.json()?;
+    fn handle_command(&self, req: &ReceivedRequest) -> Result<Response<Body>, ErrorResponse> {
+        let command: Command = req.json()?;
         let mut state = self.state.lock();
-        if self.settings.checks_fences && order.fence < state.fence {
+        if self.settings.checks_fences && command.fence < state.fence {
             return Err(control::not_run(409, OLD_FENCE).into());
         }
-        state.fence = order.fence;
-        state.orders.push(order);
-        Ok(control::done())
+        state.fence = command.fence;
+        state.commands.push(command);
+        Ok(control::empty_ok())
     }
 
-    fn cache_events(&self, call: &Call) -> Response<Body> {
-        let after = call
+    fn cache_events(&self, req: &ReceivedRequest) -> Response<Body> {
+        let after = req
             .query
             .strip_prefix("after=")
             .and_then(|n| n.parse().ok());
         let lag = Duration::from_millis(self.settings.cache_lag_ms);
         let state = self.state.lock();
-        let now = self.life.timer.now();
-        let events = state.batch.prefixes.events(now, lag, after.unwrap_or(0));
+        let now = self.lifecycle.timer.now();
+        let events = state
+            .batch
+            .prefix_cache
+            .events(now, lag, after.unwrap_or(0));
         Reply::json(200, &events).done()
     }
 
-    fn set(&self, faults: Faults) {
+    fn set_faults(&self, faults: Faults) {
         let mut state = self.state.lock();
-        if self.life.set(faults) {
+        if self.lifecycle.set_faults(faults) {
             state.batch.drop_all();
         }
     }
 
-    fn control(&self, call: &Call) -> Result<Response<Body>, Refused> {
-        self.set(call.json()?);
-        Ok(control::done())
+    fn control(&self, req: &ReceivedRequest) -> Result<Response<Body>, ErrorResponse> {
+        self.set_faults(req.json()?);
+        Ok(control::empty_ok())
     }
 
     fn log(&self, brief: bool) -> EngineLog {
@@ -298,13 +315,13 @@
         let generations = if brief {
             Vec::new()
         } else {
-            state.batch.all.clone()
+            state.batch.generations.clone()
         };
         EngineLog {
-            life: self.life.log(),
+            lifecycle: self.lifecycle.log(),
             capacity: self.settings.capacity,
             totals: state.batch.totals,
-            orders: state.orders.clone(),
+            commands: state.commands.clone(),
             generations,
         }
     }
@@ -312,8 +329,8 @@
 
 impl Engine {
     /// Sets faults.
-    pub fn set(&self, faults: Faults) {
-        self.inner.set(faults);
+    pub fn set_faults(&self, faults: Faults) {
+        self.inner.set_faults(faults);
     }
 
     /// What happened so far.
@@ -326,25 +343,27 @@
 #[async_trait]
 impl Handler for Engine {
     async fn handle(&self, _peer: SocketAddr, req: Request<Incoming>) -> Response<Body> {
-        let Some(call) = Call::read(req).await else {
+        let Some(req) = ReceivedRequest::read(req).await else {
             return Reply::new(400).done();
         };
         let inner = &self.inner;
-        if let Some(stream) = call.path.strip_prefix(STREAMS) {
-            return match call.method.as_str() {
+        if let Some(stream) = req.path.strip_prefix(STREAMS) {
+            return match req.method.as_str() {
                 "DELETE" => inner.cancel(stream),
-                _ => inner.resume(&call, stream),
+                _ => inner.resume(&req, stream),
             };
         }
-        match call.path.as_str() {
-            "/v1/chat/completions" => inner.generate(&call, Api::Chat).await,
-            "/v1/completions" => inner.generate(&call, Api::Completions).await,
-            "/v1/orders" => inner.order(&call).unwrap_or_else(|refusal| *refusal),
-            "/load" => inner.life.load(),
-            "/cache-events" => inner.cache_events(&call),
-            "/control/faults" => inner.control(&call).unwrap_or_else(|refusal| *refusal),
-            "/control/log" => Reply::json(200, &inner.log(call.query == "brief")).done(),
-            _ => control::unknown(),
+        match req.path.as_str() {
+            "/v1/chat/completions" => inner.generate(&req, Api::Chat).await,
+            "/v1/completions" => inner.generate(&req, Api::Completions).await,
+            "/v1/orders" => inner
+                .handle_command(&req)
+                .unwrap_or_else(|response| *response),
+            "/load" => inner.lifecycle.load(),
+            "/cache-events" => inner.cache_events(&req),
+            "/control/faults" => inner.control(&req).unwrap_or_else(|response| *response),
+            "/control/log" => Reply::json(200, &inner.log(req.query == "brief")).done(),
+            _ => control::not_found(),
         }
     }
 }
--- /dev/null
+++ b/components/standins/src/engine/output.rs
@@ -0,0 +1,112 @@
+//! Feeding a generation to callers, as it is produced or whole.
+
+use std::{sync::Arc, time::Duration};
+
+use async_channel::Receiver;
+use bytes::BytesMut;
+use net::{Body, BodySender, Reply, full};
+
+use crate::{
+    control::ReceivedRequest,
+    engine::{Inner, batch::EndReason, text},
+};
+
+impl Inner {
+    /// Streams a generation from an offset to one caller.
+    pub(super) fn stream(self: &Arc<Self>, number: usize, from: u64, wake: Receiver<()>) -> Body {
+        let (tx, body) = net::channel();
+        let forward = Arc::clone(self).forward(number, from, wake, tx);
+        workers::spawn(forward).detach();
+        body
+    }
+
+    async fn forward(
+        self: Arc<Self>,
+        number: usize,
+        mut offset: u64,
+        wake: Receiver<()>,
+        tx: BodySender,
+    ) {
+        loop {
+            let (api, stream, produced, output_tokens, end) = {
+                let state = self.state.lock();
+                let generation = &state.batch.generations[number];
+                (
+                    generation.api,
+                    generation.stream.clone(),
+                    generation.produced,
+                    generation.output_tokens,
+                    generation.end,
+                )
+            };
+            let mut buf = BytesMut::new();
+            while offset < produced {
+                text::write_event(&mut buf, api, &stream, offset, offset + 1 == output_tokens);
+                offset += 1;
+            }
+            if end == Some(EndReason::Finished) {
+                buf.extend_from_slice(b"data: [DONE]\n\n");
+            }
+            if !buf.is_empty() && tx.send(buf.freeze()).await.is_err() {
+                return;
+            }
+            if end.is_some() {
+                tx.finish();
+                return;
+            }
+            if !wait_for_output(&wake, &tx).await {
+                return;
+            }
+        }
+    }
+
+    /// Waits for the whole answer.
+    pub(super) async fn buffered(
+        &self,
+        number: usize,
+        wake: Receiver<()>,
+        req: &ReceivedRequest,
+    ) -> Reply {
+        loop {
+            {
+                let state = self.state.lock();
+                let generation = &state.batch.generations[number];
+                match generation.end {
+                    Some(EndReason::Finished) => {
+                        let (prompt, produced) = (generation.prompt_tokens, generation.produced);
+                        let body = text::complete_answer(
+                            generation.api,
+                            &generation.stream,
+                            prompt,
+                            produced,
+                        );
+                        return Reply::new(200)
+                            .with_header("content-type", "application/json")
+                            .with_body(full(body));
+                    }
+                    Some(_) => {
+                        req.connection.close();
+                        return Reply::new(500);
+                    }
+                    None => {}
+                }
+            }
+            if wake.recv().await.is_err() {
+                return Reply::new(500);
+            }
+        }
+    }
+}
+
+/// Waits until there may be more; false once the caller has gone.
+async fn wait_for_output(wake: &Receiver<()>, tx: &BodySender) -> bool {
+    // A caller that went away is only noticed by writing; looking now and then is enough here.
+    let poll_interval = Duration::from_millis(500);
+    while !tx.is_closed() {
+        match timer::Timer::new().within(poll_interval, wake.recv()).await {
+            Some(wake) => return wake.is_ok(),
+            None => continue,
+        }
+    }
+    false
+}
--- a/components/standins/src/engine/prefix.rs
+++ b/components/standins/src/engine/prefix.rs
@@ -13,7 +13,7 @@
 /// Tokens in one block.
 pub const BLOCK_TOKENS: u64 = 16;
 /// Events kept.
-const EVENTS_KEPT: usize = 10_000;
+const RETAINED_EVENTS: usize = 10_000;
 
 /// A change of the cache.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
@@ -27,23 +27,23 @@
 }
 
 /// The cache.
-pub struct Prefixes {
-    most: usize,
-    used: HashMap<u64, u64>,
-    order: BTreeMap<u64, u64>,
+pub struct PrefixCache {
+    max_blocks: usize,
+    last_used: HashMap<u64, u64>,
+    by_last_use: BTreeMap<u64, u64>,
     clock: u64,
     seq: u64,
     events: VecDeque<(Duration, CacheEvent)>,
 }
 
-impl Prefixes {
+impl PrefixCache {
     /// Makes an empty cache of at most so many blocks.
     #[must_use]
-    pub fn new(most: usize) -> Self {
+    pub fn new(max_blocks: usize) -> Self {
         Self {
-            most,
-            used: HashMap::new(),
-            order: BTreeMap::new(),
+            max_blocks,
+            last_used: HashMap::new(),
+            by_last_use: BTreeMap::new(),
             clock: 0,
             seq: 0,
             events: VecDeque::new(),
@@ -52,19 +52,19 @@
 
     /// Forgets all blocks.
     pub fn clear(&mut self) {
-        self.used.clear();
-        self.order.clear();
+        self.last_used.clear();
+        self.by_last_use.clear();
     }
 
     /// Counts the prompt's leading tokens that are cached, and caches all of it.
-    pub fn visit(&mut self, now: Duration, prompt: &str) -> u64 {
+    pub fn insert(&mut self, now: Duration, prompt: &str) -> u64 {
         let mut hash = Xxh3::new();
         let mut hit = 0;
         let mut leading = true;
         for block in prompt.as_bytes().chunks_exact(BLOCK_BYTES) {
             hash.update(block);
-            let known = self.touch(now, hash.digest());
-            leading &= known;
+            let is_cached = self.touch(now, hash.digest());
+            leading &= is_cached;
             hit += u64::from(leading) * BLOCK_TOKENS;
         }
         hit
@@ -73,36 +73,37 @@
     /// Events after a number that are older than `lag`; every tenth is lost.
     #[must_use]
     pub fn events(&self, now: Duration, lag: Duration, after: u64) -> Vec<CacheEvent> {
-        let old = self.events.iter().filter(|(at, _)| *at + lag <= now);
-        old.map(|(_, event)| *event)
+        let visible = self.events.iter().filter(|(at, _)| *at + lag <= now);
+        visible
+            .map(|(_, event)| *event)
             .filter(|event| event.seq > after && event.seq % 10 != 0)
             .collect()
     }
 
     fn touch(&mut self, now: Duration, block: u64) -> bool {
         self.clock += 1;
-        let before = self.used.insert(block, self.clock);
-        self.order.insert(self.clock, block);
-        if let Some(before) = before {
-            self.order.remove(&before);
+        let previous = self.last_used.insert(block, self.clock);
+        self.by_last_use.insert(self.clock, block);
+        if let Some(previous) = previous {
+            self.by_last_use.remove(&previous);
             return true;
         }
-        self.note(now, true, block);
-        if self.used.len() > self.most
-            && let Some((_, oldest)) = self.order.pop_first()
+        self.record_event(now, true, block);
+        if self.last_used.len() > self.max_blocks
+            && let Some((_, oldest)) = self.by_last_use.pop_first()
         {
-            self.used.remove(&oldest);
-            self.note(now, false, oldest);
+            self.last_used.remove(&oldest);
+            self.record_event(now, false, oldest);
         }
         false
     }
 
-    fn note(&mut self, now: Duration, stored: bool, block: u64) {
+    fn record_event(&mut self, now: Duration, stored: bool, block: u64) {
         self.seq += 1;
         let seq = self.seq;
         self.events
             .push_back((now, CacheEvent { seq, stored, block }));
-        if self.events.len() > EVENTS_KEPT {
+        if self.events.len() > RETAINED_EVENTS {
             self.events.pop_front();
         }
     }
--- a/components/standins/src/engine/settings.rs
+++ b/components/standins/src/engine/settings.rs
@@ -2,22 +2,25 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::life::LifeSettings;
+use crate::lifecycle::LifecycleSettings;
 
 /// Settings of an engine.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineSettings {
     /// Its life.
-    pub life: LifeSettings,
+    #[serde(rename = "life")]
+    pub lifecycle: LifecycleSettings,
     /// Seed of the lengths that callers don't set.
     pub seed: u64,
     /// Memory in tokens.
     pub capacity: u64,
     /// Most generations in one step.
-    pub most_running: usize,
+    #[serde(rename = "most_running")]
+    pub max_running: usize,
     /// Most generations waiting for room.
-    pub most_waiting: u32,
+    #[serde(rename = "most_waiting")]
+    pub max_waiting: u32,
     /// Milliseconds of a step.
     pub step_ms: f64,
     /// Milliseconds more for each generation in it.
@@ -47,11 +50,11 @@
 impl Default for EngineSettings {
     fn default() -> Self {
         Self {
-            life: LifeSettings::default(),
+            lifecycle: LifecycleSettings::default(),
             seed: 1,
             capacity: 16_384,
-            most_running: 64,
-            most_waiting: 64,
+            max_running: 64,
+            max_waiting: 64,
             step_ms: 20.0,
             step_ms_per_stream: 0.25,
             step_ms_per_ktoken: 0.1,
--- a/components/standins/src/engine/text.rs
+++ b/components/standins/src/engine/text.rs
@@ -10,11 +10,11 @@
 
 /// A request.
 #[derive(Debug, Deserialize)]
-pub struct Ask {
+pub struct CompletionRequest {
     #[serde(default)]
     prompt: Option<String>,
     #[serde(default)]
-    messages: Vec<Message>,
+    messages: Vec<PromptMessage>,
     /// Whether the answer is streamed.
     #[serde(default)]
     pub stream: bool,
@@ -41,12 +41,12 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Message {
+struct PromptMessage {
     role: String,
     content: String,
 }
 
-impl Ask {
+impl CompletionRequest {
     /// The prompt as one text.
     #[must_use]
     pub fn prompt(&self) -> String {
@@ -62,13 +62,13 @@
 
 /// Counts a prompt's tokens.
 #[must_use]
-pub const fn count(prompt: &str) -> u64 {
+pub const fn count_tokens(prompt: &str) -> u64 {
     prompt.len().div_ceil(TOKEN_BYTES) as u64
 }
 
 /// The text of one token: no two streams and no two places in one stream share it.
 #[must_use]
-pub fn token(stream: &str, offset: u64) -> String {
+pub fn token_text(stream: &str, offset: u64) -> String {
     format!("{stream}.{offset} ")
 }
 
@@ -98,16 +98,16 @@
 struct Choice {
     index: u32,
     #[serde(skip_serializing_if = "Option::is_none")]
-    delta: Option<Said>,
+    delta: Option<ChatMessage>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    message: Option<Said>,
+    message: Option<ChatMessage>,
     #[serde(skip_serializing_if = "Option::is_none")]
     text: Option<String>,
     finish_reason: Option<&'static str>,
 }
 
 #[derive(Serialize)]
-struct Said {
+struct ChatMessage {
     #[serde(skip_serializing_if = "Option::is_none")]
     role: Option<&'static str>,
     content: String,
@@ -121,13 +121,13 @@
 }
 
 /// Writes one token as a server-sent event.
-pub fn event(buf: &mut BytesMut, api: Api, stream: &str, offset: u64, last: bool) {
-    let content = token(stream, offset);
+pub fn write_event(buf: &mut BytesMut, api: Api, stream: &str, offset: u64, last: bool) {
+    let content = token_text(stream, offset);
     let finish_reason = last.then_some("stop");
     let (object, choice) = match api {
         Api::Chat => {
             let role = (offset == 0).then_some("assistant");
-            let delta = Some(Said { role, content });
+            let delta = Some(ChatMessage { role, content });
             (
                 "chat.completion.chunk",
                 Choice {
@@ -166,12 +166,14 @@
 
 /// The whole answer.
 #[must_use]
-pub fn whole(api: Api, stream: &str, prompt_tokens: u64, produced: u64) -> Bytes {
-    let content: String = (0..produced).map(|offset| token(stream, offset)).collect();
+pub fn complete_answer(api: Api, stream: &str, prompt_tokens: u64, produced: u64) -> Bytes {
+    let content: String = (0..produced)
+        .map(|offset| token_text(stream, offset))
+        .collect();
     let (object, choice) = match api {
         Api::Chat => {
             let role = Some("assistant");
-            let message = Some(Said { role, content });
+            let message = Some(ChatMessage { role, content });
             (
                 "chat.completion",
                 Choice {
--- a/components/standins/src/fault.rs
+++ b/components/standins/src/fault.rs
@@ -5,7 +5,7 @@
 /// What a target is told to do on the spot.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Act {
+pub enum FaultAction {
     /// Turn cold without a word.
     Cold,
     /// Turn warm.
@@ -44,7 +44,8 @@
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
     /// Done at once.
-    pub act: Option<Act>,
+    #[serde(rename = "act")]
+    pub action: Option<FaultAction>,
     /// Factor on all times.
     pub slow: Option<f64>,
     /// Milliseconds during which nothing moves, from now on.
@@ -63,7 +64,7 @@
 
 impl Faults {
     /// Sets what a message names and what lasts.
-    pub fn set(&mut self, new: &Self) {
+    pub fn update(&mut self, new: &Self) {
         self.slow = new.slow.or(self.slow);
         self.not_run = new.not_run.or(self.not_run);
         self.cut_answer = new.cut_answer.or(self.cut_answer);
--- a/components/standins/src/lib.rs
+++ b/components/standins/src/lib.rs
@@ -4,12 +4,12 @@
 //! `/control/...` paths, so that tests and the load tool produce the same failures.
 
 pub mod cli;
+pub mod connection;
 pub mod control;
 pub mod engine;
 pub mod fault;
-pub mod life;
-pub mod link;
+pub mod lifecycle;
 pub mod platform;
 pub mod service;
 
-pub use link::Running;
+pub use connection::StandinHandle;
--- a/components/standins/src/life.rs
+++ b/components/standins/src/lifecycle.rs
@@ -9,23 +9,23 @@
 use timer::Timer;
 
 use crate::{
-    control::{self, Listed},
-    link::{Link, Links},
+    connection::{Connection, Connections},
+    control::{self, DirectoryEntry},
 };
 
-pub use crate::fault::{Act, Cut, Faults};
+pub use crate::fault::{Cut, FaultAction, Faults};
 
 /// Time between two looks at restarts, reports and the listing.
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between two looks at whether a stall was called off.
-const STALL_POLL: Duration = Duration::from_millis(10);
+const STALL_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Reports kept.
-const REPORTS_KEPT: usize = 1000;
+const RETAINED_REPORTS: usize = 1000;
 
 /// Settings of a target's life.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct LifeSettings {
+pub struct LifecycleSettings {
     /// Its name.
     pub name: String,
     /// Its service.
@@ -51,7 +51,7 @@
     pub load_lag_ms: u64,
 }
 
-impl Default for LifeSettings {
+impl Default for LifecycleSettings {
     fn default() -> Self {
         Self {
             name: "target".to_owned(),
@@ -92,36 +92,38 @@
 
 /// What the log tells of a target's life.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
-pub struct LifeLog {
+pub struct LifecycleLog {
     /// Which life.
     pub incarnation: u64,
     /// Whether it is warm.
     pub warm: bool,
     /// The most concurrent requests it saw while cold.
-    pub most_cold: u32,
+    #[serde(rename = "most_cold")]
+    pub max_cold: u32,
     /// How often it had more than it bears while cold.
     pub overfills: u32,
     /// How often it had more within the time of grace after it turned cold.
-    pub surprises: u32,
+    #[serde(rename = "surprises")]
+    pub overfills_in_grace: u32,
 }
 
 /// The life of a target.
-pub struct Life {
+pub struct Lifecycle {
     /// Its clock.
     pub timer: Timer,
     /// Its settings.
-    pub settings: LifeSettings,
+    pub settings: LifecycleSettings,
     /// Its connections.
-    pub links: Arc<Links>,
+    pub connections: Arc<Connections>,
     state: Mutex<State>,
 }
 
 struct State {
-    log: LifeLog,
+    log: LifecycleLog,
     finished: u32,
     leaving: bool,
-    back_at: Option<Duration>,
-    turned_cold: Option<Duration>,
+    restart_at: Option<Duration>,
+    turned_cold_at: Option<Duration>,
     stalled_until: Duration,
     faults: Faults,
     reports: VecDeque<(Duration, Load)>,
@@ -129,34 +131,34 @@
 
 /// Whether a new request may run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Entry {
+pub enum Admission {
     /// It runs.
-    Runs,
+    Admitted,
     /// It is told that it did not run.
     Refused,
     /// It was too much: the target has fallen over.
-    FellOver,
+    Crashed,
 }
 
-impl Life {
+impl Lifecycle {
     /// Starts a life.
     #[must_use]
-    pub fn new(settings: LifeSettings) -> Self {
-        let log = LifeLog {
+    pub fn new(settings: LifecycleSettings) -> Self {
+        let log = LifecycleLog {
             incarnation: settings.incarnation,
             warm: settings.warm,
-            ..LifeLog::default()
+            ..LifecycleLog::default()
         };
         Self {
             timer: Timer::new(),
             settings,
-            links: Arc::default(),
+            connections: Arc::default(),
             state: Mutex::new(State {
                 log,
                 finished: 0,
                 leaving: false,
-                back_at: None,
-                turned_cold: None,
+                restart_at: None,
+                turned_cold_at: None,
                 stalled_until: Duration::ZERO,
                 faults: Faults::default(),
                 reports: VecDeque::new(),
@@ -165,45 +167,45 @@
     }
 
     /// Decides on a new request when `others` run or wait already.
-    pub fn enter(&self, others: u32, link: &Link) -> Entry {
+    pub fn admit(&self, others: u32, connection: &Connection) -> Admission {
         let mut state = self.state.lock();
-        if state.back_at.is_some() {
-            return Entry::FellOver;
+        if state.restart_at.is_some() {
+            return Admission::Crashed;
         }
-        if state.leaving || take(&mut state.faults.not_run) {
-            return Entry::Refused;
+        if state.leaving || take_one(&mut state.faults.not_run) {
+            return Admission::Refused;
         }
         if let Some(bytes) = state.faults.cut_answer.as_mut().and_then(Cut::take) {
-            link.cut_after(bytes);
+            connection.close_after(bytes);
         }
         if state.log.warm {
-            return Entry::Runs;
+            return Admission::Admitted;
         }
         if others < self.settings.cold_limit {
-            state.log.most_cold = state.log.most_cold.max(others + 1);
-            return Entry::Runs;
+            state.log.max_cold = state.log.max_cold.max(others + 1);
+            return Admission::Admitted;
         }
         let grace = Duration::from_millis(self.settings.cold_grace_ms);
         let now = self.timer.now();
-        if state.turned_cold.is_some_and(|at| now < at + grace) {
-            state.log.surprises += 1;
-            return Entry::Runs;
+        if state.turned_cold_at.is_some_and(|at| now < at + grace) {
+            state.log.overfills_in_grace += 1;
+            return Admission::Admitted;
         }
-        state.log.most_cold = state.log.most_cold.max(others + 1);
+        state.log.max_cold = state.log.max_cold.max(others + 1);
         state.log.overfills += 1;
-        self.fall(&mut state);
-        Entry::FellOver
+        self.crash(&mut state);
+        Admission::Crashed
     }
 
     /// Whether the target is up in this life: what an earlier one began has no effect any more.
     #[must_use]
-    pub fn lives(&self, incarnation: u64) -> bool {
+    pub fn is_up_as(&self, incarnation: u64) -> bool {
         let state = self.state.lock();
-        state.back_at.is_none() && state.log.incarnation == incarnation
+        state.restart_at.is_none() && state.log.incarnation == incarnation
     }
 
     /// Counts a finished request.
-    pub fn finished(&self) {
+    pub fn record_finished(&self) {
         let mut state = self.state.lock();
         state.finished += 1;
         if state.finished >= self.settings.warm_after {
@@ -213,31 +215,31 @@
 
     /// Factor on all times.
     #[must_use]
-    pub fn slow(&self) -> f64 {
+    pub fn slowdown(&self) -> f64 {
         self.state.lock().faults.slow.unwrap_or(1.0)
     }
 
     /// Waits while nothing moves. It looks again and again: what slept through a stall that was
     /// called off would hold up work of the target's next life as well.
-    pub async fn stall(&self) {
+    pub async fn wait_for_stall_end(&self) {
         loop {
             let until = self.state.lock().stalled_until;
-            let left = until.saturating_sub(self.timer.now());
-            if left.is_zero() {
+            let remaining = until.saturating_sub(self.timer.now());
+            if remaining.is_zero() {
                 return;
             }
-            self.timer.sleep(left.min(STALL_POLL)).await;
+            self.timer.sleep(remaining.min(STALL_POLL_INTERVAL)).await;
         }
     }
 
     /// Whether this request is the next to go without an answer.
-    pub fn never_answers(&self) -> bool {
-        take(&mut self.state.lock().faults.never_answer)
+    pub fn take_unanswered(&self) -> bool {
+        take_one(&mut self.state.lock().faults.never_answer)
     }
 
     /// The account of this life.
     #[must_use]
-    pub fn log(&self) -> LifeLog {
+    pub fn log(&self) -> LifecycleLog {
         self.state.lock().log
     }
 
@@ -251,79 +253,82 @@
             .load_lag_ms
             .unwrap_or(self.settings.load_lag_ms);
         let at = now.saturating_sub(Duration::from_millis(lag));
-        let known = state.reports.iter().rev().find(|(time, _)| *time <= at);
-        let (time, mut load) = known.or(state.reports.front()).copied().unwrap_or_default();
+        let report = state.reports.iter().rev().find(|(time, _)| *time <= at);
+        let (time, mut load) = report
+            .or(state.reports.front())
+            .copied()
+            .unwrap_or_default();
         load.age_ms = now.saturating_sub(time).as_millis() as u64;
         Reply::json(200, &load).done()
     }
 
     /// Sets faults; tells whether all work was dropped.
-    pub fn set(&self, new: Faults) -> bool {
+    pub fn set_faults(&self, new: Faults) -> bool {
         let mut state = self.state.lock();
-        state.faults.set(&new);
+        state.faults.update(&new);
         if let Some(cut) = new.cut_reading {
-            self.links.cut_reading(cut.bytes, cut.times as usize);
+            self.connections.cut_reading(cut.bytes, cut.times as usize);
         }
         if let Some(ms) = new.stall_ms {
             state.stalled_until = self.timer.now() + Duration::from_millis(ms);
         }
-        match new.act {
-            Some(Act::Cold) => {
-                state.turned_cold = Some(self.timer.now());
+        match new.action {
+            Some(FaultAction::Cold) => {
+                state.turned_cold_at = Some(self.timer.now());
                 state.log.warm = false;
                 state.finished = 0;
             }
-            Some(Act::Warm) => state.log.warm = true,
-            Some(Act::Crash) => self.fall(&mut state),
-            Some(Act::Leave) => state.leaving = true,
-            Some(Act::Stay) => state.leaving = false,
-            Some(Act::Silence) => self.links.silence_all(),
-            Some(Act::Cut) => self.links.cut_all(),
+            Some(FaultAction::Warm) => state.log.warm = true,
+            Some(FaultAction::Crash) => self.crash(&mut state),
+            Some(FaultAction::Leave) => state.leaving = true,
+            Some(FaultAction::Stay) => state.leaving = false,
+            Some(FaultAction::Silence) => self.connections.silence_all(),
+            Some(FaultAction::Cut) => self.connections.close_all(),
             None => {}
         }
-        new.act == Some(Act::Crash)
+        new.action == Some(FaultAction::Crash)
     }
 
     /// Keeps the reports, the directory's entry and the way back from a fall up to date.
     pub async fn run(self: Arc<Self>, addr: SocketAddr, sample: impl Fn() -> Load + Send) {
         let client = Client::new();
-        let mut ticks = self.timer.every(TICK);
+        let mut ticks = self.timer.every(TICK_INTERVAL);
         let mut listed = None;
         loop {
             let now = ticks.next().await;
             let load = sample();
             let (up, leaving) = self.tick(now, load);
-            let wanted = Some((self.log().incarnation, leaving));
-            let Some(platform) = self.settings.platform.filter(|_| up && wanted != listed) else {
+            let current = Some((self.log().incarnation, leaving));
+            let Some(platform) = self.settings.platform.filter(|_| up && current != listed) else {
                 continue;
             };
-            let entry = self.entry(addr, leaving);
+            let entry = self.directory_entry(addr, leaving);
             let answer = control::post(&client, platform, "/control/register", &entry).await;
             // An empty answer means that it did not arrive.
             if !answer.is_empty() {
-                listed = wanted;
+                listed = current;
             }
         }
     }
 
     fn tick(&self, now: Duration, mut load: Load) -> (bool, bool) {
         let mut state = self.state.lock();
-        if state.back_at.is_some_and(|at| at <= now) {
-            state.back_at = None;
+        if state.restart_at.is_some_and(|at| at <= now) {
+            state.restart_at = None;
             state.log.incarnation += 1;
-            self.links.set_down(false);
+            self.connections.set_down(false);
         }
         load.incarnation = state.log.incarnation;
         load.warm = state.log.warm;
         state.reports.push_back((now, load));
-        if state.reports.len() > REPORTS_KEPT {
+        if state.reports.len() > RETAINED_REPORTS {
             state.reports.pop_front();
         }
-        (state.back_at.is_none(), state.leaving)
+        (state.restart_at.is_none(), state.leaving)
     }
 
-    fn entry(&self, addr: SocketAddr, leaving: bool) -> Listed {
-        Listed {
+    fn directory_entry(&self, addr: SocketAddr, leaving: bool) -> DirectoryEntry {
+        DirectoryEntry {
             name: self.settings.name.clone(),
             service: self.settings.service.clone(),
             zone: self.settings.zone.clone(),
@@ -333,19 +338,21 @@
         }
     }
 
-    fn fall(&self, state: &mut State) {
+    fn crash(&self, state: &mut State) {
         // A stall was meant for this life, and nobody can call it off while the target is away.
         state.stalled_until = Duration::ZERO;
         state.log.warm = false;
         state.finished = 0;
-        let away = Duration::from_millis(self.settings.restart_ms);
-        state.back_at = Some(self.timer.now() + away);
-        self.links.set_down(true);
+        let downtime = Duration::from_millis(self.settings.restart_ms);
+        state.restart_at = Some(self.timer.now() + downtime);
+        self.connections.set_down(true);
     }
 }
 
-fn take(left: &mut Option<u32>) -> bool {
-    let Some(n @ 1..) = *left else { return false };
-    *left = Some(n - 1);
+fn take_one(remaining: &mut Option<u32>) -> bool {
+    let Some(n @ 1..) = *remaining else {
+        return false;
+    };
+    *remaining = Some(n - 1);
     true
 }
--- a/components/standins/src/platform/directory.rs
+++ b/components/standins/src/platform/directory.rs
@@ -4,27 +4,27 @@
 
 use serde::Serialize;
 
-use crate::control::Listed;
+use crate::control::DirectoryEntry;
 
 /// How far back the list is kept.
-const KEPT: Duration = Duration::from_secs(120);
+const RETENTION: Duration = Duration::from_secs(120);
 
 /// The list now and as it was.
 #[derive(Default)]
 pub struct Directory {
-    past: VecDeque<Version>,
+    versions: VecDeque<Version>,
 }
 
 #[derive(Clone)]
 struct Version {
     since: Duration,
-    entries: Vec<Listed>,
+    entries: Vec<DirectoryEntry>,
 }
 
 impl Directory {
     /// Adds or changes an entry.
-    pub fn register(&mut self, now: Duration, entry: Listed) {
-        self.change(now, |entries| {
+    pub fn register(&mut self, now: Duration, entry: DirectoryEntry) {
+        self.update(now, |entries| {
             entries.retain(|old| old.name != entry.name);
             entries.push(entry);
         });
@@ -32,13 +32,13 @@
 
     /// Takes an entry out.
     pub fn remove(&mut self, now: Duration, name: &str) {
-        self.change(now, |entries| entries.retain(|old| old.name != name));
+        self.update(now, |entries| entries.retain(|old| old.name != name));
     }
 
     /// The list as it was at a time.
     #[must_use]
     pub fn slices(&self, at: Duration) -> SliceList {
-        let version = self.past.iter().rev().find(|v| v.since <= at);
+        let version = self.versions.iter().rev().find(|v| v.since <= at);
         let entries = version.map(|v| v.entries.as_slice()).unwrap_or_default();
         SliceList {
             api_version: "discovery.k8s.io/v1",
@@ -47,24 +47,28 @@
         }
     }
 
-    fn change(&mut self, now: Duration, act: impl FnOnce(&mut Vec<Listed>)) {
-        let mut entries = match self.past.back() {
+    fn update(&mut self, now: Duration, edit: impl FnOnce(&mut Vec<DirectoryEntry>)) {
+        let mut entries = match self.versions.back() {
             Some(version) => version.entries.clone(),
             None => Vec::new(),
         };
-        act(&mut entries);
-        self.past.push_back(Version {
+        edit(&mut entries);
+        self.versions.push_back(Version {
             since: now,
             entries,
         });
         // The oldest version kept must still be older than the longest lag.
-        while self.past.get(1).is_some_and(|v| v.since + KEPT < now) {
-            self.past.pop_front();
+        while self
+            .versions
+            .get(1)
+            .is_some_and(|v| v.since + RETENTION < now)
+        {
+            self.versions.pop_front();
         }
     }
 }
 
-fn slice(entry: &Listed) -> Option<Slice> {
+fn slice(entry: &DirectoryEntry) -> Option<Slice> {
     let addr: SocketAddr = entry.addr.parse().ok()?;
     Some(Slice {
         metadata: Metadata {
--- a/components/standins/src/platform/mod.rs
+++ b/components/standins/src/platform/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod directory;
 pub mod table;
-mod table_form;
+mod table_api;
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -21,8 +21,8 @@
 use timer::Timer;
 
 use crate::{
-    control::{self, Call, Listed, Refused},
-    link::{self, Links, Running},
+    connection::{self, Connections, StandinHandle},
+    control::{self, DirectoryEntry, ErrorResponse, ReceivedRequest},
     platform::{directory::Directory, table::Table},
 };
 
@@ -58,28 +58,28 @@
 }
 
 impl Faults {
-    fn set(&mut self, new: Self) {
-        fn put<T>(old: &mut Option<T>, new: Option<T>) {
+    fn update(&mut self, new: Self) {
+        fn replace<T>(old: &mut Option<T>, new: Option<T>) {
             if new.is_some() {
                 *old = new;
             }
         }
-        put(&mut self.table_down, new.table_down);
-        put(&mut self.table_errors, new.table_errors);
-        put(&mut self.table_slow_ms, new.table_slow_ms);
-        put(&mut self.lose_answers, new.lose_answers);
-        put(&mut self.objects_down, new.objects_down);
-        put(&mut self.directory_down, new.directory_down);
-        put(&mut self.directory_lag_ms, new.directory_lag_ms);
-        put(&mut self.write_rate, new.write_rate);
-        put(&mut self.read_rate, new.read_rate);
-        put(&mut self.cut_off, new.cut_off);
+        replace(&mut self.table_down, new.table_down);
+        replace(&mut self.table_errors, new.table_errors);
+        replace(&mut self.table_slow_ms, new.table_slow_ms);
+        replace(&mut self.lose_answers, new.lose_answers);
+        replace(&mut self.objects_down, new.objects_down);
+        replace(&mut self.directory_down, new.directory_down);
+        replace(&mut self.directory_lag_ms, new.directory_lag_ms);
+        replace(&mut self.write_rate, new.write_rate);
+        replace(&mut self.read_rate, new.read_rate);
+        replace(&mut self.cut_off, new.cut_off);
     }
 }
 
 /// What `GET /control/log` tells.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct Log {
+pub struct PlatformLog {
     /// Rows written.
     pub writes: u64,
     /// Reads answered.
@@ -111,7 +111,7 @@
 ///
 /// # Errors
 /// Passes on why the address can't be listened on.
-pub async fn start(addr: SocketAddr, faults: Faults) -> io::Result<Running<Platform>> {
+pub async fn start(addr: SocketAddr, faults: Faults) -> io::Result<StandinHandle<Platform>> {
     let state = State {
         faults,
         table: Table::default(),
@@ -122,60 +122,60 @@
         timer: Timer::new(),
         state: Mutex::new(state),
     };
-    link::serve(addr, Arc::new(Links::default()), Arc::new(platform)).await
+    connection::serve(addr, Arc::new(Connections::default()), Arc::new(platform)).await
 }
 
 impl Platform {
     /// Sets faults and rates.
-    pub fn set(&self, faults: Faults) {
-        self.state.lock().faults.set(faults);
+    pub fn set_faults(&self, faults: Faults) {
+        self.state.lock().faults.update(faults);
     }
 
     /// Puts an instance or target into the directory, or changes it.
-    pub fn register(&self, entry: Listed) {
+    pub fn register(&self, entry: DirectoryEntry) {
         let now = self.timer.now();
         self.state.lock().directory.register(now, entry);
     }
 
     /// What happened so far.
     #[must_use]
-    pub fn log(&self) -> Log {
+    pub fn log(&self) -> PlatformLog {
         self.state.lock().table.log()
     }
 
-    async fn table(&self, call: &Call) -> Response<Body> {
+    async fn table(&self, req: &ReceivedRequest) -> Response<Body> {
         let faults = self.state.lock().faults.clone();
         if let Some(ms) = faults.table_slow_ms {
             self.timer.sleep(Duration::from_millis(ms)).await;
         }
         if faults.table_down == Some(true) {
-            return control::hang_up(&call.link);
+            return control::close_connection(&req.connection);
         }
-        let target = call.header("x-amz-target");
+        let target = req.header("x-amz-target");
         let operation = target.strip_prefix(table::PROTOCOL).unwrap_or_default();
         let answer = {
             let mut state = self.state.lock();
             let now = self.timer.now();
             let State { faults, table, .. } = &mut *state;
-            let answer = table.run(now, faults, operation, &call.body);
-            let lost = operation == table::COMMIT && answer.is_ok() && take_one(faults);
-            table.count_lost(lost);
+            let answer = table.execute(now, faults, operation, &req.body);
+            let lost = operation == table::COMMIT && answer.is_ok() && take_lost_answer(faults);
+            table.record_lost(lost);
             (answer, lost)
         };
         match answer {
-            (_, true) => control::hang_up(&call.link),
-            (Ok(text), _) => amz(200, text),
-            (Err(fault), _) => amz(fault.status(), fault.body()),
+            (_, true) => control::close_connection(&req.connection),
+            (Ok(text), _) => dynamodb_response(200, text),
+            (Err(fault), _) => dynamodb_response(fault.status(), fault.body()),
         }
     }
 
-    fn object(&self, call: &Call, key: &str) -> Response<Body> {
+    fn object(&self, req: &ReceivedRequest, key: &str) -> Response<Body> {
         let mut state = self.state.lock();
         if state.faults.objects_down == Some(true) {
             return Reply::new(503).done();
         }
-        if call.method == "PUT" {
-            state.objects.insert(key.to_owned(), call.body.clone());
+        if req.method == "PUT" {
+            state.objects.insert(key.to_owned(), req.body.clone());
             return Reply::new(200).done();
         }
         match state.objects.get(key) {
@@ -194,27 +194,27 @@
         Reply::json(200, &state.directory.slices(now.saturating_sub(lag))).done()
     }
 
-    fn control(&self, call: &Call) -> Result<Response<Body>, Refused> {
+    fn control(&self, req: &ReceivedRequest) -> Result<Response<Body>, ErrorResponse> {
         let now = self.timer.now();
-        match call.path.as_str() {
-            "/control/faults" => self.set(call.json()?),
-            "/control/register" => self.register(call.json()?),
+        match req.path.as_str() {
+            "/control/faults" => self.set_faults(req.json()?),
+            "/control/register" => self.register(req.json()?),
             "/control/remove" => {
-                let entry: Listed = call.json()?;
+                let entry: DirectoryEntry = req.json()?;
                 self.state.lock().directory.remove(now, &entry.name);
             }
             "/control/log" => return Ok(Reply::json(200, &self.log()).done()),
-            _ => return Err(control::unknown().into()),
+            _ => return Err(control::not_found().into()),
         }
-        Ok(control::done())
+        Ok(control::empty_ok())
     }
 
-    fn is_cut_off(&self, call: &Call) -> bool {
+    fn is_cut_off(&self, req: &ReceivedRequest) -> bool {
         let state = self.state.lock();
         let Some(cut_off) = &state.faults.cut_off else {
             return false;
         };
-        let token = call.header("authorization").trim_start_matches("Bearer ");
+        let token = req.header("authorization").trim_start_matches("Bearer ");
         cut_off.iter().any(|name| name == token)
     }
 }
@@ -222,35 +222,35 @@
 #[async_trait]
 impl Handler for Platform {
     async fn handle(&self, _peer: SocketAddr, req: Request<Incoming>) -> Response<Body> {
-        let Some(call) = Call::read(req).await else {
+        let Some(req) = ReceivedRequest::read(req).await else {
             return Reply::new(400).done();
         };
-        if call.path.starts_with("/control/") {
-            return self.control(&call).unwrap_or_else(|refusal| *refusal);
+        if req.path.starts_with("/control/") {
+            return self.control(&req).unwrap_or_else(|response| *response);
         }
-        if self.is_cut_off(&call) {
-            return control::hang_up(&call.link);
+        if self.is_cut_off(&req) {
+            return control::close_connection(&req.connection);
         }
-        if let Some(key) = call.path.strip_prefix(OBJECTS) {
-            return self.object(&call, key);
+        if let Some(key) = req.path.strip_prefix(OBJECTS) {
+            return self.object(&req, key);
         }
-        match call.path.as_str() {
-            "/" => self.table(&call).await,
+        match req.path.as_str() {
+            "/" => self.table(&req).await,
             SLICES => self.slices(),
-            _ => control::unknown(),
+            _ => control::not_found(),
         }
     }
 }
 
-fn take_one(faults: &mut Faults) -> bool {
-    let Some(left @ 1..) = faults.lose_answers else {
+fn take_lost_answer(faults: &mut Faults) -> bool {
+    let Some(remaining @ 1..) = faults.lose_answers else {
         return false;
     };
-    faults.lose_answers = Some(left - 1);
+    faults.lose_answers = Some(remaining - 1);
     true
 }
 
-fn amz(status: u16, text: String) -> Response<Body> {
+fn dynamodb_response(status: u16, text: String) -> Response<Body> {
     Reply::new(status)
         .with_header("content-type", "application/x-amz-json-1.0")
         .with_body(full(text))
--- a/components/standins/src/platform/table.rs
+++ b/components/standins/src/platform/table.rs
@@ -6,8 +6,11 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 use crate::platform::{
-    Faults, Log,
-    table_form::{Commit, FaultBody, Found, Get, Got, Item, Key, Query, Reason, Write},
+    Faults, PlatformLog,
+    table_api::{
+        CancellationReason, ErrorBody, GetRequest, GetResponse, Item, Key, QueryRequest,
+        QueryResponse, TransactWriteRequest, Write,
+    },
 };
 
 /// Prefix of the operation's name.
@@ -21,11 +24,11 @@
 /// Reads a second by default.
 const READ_RATE: f64 = 2000.0;
 /// Writes in one transaction at most.
-const MOST_WRITES: usize = 100;
+const MAX_WRITES: usize = 100;
 
 /// Why the table refuses a call.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
-pub enum TableFault {
+pub enum TableError {
     /// A condition did not hold; holds each write's own code.
     #[display("Transaction cancelled")]
     Cancelled {
@@ -36,17 +39,17 @@
     #[display("The level of configured provisioned throughput was exceeded")]
     Throttled,
     /// The call is wrong.
-    #[display("{what}")]
+    #[display("{problem}")]
     Invalid {
         /// What is wrong.
-        what: String,
+        problem: String,
     },
     /// The table is failing.
     #[display("Internal server error")]
     Internal,
 }
 
-impl TableFault {
+impl TableError {
     /// HTTP status.
     #[must_use]
     pub const fn status(&self) -> u16 {
@@ -65,8 +68,11 @@
             Self::Invalid { .. } => ("ValidationException", &[][..]),
             Self::Internal => ("InternalServerError", &[][..]),
         };
-        let reasons = reasons.iter().map(|code| Reason { code }).collect();
-        text(&FaultBody {
+        let reasons = reasons
+            .iter()
+            .map(|code| CancellationReason { code })
+            .collect();
+        to_json(&ErrorBody {
             kind: format!("{NAMESPACE}{kind}"),
             message: self.to_string(),
             reasons,
@@ -76,12 +82,12 @@
 
 /// Allows so many calls a second, and a second's worth at once.
 #[derive(Default)]
-struct Bucket {
+struct TokenBucket {
     spent: f64,
     at: Duration,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn take(&mut self, now: Duration, rate: f64, n: usize) -> bool {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         self.at = now;
@@ -100,9 +106,9 @@
 #[derive(Default)]
 pub struct Table {
     rows: Rows,
-    reads: Bucket,
-    writes: Bucket,
-    log: Log,
+    reads: TokenBucket,
+    writes: TokenBucket,
+    log: PlatformLog,
 }
 
 impl Table {
@@ -110,33 +116,33 @@
     ///
     /// # Errors
     /// Why it is refused; nothing was written then.
-    pub fn run(
+    pub fn execute(
         &mut self,
         now: Duration,
         faults: &Faults,
         operation: &str,
         body: &[u8],
-    ) -> Result<String, TableFault> {
+    ) -> Result<String, TableError> {
         if faults.table_errors == Some(true) {
-            return Err(TableFault::Internal);
+            return Err(TableError::Internal);
         }
         let read_rate = faults.read_rate.unwrap_or(READ_RATE);
         match operation {
             "GetItem" => {
-                let get: Get = parse(body)?;
+                let get: GetRequest = parse(body)?;
                 check(&get.table_name, get.consistent_read)?;
                 self.read(now, read_rate)?;
                 let item = self.rows.get(&(get.key.pk.s, get.key.sk.s));
-                Ok(text(&Got { item }))
+                Ok(to_json(&GetResponse { item }))
             }
             "Query" => {
-                let query: Query = parse(body)?;
+                let query: QueryRequest = parse(body)?;
                 check(&query.table_name, query.consistent_read)?;
                 self.read(now, read_rate)?;
                 self.query(&query)
             }
             COMMIT => {
-                let commit: Commit = parse(body)?;
+                let commit: TransactWriteRequest = parse(body)?;
                 let rate = faults.write_rate.unwrap_or(WRITE_RATE);
                 self.commit(now, rate, commit.transact_items)
             }
@@ -145,34 +151,34 @@
     }
 
     /// Counts a commit whose answer was lost.
-    pub fn count_lost(&mut self, lost: bool) {
+    pub fn record_lost(&mut self, lost: bool) {
         self.log.lost += u64::from(lost);
     }
 
     /// The account with all rows.
     #[must_use]
-    pub fn log(&self) -> Log {
-        let name = |item: &Item| format!("{}/{}", item.pk.s, item.sk.s);
+    pub fn log(&self) -> PlatformLog {
+        let row_name = |item: &Item| format!("{}/{}", item.pk.s, item.sk.s);
         let rows = self
             .rows
             .values()
-            .map(|item| (name(item), item.body.s.clone()));
-        Log {
+            .map(|item| (row_name(item), item.body.s.clone()));
+        PlatformLog {
             rows: rows.collect(),
             ..self.log.clone()
         }
     }
 
-    fn read(&mut self, now: Duration, rate: f64) -> Result<(), TableFault> {
+    fn read(&mut self, now: Duration, rate: f64) -> Result<(), TableError> {
         if !self.reads.take(now, rate, 1) {
             self.log.throttled += 1;
-            return Err(TableFault::Throttled);
+            return Err(TableError::Throttled);
         }
         self.log.reads += 1;
         Ok(())
     }
 
-    fn query(&self, query: &Query) -> Result<String, TableFault> {
+    fn query(&self, query: &QueryRequest) -> Result<String, TableError> {
         if query.key_condition_expression != "pk = :p AND sk > :s" {
             return Err(invalid("only the condition `pk = :p AND sk > :s` is known"));
         }
@@ -188,13 +194,13 @@
             .map(|(_, item)| item)
             .take(limit.saturating_add(1))
             .collect();
-        let more = items.len() > limit;
+        let has_more = items.len() > limit;
         items.truncate(limit);
-        let last = items.last().filter(|_| more).map(|item| Key {
+        let last = items.last().filter(|_| has_more).map(|item| Key {
             pk: item.pk.clone(),
             sk: item.sk.clone(),
         });
-        Ok(text(&Found {
+        Ok(to_json(&QueryResponse {
             count: items.len(),
             items,
             last_evaluated_key: last,
@@ -206,19 +212,19 @@
         now: Duration,
         rate: f64,
         writes: Vec<Write>,
-    ) -> Result<String, TableFault> {
-        if writes.is_empty() || writes.len() > MOST_WRITES {
+    ) -> Result<String, TableError> {
+        if writes.is_empty() || writes.len() > MAX_WRITES {
             return Err(invalid("a transaction has 1 to 100 writes"));
         }
-        let holds = writes
+        let results = writes
             .iter()
-            .map(|write| self.holds(write))
+            .map(|write| self.condition_holds(write))
             .collect::<Result<Vec<_>, _>>()?;
         if !self.writes.take(now, rate, writes.len()) {
             self.log.throttled += 1;
-            return Err(TableFault::Throttled);
+            return Err(TableError::Throttled);
         }
-        if holds.contains(&false) {
+        if results.contains(&false) {
             self.log.conflicts += 1;
             let code = |holds| {
                 if holds {
@@ -227,8 +233,8 @@
                     "ConditionalCheckFailed"
                 }
             };
-            let reasons = holds.into_iter().map(code).collect();
-            return Err(TableFault::Cancelled { reasons });
+            let reasons = results.into_iter().map(code).collect();
+            return Err(TableError::Cancelled { reasons });
         }
         self.log.writes += writes.len() as u64;
         for write in writes {
@@ -245,8 +251,8 @@
         Ok("{}".to_owned())
     }
 
-    fn holds(&self, write: &Write) -> Result<bool, TableFault> {
-        let (table, pk, sk, condition, seen) = match write {
+    fn condition_holds(&self, write: &Write) -> Result<bool, TableError> {
+        let (table, pk, sk, condition, expected) = match write {
             Write::Put(put) => (
                 &put.table_name,
                 &put.item.pk,
@@ -264,15 +270,15 @@
         };
         check(table, true)?;
         let row = self.rows.get(&(pk.s.clone(), sk.s.clone()));
-        match (condition.as_str(), seen) {
+        match (condition.as_str(), expected) {
             ("attribute_not_exists(pk)", None) => Ok(row.is_none()),
-            ("ver = :v", Some(seen)) => Ok(row.is_some_and(|row| row.ver == seen.version)),
+            ("ver = :v", Some(expected)) => Ok(row.is_some_and(|row| row.ver == expected.version)),
             _ => Err(invalid("unknown condition, or its values don't fit")),
         }
     }
 }
 
-fn check(table: &str, consistent: bool) -> Result<(), TableFault> {
+fn check(table: &str, consistent: bool) -> Result<(), TableError> {
     match (table, consistent) {
         (TABLE, true) => Ok(()),
         (TABLE, false) => Err(invalid("only consistent reads are known")),
@@ -280,17 +286,17 @@
     }
 }
 
-fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, TableFault> {
+fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, TableError> {
     serde_json::from_slice(body).map_err(|e| invalid(&e.to_string()))
 }
 
-fn invalid(what: &str) -> TableFault {
-    TableFault::Invalid {
-        what: what.to_owned(),
+fn invalid(problem: &str) -> TableError {
+    TableError::Invalid {
+        problem: problem.to_owned(),
     }
 }
 
-fn text(content: &impl Serialize) -> String {
+fn to_json(content: &impl Serialize) -> String {
     // Structs of text and numbers always become JSON.
     serde_json::to_string(content).unwrap_or_default()
 }
--- a/components/standins/src/platform/table_form.rs
+++ b/components/standins/src/platform/table_api.rs
@@ -3,28 +3,28 @@
 use serde::{Deserialize, Serialize};
 
 #[derive(Serialize)]
-pub struct FaultBody<'a> {
+pub struct ErrorBody<'a> {
     #[serde(rename = "__type")]
     pub kind: String,
     pub message: String,
     #[serde(rename = "CancellationReasons", skip_serializing_if = "Vec::is_empty")]
-    pub reasons: Vec<Reason<'a>>,
+    pub reasons: Vec<CancellationReason<'a>>,
 }
 
 #[derive(Serialize)]
-pub struct Reason<'a> {
+pub struct CancellationReason<'a> {
     #[serde(rename = "Code")]
     pub code: &'a str,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Text {
+pub struct StringValue {
     #[serde(rename = "S")]
     pub s: String,
 }
 
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Number {
+pub struct NumberValue {
     #[serde(rename = "N")]
     pub n: String,
 }
@@ -32,21 +32,21 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Item {
-    pub pk: Text,
-    pub sk: Text,
-    pub ver: Number,
-    pub body: Text,
+    pub pk: StringValue,
+    pub sk: StringValue,
+    pub ver: NumberValue,
+    pub body: StringValue,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Key {
-    pub pk: Text,
-    pub sk: Text,
+    pub pk: StringValue,
+    pub sk: StringValue,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Get {
+pub struct GetRequest {
     pub table_name: String,
     pub key: Key,
     #[serde(default)]
@@ -55,10 +55,10 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Query {
+pub struct QueryRequest {
     pub table_name: String,
     pub key_condition_expression: String,
-    pub expression_attribute_values: Range,
+    pub expression_attribute_values: QueryValues,
     #[serde(default)]
     pub limit: Option<usize>,
     #[serde(default)]
@@ -66,22 +66,22 @@
 }
 
 #[derive(Deserialize)]
-pub struct Range {
+pub struct QueryValues {
     #[serde(rename = ":p")]
-    pub partition: Text,
+    pub partition: StringValue,
     #[serde(rename = ":s")]
-    pub after: Text,
+    pub after: StringValue,
 }
 
 #[derive(Deserialize)]
-pub struct Seen {
+pub struct ExpectedVersion {
     #[serde(rename = ":v")]
-    pub version: Number,
+    pub version: NumberValue,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Commit {
+pub struct TransactWriteRequest {
     pub transact_items: Vec<Write>,
 }
 
@@ -98,7 +98,7 @@
     pub item: Item,
     pub condition_expression: String,
     #[serde(default)]
-    pub expression_attribute_values: Option<Seen>,
+    pub expression_attribute_values: Option<ExpectedVersion>,
 }
 
 #[derive(Deserialize)]
@@ -107,19 +107,19 @@
     pub table_name: String,
     pub key: Key,
     pub condition_expression: String,
-    pub expression_attribute_values: Seen,
+    pub expression_attribute_values: ExpectedVersion,
 }
 
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Got<'a> {
+pub struct GetResponse<'a> {
     #[serde(skip_serializing_if = "Option::is_none")]
     pub item: Option<&'a Item>,
 }
 
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Found<'a> {
+pub struct QueryResponse<'a> {
     pub count: usize,
     pub items: Vec<&'a Item>,
     #[serde(skip_serializing_if = "Option::is_none")]
--- a/components/standins/src/service.rs
+++ b/components/standins/src/service.rs
@@ -11,9 +11,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::{
-    control::{self, Call},
-    life::{Entry, Faults, Life, LifeLog, LifeSettings, Load},
-    link::{self, Running},
+    connection::{self, StandinHandle},
+    control::{self, ReceivedRequest},
+    lifecycle::{Admission, Faults, Lifecycle, LifecycleLog, LifecycleSettings, Load},
 };
 
 /// Settings of a plain service.
@@ -21,7 +21,8 @@
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceSettings {
     /// Its life.
-    pub life: LifeSettings,
+    #[serde(rename = "life")]
+    pub lifecycle: LifecycleSettings,
     /// Seed of the jitter.
     pub seed: u64,
     /// Milliseconds that a lone call takes.
@@ -29,7 +30,8 @@
     /// Largest random part on top, in milliseconds.
     pub jitter_ms: f64,
     /// Concurrent calls at which a call takes twice as long.
-    pub comfortable: f64,
+    #[serde(rename = "comfortable")]
+    pub doubling_concurrency: f64,
     /// Factor on the time of a call while cold.
     pub cold_factor: f64,
 }
@@ -37,11 +39,11 @@
 impl Default for ServiceSettings {
     fn default() -> Self {
         Self {
-            life: LifeSettings::default(),
+            lifecycle: LifecycleSettings::default(),
             seed: 1,
             latency_ms: 3.0,
             jitter_ms: 1.0,
-            comfortable: 64.0,
+            doubling_concurrency: 64.0,
             cold_factor: 3.0,
         }
     }
@@ -51,7 +53,8 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct ServiceLog {
     /// Its life.
-    pub life: LifeLog,
+    #[serde(rename = "life")]
+    pub lifecycle: LifecycleLog,
     /// Effects by identity.
     pub effects: BTreeMap<String, u32>,
     /// Calls without effect by identity.
@@ -76,7 +79,7 @@
 
 struct Inner {
     settings: ServiceSettings,
-    life: Arc<Life>,
+    lifecycle: Arc<Lifecycle>,
     state: Mutex<State>,
 }
 
@@ -90,8 +93,11 @@
 ///
 /// # Errors
 /// Passes on why the address can't be listened on.
-pub async fn start(addr: SocketAddr, settings: ServiceSettings) -> io::Result<Running<Service>> {
-    let life = Arc::new(Life::new(settings.life.clone()));
+pub async fn start(
+    addr: SocketAddr,
+    settings: ServiceSettings,
+) -> io::Result<StandinHandle<Service>> {
+    let lifecycle = Arc::new(Lifecycle::new(settings.lifecycle.clone()));
     let state = State {
         running: 0,
         rng: fastrand::Rng::with_seed(settings.seed),
@@ -99,107 +105,107 @@
     };
     let inner = Arc::new(Inner {
         settings,
-        life: Arc::clone(&life),
+        lifecycle: Arc::clone(&lifecycle),
         state: Mutex::new(state),
     });
     let sampled = Arc::clone(&inner);
     let service = Arc::new(Service { inner });
-    let running = link::serve(addr, Arc::clone(&life.links), service).await?;
+    let running = connection::serve(addr, Arc::clone(&lifecycle.connections), service).await?;
     let sample = move || Load {
         running: sampled.state.lock().running,
         ..Load::default()
     };
-    let task = workers::spawn(life.run(running.addr, sample));
+    let task = workers::spawn(lifecycle.run(running.addr, sample));
     Ok(running.with_task(task))
 }
 
 impl Service {
     /// Sets faults.
-    pub fn set(&self, faults: Faults) {
-        self.inner.life.set(faults);
+    pub fn set_faults(&self, faults: Faults) {
+        self.inner.lifecycle.set_faults(faults);
     }
 
     /// What happened so far.
     #[must_use]
     pub fn log(&self) -> ServiceLog {
         let mut log = self.inner.state.lock().log.clone();
-        log.life = self.inner.life.log();
+        log.lifecycle = self.inner.lifecycle.log();
         log
     }
 
-    async fn work(&self, call: Call) -> Response<Body> {
+    async fn handle_request(&self, req: ReceivedRequest) -> Response<Body> {
         let entry = {
             let mut state = self.inner.state.lock();
-            let entry = self.inner.life.enter(state.running, &call.link);
-            state.running += u32::from(entry == Entry::Runs);
+            let entry = self.inner.lifecycle.admit(state.running, &req.connection);
+            state.running += u32::from(entry == Admission::Admitted);
             entry
         };
         match entry {
-            Entry::Runs => {}
-            Entry::Refused => return control::not_run(503, "not-taking-work"),
-            Entry::FellOver => return control::hang_up(&call.link),
+            Admission::Admitted => {}
+            Admission::Refused => return control::not_run(503, "not-taking-work"),
+            Admission::Crashed => return control::close_connection(&req.connection),
         }
         // The work goes on when the caller hangs up, as it does in a real service.
         let (tx, rx) = bounded(1);
         let inner = Arc::clone(&self.inner);
         let run = async move {
-            let answer = inner.run(&call).await;
+            let answer = inner.run(&req).await;
             // The caller may have gone.
             let _ = tx.send(answer).await;
         };
         workers::spawn(run).detach();
         match rx.recv().await {
             Ok(Some(answer)) => Reply::json(200, &answer).done(),
-            _ => control::never().await,
+            _ => control::pending_response().await,
         }
     }
 }
 
 impl Inner {
-    async fn run(&self, call: &Call) -> Option<Answer> {
-        let incarnation = self.life.log().incarnation;
-        let time = self.call_time();
-        self.life.timer.sleep(time).await;
-        self.life.stall().await;
+    async fn run(&self, req: &ReceivedRequest) -> Option<Answer> {
+        let incarnation = self.lifecycle.log().incarnation;
+        let time = self.service_time();
+        self.lifecycle.timer.sleep(time).await;
+        self.lifecycle.wait_for_stall_end().await;
         let mut state = self.state.lock();
         state.running -= 1;
-        if !self.life.lives(incarnation) {
+        if !self.lifecycle.is_up_as(incarnation) {
             return None;
         }
-        let effect = call.header("x-effect");
+        let effect = req.header("x-effect");
         let identity = if effect.is_empty() {
-            call.header("x-request-id")
+            req.header("x-request-id")
         } else {
             effect
         };
-        let counts = match call.method.as_str() {
+        let counts = match req.method.as_str() {
             "POST" | "PUT" | "DELETE" | "PATCH" => &mut state.log.effects,
             _ => &mut state.log.lookups,
         };
         *counts.entry(identity.to_owned()).or_default() += 1;
-        self.life.finished();
-        if self.life.never_answers() {
+        self.lifecycle.record_finished();
+        if self.lifecycle.take_unanswered() {
             return None;
         }
-        let query = if call.query.is_empty() { "" } else { "?" };
+        let query = if req.query.is_empty() { "" } else { "?" };
         Some(Answer {
-            path: format!("{}{query}{}", call.path, call.query),
-            seen: call.header("x-echo").to_owned(),
-            body: format!("{:016x}", xxh3_64(&call.body)),
+            path: format!("{}{query}{}", req.path, req.query),
+            seen: req.header("x-echo").to_owned(),
+            body: format!("{:016x}", xxh3_64(&req.body)),
         })
     }
 
-    fn call_time(&self) -> Duration {
+    fn service_time(&self) -> Duration {
         let settings = &self.settings;
         let mut state = self.state.lock();
         let jitter = state.rng.f64() * settings.jitter_ms;
-        let crowd = 1.0 + f64::from(state.running - 1) / settings.comfortable;
-        let cold = if self.life.log().warm {
+        let contention = 1.0 + f64::from(state.running - 1) / settings.doubling_concurrency;
+        let cold = if self.lifecycle.log().warm {
             1.0
         } else {
             settings.cold_factor
         };
-        let ms = (settings.latency_ms * crowd + jitter) * cold * self.life.slow();
+        let ms = (settings.latency_ms * contention + jitter) * cold * self.lifecycle.slowdown();
         Duration::from_secs_f64(ms.max(0.0) / 1000.0)
     }
 }
@@ -207,20 +213,20 @@
 #[async_trait]
 impl Handler for Service {
     async fn handle(&self, _peer: SocketAddr, req: Request<Incoming>) -> Response<Body> {
-        let Some(call) = Call::read(req).await else {
+        let Some(req) = ReceivedRequest::read(req).await else {
             return Reply::new(400).done();
         };
-        match call.path.as_str() {
-            "/load" => self.inner.life.load(),
-            "/control/faults" => match call.json() {
+        match req.path.as_str() {
+            "/load" => self.inner.lifecycle.load(),
+            "/control/faults" => match req.json() {
                 Ok(faults) => {
-                    self.set(faults);
-                    control::done()
+                    self.set_faults(faults);
+                    control::empty_ok()
                 }
-                Err(refusal) => *refusal,
+                Err(response) => *response,
             },
             "/control/log" => Reply::json(200, &self.log()).done(),
-            _ => self.work(call).await,
+            _ => self.handle_request(req).await,
         }
     }
 }
--- a/components/standins/tests/engine.rs
+++ b/components/standins/tests/engine.rs
@@ -12,33 +12,33 @@
 use net::Client;
 use smol::{Timer, block_on};
 use standins::{
+    connection::StandinHandle,
     engine::{
         self, Engine, EngineSettings,
-        batch::{Batch, End, Work},
+        batch::{Batch, EndReason, NewGeneration},
     },
-    life::{Act, Cut, Faults, LifeSettings},
-    link::Running,
+    lifecycle::{Cut, FaultAction, Faults, LifecycleSettings},
 };
 
-fn quick(warm: bool) -> EngineSettings {
+fn settings(warm: bool) -> EngineSettings {
     EngineSettings {
-        life: LifeSettings {
+        lifecycle: LifecycleSettings {
             name: "e1".to_owned(),
             warm,
             restart_ms: 50,
-            ..LifeSettings::default()
+            ..LifecycleSettings::default()
         },
         step_ms: 1.0,
         ..EngineSettings::default()
     }
 }
 
-async fn start(warm: bool) -> Running<Engine> {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    engine::start(any, quick(warm)).await.unwrap()
+async fn start(warm: bool) -> StandinHandle<Engine> {
+    let ephemeral = SocketAddr::from(([127, 0, 0, 1], 0));
+    engine::start(ephemeral, settings(warm)).await.unwrap()
 }
 
-async fn ask(addr: SocketAddr, tokens: u64) -> Option<Response<Incoming>> {
+async fn request_stream(addr: SocketAddr, tokens: u64) -> Option<Response<Incoming>> {
     let body = format!(
         r#"{{"messages":[{{"role":"user","content":"hi"}}],"stream":true,"metadata":{{"output_tokens":"{tokens}"}}}}"#
     );
@@ -54,16 +54,16 @@
         text += &String::from_utf8_lossy(frame.data_ref().unwrap());
     }
     let ids = text.lines().filter_map(|line| line.strip_prefix("id: "));
-    let whole = text.ends_with("data: [DONE]\n\n");
-    (ids.map(|id| id.parse().unwrap()).collect(), whole)
+    let complete = text.ends_with("data: [DONE]\n\n");
+    (ids.map(|id| id.parse().unwrap()).collect(), complete)
 }
 
-fn work(priority: i64) -> Work {
-    Work {
+fn new_generation(priority: i64) -> NewGeneration {
+    NewGeneration {
         priority,
         prompt_tokens: 10,
-        wanted: 40,
-        ..Work::default()
+        output_tokens: 40,
+        ..NewGeneration::default()
     }
 }
 
@@ -75,18 +75,18 @@
         capacity: 60,
         ..EngineSettings::default()
     });
-    batch.add(Duration::ZERO, 1, work(1));
-    batch.add(Duration::ZERO, 1, work(0));
+    batch.add(Duration::ZERO, 1, new_generation(1));
+    batch.add(Duration::ZERO, 1, new_generation(0));
     let mut now = Duration::ZERO;
     while let Some(time) = batch.plan(now) {
         now += time;
         batch.step(now);
     }
     assert!(batch.totals.preemptions > 0);
-    assert_eq!(batch.all[1].preempted, 0, "the urgent one stays in");
-    assert!(batch.all[0].stall_ms > 0);
-    for generation in &batch.all {
-        assert_eq!(generation.end, Some(End::Finished));
+    assert_eq!(batch.generations[1].preempted, 0, "the urgent one stays in");
+    assert!(batch.generations[0].stall_ms > 0);
+    for generation in &batch.generations {
+        assert_eq!(generation.end, Some(EndReason::Finished));
         assert_eq!(generation.produced, 40);
     }
 }
@@ -97,16 +97,16 @@
 fn a_cold_engine_falls_over_above_its_bound() {
     block_on(async {
         let running = start(false).await;
-        let first = ask(running.addr, 100_000).await.unwrap();
-        let second = ask(running.addr, 100_000).await.unwrap();
-        assert!(ask(running.addr, 1).await.is_none());
+        let first = request_stream(running.addr, 100_000).await.unwrap();
+        let second = request_stream(running.addr, 100_000).await.unwrap();
+        assert!(request_stream(running.addr, 1).await.is_none());
         let ((_, first), (_, second)) = zip(offsets(first), offsets(second)).await;
         assert!(!first && !second);
-        assert_eq!(running.standin.log().life.overfills, 1);
-        wait(|| running.standin.log().life.incarnation == 2).await;
-        let again = ask(running.addr, 3).await.unwrap();
-        assert_eq!(again.headers()["x-stream-id"], "e1-2-2");
-        assert_eq!(offsets(again).await, (vec![0, 1, 2], true));
+        assert_eq!(running.standin.log().lifecycle.overfills, 1);
+        wait_until(|| running.standin.log().lifecycle.incarnation == 2).await;
+        let response = request_stream(running.addr, 3).await.unwrap();
+        assert_eq!(response.headers()["x-stream-id"], "e1-2-2");
+        assert_eq!(offsets(response).await, (vec![0, 1, 2], true));
     });
 }
 
@@ -117,14 +117,14 @@
     block_on(async {
         let running = start(true).await;
         let bytes = 2000;
-        running.standin.set(Faults {
+        running.standin.set_faults(Faults {
             cut_answer: Some(Cut { bytes, times: 1 }),
             ..Faults::default()
         });
-        let resp = ask(running.addr, 50).await.unwrap();
+        let resp = request_stream(running.addr, 50).await.unwrap();
         let stream = resp.headers()["x-stream-id"].to_str().unwrap().to_owned();
-        let (seen, whole) = offsets(resp).await;
-        assert!(!whole && seen.len() < 50);
+        let (seen, complete) = offsets(resp).await;
+        assert!(!complete && seen.len() < 50);
         let req = Request::get(format!("/v1/streams/{stream}"))
             .header("last-event-id", "4")
             .body(Full::default());
@@ -142,14 +142,14 @@
 fn a_silent_connection_says_nothing_while_a_new_one_works() {
     block_on(async {
         let running = start(true).await;
-        let resp = ask(running.addr, 5000).await.unwrap();
-        let act = Some(Act::Silence);
-        running.standin.set(Faults {
-            act,
+        let resp = request_stream(running.addr, 5000).await.unwrap();
+        let action = Some(FaultAction::Silence);
+        running.standin.set_faults(Faults {
+            action,
             ..Faults::default()
         });
         let old = workers::spawn(offsets(resp));
-        let new = ask(running.addr, 3).await.unwrap();
+        let new = request_stream(running.addr, 3).await.unwrap();
         assert_eq!(offsets(new).await, (vec![0, 1, 2], true));
         assert!(!old.is_finished());
     });
@@ -166,21 +166,21 @@
             stall_ms: Some(ms),
             ..Faults::default()
         };
-        running.standin.set(stall(60_000));
-        let held = ask(running.addr, 5).await.unwrap();
+        running.standin.set_faults(stall(60_000));
+        let held = request_stream(running.addr, 5).await.unwrap();
         // The step that produces the first token has begun, and stands still.
         Timer::after(Duration::from_millis(100)).await;
-        running.standin.set(Faults {
-            act: Some(Act::Crash),
+        running.standin.set_faults(Faults {
+            action: Some(FaultAction::Crash),
             ..Faults::default()
         });
-        running.standin.set(stall(0));
+        running.standin.set_faults(stall(0));
         assert_eq!(offsets(held).await, (vec![], false));
-        wait(|| running.standin.log().life.incarnation == 2).await;
-        let begun = Instant::now();
-        let again = ask(running.addr, 3).await.unwrap();
-        assert_eq!(offsets(again).await, (vec![0, 1, 2], true));
-        assert!(begun.elapsed() < Duration::from_secs(20), "it waited");
+        wait_until(|| running.standin.log().lifecycle.incarnation == 2).await;
+        let started_at = Instant::now();
+        let response = request_stream(running.addr, 3).await.unwrap();
+        assert_eq!(offsets(response).await, (vec![0, 1, 2], true));
+        assert!(started_at.elapsed() < Duration::from_secs(20), "it waited");
     });
 }
 
@@ -190,26 +190,26 @@
 fn a_stall_ends_with_the_life_that_it_was_meant_for() {
     block_on(async {
         let running = start(true).await;
-        running.standin.set(Faults {
+        running.standin.set_faults(Faults {
             stall_ms: Some(60_000),
             ..Faults::default()
         });
-        running.standin.set(Faults {
-            act: Some(Act::Crash),
+        running.standin.set_faults(Faults {
+            action: Some(FaultAction::Crash),
             ..Faults::default()
         });
-        wait(|| running.standin.log().life.incarnation == 2).await;
-        let begun = Instant::now();
-        let again = ask(running.addr, 3).await.unwrap();
-        assert_eq!(offsets(again).await, (vec![0, 1, 2], true));
-        assert!(begun.elapsed() < Duration::from_secs(20), "it waited");
+        wait_until(|| running.standin.log().lifecycle.incarnation == 2).await;
+        let started_at = Instant::now();
+        let response = request_stream(running.addr, 3).await.unwrap();
+        assert_eq!(offsets(response).await, (vec![0, 1, 2], true));
+        assert!(started_at.elapsed() < Duration::from_secs(20), "it waited");
     });
 }
 
-async fn wait(done: impl Fn() -> bool) {
-    let patience = Instant::now() + Duration::from_secs(20);
+async fn wait_until(done: impl Fn() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(20);
     while !done() {
-        assert!(Instant::now() < patience, "it did not come about");
+        assert!(Instant::now() < deadline, "it did not come about");
         Timer::after(Duration::from_millis(5)).await;
     }
 }
--- a/components/standins/tests/platform.rs
+++ b/components/standins/tests/platform.rs
@@ -8,11 +8,11 @@
 use net::Client;
 use smol::block_on;
 use standins::{
-    control::Listed,
+    control::DirectoryEntry,
     platform::{self, Faults},
 };
 
-fn any() -> SocketAddr {
+fn ephemeral() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -40,7 +40,9 @@
 #[test]
 fn a_commit_writes_all_rows_or_none() {
     block_on(async {
-        let running = platform::start(any(), Faults::default()).await.unwrap();
+        let running = platform::start(ephemeral(), Faults::default())
+            .await
+            .unwrap();
         let (status, _) = commit(running.addr, &[insert("a")]).await.unwrap();
         assert_eq!(status, 200);
         let (status, body) = commit(running.addr, &[insert("b"), insert("a")])
@@ -62,7 +64,7 @@
             lose_answers: Some(1),
             ..Faults::default()
         };
-        let running = platform::start(any(), faults).await.unwrap();
+        let running = platform::start(ephemeral(), faults).await.unwrap();
         assert_eq!(commit(running.addr, &[insert("a")]).await, None);
         assert_eq!(running.standin.log().lost, 1);
         let (status, _) = commit(running.addr, &[insert("a")]).await.unwrap();
@@ -77,7 +79,7 @@
             write_rate: Some(2.0),
             ..Faults::default()
         };
-        let running = platform::start(any(), faults).await.unwrap();
+        let running = platform::start(ephemeral(), faults).await.unwrap();
         let writes = [insert("a"), insert("b"), insert("c")];
         let (status, body) = commit(running.addr, &writes).await.unwrap();
         assert_eq!(status, 400);
@@ -91,16 +93,18 @@
 #[test]
 fn the_directory_shows_the_past() {
     block_on(async {
-        let running = platform::start(any(), Faults::default()).await.unwrap();
-        running.standin.register(Listed {
+        let running = platform::start(ephemeral(), Faults::default())
+            .await
+            .unwrap();
+        running.standin.register(DirectoryEntry {
             name: "e1".to_owned(),
             service: "m".to_owned(),
             addr: "127.0.0.1:9".to_owned(),
             incarnation: 7,
-            ..Listed::default()
+            ..DirectoryEntry::default()
         });
         assert!(slices(running.addr).await.contains(r#""uid":"7""#));
-        running.standin.set(Faults {
+        running.standin.set_faults(Faults {
             directory_lag_ms: Some(60_000),
             ..Faults::default()
         });
--- a/components/standins/tests/service.rs
+++ b/components/standins/tests/service.rs
@@ -8,17 +8,17 @@
 use net::Client;
 use smol::block_on;
 use standins::{
-    life::{Cut, Faults},
-    link::Running,
+    connection::StandinHandle,
+    lifecycle::{Cut, Faults},
     service::{self, Service, ServiceSettings},
 };
 
-async fn start(faults: Faults) -> Running<Service> {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let running = service::start(any, ServiceSettings::default())
+async fn start(faults: Faults) -> StandinHandle<Service> {
+    let ephemeral = SocketAddr::from(([127, 0, 0, 1], 0));
+    let running = service::start(ephemeral, ServiceSettings::default())
         .await
         .unwrap();
-    running.standin.set(faults);
+    running.standin.set_faults(faults);
     running
 }
 
@@ -32,7 +32,7 @@
     Some(String::from_utf8_lossy(&body).into_owned())
 }
 
-fn effects(running: &Running<Service>) -> u32 {
+fn effects(running: &StandinHandle<Service>) -> u32 {
     let log = running.standin.log();
     log.effects.get("grant-7").copied().unwrap_or(0)
 }
--- a/components/stores/tests/stores.rs
+++ b/components/stores/tests/stores.rs
@@ -6,7 +6,7 @@
 use net::Client;
 use proptest::prelude::*;
 use standins::{
-    control::Listed,
+    control::DirectoryEntry,
     platform::{Faults, start},
 };
 use stores::{Directory, Objects, PlatformError, S3Objects, SliceDirectory, slices::read_listing};
@@ -28,7 +28,7 @@
         let body = Bytes::from_static(&[0, 255, 10]);
         assert_eq!(objects.put("a/b", body.clone()).await, Ok(()));
         assert_eq!(objects.get("a/b").await, Ok(Some(body.clone())));
-        running.standin.set(Faults {
+        running.standin.set_faults(Faults {
             objects_down: Some(true),
             ..Faults::default()
         });
@@ -51,7 +51,7 @@
         let running = start(any_port(), Faults::default())
             .await
             .expect("a free port");
-        let listed = |name: &str, service: &str, leaving| Listed {
+        let listed = |name: &str, service: &str, leaving| DirectoryEntry {
             name: name.into(),
             service: service.into(),
             zone: "amman-1".into(),
--- a/components/stores/tests/table.rs
+++ b/components/stores/tests/table.rs
@@ -17,7 +17,7 @@
     DynamoTable::new(Client::new(), &format!("http://{addr}"), token).expect("a valid address")
 }
 
-async fn table(faults: Faults) -> (standins::Running<Platform>, DynamoTable) {
+async fn table(faults: Faults) -> (standins::StandinHandle<Platform>, DynamoTable) {
     let running = start(any_port(), faults).await.expect("a free port");
     let table = client(running.addr);
     (running, table)
--- a/src/demo/stand_ins.rs
+++ b/src/demo/stand_ins.rs
@@ -6,10 +6,10 @@
 };
 
 use standins::{
-    Running,
-    control::Listed,
+    StandinHandle,
+    control::DirectoryEntry,
     engine::{self, Engine, EngineSettings},
-    life::LifeSettings,
+    lifecycle::LifecycleSettings,
     platform::{self, Faults, Platform},
     service::{self, Service, ServiceSettings},
 };
@@ -24,9 +24,9 @@
 /// The running stand-ins; they stop when this is dropped.
 pub struct StandIns {
     /// The platform.
-    pub platform: Running<Platform>,
-    _engines: Vec<Running<Engine>>,
-    service: Running<Service>,
+    pub platform: StandinHandle<Platform>,
+    _engines: Vec<StandinHandle<Engine>>,
+    service: StandinHandle<Service>,
 }
 
 impl StandIns {
@@ -37,25 +37,25 @@
     pub async fn start() -> io::Result<Self> {
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let platform = platform::start(any, Faults::default()).await?;
-        let life = |name: String, service: &str| LifeSettings {
+        let life = |name: String, service: &str| LifecycleSettings {
             name,
             service: service.to_owned(),
             zone: DATA_CENTRE.to_owned(),
             platform: Some(platform.addr),
             warm: true,
-            ..LifeSettings::default()
+            ..LifecycleSettings::default()
         };
         let mut engines = Vec::new();
         for number in 1..=ENGINES {
             let settings = EngineSettings {
-                life: life(format!("engine-{number}"), MODEL),
+                lifecycle: life(format!("engine-{number}"), MODEL),
                 seed: number,
                 ..EngineSettings::default()
             };
             engines.push(engine::start(any, settings).await?);
         }
         let settings = ServiceSettings {
-            life: life("orders-1".to_owned(), PLAIN),
+            lifecycle: life("orders-1".to_owned(), PLAIN),
             ..ServiceSettings::default()
         };
         let service = service::start(any, settings).await?;
@@ -68,7 +68,7 @@
 
     /// Adds the instance, which listens for peers at this address, to the platform's list.
     pub fn list_instance(&self, peer: SocketAddr) {
-        self.platform.standin.register(Listed {
+        self.platform.standin.register(DirectoryEntry {
             name: INSTANCE.to_owned(),
             service: MEMBERS.to_owned(),
             zone: DATA_CENTRE.to_owned(),
@@ -86,7 +86,7 @@
 
     /// Makes the table service refuse all calls, or serve them again.
     pub fn set_table_down(&self, down: bool) {
-        self.platform.standin.set(Faults {
+        self.platform.standin.set_faults(Faults {
             table_down: Some(down),
             ..Faults::default()
         });
--- a/tests/promises_calls.rs
+++ b/tests/promises_calls.rs
@@ -11,7 +11,7 @@
     verify::breaches,
 };
 use standins::{
-    life::{Act, Faults},
+    lifecycle::{FaultAction, Faults},
     platform,
 };
 use timer::Timer;
@@ -24,7 +24,7 @@
 
 fn plan() -> Plan {
     let mut plan = support::plan();
-    plan.replica.life.warm = true;
+    plan.replica.lifecycle.warm = true;
     // Long enough that calls sent together are in flight together.
     plan.replica.latency_ms = 150.0;
     plan
@@ -100,7 +100,7 @@
 
 async fn cut_services(deployment: &Deployment) {
     let faults = Faults {
-        act: Some(Act::Cut),
+        action: Some(FaultAction::Cut),
         ..Faults::default()
     };
     for service in &deployment.services {
--- a/tests/promises_data_centre.rs
+++ b/tests/promises_data_centre.rs
@@ -40,9 +40,9 @@
 
 fn plan() -> Plan {
     let mut plan = support::plan();
-    plan.engine.life.warm = true;
+    plan.engine.lifecycle.warm = true;
     plan.engine.step_ms = 10.0;
-    plan.replica.life.warm = true;
+    plan.replica.lifecycle.warm = true;
     plan
 }
 
--- a/tests/promises_quarantine.rs
+++ b/tests/promises_quarantine.rs
@@ -8,7 +8,7 @@
     caller::{Caller, Outcome, Wanted, What},
     deployment::{Deployment, Plan},
 };
-use standins::engine::CRASHING;
+use standins::engine::CRASH_TRIGGER;
 use timer::Timer;
 
 /// Time between two sendings: a crashed engine is back by then.
@@ -21,8 +21,8 @@
 
 fn plan() -> Plan {
     let mut plan = support::plan();
-    plan.engine.life.warm = true;
-    plan.engine.life.restart_ms = 400;
+    plan.engine.lifecycle.warm = true;
+    plan.engine.lifecycle.restart_ms = 400;
     // One attempt crashes all engines at once, and waits until they are warm again or it is late.
     if let Some(model) = plan.tree.get_mut("/services/catalogue") {
         model.knobs.deadline_ms = Some(4_000);
@@ -44,7 +44,10 @@
 /// Lives of all engines that have ended.
 async fn ended(deployment: &Deployment) -> u64 {
     let logs = deployment.logs().await;
-    let lives = logs.engines.values().map(|log| log.life.incarnation - 1);
+    let lives = logs
+        .engines
+        .values()
+        .map(|log| log.lifecycle.incarnation - 1);
     lives.sum()
 }
 
@@ -53,7 +56,9 @@
     let mut outcomes = Vec::new();
     for number in 0..times {
         let to = entries[number % entries.len()];
-        let record = caller.follow(&[to], &draft("the same", CRASHING)).await;
+        let record = caller
+            .follow(&[to], &draft("the same", CRASH_TRIGGER))
+            .await;
         outcomes.push(record.outcome);
         smol::Timer::after(BETWEEN).await;
     }
--- a/tests/promises_stops.rs
+++ b/tests/promises_stops.rs
@@ -54,8 +54,8 @@
 
 fn plan() -> Plan {
     let mut plan = support::plan();
-    plan.engine.life.warm = true;
-    plan.replica.life.warm = true;
+    plan.engine.lifecycle.warm = true;
+    plan.replica.lifecycle.warm = true;
     plan
 }
 
--- a/tests/promises_streams.rs
+++ b/tests/promises_streams.rs
@@ -12,8 +12,8 @@
 };
 use smol::Task;
 use standins::{
-    engine::batch::{End, Generation},
-    life::{Act, Faults},
+    engine::batch::{EndReason, Generation},
+    lifecycle::{FaultAction, Faults},
 };
 use timer::Timer;
 
@@ -32,7 +32,7 @@
 
 fn plan() -> Plan {
     let mut plan = support::plan();
-    plan.engine.life.warm = true;
+    plan.engine.lifecycle.warm = true;
     plan
 }
 
@@ -107,9 +107,9 @@
     panic!("{name} never had {tokens} tokens: {found:?}\n{tails}");
 }
 
-async fn act(deployment: &Deployment, engine: usize, act: Act) {
+async fn act(deployment: &Deployment, engine: usize, act: FaultAction) {
     let faults = Faults {
-        act: Some(act),
+        action: Some(act),
         ..Faults::default()
     };
     deployment
@@ -187,19 +187,19 @@
         stall(deployment, STALL_MS).await;
         let stream = follow(&caller, &entries[..1], draft("unseen", 20));
         let engine = until_produced(deployment, "unseen", 0).await;
-        act(deployment, engine, Act::Crash).await;
+        act(deployment, engine, FaultAction::Crash).await;
         stall(deployment, 0).await;
         let record = stream.await;
         assert_eq!(record.outcome, Outcome::Whole, "{}", deployment.tail(0));
         assert_eq!((record.tokens, record.resumed), (20, 0));
         let begun = generations(deployment, "unseen").await;
-        let ends: Vec<Option<End>> = begun.iter().map(|(_, g)| g.end).collect();
-        assert!(ends.contains(&Some(End::Dropped)), "{begun:?}");
+        let ends: Vec<Option<EndReason>> = begun.iter().map(|(_, g)| g.end).collect();
+        assert!(ends.contains(&Some(EndReason::Dropped)), "{begun:?}");
         records.push(record);
 
         let stream = follow(&caller, &entries[1..2], draft("seen", LONG));
         let engine = until_produced(deployment, "seen", 10).await;
-        act(deployment, engine, Act::Crash).await;
+        act(deployment, engine, FaultAction::Crash).await;
         let record = stream.await;
         assert_eq!(record.outcome, Outcome::Partial, "{}", deployment.tail(1));
         assert!((1..LONG).contains(&record.tokens), "{record:?}");
