--- a/src/cmd/try_platform.rs
+++ b/src/cmd/try_platform.rs
@@ -9,7 +9,7 @@
 use net::Client;
 use platform::{EngineClient, HttpAdapter, RowStore};
 use platform_standin::{
-    caller::{Caller, Got, all_events, read},
+    caller::{Caller, ReceivedAnswer, all_events, read_answer},
     deployment::{Deployment, settings},
 };
 use timer::Timer;
@@ -100,7 +100,7 @@
 ) -> errors::Result<()> {
     let plain = &deployment.plain[0];
     plain.set_limit(Some(RATE_LIMIT));
-    let (timer, before, mut calls) = (Timer::new(), plain.ran(), 0);
+    let (timer, before, mut calls) = (Timer::new(), plain.run_count(), 0);
     while timer.now() < OVERLOAD_DURATION {
         let id = format!("try-need-{calls}");
         caller.call(to, "GET", "/titles/1", &id).await;
@@ -108,7 +108,7 @@
         timer.sleep(CALL_INTERVAL).await;
     }
     plain.set_limit(None);
-    let got = plain.ran() - before;
+    let got = plain.run_count() - before;
     output::line(format_args!(
         "A process that takes {RATE_LIMIT} requests a second got {got} of {calls} calls in \
          {OVERLOAD_DURATION:?}"
@@ -134,13 +134,13 @@
     }
     engines.push(deployment.engines[1].clone());
     let timer = Timer::new();
-    let mut last = Got::default();
+    let mut last = ReceivedAnswer::default();
     for number in 0..CRASH_ATTEMPTS {
         let id = format!("try-crash-{number}");
         last = caller.crash(to, "POST", "/drafts/1", &id).await;
         timer.sleep(LEAVE_DELAY).await;
         for engine in engines.iter().filter(|engine| engine.has_crashed()) {
-            deployment.store.drop_row("servers", &engine.id());
+            deployment.store.delete_row("servers", &engine.id());
         }
         timer.sleep(LEAVE_DELAY).await;
     }
@@ -157,7 +157,7 @@
 }
 
 /// Repeats a plain call until it is served.
-async fn wait_until_served(caller: &Caller, to: SocketAddr) -> errors::Result<Got> {
+async fn wait_until_served(caller: &Caller, to: SocketAddr) -> errors::Result<ReceivedAnswer> {
     let timer = Timer::new();
     loop {
         let id = format!("try-{}", timer.now().as_millis());
@@ -183,10 +183,10 @@
         .await;
     let resp = resp.ok_or_else(|| Error::new("no answer to a generation"))?;
     Timer::new().sleep(LEAVE_DELAY).await;
-    deployment.engine_leaves(0);
-    let got = read(resp).await;
-    let is_complete = got.whole && got.body == all_events(EVENTS);
-    let second = deployment.engines[1].began().len();
+    deployment.set_engine_leaving(0);
+    let got = read_answer(resp).await;
+    let is_complete = got.is_complete && got.body == all_events(EVENTS);
+    let second = deployment.engines[1].started().len();
     output::line(format_args!(
         "A generation of {EVENTS} events whose engine left: all of them once and in order: \
          {is_complete}; begun anew elsewhere: {second}"
--- a/tests/platform/calls.rs
+++ b/tests/platform/calls.rs
@@ -20,7 +20,7 @@
             (200, "POST /grants/9?x=1 a body")
         );
         let seen = platform.plain[0]
-            .seen()
+            .received_headers()
             .pop()
             .expect("the near process got it");
         assert_eq!(seen.get("tenant").expect("a workspace"), "editors");
@@ -42,13 +42,19 @@
         let platform = Platform::start().await;
         let instance = platform.instance("again").await;
         let caller = Caller::new("key-1");
-        platform.plain[0].set_fault(Fault::Fails);
+        platform.plain[0].set_fault(Fault::ServerError);
         let got = caller.call(instance.addr, "GET", "/titles/9", "r-1").await;
         assert_eq!(got.status, 200);
-        assert_eq!((platform.plain[0].ran(), platform.plain[1].ran()), (1, 1));
+        assert_eq!(
+            (platform.plain[0].run_count(), platform.plain[1].run_count()),
+            (1, 1)
+        );
         let got = caller.call(instance.addr, "POST", "/grants/9", "r-2").await;
         assert_eq!(got.status, 500);
-        assert_eq!((platform.plain[0].ran(), platform.plain[1].ran()), (2, 1));
+        assert_eq!(
+            (platform.plain[0].run_count(), platform.plain[1].run_count()),
+            (2, 1)
+        );
     });
 }
 
@@ -60,17 +66,17 @@
         let platform = Platform::start().await;
         let instance = platform.instance("once").await;
         let caller = Caller::new("key-1");
-        for (number, fault) in [Fault::Crossed, Fault::Torn, Fault::Unsealed]
+        for (number, fault) in [Fault::WrongId, Fault::Truncated, Fault::NoSeal]
             .into_iter()
             .enumerate()
         {
             for process in &platform.plain {
                 process.set_fault(fault);
             }
-            let before: usize = platform.plain.iter().map(|p| p.ran()).sum();
+            let before: usize = platform.plain.iter().map(|p| p.run_count()).sum();
             let id = format!("r-{number}");
             let got = caller.call(instance.addr, "POST", "/grants/9", &id).await;
-            let after: usize = platform.plain.iter().map(|p| p.ran()).sum();
+            let after: usize = platform.plain.iter().map(|p| p.run_count()).sum();
             assert_eq!((got.status, after - before), (502, 1), "{fault:?}");
             let line = instance.line(&id, "SendingFailed").await;
             assert_eq!(line["fields"]["not_run"], false, "{fault:?}");
@@ -106,12 +112,12 @@
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("silent").await;
-        platform.plain[0].set_fault(Fault::Silent);
+        platform.plain[0].set_fault(Fault::NoAnswer);
         let got = Caller::new("key-1")
             .call(instance.addr, "GET", "/titles/9", "r-1")
             .await;
         assert_eq!(got.status, 200);
-        assert_eq!(platform.plain[1].ran(), 1);
+        assert_eq!(platform.plain[1].run_count(), 1);
     });
 }
 
@@ -165,7 +171,7 @@
         let platform = Platform::start().await;
         let instance = platform.instance("history").await;
         platform.configure(&["key-2"]);
-        platform.store.forget_history();
+        platform.store.discard_history();
         platform.configure(&["key-3"]);
         let caller = Caller::new("key-3");
         let caller = &caller;
@@ -238,11 +244,11 @@
             instances.push(platform.instance(name).await);
         }
         Timer::after(Duration::from_secs(2)).await;
-        let before = instances.iter().map(|i| i.door.calls()).sum::<usize>();
+        let before = instances.iter().map(|i| i.door.call_count()).sum::<usize>();
         Timer::after(Duration::from_secs(4)).await;
         // Two readers of two topics make one call each 0.8 s: 20 in four seconds. Each of four
         // instances alone would make 40 and more.
-        let calls = instances.iter().map(|i| i.door.calls()).sum::<usize>() - before;
+        let calls = instances.iter().map(|i| i.door.call_count()).sum::<usize>() - before;
         assert!(calls <= 30, "{calls}");
         platform.configure(&["key-9"]);
         let caller = Caller::new("key-9");
@@ -262,7 +268,7 @@
 
 /// Which instances read the configuration at the store, and which follow those.
 async fn roles(instances: &[Instance]) -> (Vec<usize>, Vec<usize>) {
-    let followed = |n: usize| instances[n].door.followed("op");
+    let followed = |n: usize| instances[n].door.feed_calls("op");
     let before: Vec<usize> = (0..instances.len()).map(followed).collect();
     Timer::after(Duration::from_secs(3)).await;
     // A follower makes no calls in quiet times.
@@ -285,7 +291,7 @@
         Timer::after(Duration::from_secs(3)).await;
         let (readers, followers) = roles(&instances).await;
         for reader in &readers {
-            instances[*reader].door.set_shut(true);
+            instances[*reader].door.set_unavailable(true);
         }
         platform.configure(&["key-8"]);
         Timer::after(Duration::from_millis(1_900)).await;
@@ -330,15 +336,15 @@
         Timer::after(Duration::from_secs(3)).await;
         let (readers, followers) = roles(&instances).await;
         for reader in &readers {
-            instances[*reader].door.set_shut(true);
+            instances[*reader].door.set_unavailable(true);
         }
         Timer::after(Duration::from_secs(2)).await;
         for follower in &followers {
-            instances[*follower].door.set_shut(true);
+            instances[*follower].door.set_unavailable(true);
         }
         Timer::after(Duration::from_millis(50)).await;
         for follower in &followers {
-            instances[*follower].door.set_shut(false);
+            instances[*follower].door.set_unavailable(false);
         }
         platform.configure(&["key-7"]);
         Timer::after(Duration::from_millis(1_900)).await;
--- a/tests/platform/endings.rs
+++ b/tests/platform/endings.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use crate::support::{Caller, Instance, Platform, all_events, eventually, read};
+use crate::support::{Caller, Instance, Platform, all_events, eventually, read_answer};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Request, Response, body::Incoming};
@@ -13,7 +13,7 @@
 use platform_standin::{
     caller::{BODY, request},
     engine::{Exit, Faults},
-    peer::{Asks, Heard, Peer},
+    peer::{Peer, PlacementMode, ReceivedMessage},
     plain::Fault,
 };
 use serde_json::json;
@@ -45,7 +45,7 @@
         .send(instance.addr, "POST", "/drafts/1", "g-1", LONG)
         .await;
     Timer::after(SOME).await;
-    assert_eq!(platform.engines[0].working(), 1);
+    assert_eq!(platform.engines[0].active_count(), 1);
     (platform, instance, resp.expect("an answer"))
 }
 
@@ -54,13 +54,13 @@
 fn a_stream_without_length_that_ends_within_an_event_does_not_look_whole() {
     smol::block_on(async {
         let faults = Faults {
-            unframed: true,
+            close_delimited: true,
             ..Faults::default()
         };
         let (platform, _instance, resp) = under_way("within", faults).await;
         platform.engines[0].exit(Exit::WithinEvent);
-        let got = read(resp).await;
-        assert!(!got.whole, "{}", got.body);
+        let got = read_answer(resp).await;
+        assert!(!got.is_complete, "{}", got.body);
         assert!(all_events(LONG).starts_with(&got.body), "{}", got.body);
     });
 }
@@ -70,13 +70,13 @@
 fn a_stream_without_length_does_not_look_whole_when_its_engine_has_ended() {
     smol::block_on(async {
         let faults = Faults {
-            unframed: true,
+            close_delimited: true,
             ..Faults::default()
         };
         let (platform, _instance, resp) = under_way("ended", faults).await;
         platform.engines[0].exit(Exit::BetweenEvents);
-        let got = read(resp).await;
-        assert!(!got.whole, "{}", got.body);
+        let got = read_answer(resp).await;
+        assert!(!got.is_complete, "{}", got.body);
         assert!(all_events(LONG).starts_with(&got.body), "{}", got.body);
     });
 }
@@ -86,15 +86,15 @@
 fn a_stream_without_length_that_ends_at_a_leaving_engine_is_whole() {
     smol::block_on(async {
         let faults = Faults {
-            unframed: true,
+            close_delimited: true,
             ..Faults::default()
         };
         let (platform, _instance, resp) = under_way("stayed", faults).await;
         platform.engines[1].crash();
-        platform.store.drop_row("servers", "e-2");
-        platform.engine_leaves(0);
-        let got = read(resp).await;
-        assert_eq!((got.whole, got.body), (true, all_events(LONG)));
+        platform.store.delete_row("servers", "e-2");
+        platform.set_engine_leaving(0);
+        let got = read_answer(resp).await;
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
     });
 }
 
@@ -103,14 +103,14 @@
 fn a_stream_without_length_goes_on_when_the_answer_to_its_move_is_lost() {
     smol::block_on(async {
         let faults = Faults {
-            unframed: true,
-            loses_last_order: true,
+            close_delimited: true,
+            hangs_on_final_copy: true,
             ..Faults::default()
         };
         let (platform, _instance, resp) = under_way("unanswered", faults).await;
-        platform.engine_leaves(0);
-        let got = read(resp).await;
-        assert_eq!((got.whole, got.body), (true, all_events(LONG)));
+        platform.set_engine_leaving(0);
+        let got = read_answer(resp).await;
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
     });
 }
 
@@ -123,18 +123,18 @@
             refuses_copies: true,
             ..Faults::default()
         });
-        Peer::start(&platform.store, Asks::Granted(vec!["e-1".into()])).await;
+        Peer::start(&platform.store, PlacementMode::Assign(vec!["e-1".into()])).await;
         let instance = platform.instance("no-room").await;
         let caller = Caller::new("key-1");
         let resp = caller
             .send(instance.addr, "POST", "/drafts/1", "g-1", LONG)
             .await;
         Timer::after(SOME).await;
-        platform.engines[0].cut();
-        let got = read(resp.expect("an answer")).await;
-        assert_eq!((got.whole, got.body), (true, all_events(LONG)));
-        assert_eq!(platform.engines[0].began(), ["g-1"]);
-        assert!(platform.engines[1].began().is_empty());
+        platform.engines[0].abort_streams();
+        let got = read_answer(resp.expect("an answer")).await;
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
+        assert_eq!(platform.engines[0].started(), ["g-1"]);
+        assert!(platform.engines[1].started().is_empty());
     });
 }
 
@@ -143,13 +143,13 @@
 fn a_stream_goes_on_when_the_answer_to_its_move_is_lost() {
     smol::block_on(async {
         let faults = Faults {
-            loses_last_order: true,
+            hangs_on_final_copy: true,
             ..Faults::default()
         };
         let (platform, _instance, resp) = under_way("lost-answer", faults).await;
-        platform.engine_leaves(0);
-        let got = read(resp).await;
-        assert_eq!((got.whole, got.body), (true, all_events(LONG)));
+        platform.set_engine_leaving(0);
+        let got = read_answer(resp).await;
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
     });
 }
 
@@ -163,11 +163,11 @@
         };
         let (platform, _instance, resp) = under_way("asked", faults).await;
         // Asked after 900 ms of silence, and for 200 ms.
-        platform.engines[0].mute();
+        platform.engines[0].mute_streams();
         Timer::after(Duration::from_millis(940)).await;
-        platform.engine_leaves(0);
-        let got = read(resp).await;
-        assert_eq!((got.whole, got.body), (true, all_events(LONG)));
+        platform.set_engine_leaving(0);
+        let got = read_answer(resp).await;
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
     });
 }
 
@@ -176,14 +176,14 @@
 fn a_stream_that_is_reset_during_its_move_goes_on_where_it_was_moved() {
     smol::block_on(async {
         let faults = Faults {
-            cuts_at_copy: true,
+            aborts_stream_on_copy: true,
             ..Faults::default()
         };
         let (platform, _instance, resp) = under_way("reset-copy", faults).await;
-        platform.engine_leaves(0);
-        let got = read(resp).await;
-        assert_eq!((got.whole, got.body), (true, all_events(LONG)));
-        let began: usize = platform.engines.iter().map(|e| e.began().len()).sum();
+        platform.set_engine_leaving(0);
+        let got = read_answer(resp).await;
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
+        let began: usize = platform.engines.iter().map(|e| e.started().len()).sum();
         assert_eq!(began, 1, "it was never begun anew");
     });
 }
@@ -197,7 +197,7 @@
             copy_delay: Duration::from_millis(200),
             ..Faults::default()
         });
-        Peer::start(&platform.store, Asks::Granted(vec!["e-1".into()])).await;
+        Peer::start(&platform.store, PlacementMode::Assign(vec!["e-1".into()])).await;
         let instance = platform.instance("ownerless").await;
         let caller = Caller::new("key-1");
         let resp = caller
@@ -205,11 +205,11 @@
             .await;
         Timer::after(SOME).await;
         let patience = Duration::from_millis(100);
-        Peer::order(instance.peers, "g-1", ["e-1", "e-2"], patience).await;
+        Peer::send_migration(instance.peers, "g-1", ["e-1", "e-2"], patience).await;
         Timer::after(Duration::from_millis(500)).await;
         platform.engines[0].crash();
-        let got = read(resp.expect("an answer")).await;
-        assert_eq!((got.whole, got.body), (true, all_events(LONG)));
+        let got = read_answer(resp.expect("an answer")).await;
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
     });
 }
 
@@ -219,13 +219,13 @@
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("headless").await;
-        platform.engines[0].go_dark();
+        platform.engines[0].stop_responding();
         let sent = Instant::now();
         let caller = Caller::new("key-1");
         let asked = caller.generate(instance.addr, "g-1", LONG);
         let gone = async {
             Timer::after(SOME).await;
-            platform.store.drop_row("servers", "e-1");
+            platform.store.delete_row("servers", "e-1");
         };
         let (got, ()) = smol::future::zip(asked, gone).await;
         assert_eq!(got.status, 502);
@@ -235,7 +235,11 @@
 
 /// An instance whose engines belong to another one that treats asks like this, and what a caller of
 /// it gets.
-async fn with_owner(platform: &Platform, name: &str, asks: Asks) -> (Instance, u16, Duration) {
+async fn with_owner(
+    platform: &Platform,
+    name: &str,
+    asks: PlacementMode,
+) -> (Instance, u16, Duration) {
     Peer::start(&platform.store, asks).await;
     let instance = platform.instance(name).await;
     let sent = Instant::now();
@@ -248,7 +252,8 @@
 fn a_generation_is_served_in_time_though_its_owner_does_not_answer() {
     smol::block_on(async {
         let platform = Platform::start().await;
-        let (_instance, status, took) = with_owner(&platform, "no-owner", Asks::Unanswered).await;
+        let (_instance, status, took) =
+            with_owner(&platform, "no-owner", PlacementMode::NoAnswer).await;
         assert_eq!(status, 200);
         assert!(took < IN_TIME, "{took:?}");
     });
@@ -259,7 +264,8 @@
 fn a_generation_is_served_in_time_though_its_owner_stops_within_its_answer() {
     smol::block_on(async {
         let platform = Platform::start().await;
-        let (_instance, status, took) = with_owner(&platform, "half-owner", Asks::HeadOnly).await;
+        let (_instance, status, took) =
+            with_owner(&platform, "half-owner", PlacementMode::HeadOnly).await;
         assert_eq!(status, 200);
         assert!(took < IN_TIME, "{took:?}");
     });
@@ -270,11 +276,11 @@
 fn a_generation_runs_elsewhere_when_its_owner_grants_an_engine_that_is_not_listed() {
     smol::block_on(async {
         let platform = Platform::start().await;
-        let asks = Asks::Granted(vec!["e-9".into(), "e-1".into()]);
+        let asks = PlacementMode::Assign(vec!["e-9".into(), "e-1".into()]);
         let (_instance, status, took) = with_owner(&platform, "unlisted", asks).await;
         assert_eq!(status, 200);
         assert!(took < IN_TIME, "{took:?}");
-        assert_eq!(platform.engines[0].began(), ["g-1"]);
+        assert_eq!(platform.engines[0].started(), ["g-1"]);
     });
 }
 
@@ -283,13 +289,13 @@
 fn a_generation_runs_elsewhere_when_its_owner_grants_an_engine_that_leaves() {
     smol::block_on(async {
         let platform = Platform::start().await;
-        platform.engine_leaves(0);
-        let asks = Asks::Granted(vec!["e-1".into(), "e-2".into()]);
+        platform.set_engine_leaving(0);
+        let asks = PlacementMode::Assign(vec!["e-1".into(), "e-2".into()]);
         let (_instance, status, took) = with_owner(&platform, "leaving", asks).await;
         assert_eq!(status, 200);
         assert!(took < IN_TIME, "{took:?}");
-        assert!(platform.engines[0].began().is_empty());
-        assert_eq!(platform.engines[1].began(), ["g-1"]);
+        assert!(platform.engines[0].started().is_empty());
+        assert_eq!(platform.engines[1].started(), ["g-1"]);
     });
 }
 
@@ -298,12 +304,18 @@
 fn an_owner_hears_what_runs_though_many_instances_are_dark() {
     smol::block_on(async {
         let platform = Platform::start().await;
-        let owner = Peer::start(&platform.store, Asks::Granted(vec!["e-1".into()])).await;
+        let owner = Peer::start(&platform.store, PlacementMode::Assign(vec!["e-1".into()])).await;
         for number in 0..24 {
-            Peer::start_dark(&platform.store, &format!("dark-{number}")).await;
+            Peer::start_unresponsive(&platform.store, &format!("dark-{number}")).await;
         }
         let _instance = platform.instance("synced").await;
-        let syncs = || owner.heard().iter().filter(|h| **h == Heard::Sync).count();
+        let syncs = || {
+            owner
+                .received()
+                .iter()
+                .filter(|h| **h == ReceivedMessage::Sync)
+                .count()
+        };
         for _ in 0..4 {
             let before = syncs();
             // An owner forgets what it has not heard of for three seconds.
@@ -319,19 +331,23 @@
     smol::block_on(async {
         let platform = Platform::start().await;
         platform.engines[0].set_full(true);
-        let asks = Asks::Granted(vec!["e-1".into(), "e-2".into()]);
+        let asks = PlacementMode::Assign(vec!["e-1".into(), "e-2".into()]);
         let owner = Peer::start(&platform.store, asks).await;
         let instance = platform.instance("ordered").await;
         let caller = Caller::new("key-1");
         for number in 0..5 {
-            let before = owner.heard().len();
+            let before = owner.received().len();
             let got = caller
                 .generate(instance.addr, &format!("g-{number}"), 4)
                 .await;
             assert_eq!((got.status, got.body), (200, all_events(4)));
-            let heard = owner.heard()[before..].to_vec();
+            let heard = owner.received()[before..].to_vec();
             assert!(
-                heard.starts_with(&[Heard::Ask, Heard::Ended, Heard::Ask]),
+                heard.starts_with(&[
+                    ReceivedMessage::Place,
+                    ReceivedMessage::Ended,
+                    ReceivedMessage::Place
+                ]),
                 "{heard:?}"
             );
             Timer::after(SOME).await;
@@ -346,7 +362,7 @@
         let platform = Platform::start().await;
         let instance = platform.instance("crowded").await;
         for process in &platform.plain {
-            process.set_fault(Fault::Silent);
+            process.set_fault(Fault::NoAnswer);
         }
         let body = Bytes::from(vec![b'x'; LARGE_BODY]);
         let send = |number: usize| {
@@ -358,10 +374,10 @@
         };
         let held: Vec<_> = (0..6).map(|number| smol::spawn(send(number))).collect();
         eventually("six are being served", || async {
-            platform.plain.iter().map(|p| p.ran()).sum::<usize>() == 6
+            platform.plain.iter().map(|p| p.run_count()).sum::<usize>() == 6
         })
         .await;
-        let got = read(send(6).await.expect("an answer")).await;
+        let got = read_answer(send(6).await.expect("an answer")).await;
         assert_eq!(got.status, 503);
         drop(held);
     });
@@ -411,14 +427,14 @@
     smol::block_on(async {
         let platform = Platform::start().await;
         let (addr, seen) = closes_on_the_second("p-1").await;
-        platform.plain[0].set_public(addr);
+        platform.plain[0].set_public_addr(addr);
         let listing = platform.plain[0].listing("titles", "dc-0", "ready");
         platform.store.put("servers", "p-1", listing);
         let instance = platform.instance("kept").await;
         let caller = Caller::new("key-1");
         let call = async |path: &str, id: &str| {
             let got = caller.call(instance.addr, "POST", path, id).await;
-            (got.status, seen.len(), platform.plain[1].ran())
+            (got.status, seen.len(), platform.plain[1].run_count())
         };
         assert_eq!(call("/grants/9", "r-1").await, (200, 1, 0));
         assert_eq!(call("/grants/9", "r-2").await, (502, 2, 0));
@@ -440,7 +456,7 @@
             got.status == 404
         })
         .await;
-        let got = read(resp).await;
-        assert_eq!((got.whole, got.body), (true, all_events(LONG)));
+        let got = read_answer(resp).await;
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
     });
 }
--- a/tests/platform/explaining.rs
+++ b/tests/platform/explaining.rs
@@ -44,7 +44,7 @@
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("explain-2").await;
-        platform.plain[0].set_fault(Fault::Torn);
+        platform.plain[0].set_fault(Fault::Truncated);
         let caller = Caller::new("key-1");
         let got = caller.call(instance.addr, "POST", "/grants/9", "r-1").await;
         assert_eq!(got.status, 502);
@@ -67,17 +67,17 @@
         let instance = platform.instance("explain-3").await;
         // There is nowhere to go.
         platform.engines[1].crash();
-        platform.store.drop_row("servers", "e-2");
+        platform.store.delete_row("servers", "e-2");
         let caller = Caller::new("key-1");
         let resp = caller
             .send(instance.addr, "POST", "/drafts/1", "g-1", 130)
             .await;
         Timer::after(Duration::from_millis(300)).await;
-        platform.engine_leaves(0);
+        platform.set_engine_leaving(0);
         Timer::after(Duration::from_millis(500)).await;
         platform.engines[0].crash();
-        let got = crate::support::read(resp.expect("an answer")).await;
-        assert!(!got.whole);
+        let got = crate::support::read_answer(resp.expect("an answer")).await;
+        assert!(!got.is_complete);
         instance.line("g-1", "StreamCut").await;
         let cause = [
             "sent to e-1",
@@ -99,7 +99,7 @@
         let caller = Caller::new("key-1");
         let got = caller.call(instance.addr, "GET", "/titles/9", "r-0").await;
         assert_eq!(got.status, 200);
-        platform.plain[0].set_fault(Fault::Torn);
+        platform.plain[0].set_fault(Fault::Truncated);
         let got = caller.call(instance.addr, "POST", "/grants/9", "r-1").await;
         assert_eq!(got.status, 502);
         platform.store.set_down(true);
--- a/tests/platform/generations.rs
+++ b/tests/platform/generations.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::support::{Caller, Instance, Platform, all_events, eventually, read, status};
+use crate::support::{Caller, Instance, Platform, all_events, eventually, read_answer, status};
 use hyper::{Response, body::Incoming};
 use smol::Timer;
 
@@ -31,7 +31,7 @@
         let got = Caller::new("key-1")
             .generate(instance.addr, "g-1", 20)
             .await;
-        assert_eq!((got.status, got.whole), (200, true));
+        assert_eq!((got.status, got.is_complete), (200, true));
         assert_eq!(got.body, all_events(20));
     });
 }
@@ -42,18 +42,18 @@
 fn a_generation_is_carried_over_when_its_engine_leaves() {
     smol::block_on(async {
         let (platform, instance, resp) = under_way("carried", LONG).await;
-        assert_eq!(platform.engines[0].working(), 1);
-        platform.engine_leaves(0);
+        assert_eq!(platform.engines[0].active_count(), 1);
+        platform.set_engine_leaving(0);
         eventually("it runs at the other engine", || async {
-            platform.engines[1].working() == 1
+            platform.engines[1].active_count() == 1
         })
         .await;
         // The first one is gone for good.
         platform.engines[0].crash();
-        let got = read(resp).await;
-        assert!(got.whole);
+        let got = read_answer(resp).await;
+        assert!(got.is_complete);
         assert_eq!(got.body, all_events(LONG));
-        assert!(platform.engines[1].began().is_empty());
+        assert!(platform.engines[1].started().is_empty());
         let line = instance.line("g-1", "GenerationCarried").await;
         assert_eq!(line["fields"]["to"], "e-2");
     });
@@ -67,10 +67,10 @@
     smol::block_on(async {
         let (platform, _instance, resp) = under_way("back", LONG).await;
         platform.engines[1].set_full(true);
-        platform.engine_leaves(0);
-        let got = read(resp).await;
-        assert_eq!((got.whole, got.body), (true, all_events(LONG)));
-        assert!(platform.engines[1].began().is_empty());
+        platform.set_engine_leaving(0);
+        let got = read_answer(resp).await;
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
+        assert!(platform.engines[1].started().is_empty());
     });
 }
 
@@ -81,9 +81,9 @@
     smol::block_on(async {
         let (platform, _instance, resp) = under_way("crashed-destination", LONG).await;
         platform.engines[1].crash();
-        platform.engine_leaves(0);
-        let got = read(resp).await;
-        assert_eq!((got.whole, got.body), (true, all_events(LONG)));
+        platform.set_engine_leaving(0);
+        let got = read_answer(resp).await;
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
     });
 }
 
@@ -97,12 +97,12 @@
         Timer::after(Duration::from_millis(2_400)).await;
         platform.engines[0].set_leaving();
         eventually("it runs at the other engine", || async {
-            platform.engines[1].working() == 1
+            platform.engines[1].active_count() == 1
         })
         .await;
         platform.engines[0].crash();
-        let got = read(resp).await;
-        assert!(got.whole);
+        let got = read_answer(resp).await;
+        assert!(got.is_complete);
         assert_eq!(got.body, all_events(300));
     });
 }
@@ -116,10 +116,10 @@
         platform.store.set_down(true);
         platform.engines[0].set_leaving();
         Timer::after(Duration::from_millis(1_800)).await;
-        assert_eq!(platform.engines[1].working(), 1);
+        assert_eq!(platform.engines[1].active_count(), 1);
         platform.engines[0].crash();
-        let got = read(resp).await;
-        assert!(got.whole);
+        let got = read_answer(resp).await;
+        assert!(got.is_complete);
         assert_eq!(got.body, all_events(300));
     });
 }
@@ -130,8 +130,8 @@
     smol::block_on(async {
         let (platform, instance, resp) = under_way("crashed", LONG).await;
         platform.engines[0].crash();
-        let got = read(resp).await;
-        assert!(!got.whole);
+        let got = read_answer(resp).await;
+        assert!(!got.is_complete);
         assert!(all_events(LONG).starts_with(&got.body));
         let line = instance.line("g-1", "StreamCut").await;
         assert_eq!(line["fields"]["target"], "e-1");
@@ -144,12 +144,16 @@
 fn a_generation_whose_connection_was_reset_goes_on_from_its_memory() {
     smol::block_on(async {
         let (platform, instance, resp) = under_way("reset", LONG).await;
-        platform.engines[0].cut();
-        let got = read(resp).await;
-        assert_eq!((got.whole, got.body), (true, all_events(LONG)));
-        let began: usize = platform.engines.iter().map(|e| e.began().len()).sum();
+        platform.engines[0].abort_streams();
+        let got = read_answer(resp).await;
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
+        let began: usize = platform.engines.iter().map(|e| e.started().len()).sum();
         assert_eq!(began, 1, "it was never begun anew");
-        assert_eq!(platform.engines[0].working(), 0, "it was stopped there");
+        assert_eq!(
+            platform.engines[0].active_count(),
+            0,
+            "it was stopped there"
+        );
         let line = instance.line("g-1", "GenerationRescued").await;
         assert_eq!(line["fields"]["to"], "e-2");
     });
@@ -161,10 +165,10 @@
 fn a_generation_whose_connection_fell_silent_goes_on_from_its_memory() {
     smol::block_on(async {
         let (platform, _instance, resp) = under_way("silent", LONG).await;
-        platform.engines[0].mute();
-        let got = read(resp).await;
-        assert_eq!((got.whole, got.body), (true, all_events(LONG)));
-        assert!(platform.engines[1].began().is_empty());
+        platform.engines[0].mute_streams();
+        let got = read_answer(resp).await;
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
+        assert!(platform.engines[1].started().is_empty());
     });
 }
 
@@ -174,11 +178,11 @@
 fn a_generation_whose_engine_went_dark_ends_once_its_listing_is_gone() {
     smol::block_on(async {
         let (platform, instance, resp) = under_way("dark", LONG).await;
-        platform.engines[0].go_dark();
-        platform.store.drop_row("servers", "e-1");
+        platform.engines[0].stop_responding();
+        platform.store.delete_row("servers", "e-1");
         let dark = Instant::now();
-        let got = read(resp).await;
-        assert!(!got.whole);
+        let got = read_answer(resp).await;
+        assert!(!got.is_complete);
         assert!(dark.elapsed() < Duration::from_secs(5), "it was held");
         let line = instance.line("g-1", "StreamCut").await;
         assert_eq!(line["fields"]["target"], "e-1");
@@ -206,8 +210,8 @@
         assert_eq!(long.retry_after.as_deref(), Some("0.010"));
         let short = caller.generate(instance.addr, "g-3", 4).await;
         assert_eq!((short.status, short.body), (200, all_events(4)));
-        let got = read(before.expect("an answer")).await;
-        assert!(got.whole);
+        let got = read_answer(before.expect("an answer")).await;
+        assert!(got.is_complete);
     });
 }
 
@@ -220,8 +224,8 @@
         platform.engines[0].set_full(true);
         let got = Caller::new("key-1").generate(instance.addr, "g-1", 5).await;
         assert_eq!(got.body, all_events(5));
-        assert!(platform.engines[0].began().is_empty());
-        assert_eq!(platform.engines[1].began(), ["g-1"]);
+        assert!(platform.engines[0].started().is_empty());
+        assert_eq!(platform.engines[1].started(), ["g-1"]);
     });
 }
 
@@ -231,10 +235,10 @@
 fn a_generation_ends_when_its_caller_leaves() {
     smol::block_on(async {
         let (platform, _instance, resp) = under_way("gone", LONG).await;
-        assert_eq!(platform.engines[0].working(), 1);
+        assert_eq!(platform.engines[0].active_count(), 1);
         drop(resp);
         eventually("the engine has stopped", || async {
-            platform.engines[0].working() == 0
+            platform.engines[0].active_count() == 0
         })
         .await;
     });
@@ -258,8 +262,8 @@
         .await;
         let late = caller.call(instance.addr, "GET", "/titles/9", "r-1").await;
         assert_eq!(late.status, 200);
-        let got = read(resp.expect("an answer")).await;
-        assert_eq!((got.whole, got.body), (true, all_events(LONG)));
+        let got = read_answer(resp.expect("an answer")).await;
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
         eventually("the process has ended", || {
             let stopped = instance.has_stopped();
             async move { stopped }
--- a/tests/platform/limits.rs
+++ b/tests/platform/limits.rs
@@ -8,7 +8,7 @@
 use platform_standin::arrivals::Arrivals;
 use smol::Timer;
 
-use crate::support::{Caller, Got, Instance, Platform};
+use crate::support::{Caller, Instance, Platform, ReceivedAnswer};
 
 /// Time after which all instances in touch keep a limit.
 const CONTACT: Duration = Duration::from_secs(3);
@@ -37,7 +37,7 @@
     instances: &[Instance],
     method: &'static str,
     path: &'static str,
-) -> Vec<(Got, Duration)> {
+) -> Vec<(ReceivedAnswer, Duration)> {
     let callers: Vec<_> = instances
         .iter()
         .enumerate()
--- a/tests/platform/quarantine.rs
+++ b/tests/platform/quarantine.rs
@@ -5,7 +5,7 @@
 use platform_standin::{engine::Engine, plain::Plain};
 use smol::Timer;
 
-use crate::support::{Caller, Got, Instance, Platform, eventually, status};
+use crate::support::{Caller, Instance, Platform, ReceivedAnswer, eventually, status};
 
 /// Time within which all instances in touch know what one of them has seen.
 const CONTACT: Duration = Duration::from_secs(3);
@@ -39,7 +39,7 @@
     engines: &[Engine],
     instances: &[Instance],
     times: usize,
-) -> Vec<Got> {
+) -> Vec<ReceivedAnswer> {
     let mut all = Vec::new();
     for number in 0..times {
         let before = crashed(engines);
@@ -52,7 +52,7 @@
         );
         Timer::after(LAPSE).await;
         for engine in engines.iter().filter(|engine| engine.has_crashed()) {
-            platform.store.drop_row("servers", &engine.id());
+            platform.store.delete_row("servers", &engine.id());
         }
         Timer::after(LAPSE).await;
     }
@@ -72,14 +72,14 @@
         assert_eq!(crashed(&engines), MOST, "{later:?}");
         for got in later {
             assert_eq!(
-                (got.status, got.whole, &got.retry_after),
+                (got.status, got.is_complete, &got.retry_after),
                 (502, true, &None)
             );
         }
         let got = Caller::new("key-1")
             .generate(instances[0].addr, "g-1", 20)
             .await;
-        assert_eq!((got.status, got.whole), (200, true));
+        assert_eq!((got.status, got.is_complete), (200, true));
     });
 }
 
@@ -145,7 +145,7 @@
             assert_eq!(got.status, 502);
             Timer::after(LAPSE).await;
             for process in processes.iter().filter(|p| p.has_crashed()) {
-                platform.store.drop_row("servers", &process.id());
+                platform.store.delete_row("servers", &process.id());
             }
             Timer::after(LAPSE * 2).await;
         }
@@ -172,6 +172,6 @@
         let got = Caller::new("key-1")
             .generate(instances[1].addr, "g-3", 20)
             .await;
-        assert_eq!((got.status, got.whole), (200, true));
+        assert_eq!((got.status, got.is_complete), (200, true));
     });
 }
--- a/tests/platform/starting.rs
+++ b/tests/platform/starting.rs
@@ -43,14 +43,18 @@
         for instance in &mut others {
             instance.kill();
         }
-        let before: Vec<usize> = others.iter().map(|i| i.door.calls()).collect();
+        let before: Vec<usize> = others.iter().map(|i| i.door.call_count()).collect();
         for instance in &mut others {
             instance.start_again();
         }
         all_ready(&others).await;
         Timer::new().sleep(FIRST_CALLS).await;
         for (instance, before) in others.iter().zip(before) {
-            assert_eq!(instance.door.calls() - before, 1, "a look at the members");
+            assert_eq!(
+                instance.door.call_count() - before,
+                1,
+                "a look at the members"
+            );
         }
     });
 }
@@ -59,7 +63,7 @@
 async fn readers_and_others(all: Vec<Instance>) -> (Vec<Instance>, Vec<Instance>) {
     let follows = |instance: &Instance| {
         let door = &instance.door;
-        door.followed("op") + door.followed("servers")
+        door.feed_calls("op") + door.feed_calls("servers")
     };
     let before: Vec<usize> = all.iter().map(follows).collect();
     Timer::new().sleep(READING).await;
--- a/tests/platform/stopping.rs
+++ b/tests/platform/stopping.rs
@@ -13,7 +13,7 @@
     net::TcpStream,
 };
 
-use crate::support::{Caller, Got, Instance, Platform, all_events, read};
+use crate::support::{Caller, Instance, Platform, ReceivedAnswer, all_events, read_answer};
 
 /// How long an instance that was told to stop still takes connections.
 const LINGER: Duration = Duration::from_millis(2_600);
@@ -35,14 +35,14 @@
 }
 
 /// What became of a request; `None` if its connection ended without an answer.
-async fn ask(client: &Client, to: &Instance, id: &str, fresh: bool) -> Option<Got> {
+async fn ask(client: &Client, to: &Instance, id: &str, fresh: bool) -> Option<ReceivedAnswer> {
     let req = request("POST", "/drafts/1", id, EVENTS, "key-1");
     let resp = if fresh {
         client.send_fresh(to.addr, req).await
     } else {
         client.send(to.addr, req).await
     };
-    Some(read(resp.ok()?).await)
+    Some(read_answer(resp.ok()?).await)
 }
 
 /// Waits until a moment so long after an instance began to drain.
@@ -61,7 +61,7 @@
     let client = Client::new();
     let first = request("GET", "/titles/1", &format!("{name}-0"), 0, "key-1");
     let first = client.send(instance.addr, first).await.expect("an answer");
-    assert_eq!(read(first).await.status, 200);
+    assert_eq!(read_answer(first).await.status, 200);
     instance.terminate();
     let from = LINGER - Duration::from_millis(20) + Duration::from_millis(offset_ms);
     until_draining_for(&instance, from).await;
@@ -74,7 +74,9 @@
     let arrived = arrived(&platform);
     let mut lost = Vec::new();
     for (id, got) in [(kept, on_kept), (new, on_new)] {
-        let served = |got: &Got| got.whole && (got.status != 200 || got.body == all_events(EVENTS));
+        let served = |got: &ReceivedAnswer| {
+            got.is_complete && (got.status != 200 || got.body == all_events(EVENTS))
+        };
         if arrived.contains(&id) && !got.as_ref().is_some_and(served) {
             lost.push(format!(
                 "{id} {offset_ms} ms: {got:?} {:?}",
@@ -114,7 +116,7 @@
     smol::block_on(async {
         let platform = Platform::start().await;
         for process in &platform.plain {
-            process.set_fault(Fault::Silent);
+            process.set_fault(Fault::NoAnswer);
         }
         let instance = platform.instance("outlasting").await;
         instance.terminate();
@@ -125,8 +127,8 @@
             caller.call(instance.addr, "GET", "/titles/1", "r-2"),
         )
         .await;
-        assert_eq!((once.status, once.whole), (504, true));
-        assert_eq!((again.status, again.whole), (504, true));
+        assert_eq!((once.status, once.is_complete), (504, true));
+        assert_eq!((again.status, again.is_complete), (504, true));
         instance.logged_at("Stopped").await;
     });
 }
@@ -142,8 +144,8 @@
             .send(instance.addr, "POST", "/drafts/1", "g-1", ENDLESS)
             .await;
         instance.terminate();
-        let got = read(resp.expect("an answer")).await;
-        assert_eq!((got.status, got.whole), (200, false));
+        let got = read_answer(resp.expect("an answer")).await;
+        assert_eq!((got.status, got.is_complete), (200, false));
         let line = instance.line("g-1", "StreamCut").await;
         let reason = line["fields"]["reason"].as_str().unwrap_or_default();
         assert!(reason.contains("the instance stops"), "{line}");
@@ -168,8 +170,8 @@
             Timer::after(Duration::from_millis(300)).await;
             instance.signal(signal);
         }
-        let got = read(resp.expect("an answer")).await;
-        assert_eq!((got.whole, got.body), (true, all_events(240)));
+        let got = read_answer(resp.expect("an answer")).await;
+        assert_eq!((got.is_complete, got.body), (true, all_events(240)));
     });
 }
 
@@ -195,10 +197,10 @@
         let from = platform
             .engines
             .iter()
-            .position(|engine| engine.working() > 0);
+            .position(|engine| engine.active_count() > 0);
         let from = from.expect("it runs");
-        platform.engines[1 - from].go_dark();
-        platform.engine_leaves(from);
+        platform.engines[1 - from].stop_responding();
+        platform.set_engine_leaving(from);
         let mut buf = Vec::new();
         let read = stream.read_to_end(&mut buf).await;
         let text = String::from_utf8_lossy(&buf);
--- a/tests/platform/support.rs
+++ b/tests/platform/support.rs
@@ -23,7 +23,7 @@
 use serde_json::Value;
 use timer::Timer;
 
-pub use platform_standin::caller::{Caller, Got, all_events, read};
+pub use platform_standin::caller::{Caller, ReceivedAnswer, all_events, read_answer};
 
 /// Time for anything that should happen soon.
 const SOON: Duration = Duration::from_secs(10);
@@ -42,7 +42,7 @@
 
     /// Starts an instance, and waits until it takes callers.
     pub async fn instance(&self, name: &str) -> Instance {
-        let door = self.store.door();
+        let door = self.store.endpoint();
         let addr = platform_standin::listen(Arc::new(door.clone())).await;
         let instance = Instance::start(door, addr, name);
         eventually("the instance takes callers", || {
@@ -55,8 +55,8 @@
 
     /// Starts an instance that the store refuses, and waits until it answers at all.
     pub async fn unready_instance(&self, name: &str) -> Instance {
-        let door = self.store.door();
-        door.set_shut(true);
+        let door = self.store.endpoint();
+        door.set_unavailable(true);
         let addr = platform_standin::listen(Arc::new(door.clone())).await;
         let instance = Instance::start(door, addr, name);
         eventually("the instance answers", || {
@@ -69,7 +69,7 @@
 
     /// Starts an instance that is told of another, and does not wait for it.
     pub async fn newcomer(&self, name: &str, known: &Instance) -> Instance {
-        let door = self.store.door();
+        let door = self.store.endpoint();
         let addr = platform_standin::listen(Arc::new(door.clone())).await;
         Instance::start_knowing(door, addr, name, &[known.admin])
     }
@@ -277,10 +277,10 @@
 }
 
 /// Asks for a page.
-pub async fn page(addr: SocketAddr, path: &str) -> Option<Got> {
+pub async fn page(addr: SocketAddr, path: &str) -> Option<ReceivedAnswer> {
     let req = Request::get(path).body(Full::default()).expect("a request");
     let resp = Client::new().send(addr, req).await.ok()?;
-    Some(read(resp).await)
+    Some(read_answer(resp).await)
 }
 
 /// Waits until something holds.
