--- a/components/standins/src/cli.rs
+++ b/components/standins/src/cli.rs
@@ -12,15 +12,15 @@
 /// Why a stand-in did not start.
 #[derive(Debug, Display, Error, From)]
 pub enum StartError {
-    /// Its settings are wrong.
-    #[display("the settings are wrong: {_0}")]
+    /// The settings can't be parsed.
+    #[display("invalid settings: {_0}")]
     Settings(serde_json::Error),
-    /// It can't listen.
-    #[display("it can't listen: {_0}")]
+    /// The listening socket can't be opened.
+    #[display("can't listen: {_0}")]
     Listen(io::Error),
 }
 
-/// The commands.
+/// The command line with its subcommands.
 #[must_use]
 pub fn command() -> Command {
     let listen = Arg::new("listen")
@@ -55,10 +55,10 @@
         ])
 }
 
-/// Runs the stand-in that the command line names, until the process is ended.
+/// Runs the stand-in that the command line names until the process is killed.
 ///
 /// # Errors
-/// Why it did not start.
+/// Returns why the stand-in did not start.
 pub fn run(matches: &ArgMatches) -> Result<(), StartError> {
     let Some((name, args)) = matches.subcommand() else {
         return Ok(());
@@ -68,8 +68,8 @@
 }
 
 async fn serve(name: &str, args: &ArgMatches) -> Result<(), StartError> {
-    let ephemeral = SocketAddr::from(([127, 0, 0, 1], 0));
-    let addr = args.get_one("listen").copied().unwrap_or(ephemeral);
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let addr = args.get_one("listen").copied().unwrap_or(any_port);
     match name {
         "platform" => {
             let handle = platform::start(addr, parse(args)?).await?;
--- a/components/standins/src/connection.rs
+++ b/components/standins/src/connection.rs
@@ -1,4 +1,4 @@
-//! Serving over connections that can be cut, silenced or broken at a given byte.
+//! HTTP server whose connections can be closed, silenced or cut at a given byte.
 
 use std::{
     convert::Infallible,
@@ -22,26 +22,28 @@
 };
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
-/// Starts of requests that no armed cut applies to: reports and our own control port.
+/// Starts of requests that pending cuts don't apply to: load reports, cache events and control.
 const EXEMPT_REQUESTS: [&[u8]; 3] = [b"GET /load", b"GET /cache", b"POST /control"];
 
-/// One open connection.
+/// An open connection.
 pub struct Connection {
     stream: TcpStream,
     silent: AtomicBool,
     exempt: AtomicBool,
+    // Bytes that may still be read and written before the connection is closed; `u64::MAX` means
+    // no limit.
     read_budget: AtomicU64,
     write_budget: AtomicU64,
 }
 
 impl Connection {
-    /// Closes the connection at once; an answer under way is lost.
+    /// Closes the connection at once; a response in progress is lost.
     pub fn close(&self) {
-        // It fails only where the other end has closed it already.
+        // Fails only if the peer has closed the connection already.
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Closes the connection after this many more bytes have been sent.
+    /// Closes the connection after `bytes` more bytes have been sent.
     pub fn close_after(&self, bytes: u64) {
         self.write_budget.store(bytes, Ordering::Release);
         if bytes == 0 {
@@ -49,45 +51,47 @@
         }
     }
 
-    /// Spares the connection from faults of all connections: the answer to the message that
-    /// makes the fault goes over it.
+    /// Exempts the connection from faults that hit all connections, because the response to the
+    /// control message that injects the fault is sent over it.
     pub fn exempt(&self) {
         self.exempt.store(true, Ordering::Release);
     }
 
-    /// From now on nothing is heard or said on this connection, though it stays open.
+    /// Discards everything sent or received from now on; the connection stays open.
     pub fn silence(&self) {
         self.silent.store(true, Ordering::Release);
     }
 }
 
-/// All connections of one stand-in.
+/// All connections of a stand-in.
 #[derive(Default)]
 pub struct Connections {
     open: Mutex<Vec<Weak<Connection>>>,
+    // Bytes to read before the cut, one entry for each of the next requests.
     pending_cuts: Mutex<Vec<u64>>,
     down: AtomicBool,
 }
 
 impl Connections {
-    /// Cuts every open connection.
+    /// Closes every open connection that is not exempt.
     pub fn close_all(&self) {
         self.for_each_open(Connection::close);
     }
 
-    /// Makes every open connection silent for good.
+    /// Silences every open connection that is not exempt, permanently.
     pub fn silence_all(&self) {
         self.for_each_open(Connection::silence);
     }
 
-    /// The next `times` requests are cut off after `bytes` of them were read.
+    /// Closes the connections of the next `times` requests after `bytes` bytes have been read.
     pub fn cut_reading(&self, bytes: u64, times: usize) {
         self.pending_cuts
             .lock()
             .extend(std::iter::repeat_n(bytes, times));
     }
 
-    /// While down, new connections are closed at once, as by a process that is not there.
+    /// Sets whether the stand-in is down. Going down closes the open connections that are not
+    /// exempt; while down, new ones are closed at once, as if the process had ended.
     pub fn set_down(&self, down: bool) {
         self.down.store(down, Ordering::Release);
         if down {
@@ -123,19 +127,19 @@
     }
 }
 
-/// A stand-in that serves until this is dropped.
+/// Handle of a running stand-in, which stops when the handle is dropped.
 pub struct StandinHandle<T> {
-    /// Where it listens.
+    /// Address that the stand-in listens on.
     pub addr: SocketAddr,
     /// The stand-in itself.
     pub standin: Arc<T>,
-    /// Its connections.
+    /// Connections of the stand-in.
     pub connections: Arc<Connections>,
     _tasks: Vec<Task<()>>,
 }
 
 impl<T> StandinHandle<T> {
-    /// Adds a task that lives as long as the stand-in.
+    /// Adds a background task that is cancelled when the handle is dropped.
     #[must_use]
     pub fn with_task(mut self, task: Task<()>) -> Self {
         self._tasks.push(task);
@@ -149,10 +153,10 @@
     }
 }
 
-/// Serves a stand-in on an address; port 0 picks a free one.
+/// Serves a stand-in on an address; port 0 picks a free port.
 ///
 /// # Errors
-/// Passes on why the address can't be listened on.
+/// Returns the error of binding the address.
 pub async fn serve<T: Handler>(
     addr: SocketAddr,
     connections: Arc<Connections>,
@@ -172,7 +176,7 @@
 async fn accept<T: Handler>(listener: TcpListener, connections: Arc<Connections>, standin: Arc<T>) {
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
-            // Out of descriptors, for instance: others may close some.
+            // Possibly out of file descriptors: retry after other connections have closed.
             timer::Timer::new()
                 .sleep(std::time::Duration::from_millis(20))
                 .await;
@@ -181,7 +185,7 @@
         if connections.down.load(Ordering::Acquire) {
             continue;
         }
-        // Without it each token may wait for the acknowledgement of the one before.
+        // Nagle's algorithm would hold a token back until the previous one is acknowledged.
         let _ = stream.set_nodelay(true);
         let connection = Arc::new(Connection {
             stream: stream.clone(),
@@ -219,7 +223,7 @@
         let standin = Arc::clone(&standin);
         async move { Ok::<_, Infallible>(standin.handle(peer, req).await) }
     });
-    // A caller that goes away hurts only its own connection.
+    // An error on one connection, such as a client that left, affects no other.
     let _ = http1::Builder::new()
         .timer(SmolTimer::new())
         .serve_connection(FuturesIo::new(io), service)
--- a/components/standins/src/control.rs
+++ b/components/standins/src/control.rs
@@ -1,4 +1,4 @@
-//! Reading requests and writing answers, the same for all stand-ins.
+//! Reading requests, writing responses and the control API that all stand-ins share.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -10,32 +10,33 @@
 
 use crate::connection::Connection;
 
-/// Longest body a stand-in reads, in bytes.
+/// Size above which a request body is rejected.
 const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
-/// Time between two parts of a body.
+/// Longest wait for the next part of a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// An answer that says why something was not done.
+/// A response that says why a request failed; boxed to keep `Result` small.
 pub type ErrorResponse = Box<Response<Body>>;
 
-/// A request with its body read.
+/// A request whose body has been read.
 pub struct ReceivedRequest {
     /// HTTP method.
     pub method: String,
-    /// Path without query.
+    /// Path without the query.
     pub path: String,
-    /// Query, empty if there is none.
+    /// Query without the `?`; empty if there is none.
     pub query: String,
     /// Headers.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
-    /// The connection it came over.
+    /// Connection over which the request arrived.
     pub connection: Arc<Connection>,
 }
 
 impl ReceivedRequest {
-    /// Reads a request whole; `None` if it broke off.
+    /// Reads a request with its whole body; `None` if the body was truncated, too large or too
+    /// slow.
     pub async fn read(req: Request<Incoming>) -> Option<Self> {
         let (head, body) = req.into_parts();
         let connection = head.extensions.get::<Arc<Connection>>().cloned()?;
@@ -55,17 +56,17 @@
         })
     }
 
-    /// A header's text, empty if it is absent.
+    /// Value of a header; empty if the header is absent or not text.
     #[must_use]
     pub fn header(&self, name: &str) -> &str {
         let value = self.headers.get(name).and_then(|v| v.to_str().ok());
         value.unwrap_or_default()
     }
 
-    /// The body as JSON, an empty one as `{}`.
+    /// Parses the body as JSON; an empty body counts as `{}`.
     ///
     /// # Errors
-    /// A 400 that says what is wrong.
+    /// Returns a response with status 400 that names the problem.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, ErrorResponse> {
         let text: &[u8] = if self.body.is_empty() {
             b"{}"
@@ -76,7 +77,7 @@
     }
 }
 
-/// An answer without content.
+/// Status 200 with an empty JSON object.
 #[must_use]
 pub fn empty_ok() -> Response<Body> {
     Reply::json(200, &Empty {}).done()
@@ -85,7 +86,7 @@
 #[derive(Serialize)]
 struct Empty {}
 
-/// The answer to a path that is not there.
+/// Status 404, for a path or stream that does not exist.
 #[must_use]
 pub fn not_found() -> Response<Body> {
     Reply::text(404, "no such path").done()
@@ -99,7 +100,7 @@
     code: &'a str,
 }
 
-/// A refusal of work that did not run.
+/// Refuses a request, declaring that it did not run (`run: not-run`).
 #[must_use]
 pub fn not_run(status: u16, code: &str) -> Response<Body> {
     let problem = Problem {
@@ -108,7 +109,7 @@
         run: types::Execution::NotRun,
         code,
     };
-    // A struct of plain text always becomes JSON.
+    // Serializing a struct of strings and numbers can't fail.
     let text = serde_json::to_vec(&problem).unwrap_or_default();
     Reply::new(status)
         .with_header(CONTENT_TYPE.as_str(), "application/problem+json")
@@ -117,43 +118,44 @@
         .done()
 }
 
-/// Cuts the connection; what is returned reaches nobody.
+/// Closes the connection. The returned response only satisfies the handler's type: it is not sent.
 pub fn close_connection(connection: &Connection) -> Response<Body> {
     connection.close();
     Reply::new(500).done()
 }
 
-/// Leaves a request without an answer for good.
+/// Never completes: the request stays without a response.
 pub async fn pending_response() -> Response<Body> {
     future::pending().await
 }
 
-/// How a target appears in the platform's directory.
+/// One instance or target in the platform's directory.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct DirectoryEntry {
-    /// Its name.
+    /// Name of the instance or target.
     pub name: String,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: String,
-    /// Its data centre.
+    /// Data centre that it runs in.
     #[serde(default)]
     pub zone: String,
-    /// Where it listens; empty for a target that registers itself.
+    /// Listening address as `IP:PORT`. The directory omits an entry whose address is empty.
     #[serde(default)]
     pub addr: String,
-    /// Which life of it.
+    /// Incarnation of the process, increased at each restart.
     #[serde(default)]
     pub incarnation: u64,
-    /// Whether it is leaving.
+    /// Whether it is draining.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// Posts a JSON message to a stand-in's control port and gives the answer's body, empty if there
-/// is none. The connection is a new one: old ones may have been made silent.
+/// Posts a JSON message to a stand-in's control path and returns the response's body; empty if
+/// there was no response. Opens a new connection, because an injected fault may have silenced
+/// those in the pool.
 pub async fn post(client: &Client, addr: SocketAddr, path: &str, msg: &impl Serialize) -> Bytes {
-    // Our own messages always become JSON.
+    // Serializing the control messages can't fail.
     let text = serde_json::to_vec(msg).unwrap_or_default();
     let req = Request::post(path).body(http_body_util::Full::new(Bytes::from(text)));
     let Ok(req) = req else { return Bytes::new() };
--- a/components/standins/src/engine/batch.rs
+++ b/components/standins/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! The continuous batch: memory in tokens, preemption, priorities, step times. No I/O.
+//! Continuous batching: token memory, priorities, preemption and step times. Does no I/O.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,50 +7,50 @@
 
 use crate::engine::{EngineSettings, prefix::PrefixCache, text::Api};
 
-/// How a generation ended.
+/// Why a generation ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndReason {
-    /// It has all its tokens.
+    /// All tokens were produced.
     Finished,
-    /// Somebody cancelled it.
+    /// It was cancelled by request.
     Cancelled,
-    /// Nobody read it for too long.
+    /// It had no reader for too long.
     Unobserved,
-    /// The engine fell over.
+    /// The engine crashed.
     Dropped,
 }
 
-/// One generation, as the log keeps it.
+/// A generation, as recorded in the log.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Generation {
-    /// By which API it was asked for.
+    /// API that the request used.
     pub api: Api,
-    /// Name of the stream.
+    /// Name of the stream, under which it can be resumed.
     pub stream: String,
-    /// Name of the request, from `x-request-id`.
+    /// Request id from the header `x-request-id`.
     pub request: String,
-    /// The caller's own name for it, from the body's metadata.
+    /// Name that the caller gave the request, from the metadata in the body.
     pub caller: String,
-    /// Which life of the engine.
+    /// Incarnation of the engine.
     pub incarnation: u64,
-    /// When it came, in milliseconds.
+    /// Time of arrival on the engine's clock, in milliseconds.
     pub admitted_ms: u64,
-    /// Priority; a smaller one goes first.
+    /// Priority; smaller values are scheduled first.
     pub priority: i64,
-    /// Tokens in the prompt.
+    /// Prompt length in tokens.
     #[serde(rename = "prompt")]
     pub prompt_tokens: u64,
-    /// Tokens that it will have.
+    /// Tokens to produce in total.
     #[serde(rename = "wanted")]
     pub output_tokens: u64,
-    /// Tokens that it has.
+    /// Tokens produced so far.
     pub produced: u64,
-    /// How often it was preempted.
+    /// Number of preemptions.
     pub preempted: u32,
-    /// Milliseconds from being preempted to the next token, in all.
+    /// Total stall by preemptions in milliseconds, from the last token before each to the next one.
     pub stall_ms: u64,
-    /// How it ended.
+    /// Why it ended; `None` while it is in progress.
     pub end: Option<EndReason>,
     #[serde(skip)]
     progress: Progress,
@@ -58,69 +58,76 @@
 
 #[derive(Clone, Debug, Default)]
 struct Progress {
+    // Tokens still to be prefilled.
     prefill: u64,
+    // When the last token was produced.
     last_token: Duration,
+    // Whether it was preempted after its last token.
     was_preempted: bool,
+    // Wake the readers.
     observers: Vec<Sender<()>>,
+    // When it last had a reader.
     last_read: Duration,
 }
 
-/// A new generation.
+/// Parameters of a new generation.
 #[derive(Clone, Debug, Default)]
 pub struct NewGeneration {
-    /// By which API it is asked for.
+    /// API that the request used.
     pub api: Api,
-    /// Name of the stream.
+    /// Name of the stream, under which it can be resumed.
     pub stream: String,
-    /// Name of the request.
+    /// Request id.
     pub request: String,
-    /// The caller's own name for it.
+    /// Name that the caller gave the request.
     pub caller: String,
-    /// Priority.
+    /// Priority; smaller values are scheduled first.
     pub priority: i64,
-    /// The prompt's text.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Tokens in the prompt.
+    /// Prompt length in tokens.
     pub prompt_tokens: u64,
-    /// Tokens wanted.
+    /// Tokens to produce.
     pub output_tokens: u64,
 }
 
-/// Sums over the engine's time.
+/// Counters and maxima since the engine started.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct Totals {
-    /// Preemptions.
+    /// Number of preemptions.
     pub preemptions: u64,
-    /// Milliseconds that preempted streams stood still.
+    /// Total stall of preempted generations in milliseconds.
     pub stall_ms: u64,
-    /// Tokens produced.
+    /// Number of tokens produced.
     pub tokens: u64,
-    /// Steps.
+    /// Number of steps.
     pub steps: u64,
-    /// Most streams in one step.
+    /// Highest number of generations in one step.
     #[serde(rename = "most_running")]
     pub max_running: u32,
-    /// Most tokens in memory.
+    /// Highest memory use, in tokens.
     #[serde(rename = "most_used")]
     pub max_used: u64,
 }
 
-/// The batch.
+/// The running and waiting generations of an engine. Memory in use never exceeds the capacity.
 pub struct Batch {
     settings: EngineSettings,
-    /// All generations, by number.
+    /// All generations since the start; the index is a generation's number.
     pub generations: Vec<Generation>,
-    /// Sums.
+    /// Counters since the start.
     pub totals: Totals,
-    /// Prompts in the prefix cache.
+    /// Cache of prompt prefixes.
     pub prefix_cache: PrefixCache,
     running: Vec<usize>,
+    // By priority and number, both ascending.
     waiting: BTreeMap<(i64, usize), usize>,
+    // Memory in use, in tokens.
     used: u64,
 }
 
 impl Batch {
-    /// Makes an empty batch.
+    /// Creates an empty batch.
     #[must_use]
     pub fn new(settings: EngineSettings) -> Self {
         Self {
@@ -134,25 +141,25 @@
         }
     }
 
-    /// Its settings.
+    /// Settings of the engine.
     #[must_use]
     pub const fn settings(&self) -> &EngineSettings {
         &self.settings
     }
 
-    /// Generations in the batch.
+    /// Number of generations in the batch.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.running.len() as u32
     }
 
-    /// Generations waiting for room.
+    /// Number of generations waiting for memory.
     #[must_use]
     pub fn waiting(&self) -> u32 {
         self.waiting.len() as u32
     }
 
-    /// Generations in the batch or waiting, for a message.
+    /// Describes the running and waiting generations, for a log message.
     #[must_use]
     pub fn describe_active(&self) -> String {
         let numbers = self.running.iter().chain(self.waiting.values());
@@ -163,13 +170,13 @@
         numbers.map(one).collect::<Vec<_>>().join(", ")
     }
 
-    /// Tokens in memory.
+    /// Memory in use, in tokens.
     #[must_use]
     pub const fn tokens_used(&self) -> u64 {
         self.used
     }
 
-    /// Takes in a generation and tells its number.
+    /// Queues a generation and returns its number.
     pub fn add(&mut self, now: Duration, incarnation: u64, new: NewGeneration) -> usize {
         let hit = self.prefix_cache.insert(now, &new.prompt);
         let room = self.settings.capacity.saturating_sub(new.prompt_tokens + 1);
@@ -199,12 +206,12 @@
         number
     }
 
-    /// Adds an observer that is woken whenever there is more to read.
+    /// Adds a reader of a generation, which is woken whenever there is new output.
     pub fn observe(&mut self, number: usize, tx: Sender<()>) {
         self.generations[number].progress.observers.push(tx);
     }
 
-    /// Ends a generation early.
+    /// Ends a generation and frees its memory; has no effect if it has ended already.
     pub fn end(&mut self, number: usize, end: EndReason) {
         let generation = &mut self.generations[number];
         if generation.end.is_some() {
@@ -220,7 +227,7 @@
         }
     }
 
-    /// Drops everything.
+    /// Ends all generations and clears the prefix cache, as in a crash.
     pub fn drop_all(&mut self) {
         let waiting: Vec<usize> = self.waiting.values().copied().collect();
         for number in self.running.clone().into_iter().chain(waiting) {
@@ -230,7 +237,7 @@
         assert!(self.used == 0, "an empty batch holds {} tokens", self.used);
     }
 
-    /// Prepares the next step and tells its length; `None` when there is nothing to do.
+    /// Schedules the next step and returns its duration; `None` if nothing can run.
     pub fn plan(&mut self, now: Duration) -> Option<Duration> {
         self.end_unobserved(now);
         if !self.preempt() {
@@ -248,8 +255,8 @@
         Some(Duration::from_secs_f64(ms / 1000.0))
     }
 
-    /// Ends the step: each generation that is past its prompt has one token more. Tells how many
-    /// finished.
+    /// Completes the step: each generation whose prompt has been prefilled produces one token.
+    /// Returns how many generations finished.
     pub fn step(&mut self, now: Duration) -> u32 {
         let totals = &mut self.totals;
         totals.steps += 1;
@@ -306,7 +313,9 @@
         }
     }
 
-    /// Makes room for the next step's tokens; a victim is computed again from its prompt on.
+    /// Preempts the least urgent generations until the next step's tokens fit into memory. A
+    /// preempted generation is recomputed from its prompt when it is admitted again. Returns whether
+    /// any was preempted.
     fn preempt(&mut self) -> bool {
         let mut any = false;
         while self.used + self.running.len() as u64 > self.settings.capacity {
@@ -356,7 +365,7 @@
 
 fn wake(generation: &Generation) {
     for tx in &generation.progress.observers {
-        // A full channel means that the observer has yet to look anyway.
+        // If the channel is full, an earlier wake-up is still pending.
         let _ = tx.try_send(());
     }
 }
--- a/components/standins/src/engine/mod.rs
+++ b/components/standins/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! A model engine with the OpenAI API.
+//! A model engine with continuous batching that serves the OpenAI API.
 
 pub mod batch;
 mod output;
@@ -27,40 +27,40 @@
 
 pub use settings::EngineSettings;
 
-/// Code of the refusal of an order that a newer one has overtaken.
+/// Problem code for a command with an outdated fencing number.
 const OLD_FENCE: &str = "old-fence";
-/// Where streams are resumed and cancelled.
+/// Path prefix under which streams are resumed (GET) and cancelled (DELETE).
 const STREAMS: &str = "/v1/streams/";
 
-/// An order.
+/// A command to the engine.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Command {
-    /// What to do: `load`, `adapter` or `role`.
+    /// Kind of the command: `load`, `adapter` or `role`.
     pub kind: String,
-    /// With what.
+    /// Name of the model, adapter or role.
     pub name: String,
     /// Fencing number.
     pub fence: u64,
 }
 
-/// What `GET /control/log` tells; with `?brief` without the generations.
+/// Body of `GET /control/log`; `?brief` leaves the generations out.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct EngineLog {
-    /// Its life.
+    /// Lifecycle of the engine.
     #[serde(rename = "life")]
     pub lifecycle: LifecycleLog,
     /// Memory in tokens.
     pub capacity: u64,
-    /// Sums.
+    /// Counters since the start.
     pub totals: Totals,
-    /// Orders taken.
+    /// Accepted commands, in order of arrival.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
-    /// Every generation.
+    /// All generations since the start.
     pub generations: Vec<Generation>,
 }
 
-/// What a prompt holds that crashes the engine that runs it.
+/// Text that crashes the engine when a prompt contains it.
 pub const CRASH_TRIGGER: &str = "crashes what runs it";
 
 /// The engine stand-in.
@@ -71,8 +71,8 @@
 struct Inner {
     settings: EngineSettings,
     lifecycle: Arc<Lifecycle>,
-    wake: Sender<()>,
-    // Locked before the life's own lock, never after it.
+    wake_tx: Sender<()>,
+    // Lock order: this lock before the one inside `lifecycle`.
     state: Mutex<State>,
 }
 
@@ -86,13 +86,13 @@
 /// Starts an engine.
 ///
 /// # Errors
-/// Passes on why the address can't be listened on.
+/// Returns the error of binding the address.
 pub async fn start(
     addr: SocketAddr,
     settings: EngineSettings,
 ) -> io::Result<StandinHandle<Engine>> {
     let lifecycle = Arc::new(Lifecycle::new(settings.lifecycle.clone()));
-    let (wake, woken) = bounded(1);
+    let (wake_tx, wake_rx) = bounded(1);
     let state = State {
         batch: Batch::new(settings.clone()),
         rng: fastrand::Rng::with_seed(settings.seed),
@@ -102,26 +102,28 @@
     let inner = Arc::new(Inner {
         settings,
         lifecycle: Arc::clone(&lifecycle),
-        wake,
+        wake_tx,
         state: Mutex::new(state),
     });
     let engine = Arc::new(Engine {
         inner: Arc::clone(&inner),
     });
-    let running = connection::serve(addr, Arc::clone(&lifecycle.connections), engine).await?;
-    let steps = workers::spawn(Arc::clone(&inner).run_steps(woken));
-    let report = workers::spawn(lifecycle.run(running.addr, move || inner.sample()));
-    Ok(running.with_task(steps).with_task(report))
+    let handle = connection::serve(addr, Arc::clone(&lifecycle.connections), engine).await?;
+    let steps = workers::spawn(Arc::clone(&inner).run_steps(wake_rx));
+    let report = workers::spawn(lifecycle.run(handle.addr, move || inner.sample()));
+    Ok(handle.with_task(steps).with_task(report))
 }
 
 impl Inner {
-    async fn run_steps(self: Arc<Self>, woken: Receiver<()>) {
+    async fn run_steps(self: Arc<Self>, wake_rx: Receiver<()>) {
         let timer = self.lifecycle.timer;
         loop {
             let plan = self.state.lock().batch.plan(timer.now());
             let Some(time) = plan else {
-                // Nothing runs; a waiting generation that nobody reads still has to go.
-                let _ = timer.within(Duration::from_millis(200), woken.recv()).await;
+                // Nothing can run. The timeout still ends waiting generations without a reader.
+                let _ = timer
+                    .within(Duration::from_millis(200), wake_rx.recv())
+                    .await;
                 continue;
             };
             let cold = if self.lifecycle.log().warm {
@@ -150,7 +152,8 @@
         }
     }
 
-    /// Takes in a generation, or says why not.
+    /// Queues a generation and returns its number and the channel that wakes its reader, or a
+    /// response that says why it was refused.
     fn admit(
         &self,
         req: &ReceivedRequest,
@@ -183,7 +186,8 @@
                 let caller = &body.metadata.caller;
                 let now = self.lifecycle.timer.now().as_millis();
                 eprintln!(
-                    "{name} at {now} ms: cold engine crashed on request of {caller}, already holding {active}"
+                    "{name} at {now} ms: cold engine crashed on request of {caller}, \
+                     already holding {active}"
                 );
                 state.batch.drop_all();
                 return Err(control::close_connection(&req.connection).into());
@@ -209,19 +213,19 @@
             .add(self.lifecycle.timer.now(), incarnation, new);
         let (tx, rx) = bounded(1);
         state.batch.observe(number, tx);
-        // A full channel means that the engine is about to look anyway.
-        let _ = self.wake.try_send(());
+        // If the channel is full, an earlier wake-up is still pending.
+        let _ = self.wake_tx.try_send(());
         Ok((number, rx))
     }
 
-    /// A heavy-tailed length: the logarithm is close to normal.
+    /// Draws an output length from a heavy-tailed, approximately log-normal distribution.
     fn draw_length(&self, rng: &mut fastrand::Rng) -> u64 {
         let normal: f64 = (0..12).map(|_| rng.f64()).sum::<f64>() - 6.0;
         let length = self.settings.median_output * (normal * self.settings.spread_output).exp();
         length.max(1.0) as u64
     }
 
-    /// Finds a stream of this life by name.
+    /// Finds a stream of the current incarnation that is in progress or finished, by name.
     fn find(&self, state: &State, stream: &str) -> Option<usize> {
         let number: usize = stream.rsplit('-').next()?.parse().ok()?;
         let generation = state.batch.generations.get(number)?;
@@ -235,15 +239,15 @@
             Ok(body) => body,
             Err(response) => return *response,
         };
-        let (number, woken) = match self.admit(req, api, &body) {
+        let (number, wake_rx) = match self.admit(req, api, &body) {
             Ok(admitted) => admitted,
             Err(response) => return *response,
         };
         let name = self.state.lock().batch.generations[number].stream.clone();
         let reply = if body.stream {
-            sse(self.stream(number, 0, woken))
+            sse(self.stream(number, 0, wake_rx))
         } else {
-            self.buffered(number, woken, req).await
+            self.buffered(number, wake_rx, req).await
         };
         reply.with_header("x-stream-id", &name).done()
     }
@@ -255,10 +259,10 @@
         let Some(number) = self.find(&state, stream) else {
             return control::not_found();
         };
-        let (tx, woken) = bounded(1);
+        let (tx, wake_rx) = bounded(1);
         state.batch.observe(number, tx);
         drop(state);
-        sse(self.stream(number, from, woken))
+        sse(self.stream(number, from, wake_rx))
             .with_header("x-stream-id", stream)
             .done()
     }
@@ -328,12 +332,12 @@
 }
 
 impl Engine {
-    /// Sets faults.
+    /// Injects faults.
     pub fn set_faults(&self, faults: Faults) {
         self.inner.set_faults(faults);
     }
 
-    /// What happened so far.
+    /// Log of the engine so far, with all generations.
     #[must_use]
     pub fn log(&self) -> EngineLog {
         self.inner.log(false)
--- a/components/standins/src/engine/output.rs
+++ b/components/standins/src/engine/output.rs
@@ -1,4 +1,4 @@
-//! Feeding a generation to callers, as it is produced or whole.
+//! Responses with the output of a generation: streamed as it is produced, or buffered.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,10 +12,15 @@
 };
 
 impl Inner {
-    /// Streams a generation from an offset to one caller.
-    pub(super) fn stream(self: &Arc<Self>, number: usize, from: u64, wake: Receiver<()>) -> Body {
+    /// Body that streams a generation to one caller, starting at token offset `from`.
+    pub(super) fn stream(
+        self: &Arc<Self>,
+        number: usize,
+        from: u64,
+        wake_rx: Receiver<()>,
+    ) -> Body {
         let (tx, body) = net::channel();
-        let forward = Arc::clone(self).forward(number, from, wake, tx);
+        let forward = Arc::clone(self).forward(number, from, wake_rx, tx);
         workers::spawn(forward).detach();
         body
     }
@@ -24,7 +29,7 @@
         self: Arc<Self>,
         number: usize,
         mut offset: u64,
-        wake: Receiver<()>,
+        wake_rx: Receiver<()>,
         tx: BodySender,
     ) {
         loop {
@@ -54,17 +59,18 @@
                 tx.finish();
                 return;
             }
-            if !wait_for_output(&wake, &tx).await {
+            if !wait_for_output(&wake_rx, &tx).await {
                 return;
             }
         }
     }
 
-    /// Waits for the whole answer.
+    /// Waits until the generation has ended and returns its output in one response. Closes the
+    /// connection if the generation ended early.
     pub(super) async fn buffered(
         &self,
         number: usize,
-        wake: Receiver<()>,
+        wake_rx: Receiver<()>,
         req: &ReceivedRequest,
     ) -> Reply {
         loop {
@@ -91,20 +97,23 @@
                     None => {}
                 }
             }
-            if wake.recv().await.is_err() {
+            if wake_rx.recv().await.is_err() {
                 return Reply::new(500);
             }
         }
     }
 }
 
-/// Waits until there may be more; false once the caller has gone.
-async fn wait_for_output(wake: &Receiver<()>, tx: &BodySender) -> bool {
-    // A caller that went away is only noticed by writing; looking now and then is enough here.
+/// Waits until there may be more output; returns false once the caller has disconnected.
+async fn wait_for_output(wake_rx: &Receiver<()>, tx: &BodySender) -> bool {
+    // Nothing reports that a caller has disconnected, so this polls for it.
     let poll_interval = Duration::from_millis(500);
     while !tx.is_closed() {
-        match timer::Timer::new().within(poll_interval, wake.recv()).await {
-            Some(wake) => return wake.is_ok(),
+        match timer::Timer::new()
+            .within(poll_interval, wake_rx.recv())
+            .await
+        {
+            Some(received) => return received.is_ok(),
             None => continue,
         }
     }
--- a/components/standins/src/engine/prefix.rs
+++ b/components/standins/src/engine/prefix.rs
@@ -1,4 +1,4 @@
-//! The prefix cache: hashes of leading blocks of prompts, the least recently used go first.
+//! Prefix cache: an LRU set of hashes of prompt prefixes, one for each block.
 
 use std::{
     collections::{BTreeMap, HashMap, VecDeque},
@@ -8,36 +8,38 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Bytes of prompt in one block.
+/// Prompt bytes in one block.
 pub const BLOCK_BYTES: usize = 64;
-/// Tokens in one block.
+/// Prompt tokens in one block.
 pub const BLOCK_TOKENS: u64 = 16;
-/// Events kept.
+/// Number of cache events retained.
 const RETAINED_EVENTS: usize = 10_000;
 
-/// A change of the cache.
+/// A block stored in or evicted from the cache.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct CacheEvent {
-    /// Its number.
+    /// Sequence number of the event.
     pub seq: u64,
-    /// Whether the block came or went.
+    /// Whether the block was stored (true) or evicted (false).
     pub stored: bool,
-    /// Hash of the prompt up to the block's end.
+    /// Hash of the prompt up to the end of the block.
     pub block: u64,
 }
 
-/// The cache.
+/// LRU cache of prompt prefixes with a log of its changes.
 pub struct PrefixCache {
     max_blocks: usize,
+    // Logical time of the last use, by block hash; `by_last_use` is the inverse.
     last_used: HashMap<u64, u64>,
     by_last_use: BTreeMap<u64, u64>,
+    // Logical time, increased at each use.
     clock: u64,
     seq: u64,
     events: VecDeque<(Duration, CacheEvent)>,
 }
 
 impl PrefixCache {
-    /// Makes an empty cache of at most so many blocks.
+    /// Creates an empty cache that holds up to `max_blocks` blocks.
     #[must_use]
     pub fn new(max_blocks: usize) -> Self {
         Self {
@@ -50,13 +52,13 @@
         }
     }
 
-    /// Forgets all blocks.
+    /// Removes all blocks, without events.
     pub fn clear(&mut self) {
         self.last_used.clear();
         self.by_last_use.clear();
     }
 
-    /// Counts the prompt's leading tokens that are cached, and caches all of it.
+    /// Caches all complete blocks of a prompt. Returns how many of its leading tokens were cached.
     pub fn insert(&mut self, now: Duration, prompt: &str) -> u64 {
         let mut hash = Xxh3::new();
         let mut hit = 0;
@@ -70,7 +72,8 @@
         hit
     }
 
-    /// Events after a number that are older than `lag`; every tenth is lost.
+    /// Events with a sequence number above `after` that are at least `lag` old. Every tenth event
+    /// is left out, to simulate lost events.
     #[must_use]
     pub fn events(&self, now: Duration, lag: Duration, after: u64) -> Vec<CacheEvent> {
         let visible = self.events.iter().filter(|(at, _)| *at + lag <= now);
--- a/components/standins/src/engine/settings.rs
+++ b/components/standins/src/engine/settings.rs
@@ -1,49 +1,49 @@
-//! Settings of an engine.
+//! Settings of the engine stand-in.
 
 use serde::{Deserialize, Serialize};
 
 use crate::lifecycle::LifecycleSettings;
 
-/// Settings of an engine.
+/// Memory, batch, step times and output lengths of an engine.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineSettings {
-    /// Its life.
+    /// Lifecycle of the engine.
     #[serde(rename = "life")]
     pub lifecycle: LifecycleSettings,
-    /// Seed of the lengths that callers don't set.
+    /// Seed of the random output lengths, used when the caller sets none.
     pub seed: u64,
-    /// Memory in tokens.
+    /// KV-cache memory in tokens.
     pub capacity: u64,
-    /// Most generations in one step.
+    /// Maximum number of generations in the batch.
     #[serde(rename = "most_running")]
     pub max_running: usize,
-    /// Most generations waiting for room.
+    /// Maximum number of generations waiting for memory.
     #[serde(rename = "most_waiting")]
     pub max_waiting: u32,
-    /// Milliseconds of a step.
+    /// Fixed time of a step, in milliseconds.
     pub step_ms: f64,
-    /// Milliseconds more for each generation in it.
+    /// Additional milliseconds for each generation in the batch.
     pub step_ms_per_stream: f64,
-    /// Milliseconds more for each thousand tokens in memory.
+    /// Additional milliseconds for each thousand tokens in memory.
     pub step_ms_per_ktoken: f64,
-    /// Milliseconds more for each token of a prompt.
+    /// Additional milliseconds for each prompt token prefilled in the step.
     pub prefill_ms_per_token: f64,
-    /// Tokens of prompts in one step at most.
+    /// Maximum number of prompt tokens prefilled in one step.
     pub prefill_chunk: u64,
-    /// Factor on a step while cold.
+    /// Factor on the time of a step while cold.
     pub cold_factor: f64,
-    /// Blocks in the prefix cache.
+    /// Capacity of the prefix cache, in blocks.
     pub prefix_blocks: usize,
-    /// Milliseconds by which cache events lag.
+    /// Delay of cache events in milliseconds.
     pub cache_lag_ms: u64,
-    /// Milliseconds after which a generation that nobody reads is dropped.
+    /// Milliseconds without a reader after which a generation is ended.
     pub unobserved_ms: u64,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether commands with an outdated fencing number are refused.
     pub checks_fences: bool,
-    /// Median of the lengths that callers don't set, in tokens.
+    /// Median of the random output lengths, in tokens.
     pub median_output: f64,
-    /// Spread of the logarithm of these lengths.
+    /// Standard deviation of the logarithm of the random output lengths.
     pub spread_output: f64,
 }
 
--- a/components/standins/src/engine/text.rs
+++ b/components/standins/src/engine/text.rs
@@ -1,41 +1,41 @@
-//! The texts of the OpenAI API.
+//! Requests, stream events and responses in the format of the OpenAI API.
 
 use bytes::{Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
 
-/// Name of the model that answers.
+/// Model name in the responses.
 const MODEL: &str = "standin";
 /// Bytes of prompt that count as one token.
 const TOKEN_BYTES: usize = 4;
 
-/// A request.
+/// A request of `/v1/completions` or `/v1/chat/completions`.
 #[derive(Debug, Deserialize)]
 pub struct CompletionRequest {
     #[serde(default)]
     prompt: Option<String>,
     #[serde(default)]
     messages: Vec<PromptMessage>,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     #[serde(default)]
     pub stream: bool,
-    /// The most tokens wanted.
+    /// Upper limit of the output length, in tokens.
     #[serde(default)]
     pub max_tokens: Option<u64>,
-    /// Priority; a smaller one goes first.
+    /// Priority; smaller values are scheduled first.
     #[serde(default)]
     pub priority: i64,
-    /// What the load tool adds.
+    /// Data that the load tool adds.
     #[serde(default)]
     pub metadata: Metadata,
 }
 
-/// What the load tool adds to a request.
+/// Data that the load tool adds to a request.
 #[derive(Debug, Default, Deserialize)]
 pub struct Metadata {
-    /// Length of the answer in tokens, in decimal.
+    /// Output length in tokens, as a decimal number.
     #[serde(default)]
     pub output_tokens: Option<String>,
-    /// The caller's name for the request.
+    /// Name that the caller gave the request.
     #[serde(default)]
     pub caller: String,
 }
@@ -47,7 +47,7 @@
 }
 
 impl CompletionRequest {
-    /// The prompt as one text.
+    /// The prompt as a single string; chat messages are joined with their roles.
     #[must_use]
     pub fn prompt(&self) -> String {
         if let Some(prompt) = &self.prompt {
@@ -60,19 +60,19 @@
     }
 }
 
-/// Counts a prompt's tokens.
+/// Number of tokens of a prompt, estimated from its length.
 #[must_use]
 pub const fn count_tokens(prompt: &str) -> u64 {
     prompt.len().div_ceil(TOKEN_BYTES) as u64
 }
 
-/// The text of one token: no two streams and no two places in one stream share it.
+/// Text of a token, unique to its stream and offset.
 #[must_use]
 pub fn token_text(stream: &str, offset: u64) -> String {
     format!("{stream}.{offset} ")
 }
 
-/// Which of the two APIs was called.
+/// API that a request used.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Api {
@@ -120,7 +120,7 @@
     total_tokens: u64,
 }
 
-/// Writes one token as a server-sent event.
+/// Appends one token as a server-sent event whose id is the token's offset.
 pub fn write_event(buf: &mut BytesMut, api: Api, stream: &str, offset: u64, last: bool) {
     let content = token_text(stream, offset);
     let finish_reason = last.then_some("stop");
@@ -159,12 +159,12 @@
         usage: None,
     };
     buf.extend_from_slice(format!("id: {offset}\ndata: ").as_bytes());
-    // Structs of text and numbers always become JSON.
+    // Serializing a struct of strings and numbers can't fail.
     buf.extend_from_slice(&serde_json::to_vec(&chunk).unwrap_or_default());
     buf.extend_from_slice(b"\n\n");
 }
 
-/// The whole answer.
+/// Body of a response that is not streamed.
 #[must_use]
 pub fn complete_answer(api: Api, stream: &str, prompt_tokens: u64, produced: u64) -> Bytes {
     let content: String = (0..produced)
--- a/components/standins/src/fault.rs
+++ b/components/standins/src/fault.rs
@@ -1,69 +1,70 @@
-//! The faults of engines and plain services.
+//! Faults that can be injected into engines and plain services.
 
 use serde::{Deserialize, Serialize};
 
-/// What a target is told to do on the spot.
+/// A one-time fault or change of state that takes effect at once.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultAction {
-    /// Turn cold without a word.
+    /// Turn cold without notifying the platform.
     Cold,
-    /// Turn warm.
+    /// Turn warm at once.
     Warm,
-    /// Drop everything and come back cold with the next incarnation.
+    /// Crash: drop all requests and restart cold as the next incarnation.
     Crash,
-    /// Start to leave: finish what runs, take nothing new.
+    /// Start draining: finish running requests and refuse new ones.
     Leave,
-    /// Take work again.
+    /// Stop draining and accept requests again.
     Stay,
-    /// Make every open connection silent for good.
+    /// Silence every open connection permanently.
     Silence,
-    /// Cut every open connection.
+    /// Close every open connection.
     Cut,
 }
 
-/// A cut of the next connections.
+/// Closes the connections of the next requests after a number of bytes.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct Cut {
-    /// After how many more bytes.
+    /// Bytes that still pass.
     pub bytes: u64,
-    /// For how many requests.
+    /// Number of requests affected.
     pub times: u32,
 }
 
 impl Cut {
-    /// Takes one of them.
+    /// Uses the cut for one request and returns the bytes that pass; `None` if it is used up.
     pub fn take(&mut self) -> Option<u64> {
         self.times = self.times.checked_sub(1)?;
         Some(self.bytes)
     }
 }
 
-/// Faults of a target; a message sets those that it names.
+/// Faults of a target. A message changes only the fields that it names.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Done at once.
+    /// One-time action.
     #[serde(rename = "act")]
     pub action: Option<FaultAction>,
-    /// Factor on all times.
+    /// Factor by which all processing times are multiplied.
     pub slow: Option<f64>,
-    /// Milliseconds during which nothing moves, from now on.
+    /// Milliseconds for which all processing stalls, starting now; 0 ends a stall.
     pub stall_ms: Option<u64>,
-    /// So many requests are answered 503 `not-run`.
+    /// Number of next requests that are answered 503 with `not-run`.
     pub not_run: Option<u32>,
-    /// Connections are cut while a request is read.
+    /// Connections to close while a request is read.
     pub cut_reading: Option<Cut>,
-    /// Connections are cut while an answer is written.
+    /// Connections to close while a response is written.
     pub cut_answer: Option<Cut>,
-    /// So many requests of a plain service take effect and are never answered.
+    /// Number of next requests to a plain service that take effect but get no response.
     pub never_answer: Option<u32>,
-    /// Milliseconds by which the load report lags.
+    /// Age of the load reports in milliseconds.
     pub load_lag_ms: Option<u64>,
 }
 
 impl Faults {
-    /// Sets what a message names and what lasts.
+    /// Takes over the lasting faults that a message names. `action`, `stall_ms` and `cut_reading`
+    /// take effect at once and are not kept.
     pub fn update(&mut self, new: &Self) {
         self.slow = new.slow.or(self.slow);
         self.not_run = new.not_run.or(self.not_run);
--- a/components/standins/src/lib.rs
+++ b/components/standins/src/lib.rs
@@ -1,7 +1,8 @@
-//! Small stand-ins for what celerystand talks to: the platform, model engines, plain services.
+//! Stand-ins for the systems that celerystand talks to: the platform, model engines and plain
+//! services.
 //!
-//! Each keeps the behaviour that celerystand's decisions depend on, and takes faults over its
-//! `/control/...` paths, so that tests and the load tool produce the same failures.
+//! Each reproduces the behaviour that celerystand's decisions depend on. Faults are injected over
+//! its `/control/...` paths, so that tests and the load tool cause the same failures.
 
 pub mod cli;
 pub mod connection;
--- a/components/standins/src/lifecycle.rs
+++ b/components/standins/src/lifecycle.rs
@@ -1,4 +1,5 @@
-//! What engines and plain services share: cold start, restarts, leaving, lagging load reports.
+//! Lifecycle that engines and plain services share: cold start, crash and restart, draining, and
+//! delayed load reports.
 
 use std::{collections::VecDeque, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,39 +16,40 @@
 
 pub use crate::fault::{Cut, FaultAction, Faults};
 
-/// Time between two looks at restarts, reports and the listing.
+/// Interval of load samples and of checks for a due restart or a changed directory entry.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Time between two looks at whether a stall was called off.
+/// Interval at which a stalled request checks whether the stall has ended early.
 const STALL_POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Reports kept.
+/// Number of load reports retained.
 const RETAINED_REPORTS: usize = 1000;
 
-/// Settings of a target's life.
+/// Settings of a target's lifecycle.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LifecycleSettings {
-    /// Its name.
+    /// Name of the target.
     pub name: String,
-    /// Its service.
+    /// Service that the target belongs to.
     pub service: String,
-    /// Its data centre.
+    /// Data centre that the target runs in.
     pub zone: String,
-    /// Where the platform listens; the target keeps its own entry in the directory there.
+    /// Address of the platform, in whose directory the target registers itself; `None` if it
+    /// doesn't register.
     pub platform: Option<SocketAddr>,
-    /// Number of its first life.
+    /// Number of the first incarnation.
     pub incarnation: u64,
-    /// Whether it starts warm.
+    /// Whether the target starts warm.
     pub warm: bool,
-    /// Concurrent requests it bears while cold.
+    /// Concurrent requests that a cold target handles; one more crashes it.
     pub cold_limit: u32,
-    /// Milliseconds after it turned cold without a word in which more than it bears is only
-    /// counted as a surprise: nobody can know before the first sign of it.
+    /// Milliseconds after the target turned cold without notice during which a request over the
+    /// limit is only counted: callers can't know before they see the first sign of it.
     pub cold_grace_ms: u64,
-    /// Finished requests after which it is warm.
+    /// Finished requests after which the target is warm.
     pub warm_after: u32,
-    /// Milliseconds that it is away after it fell over.
+    /// Milliseconds that a restart after a crash takes.
     pub restart_ms: u64,
-    /// Milliseconds by which its load report lags.
+    /// Age of the load reports in milliseconds.
     pub load_lag_ms: u64,
 }
 
@@ -69,51 +71,51 @@
     }
 }
 
-/// A load report.
+/// A load report, as `/load` returns it.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct Load {
-    /// Which life.
+    /// Incarnation of the target.
     pub incarnation: u64,
-    /// How old the report is.
+    /// Age of the report in milliseconds.
     pub age_ms: u64,
-    /// Requests running.
+    /// Running requests.
     pub running: u32,
-    /// Requests waiting inside.
+    /// Requests queued in the target.
     pub waiting: u32,
-    /// Tokens of memory occupied.
+    /// Memory in use, in tokens.
     pub used: u64,
-    /// Tokens of memory in all.
+    /// Memory in total, in tokens.
     pub capacity: u64,
-    /// Preemptions so far.
+    /// Preemptions since the stand-in started.
     pub preemptions: u64,
-    /// Whether it is warm.
+    /// Whether the target is warm.
     pub warm: bool,
 }
 
-/// What the log tells of a target's life.
+/// Lifecycle part of a target's log.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct LifecycleLog {
-    /// Which life.
+    /// Incarnation of the target.
     pub incarnation: u64,
-    /// Whether it is warm.
+    /// Whether the target is warm.
     pub warm: bool,
-    /// The most concurrent requests it saw while cold.
+    /// Highest number of concurrent requests while cold, without those counted in the grace period.
     #[serde(rename = "most_cold")]
     pub max_cold: u32,
-    /// How often it had more than it bears while cold.
+    /// Number of requests over the cold limit that crashed the target.
     pub overfills: u32,
-    /// How often it had more within the time of grace after it turned cold.
+    /// Number of requests over the cold limit within the grace period after it turned cold.
     #[serde(rename = "surprises")]
     pub overfills_in_grace: u32,
 }
 
-/// The life of a target.
+/// Lifecycle state of a target across its incarnations.
 pub struct Lifecycle {
-    /// Its clock.
+    /// Clock of the target.
     pub timer: Timer,
-    /// Its settings.
+    /// Settings of the lifecycle.
     pub settings: LifecycleSettings,
-    /// Its connections.
+    /// Connections of the target.
     pub connections: Arc<Connections>,
     state: Mutex<State>,
 }
@@ -129,19 +131,19 @@
     reports: VecDeque<(Duration, Load)>,
 }
 
-/// Whether a new request may run.
+/// Decision on a new request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It runs.
+    /// The request runs.
     Admitted,
-    /// It is told that it did not run.
+    /// The request is refused as not run.
     Refused,
-    /// It was too much: the target has fallen over.
+    /// The target is down, or this request exceeded the cold limit and crashed it.
     Crashed,
 }
 
 impl Lifecycle {
-    /// Starts a life.
+    /// Creates the lifecycle in its first incarnation.
     #[must_use]
     pub fn new(settings: LifecycleSettings) -> Self {
         let log = LifecycleLog {
@@ -166,7 +168,8 @@
         }
     }
 
-    /// Decides on a new request when `others` run or wait already.
+    /// Decides on a new request while `others` run or wait already. Applies the fault `cut_answer`
+    /// to its connection if one is pending.
     pub fn admit(&self, others: u32, connection: &Connection) -> Admission {
         let mut state = self.state.lock();
         if state.restart_at.is_some() {
@@ -197,14 +200,15 @@
         Admission::Crashed
     }
 
-    /// Whether the target is up in this life: what an earlier one began has no effect any more.
+    /// Whether the target is up and still in this incarnation. Work that an earlier incarnation
+    /// began must have no effect.
     #[must_use]
     pub fn is_up_as(&self, incarnation: u64) -> bool {
         let state = self.state.lock();
         state.restart_at.is_none() && state.log.incarnation == incarnation
     }
 
-    /// Counts a finished request.
+    /// Counts a finished request; enough of them make the target warm.
     pub fn record_finished(&self) {
         let mut state = self.state.lock();
         state.finished += 1;
@@ -213,14 +217,15 @@
         }
     }
 
-    /// Factor on all times.
+    /// Factor by which all processing times are multiplied.
     #[must_use]
     pub fn slowdown(&self) -> f64 {
         self.state.lock().faults.slow.unwrap_or(1.0)
     }
 
-    /// Waits while nothing moves. It looks again and again: what slept through a stall that was
-    /// called off would hold up work of the target's next life as well.
+    /// Waits until no stall is in effect. Polls instead of sleeping to the end of the stall: a
+    /// stall can be ended early, and a longer sleep would then delay work of the next incarnation
+    /// as well.
     pub async fn wait_for_stall_end(&self) {
         loop {
             let until = self.state.lock().stalled_until;
@@ -232,18 +237,19 @@
         }
     }
 
-    /// Whether this request is the next to go without an answer.
+    /// Whether this request must go unanswered; uses up one such fault.
     pub fn take_unanswered(&self) -> bool {
         take_one(&mut self.state.lock().faults.never_answer)
     }
 
-    /// The account of this life.
+    /// The log of the lifecycle so far.
     #[must_use]
     pub fn log(&self) -> LifecycleLog {
         self.state.lock().log
     }
 
-    /// Answers `/load`: the report of a lag ago.
+    /// Answers `/load` with the newest report that is at least as old as the configured lag, or
+    /// with the oldest one if there is none.
     #[must_use]
     pub fn load(&self) -> Response<Body> {
         let state = self.state.lock();
@@ -262,7 +268,7 @@
         Reply::json(200, &load).done()
     }
 
-    /// Sets faults; tells whether all work was dropped.
+    /// Injects faults. Returns whether the target crashed, so that the caller must drop all work.
     pub fn set_faults(&self, new: Faults) -> bool {
         let mut state = self.state.lock();
         state.faults.update(&new);
@@ -289,7 +295,8 @@
         new.action == Some(FaultAction::Crash)
     }
 
-    /// Keeps the reports, the directory's entry and the way back from a fall up to date.
+    /// Background task: samples the load, restarts the target after a crash and keeps its directory
+    /// entry up to date. Does not return.
     pub async fn run(self: Arc<Self>, addr: SocketAddr, sample: impl Fn() -> Load + Send) {
         let client = Client::new();
         let mut ticks = self.timer.every(TICK_INTERVAL);
@@ -303,9 +310,9 @@
                 continue;
             };
             let entry = self.directory_entry(addr, leaving);
-            let answer = control::post(&client, platform, "/control/register", &entry).await;
-            // An empty answer means that it did not arrive.
-            if !answer.is_empty() {
+            let response = control::post(&client, platform, "/control/register", &entry).await;
+            // An empty response means that the registration failed; the next tick retries.
+            if !response.is_empty() {
                 listed = current;
             }
         }
@@ -339,7 +346,7 @@
     }
 
     fn crash(&self, state: &mut State) {
-        // A stall was meant for this life, and nobody can call it off while the target is away.
+        // A stall applies to one incarnation only, and can't be ended while the target is down.
         state.stalled_until = Duration::ZERO;
         state.log.warm = false;
         state.finished = 0;
--- a/components/standins/src/platform/directory.rs
+++ b/components/standins/src/platform/directory.rs
@@ -1,4 +1,5 @@
-//! The directory: Kubernetes' EndpointSlice list, one slice an endpoint, and its past.
+//! The directory: a Kubernetes EndpointSlice list with one slice for each endpoint. Past versions
+//! are retained, so that the directory can answer with an outdated list.
 
 use std::{collections::VecDeque, net::SocketAddr, time::Duration};
 
@@ -6,10 +7,10 @@
 
 use crate::control::DirectoryEntry;
 
-/// How far back the list is kept.
+/// How long past versions of the list are retained.
 const RETENTION: Duration = Duration::from_secs(120);
 
-/// The list now and as it was.
+/// The current list and its past versions.
 #[derive(Default)]
 pub struct Directory {
     versions: VecDeque<Version>,
@@ -22,7 +23,7 @@
 }
 
 impl Directory {
-    /// Adds or changes an entry.
+    /// Adds an entry or replaces the one of the same name.
     pub fn register(&mut self, now: Duration, entry: DirectoryEntry) {
         self.update(now, |entries| {
             entries.retain(|old| old.name != entry.name);
@@ -30,12 +31,12 @@
         });
     }
 
-    /// Takes an entry out.
+    /// Removes an entry.
     pub fn remove(&mut self, now: Duration, name: &str) {
         self.update(now, |entries| entries.retain(|old| old.name != name));
     }
 
-    /// The list as it was at a time.
+    /// The list as of the time `at`; empty if no version is that old.
     #[must_use]
     pub fn slices(&self, at: Duration) -> SliceList {
         let version = self.versions.iter().rev().find(|v| v.since <= at);
@@ -57,7 +58,7 @@
             since: now,
             entries,
         });
-        // The oldest version kept must still be older than the longest lag.
+        // The oldest version retained must be older than the longest lag.
         while self
             .versions
             .get(1)
@@ -96,7 +97,7 @@
     })
 }
 
-/// The list on the wire.
+/// Body of the response with the list.
 #[derive(Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct SliceList {
--- a/components/standins/src/platform/mod.rs
+++ b/components/standins/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! The platform: a transactional table, an object store and the directory, on one port.
+//! The platform: a transactional table, an object store and a directory, all on one port.
 
 pub mod directory;
 pub mod table;
@@ -26,34 +26,34 @@
     platform::{directory::Directory, table::Table},
 };
 
-/// Path under which objects lie.
+/// Path prefix of the object store.
 const OBJECTS: &str = "/objects/celerystand/";
 /// Path of the directory.
 const SLICES: &str = "/apis/discovery.k8s.io/v1/endpointslices";
 
-/// Faults and rates; a message sets those that it names.
+/// Faults and rate limits. A message changes only the fields that it names.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// The table answers nothing: connections are cut.
+    /// The table does not answer: it closes the connections.
     pub table_down: Option<bool>,
-    /// The table answers 500 to everything.
+    /// The table answers every request with status 500.
     pub table_errors: Option<bool>,
-    /// Milliseconds before each answer of the table.
+    /// Delay of each response of the table, in milliseconds.
     pub table_slow_ms: Option<u64>,
-    /// So many commits take effect without an answer.
+    /// Number of next commits that take effect but whose response is lost.
     pub lose_answers: Option<u32>,
-    /// The object store answers 503.
+    /// The object store answers every request with status 503.
     pub objects_down: Option<bool>,
-    /// The directory answers 503.
+    /// The directory answers every request with status 503.
     pub directory_down: Option<bool>,
-    /// The directory answers the list of so many milliseconds ago.
+    /// Age of the list that the directory answers with, in milliseconds.
     pub directory_lag_ms: Option<u64>,
-    /// Rows written a second.
+    /// Limit of rows written per second.
     pub write_rate: Option<f64>,
-    /// Reads a second.
+    /// Limit of reads per second.
     pub read_rate: Option<f64>,
-    /// Callers, by bearer token, that are cut off from the platform.
+    /// Bearer tokens of the callers whose connections the platform closes.
     pub cut_off: Option<Vec<String>>,
 }
 
@@ -77,20 +77,20 @@
     }
 }
 
-/// What `GET /control/log` tells.
+/// Body of `GET /control/log`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct PlatformLog {
-    /// Rows written.
+    /// Number of rows written.
     pub writes: u64,
-    /// Reads answered.
+    /// Number of reads answered.
     pub reads: u64,
-    /// Commits refused because a condition did not hold.
+    /// Number of commits rejected because a condition did not hold.
     pub conflicts: u64,
-    /// Calls refused for their rate.
+    /// Number of requests rejected by a rate limit.
     pub throttled: u64,
-    /// Commits that took effect without an answer.
+    /// Number of commits that took effect but whose response was lost.
     pub lost: u64,
-    /// All rows, as `partition/sort` and body.
+    /// All rows: `partition/sort` to body.
     pub rows: BTreeMap<String, String>,
 }
 
@@ -110,7 +110,7 @@
 /// Starts a platform.
 ///
 /// # Errors
-/// Passes on why the address can't be listened on.
+/// Returns the error of binding the address.
 pub async fn start(addr: SocketAddr, faults: Faults) -> io::Result<StandinHandle<Platform>> {
     let state = State {
         faults,
@@ -126,18 +126,18 @@
 }
 
 impl Platform {
-    /// Sets faults and rates.
+    /// Injects faults and sets rate limits.
     pub fn set_faults(&self, faults: Faults) {
         self.state.lock().faults.update(faults);
     }
 
-    /// Puts an instance or target into the directory, or changes it.
+    /// Adds an instance or target to the directory, or replaces its entry.
     pub fn register(&self, entry: DirectoryEntry) {
         let now = self.timer.now();
         self.state.lock().directory.register(now, entry);
     }
 
-    /// What happened so far.
+    /// Log of the table so far, with all rows.
     #[must_use]
     pub fn log(&self) -> PlatformLog {
         self.state.lock().table.log()
@@ -165,7 +165,7 @@
         match answer {
             (_, true) => control::close_connection(&req.connection),
             (Ok(text), _) => dynamodb_response(200, text),
-            (Err(fault), _) => dynamodb_response(fault.status(), fault.body()),
+            (Err(error), _) => dynamodb_response(error.status(), error.body()),
         }
     }
 
--- a/components/standins/src/platform/table.rs
+++ b/components/standins/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! The table service: the forms of DynamoDB's JSON that celerystand uses, and no others.
+//! The table service: the subset of DynamoDB's JSON API that celerystand uses.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,44 +13,46 @@
     },
 };
 
-/// Prefix of the operation's name.
+/// Prefix of the operation name in the header `x-amz-target`.
 pub const PROTOCOL: &str = "DynamoDB_20120810.";
-/// The operation that writes.
+/// Name of the write operation, a transaction.
 pub const COMMIT: &str = "TransactWriteItems";
+/// Namespace of the error types.
 const NAMESPACE: &str = "com.amazonaws.dynamodb.v20120810#";
+/// Name of the only table.
 const TABLE: &str = "celerystand";
-/// Rows written a second by default.
+/// Default limit of rows written per second.
 const WRITE_RATE: f64 = 400.0;
-/// Reads a second by default.
+/// Default limit of reads per second.
 const READ_RATE: f64 = 2000.0;
-/// Writes in one transaction at most.
+/// Maximum number of writes in one transaction.
 const MAX_WRITES: usize = 100;
 
-/// Why the table refuses a call.
+/// Why the table rejects a request.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum TableError {
-    /// A condition did not hold; holds each write's own code.
+    /// The condition of a write did not hold.
     #[display("Transaction cancelled")]
     Cancelled {
-        /// `None` or `ConditionalCheckFailed`, one for each write.
+        /// Code of each write: `None` or `ConditionalCheckFailed`.
         reasons: Vec<&'static str>,
     },
-    /// Too many calls.
+    /// The request exceeds the rate limit.
     #[display("The level of configured provisioned throughput was exceeded")]
     Throttled,
-    /// The call is wrong.
+    /// The request is malformed or not supported.
     #[display("{problem}")]
     Invalid {
-        /// What is wrong.
+        /// Description of the problem.
         problem: String,
     },
-    /// The table is failing.
+    /// The fault `table_errors` is set.
     #[display("Internal server error")]
     Internal,
 }
 
 impl TableError {
-    /// HTTP status.
+    /// HTTP status of the response.
     #[must_use]
     pub const fn status(&self) -> u16 {
         match self {
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Body of the answer.
+    /// Body of the error response.
     #[must_use]
     pub fn body(&self) -> String {
         let (kind, reasons) = match self {
@@ -80,7 +82,7 @@
     }
 }
 
-/// Allows so many calls a second, and a second's worth at once.
+/// Token bucket: allows `rate` operations per second and a burst of one second's worth.
 #[derive(Default)]
 struct TokenBucket {
     spent: f64,
@@ -102,7 +104,7 @@
 
 type Rows = BTreeMap<(String, String), Item>;
 
-/// All rows, and the account of calls.
+/// All rows, the rate limits and the log.
 #[derive(Default)]
 pub struct Table {
     rows: Rows,
@@ -112,10 +114,10 @@
 }
 
 impl Table {
-    /// Runs one operation and gives the answer's body.
+    /// Executes one operation and returns the body of the response.
     ///
     /// # Errors
-    /// Why it is refused; nothing was written then.
+    /// Returns why the operation was rejected; nothing has been written then.
     pub fn execute(
         &mut self,
         now: Duration,
@@ -150,12 +152,12 @@
         }
     }
 
-    /// Counts a commit whose answer was lost.
+    /// Counts a commit whose response is lost, if `lost` is set.
     pub fn record_lost(&mut self, lost: bool) {
         self.log.lost += u64::from(lost);
     }
 
-    /// The account with all rows.
+    /// Log of the table so far, with all rows.
     #[must_use]
     pub fn log(&self) -> PlatformLog {
         let row_name = |item: &Item| format!("{}/{}", item.pk.s, item.sk.s);
@@ -180,7 +182,9 @@
 
     fn query(&self, query: &QueryRequest) -> Result<String, TableError> {
         if query.key_condition_expression != "pk = :p AND sk > :s" {
-            return Err(invalid("only the condition `pk = :p AND sk > :s` is known"));
+            return Err(invalid(
+                "unsupported key condition: expected `pk = :p AND sk > :s`",
+            ));
         }
         let values = &query.expression_attribute_values;
         let partition = &values.partition.s;
@@ -273,7 +277,9 @@
         match (condition.as_str(), expected) {
             ("attribute_not_exists(pk)", None) => Ok(row.is_none()),
             ("ver = :v", Some(expected)) => Ok(row.is_some_and(|row| row.ver == expected.version)),
-            _ => Err(invalid("unknown condition, or its values don't fit")),
+            _ => Err(invalid(
+                "unsupported condition, or its values don't match it",
+            )),
         }
     }
 }
@@ -281,7 +287,7 @@
 fn check(table: &str, consistent: bool) -> Result<(), TableError> {
     match (table, consistent) {
         (TABLE, true) => Ok(()),
-        (TABLE, false) => Err(invalid("only consistent reads are known")),
+        (TABLE, false) => Err(invalid("unsupported: read that is not consistent")),
         _ => Err(invalid("no such table")),
     }
 }
@@ -297,6 +303,6 @@
 }
 
 fn to_json(content: &impl Serialize) -> String {
-    // Structs of text and numbers always become JSON.
+    // Serializing a struct of strings and numbers can't fail.
     serde_json::to_string(content).unwrap_or_default()
 }
--- a/components/standins/src/platform/table_api.rs
+++ b/components/standins/src/platform/table_api.rs
@@ -1,4 +1,4 @@
-//! The table service on the wire: fields are named as DynamoDB names them.
+//! Request and response bodies of the table service, with the field names of DynamoDB.
 
 use serde::{Deserialize, Serialize};
 
--- a/components/standins/src/service.rs
+++ b/components/standins/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts each effect by the identity of its request.
+//! A plain service that counts the effects of each request by its identity.
 
 use std::{collections::BTreeMap, io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -20,19 +20,19 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceSettings {
-    /// Its life.
+    /// Lifecycle of the service.
     #[serde(rename = "life")]
     pub lifecycle: LifecycleSettings,
-    /// Seed of the jitter.
+    /// Seed of the random jitter.
     pub seed: u64,
-    /// Milliseconds that a lone call takes.
+    /// Latency of a single request, in milliseconds.
     pub latency_ms: f64,
-    /// Largest random part on top, in milliseconds.
+    /// Largest random addition to the latency, in milliseconds.
     pub jitter_ms: f64,
-    /// Concurrent calls at which a call takes twice as long.
+    /// Number of other concurrent requests that doubles the latency.
     #[serde(rename = "comfortable")]
     pub doubling_concurrency: f64,
-    /// Factor on the time of a call while cold.
+    /// Factor on the latency while cold.
     pub cold_factor: f64,
 }
 
@@ -49,26 +49,26 @@
     }
 }
 
-/// What `GET /control/log` tells.
+/// Body of `GET /control/log`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct ServiceLog {
-    /// Its life.
+    /// Lifecycle of the service.
     #[serde(rename = "life")]
     pub lifecycle: LifecycleLog,
-    /// Effects by identity.
+    /// Number of effects by request identity.
     pub effects: BTreeMap<String, u32>,
-    /// Calls without effect by identity.
+    /// Number of requests without effect (reads) by request identity.
     pub lookups: BTreeMap<String, u32>,
 }
 
-/// What a call is answered.
+/// Body of a response: echoes the request so that the caller can check it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Answer {
-    /// Path and query as they arrived.
+    /// Path and query as received.
     pub path: String,
-    /// The header `x-echo` as it arrived.
+    /// Value of the header `x-echo`.
     pub seen: String,
-    /// Hash of the body as it arrived.
+    /// Hash of the received body (XXH3, 16 hexadecimal digits).
     pub body: String,
 }
 
@@ -92,7 +92,7 @@
 /// Starts a plain service.
 ///
 /// # Errors
-/// Passes on why the address can't be listened on.
+/// Returns the error of binding the address.
 pub async fn start(
     addr: SocketAddr,
     settings: ServiceSettings,
@@ -110,22 +110,22 @@
     });
     let sampled = Arc::clone(&inner);
     let service = Arc::new(Service { inner });
-    let running = connection::serve(addr, Arc::clone(&lifecycle.connections), service).await?;
+    let handle = connection::serve(addr, Arc::clone(&lifecycle.connections), service).await?;
     let sample = move || Load {
         running: sampled.state.lock().running,
         ..Load::default()
     };
-    let task = workers::spawn(lifecycle.run(running.addr, sample));
-    Ok(running.with_task(task))
+    let task = workers::spawn(lifecycle.run(handle.addr, sample));
+    Ok(handle.with_task(task))
 }
 
 impl Service {
-    /// Sets faults.
+    /// Injects faults.
     pub fn set_faults(&self, faults: Faults) {
         self.inner.lifecycle.set_faults(faults);
     }
 
-    /// What happened so far.
+    /// Log of the effects and the lifecycle so far.
     #[must_use]
     pub fn log(&self) -> ServiceLog {
         let mut log = self.inner.state.lock().log.clone();
@@ -134,23 +134,23 @@
     }
 
     async fn handle_request(&self, req: ReceivedRequest) -> Response<Body> {
-        let entry = {
+        let admission = {
             let mut state = self.inner.state.lock();
-            let entry = self.inner.lifecycle.admit(state.running, &req.connection);
-            state.running += u32::from(entry == Admission::Admitted);
-            entry
+            let admission = self.inner.lifecycle.admit(state.running, &req.connection);
+            state.running += u32::from(admission == Admission::Admitted);
+            admission
         };
-        match entry {
+        match admission {
             Admission::Admitted => {}
             Admission::Refused => return control::not_run(503, "not-taking-work"),
             Admission::Crashed => return control::close_connection(&req.connection),
         }
-        // The work goes on when the caller hangs up, as it does in a real service.
+        // The request goes on running when the caller disconnects, as in a real service.
         let (tx, rx) = bounded(1);
         let inner = Arc::clone(&self.inner);
         let run = async move {
             let answer = inner.run(&req).await;
-            // The caller may have gone.
+            // Fails if the caller has disconnected.
             let _ = tx.send(answer).await;
         };
         workers::spawn(run).detach();
--- a/components/standins/tests/engine.rs
+++ b/components/standins/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: preemption, falling over while cold, resuming.
+//! The engine stand-in: preemption, crashes while cold, resumed streams, stalls.
 
 use std::{
     net::SocketAddr,
@@ -34,8 +34,8 @@
 }
 
 async fn start(warm: bool) -> StandinHandle<Engine> {
-    let ephemeral = SocketAddr::from(([127, 0, 0, 1], 0));
-    engine::start(ephemeral, settings(warm)).await.unwrap()
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    engine::start(any_port, settings(warm)).await.unwrap()
 }
 
 async fn request_stream(addr: SocketAddr, tokens: u64) -> Option<Response<Incoming>> {
@@ -46,7 +46,7 @@
     Client::new().send(addr, req.unwrap()).await.ok()
 }
 
-/// Reads until the end or the break; gives the offsets, and whether the end was seen.
+/// Reads a stream until it ends or breaks. Returns the token offsets and whether it was complete.
 async fn offsets(resp: Response<Incoming>) -> (Vec<u64>, bool) {
     let mut body = resp.into_body();
     let mut text = String::new();
@@ -67,10 +67,10 @@
     }
 }
 
-// Two generations are let in by their size at present, and grow until the memory is full. The
-// less urgent one is thrown out and computed again: its reader sees it stand still.
+// Generations are admitted by their current size. Two of them grow until the memory is full: the
+// less urgent one is preempted and recomputed, and its reader sees a stall.
 #[test]
-fn a_full_memory_preempts_the_least_urgent_and_both_end_whole() {
+fn full_memory_preempts_the_least_urgent_and_both_finish() {
     let mut batch = Batch::new(EngineSettings {
         capacity: 60,
         ..EngineSettings::default()
@@ -83,7 +83,10 @@
         batch.step(now);
     }
     assert!(batch.totals.preemptions > 0);
-    assert_eq!(batch.generations[1].preempted, 0, "the urgent one stays in");
+    assert_eq!(
+        batch.generations[1].preempted, 0,
+        "the urgent generation was preempted"
+    );
     assert!(batch.generations[0].stall_ms > 0);
     for generation in &batch.generations {
         assert_eq!(generation.end, Some(EndReason::Finished));
@@ -91,125 +94,128 @@
     }
 }
 
-// A cold engine bears two requests. A third one brings it down: all readers lose their streams,
-// and it comes back as another incarnation that knows none of them.
+// A cold engine handles two requests. A third one crashes it: all readers lose their streams, and
+// it restarts as a new incarnation without them.
 #[test]
-fn a_cold_engine_falls_over_above_its_bound() {
+fn a_cold_engine_crashes_above_its_limit() {
     block_on(async {
-        let running = start(false).await;
-        let first = request_stream(running.addr, 100_000).await.unwrap();
-        let second = request_stream(running.addr, 100_000).await.unwrap();
-        assert!(request_stream(running.addr, 1).await.is_none());
+        let handle = start(false).await;
+        let first = request_stream(handle.addr, 100_000).await.unwrap();
+        let second = request_stream(handle.addr, 100_000).await.unwrap();
+        assert!(request_stream(handle.addr, 1).await.is_none());
         let ((_, first), (_, second)) = zip(offsets(first), offsets(second)).await;
         assert!(!first && !second);
-        assert_eq!(running.standin.log().lifecycle.overfills, 1);
-        wait_until(|| running.standin.log().lifecycle.incarnation == 2).await;
-        let response = request_stream(running.addr, 3).await.unwrap();
+        assert_eq!(handle.standin.log().lifecycle.overfills, 1);
+        wait_until(|| handle.standin.log().lifecycle.incarnation == 2).await;
+        let response = request_stream(handle.addr, 3).await.unwrap();
         assert_eq!(response.headers()["x-stream-id"], "e1-2-2");
         assert_eq!(offsets(response).await, (vec![0, 1, 2], true));
     });
 }
 
-// The connection breaks in mid-stream. The engine goes on by itself, and a second connection
-// reads the same generation from the next token on.
+// The connection breaks in mid-stream. The engine continues the generation, and a second
+// connection reads the rest of it, starting at the next token.
 #[test]
-fn a_cut_stream_goes_on_at_the_next_token() {
+fn a_cut_stream_resumes_at_the_next_token() {
     block_on(async {
-        let running = start(true).await;
+        let handle = start(true).await;
         let bytes = 2000;
-        running.standin.set_faults(Faults {
+        handle.standin.set_faults(Faults {
             cut_answer: Some(Cut { bytes, times: 1 }),
             ..Faults::default()
         });
-        let resp = request_stream(running.addr, 50).await.unwrap();
+        let resp = request_stream(handle.addr, 50).await.unwrap();
         let stream = resp.headers()["x-stream-id"].to_str().unwrap().to_owned();
         let (seen, complete) = offsets(resp).await;
         assert!(!complete && seen.len() < 50);
         let req = Request::get(format!("/v1/streams/{stream}"))
             .header("last-event-id", "4")
             .body(Full::default());
-        let rest = Client::new()
-            .send(running.addr, req.unwrap())
-            .await
-            .unwrap();
+        let rest = Client::new().send(handle.addr, req.unwrap()).await.unwrap();
         assert_eq!(offsets(rest).await, ((5..50).collect(), true));
     });
 }
 
-// Something on the way loses track of a connection: nothing arrives on it any more, and nothing
-// tells so, while a new connection works.
+// A network device drops the state of a connection: nothing arrives on it any more, and no error
+// is reported, while a new connection works.
 #[test]
-fn a_silent_connection_says_nothing_while_a_new_one_works() {
+fn a_silenced_connection_delivers_nothing_while_a_new_one_works() {
     block_on(async {
-        let running = start(true).await;
-        let resp = request_stream(running.addr, 5000).await.unwrap();
+        let handle = start(true).await;
+        let resp = request_stream(handle.addr, 5000).await.unwrap();
         let action = Some(FaultAction::Silence);
-        running.standin.set_faults(Faults {
+        handle.standin.set_faults(Faults {
             action,
             ..Faults::default()
         });
         let old = workers::spawn(offsets(resp));
-        let new = request_stream(running.addr, 3).await.unwrap();
+        let new = request_stream(handle.addr, 3).await.unwrap();
         assert_eq!(offsets(new).await, (vec![0, 1, 2], true));
         assert!(!old.is_finished());
     });
 }
 
-// An engine stands still for a minute and crashes meanwhile; the stall is called off. What it gets
-// after its return must run at once: a draft that waits out a stall of the engine's former life
-// looks like one that an instance has lost.
+// An engine crashes during a stall of a minute, and the stall is then ended early. Requests after
+// the restart must run at once: one that waited out a stall of the previous incarnation would look
+// like a request that an instance has lost.
 #[test]
-fn a_stall_that_was_called_off_holds_up_no_later_generation() {
+fn a_stall_ended_early_delays_no_later_generation() {
     block_on(async {
-        let running = start(true).await;
+        let handle = start(true).await;
         let stall = |ms| Faults {
             stall_ms: Some(ms),
             ..Faults::default()
         };
-        running.standin.set_faults(stall(60_000));
-        let held = request_stream(running.addr, 5).await.unwrap();
-        // The step that produces the first token has begun, and stands still.
+        handle.standin.set_faults(stall(60_000));
+        let held = request_stream(handle.addr, 5).await.unwrap();
+        // By now the step that produces the first token has started and is stalled.
         Timer::after(Duration::from_millis(100)).await;
-        running.standin.set_faults(Faults {
+        handle.standin.set_faults(Faults {
             action: Some(FaultAction::Crash),
             ..Faults::default()
         });
-        running.standin.set_faults(stall(0));
+        handle.standin.set_faults(stall(0));
         assert_eq!(offsets(held).await, (vec![], false));
-        wait_until(|| running.standin.log().lifecycle.incarnation == 2).await;
+        wait_until(|| handle.standin.log().lifecycle.incarnation == 2).await;
         let started_at = Instant::now();
-        let response = request_stream(running.addr, 3).await.unwrap();
+        let response = request_stream(handle.addr, 3).await.unwrap();
         assert_eq!(offsets(response).await, (vec![0, 1, 2], true));
-        assert!(started_at.elapsed() < Duration::from_secs(20), "it waited");
+        assert!(
+            started_at.elapsed() < Duration::from_secs(20),
+            "the stall delayed a generation of the next incarnation"
+        );
     });
 }
 
-// An engine stands still and crashes. Nobody can call the stall off while it is away, and its next
-// life is another process: what it gets then must run.
+// An engine crashes during a stall, which can't be ended while the engine is down. The next
+// incarnation stands for a new process, so requests to it must run at once.
 #[test]
-fn a_stall_ends_with_the_life_that_it_was_meant_for() {
+fn a_stall_ends_with_its_incarnation() {
     block_on(async {
-        let running = start(true).await;
-        running.standin.set_faults(Faults {
+        let handle = start(true).await;
+        handle.standin.set_faults(Faults {
             stall_ms: Some(60_000),
             ..Faults::default()
         });
-        running.standin.set_faults(Faults {
+        handle.standin.set_faults(Faults {
             action: Some(FaultAction::Crash),
             ..Faults::default()
         });
-        wait_until(|| running.standin.log().lifecycle.incarnation == 2).await;
+        wait_until(|| handle.standin.log().lifecycle.incarnation == 2).await;
         let started_at = Instant::now();
-        let response = request_stream(running.addr, 3).await.unwrap();
+        let response = request_stream(handle.addr, 3).await.unwrap();
         assert_eq!(offsets(response).await, (vec![0, 1, 2], true));
-        assert!(started_at.elapsed() < Duration::from_secs(20), "it waited");
+        assert!(
+            started_at.elapsed() < Duration::from_secs(20),
+            "the stall delayed a generation of the next incarnation"
+        );
     });
 }
 
 async fn wait_until(done: impl Fn() -> bool) {
     let deadline = Instant::now() + Duration::from_secs(20);
     while !done() {
-        assert!(Instant::now() < deadline, "it did not come about");
+        assert!(Instant::now() < deadline, "condition not met within 20 s");
         Timer::after(Duration::from_millis(5)).await;
     }
 }
--- a/components/standins/tests/platform.rs
+++ b/components/standins/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: commits, lost answers, a lagging directory.
+//! The platform stand-in: commits, lost responses, rate limits, an outdated directory.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
     platform::{self, Faults},
 };
 
-fn ephemeral() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -40,75 +40,75 @@
 #[test]
 fn a_commit_writes_all_rows_or_none() {
     block_on(async {
-        let running = platform::start(ephemeral(), Faults::default())
+        let handle = platform::start(any_port(), Faults::default())
             .await
             .unwrap();
-        let (status, _) = commit(running.addr, &[insert("a")]).await.unwrap();
+        let (status, _) = commit(handle.addr, &[insert("a")]).await.unwrap();
         assert_eq!(status, 200);
-        let (status, body) = commit(running.addr, &[insert("b"), insert("a")])
+        let (status, body) = commit(handle.addr, &[insert("b"), insert("a")])
             .await
             .unwrap();
         assert_eq!(status, 400);
         assert!(body.contains("#TransactionCanceledException"), "{body}");
-        let rows: Vec<_> = running.standin.log().rows.into_keys().collect();
+        let rows: Vec<_> = handle.standin.log().rows.into_keys().collect();
         assert_eq!(rows, ["p/a"]);
     });
 }
 
-// The table writes a commit, and the connection breaks before the answer is out. The writer
-// can't tell this from a commit that never arrived; the row is there all the same.
+// The table writes a commit, and the connection breaks before the response is sent. The writer
+// can't tell this from a commit that never arrived, but the row exists.
 #[test]
-fn a_commit_with_a_lost_answer_took_effect() {
+fn a_commit_with_a_lost_response_took_effect() {
     block_on(async {
         let faults = Faults {
             lose_answers: Some(1),
             ..Faults::default()
         };
-        let running = platform::start(ephemeral(), faults).await.unwrap();
-        assert_eq!(commit(running.addr, &[insert("a")]).await, None);
-        assert_eq!(running.standin.log().lost, 1);
-        let (status, _) = commit(running.addr, &[insert("a")]).await.unwrap();
+        let handle = platform::start(any_port(), faults).await.unwrap();
+        assert_eq!(commit(handle.addr, &[insert("a")]).await, None);
+        assert_eq!(handle.standin.log().lost, 1);
+        let (status, _) = commit(handle.addr, &[insert("a")]).await.unwrap();
         assert_eq!(status, 400, "the row exists already");
     });
 }
 
 #[test]
-fn writes_over_the_rate_are_refused_and_write_nothing() {
+fn writes_over_the_rate_limit_are_rejected_without_effect() {
     block_on(async {
         let faults = Faults {
             write_rate: Some(2.0),
             ..Faults::default()
         };
-        let running = platform::start(ephemeral(), faults).await.unwrap();
+        let handle = platform::start(any_port(), faults).await.unwrap();
         let writes = [insert("a"), insert("b"), insert("c")];
-        let (status, body) = commit(running.addr, &writes).await.unwrap();
+        let (status, body) = commit(handle.addr, &writes).await.unwrap();
         assert_eq!(status, 400);
         assert!(body.contains("#ProvisionedThroughputExceeded"), "{body}");
-        assert_eq!(running.standin.log().rows.len(), 0);
+        assert_eq!(handle.standin.log().rows.len(), 0);
     });
 }
 
-// The directory answers what was true a while ago. An instance that believes it sends work to
-// what has left, or does not know yet what has come.
+// The directory answers with an outdated list. An instance that relies on it sends requests to
+// targets that have left, and does not know new ones yet.
 #[test]
-fn the_directory_shows_the_past() {
+fn a_lagging_directory_answers_with_an_outdated_list() {
     block_on(async {
-        let running = platform::start(ephemeral(), Faults::default())
+        let handle = platform::start(any_port(), Faults::default())
             .await
             .unwrap();
-        running.standin.register(DirectoryEntry {
+        handle.standin.register(DirectoryEntry {
             name: "e1".to_owned(),
             service: "m".to_owned(),
             addr: "127.0.0.1:9".to_owned(),
             incarnation: 7,
             ..DirectoryEntry::default()
         });
-        assert!(slices(running.addr).await.contains(r#""uid":"7""#));
-        running.standin.set_faults(Faults {
+        assert!(slices(handle.addr).await.contains(r#""uid":"7""#));
+        handle.standin.set_faults(Faults {
             directory_lag_ms: Some(60_000),
             ..Faults::default()
         });
-        assert!(slices(running.addr).await.contains(r#""items":[]"#));
+        assert!(slices(handle.addr).await.contains(r#""items":[]"#));
     });
 }
 
--- a/components/standins/tests/service.rs
+++ b/components/standins/tests/service.rs
@@ -1,4 +1,4 @@
-//! The plain service: effects counted, calls cut at either side of the effect.
+//! The plain service stand-in: counted effects, connections cut before and after the effect.
 
 use std::net::SocketAddr;
 
@@ -14,12 +14,12 @@
 };
 
 async fn start(faults: Faults) -> StandinHandle<Service> {
-    let ephemeral = SocketAddr::from(([127, 0, 0, 1], 0));
-    let running = service::start(ephemeral, ServiceSettings::default())
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let handle = service::start(any_port, ServiceSettings::default())
         .await
         .unwrap();
-    running.standin.set_faults(faults);
-    running
+    handle.standin.set_faults(faults);
+    handle
 }
 
 async fn post(addr: SocketAddr) -> Option<String> {
@@ -32,59 +32,59 @@
     Some(String::from_utf8_lossy(&body).into_owned())
 }
 
-fn effects(running: &StandinHandle<Service>) -> u32 {
-    let log = running.standin.log();
+fn effects(handle: &StandinHandle<Service>) -> u32 {
+    let log = handle.standin.log();
     log.effects.get("grant-7").copied().unwrap_or(0)
 }
 
 #[test]
-fn each_effect_is_counted_and_each_answer_names_its_call() {
+fn each_effect_is_counted_and_each_response_echoes_its_request() {
     block_on(async {
-        let running = start(Faults::default()).await;
-        let answer = post(running.addr).await.unwrap();
+        let handle = start(Faults::default()).await;
+        let answer = post(handle.addr).await.unwrap();
         assert!(
             answer.contains(r#""path":"/save?x=1","seen":"abc""#),
             "{answer}"
         );
-        post(running.addr).await.unwrap();
-        assert_eq!(effects(&running), 2);
+        post(handle.addr).await.unwrap();
+        assert_eq!(effects(&handle), 2);
     });
 }
 
-// A connection breaks while the request is on its way: the service never saw all of it.
+// The connection breaks while the request is sent: the service never receives all of it.
 #[test]
-fn a_call_cut_while_it_is_read_has_no_effect() {
+fn a_request_cut_while_it_is_read_has_no_effect() {
     block_on(async {
         let cut_reading = Some(Cut {
             bytes: 40,
             times: 1,
         });
-        let running = start(Faults {
+        let handle = start(Faults {
             cut_reading,
             ..Faults::default()
         })
         .await;
-        assert_eq!(post(running.addr).await, None);
-        assert_eq!(effects(&running), 0);
-        assert!(post(running.addr).await.is_some());
+        assert_eq!(post(handle.addr).await, None);
+        assert_eq!(effects(&handle), 0);
+        assert!(post(handle.addr).await.is_some());
     });
 }
 
-// A connection breaks while the answer is on its way: the caller hears nothing of an effect
-// that took place.
+// The connection breaks while the response is sent: the caller gets no response to a request that
+// took effect.
 #[test]
-fn a_call_cut_while_it_is_answered_has_its_effect() {
+fn a_request_cut_while_it_is_answered_takes_effect() {
     block_on(async {
         let cut_answer = Some(Cut {
             bytes: 10,
             times: 1,
         });
-        let running = start(Faults {
+        let handle = start(Faults {
             cut_answer,
             ..Faults::default()
         })
         .await;
-        assert_eq!(post(running.addr).await, None);
-        assert_eq!(effects(&running), 1);
+        assert_eq!(post(handle.addr).await, None);
+        assert_eq!(effects(&handle), 1);
     });
 }
