--- a/components/claims/examples/measure_claims.rs
+++ b/components/claims/examples/measure_claims.rs
@@ -20,6 +20,7 @@
 /// Time that the table in memory takes to answer.
 const TABLE_DELAY: Duration = Duration::from_millis(5);
 
+/// No instance ever ends.
 struct AllAlive;
 
 impl Liveness for AllAlive {
--- a/components/config/tests/keeping/random.rs
+++ b/components/config/tests/updates/random.rs
@@ -1,7 +1,7 @@
 //! Random runs: operators race on several instances while the table service fails, peers are cut
 //! off and instances restart.
 //!
-//! Longer runs: `PROPTEST_CASES=2000 cargo test --release -p config --test keeping random`.
+//! Longer runs: `PROPTEST_CASES=2000 cargo test --release -p config --test updates random`.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
