--- a/src/client.rs
+++ b/src/client.rs
@@ -1,5 +1,5 @@
-//! Client of the administration API of one instance. It tells a change that was certainly not made
-//! from one that may have been accepted.
+//! Client of the administration API of one instance. Its failures distinguish a change that was
+//! certainly not made from one that may have been accepted.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
--- a/src/cmd/state.rs
+++ b/src/cmd/state.rs
@@ -83,6 +83,6 @@
         None => "deleted".to_owned(),
         Some(node) => serde_json::to_string(node).unwrap_or_default(),
     };
-    let (version, who, path) = (entry.version, &entry.change.operator, &entry.change.path);
-    format!("{version:>6}  {age:>8} s ago  {who}  {path}  {what}")
+    let (version, operator, path) = (entry.version, &entry.change.operator, &entry.change.path);
+    format!("{version:>6}  {age:>8} s ago  {operator}  {path}  {what}")
 }
--- a/src/output.rs
+++ b/src/output.rs
@@ -7,7 +7,7 @@
 
 use errors::{Context, Result};
 
-/// Writes a text and flushes it, so that streamed text appears at once.
+/// Writes a text and flushes it, so that streamed text appears immediately.
 ///
 /// The macros of the standard library panic when the text can't be written, so that a command whose
 /// reader closes the pipe early, as in `celerystand export | head`, would end with a panic message.
