--- a/tests/platform/calls.rs
+++ b/tests/platform/calls.rs
@@ -1,4 +1,4 @@
-//! Plain calls on the users' platform, with real processes before stand-ins that fail.
+//! Plain calls on the users' platform, with real processes and stand-ins that fail.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use smol::Timer;
 
 #[test]
-fn a_call_goes_through_unchanged_and_the_key_stays_here() {
+fn a_call_is_forwarded_unchanged_without_its_key() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("through").await;
@@ -22,7 +22,7 @@
         let seen = platform.plain[0]
             .received_headers()
             .pop()
-            .expect("the near process got it");
+            .expect("the process in the same data centre received it");
         assert_eq!(seen.get("tenant").expect("a workspace"), "editors");
         assert!(seen.get("authorization").is_none());
         let denied = Caller::new("other")
@@ -34,10 +34,10 @@
     });
 }
 
-/// A target answers 500 to a call that may be repeated. The caller should not notice: another
-/// target has the answer.
+/// A target answers 500. An idempotent call is retried at another target, and its caller sees no
+/// failure; another call is not retried.
 #[test]
-fn an_idempotent_call_is_tried_again_and_another_is_not() {
+fn an_idempotent_call_is_retried_and_another_is_not() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("again").await;
@@ -58,10 +58,10 @@
     });
 }
 
-/// A grant was run and its answer lost, crossed with another, torn or unproven. Sent again it
-/// would be granted twice; refused as not run, the caller would send it again itself.
+/// A grant was run, but its answer belongs to another request, is truncated or has no seal. A retry
+/// would grant it twice, and so would the caller if the call were reported as not run.
 #[test]
-fn a_call_that_may_have_run_is_neither_repeated_nor_called_not_run() {
+fn a_call_that_may_have_run_is_neither_retried_nor_reported_as_not_run() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("once").await;
@@ -78,16 +78,16 @@
             let got = caller.call(instance.addr, "POST", "/grants/9", &id).await;
             let after: usize = platform.plain.iter().map(|p| p.run_count()).sum();
             assert_eq!((got.status, after - before), (502, 1), "{fault:?}");
-            let line = instance.line(&id, "SendingFailed").await;
+            let line = instance.log_line(&id, "SendingFailed").await;
             assert_eq!(line["fields"]["not_run"], false, "{fault:?}");
         }
     });
 }
 
-/// Every target says that it did not run the call. That is certain, and the caller is told so and
-/// when to come back.
+/// Every target refuses the call without running it: the refusal says that it certainly did not
+/// run, and has a retry-after header.
 #[test]
-fn a_call_that_surely_did_not_run_is_refused_with_a_time_to_come_back() {
+fn a_call_that_certainly_did_not_run_is_refused_with_retry_after() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("refused").await;
@@ -105,10 +105,10 @@
     });
 }
 
-/// A target takes a call and says nothing more. One that may be repeated is asked of another in
-/// time for its caller.
+/// A target accepts a call and never answers. An idempotent call must be retried at another target
+/// before its deadline.
 #[test]
-fn a_silent_target_does_not_keep_an_idempotent_call() {
+fn an_idempotent_call_to_a_target_that_does_not_answer_is_retried_elsewhere() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("silent").await;
@@ -121,10 +121,11 @@
     });
 }
 
-/// The store goes away, and an operator may take a key back meanwhile that nobody here hears of.
-/// After a while no key is honoured, and callers are told that the request has not run.
+/// An operator may revoke a key during a store outage, and the instance can't know of it. Once the
+/// limit for revocation has passed no key is accepted, and callers get a refusal that allows a
+/// retry.
 #[test]
-fn without_the_store_keys_are_honoured_for_a_short_while_only() {
+fn without_the_store_keys_are_accepted_only_for_the_revocation_limit() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("revoked").await;
@@ -136,11 +137,11 @@
         let got = caller.call(instance.addr, "GET", "/titles/9", "r-2").await;
         assert_eq!(got.status, 503);
         assert!(got.retry_after.is_some());
-        assert_eq!(status(instance.ready, "/v1/readiness").await, Some(503));
+        assert_eq!(status(instance.readiness, "/v1/readiness").await, Some(503));
         platform.configure(&["key-2"]);
         platform.store.set_down(false);
         let caller = &caller;
-        eventually("the key is dead", || async {
+        eventually("the key is rejected", || async {
             caller
                 .call(instance.addr, "GET", "/titles/9", "r-3")
                 .await
@@ -163,10 +164,10 @@
     });
 }
 
-/// The store forgets its history while an instance follows it. What it says next must not be
-/// missed.
+/// The store discards the history of its feed while an instance follows it. The next change must
+/// not be missed.
 #[test]
-fn a_configuration_comes_into_force_also_after_the_history_is_gone() {
+fn a_configuration_is_applied_after_the_feed_history_was_discarded() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("history").await;
@@ -175,7 +176,7 @@
         platform.configure(&["key-3"]);
         let caller = Caller::new("key-3");
         let caller = &caller;
-        eventually("the newest key is good", || async {
+        eventually("the newest key is accepted", || async {
             caller
                 .call(instance.addr, "GET", "/titles/9", "r-1")
                 .await
@@ -191,7 +192,7 @@
 }
 
 #[test]
-fn metrics_and_the_dump_are_served_and_hold_no_keys() {
+fn metrics_and_the_dump_are_served_without_keys() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("metrics").await;
@@ -233,8 +234,8 @@
     });
 }
 
-/// Two instances follow one store. One of them reads it; word of a change reaches both, and the
-/// store is asked far less often than each for itself would ask.
+/// Of four instances only some read the store and the others follow those. A change reaches all,
+/// and the store gets far fewer calls than if each instance read it.
 #[test]
 fn instances_follow_the_store_through_each_other() {
     smol::block_on(async {
@@ -244,17 +245,24 @@
             instances.push(platform.instance(name).await);
         }
         Timer::after(Duration::from_secs(2)).await;
-        let before = instances.iter().map(|i| i.door.call_count()).sum::<usize>();
+        let before = instances
+            .iter()
+            .map(|i| i.endpoint.call_count())
+            .sum::<usize>();
         Timer::after(Duration::from_secs(4)).await;
-        // Two readers of two topics make one call each 0.8 s: 20 in four seconds. Each of four
-        // instances alone would make 40 and more.
-        let calls = instances.iter().map(|i| i.door.call_count()).sum::<usize>() - before;
+        // Two readers of two topics make one call every 0.8 s each: 20 in four seconds. Four
+        // instances that all read the store would make 40 or more.
+        let calls = instances
+            .iter()
+            .map(|i| i.endpoint.call_count())
+            .sum::<usize>()
+            - before;
         assert!(calls <= 30, "{calls}");
         platform.configure(&["key-9"]);
         let caller = Caller::new("key-9");
         let caller = &caller;
         for instance in &instances {
-            eventually("the new key is good everywhere", || async {
+            eventually("the new key is accepted by every instance", || async {
                 caller
                     .call(instance.addr, "GET", "/titles/9", "r-1")
                     .await
@@ -266,22 +274,23 @@
     });
 }
 
-/// Which instances read the configuration at the store, and which follow those.
-async fn roles(instances: &[Instance]) -> (Vec<usize>, Vec<usize>) {
-    let followed = |n: usize| instances[n].door.feed_calls("op");
-    let before: Vec<usize> = (0..instances.len()).map(followed).collect();
+/// Indices of the instances that read the configuration from the store, and of those that follow a
+/// reader.
+async fn readers_and_followers(instances: &[Instance]) -> (Vec<usize>, Vec<usize>) {
+    let feed_calls = |n: usize| instances[n].endpoint.feed_calls("op");
+    let before: Vec<usize> = (0..instances.len()).map(feed_calls).collect();
     Timer::after(Duration::from_secs(3)).await;
-    // A follower makes no calls in quiet times.
-    let reads = |n: &usize| followed(*n) > before[*n];
-    let (readers, followers): (Vec<usize>, Vec<usize>) = (0..instances.len()).partition(reads);
+    // A follower makes no calls to the store while nothing changes.
+    let is_reader = |n: &usize| feed_calls(*n) > before[*n];
+    let (readers, followers): (Vec<usize>, Vec<usize>) = (0..instances.len()).partition(is_reader);
     assert!(!readers.is_empty() && followers.len() >= 2, "{readers:?}");
     (readers, followers)
 }
 
-/// The store turns away just the instances that read it for the others. These still answer, with
-/// what they knew before; the others must not be content with that while the store serves them.
+/// The store refuses only the readers. These still answer their followers with cached data; the
+/// followers must not rely on it while the store serves them.
 #[test]
-fn followers_do_not_stay_with_a_reader_that_lost_the_store() {
+fn followers_leave_a_reader_that_lost_the_store() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let mut instances = Vec::new();
@@ -289,9 +298,9 @@
             instances.push(platform.instance(name).await);
         }
         Timer::after(Duration::from_secs(3)).await;
-        let (readers, followers) = roles(&instances).await;
+        let (readers, followers) = readers_and_followers(&instances).await;
         for reader in &readers {
-            instances[*reader].door.set_unavailable(true);
+            instances[*reader].endpoint.set_unavailable(true);
         }
         platform.configure(&["key-8"]);
         Timer::after(Duration::from_millis(1_900)).await;
@@ -304,17 +313,17 @@
     });
 }
 
-/// An instance starts while the store is away. The others know the configuration; without it the
-/// new one could serve nobody until the store is back.
+/// An instance starts during a store outage. It must get the configuration from its peers, or it
+/// could serve nobody until the store is back.
 #[test]
-fn a_newcomer_learns_from_the_others_while_the_store_is_away() {
+fn a_new_instance_gets_the_configuration_from_its_peers_during_a_store_outage() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let first = platform.instance("n-1").await;
         platform.store.set_down(true);
         Timer::after(Duration::from_millis(500)).await;
-        let second = platform.newcomer("n-2", &first).await;
-        eventually("it knows the configuration", || async {
+        let second = platform.instance_with_seed("n-2", &first).await;
+        eventually("it has the configuration", || async {
             let dump = page(second.admin, "/dump").await;
             dump.is_some_and(|dump| dump.body.contains("\"rules\":3"))
         })
@@ -322,11 +331,11 @@
     });
 }
 
-/// Two readers are cut off from the store, and so the others ask it themselves, when it cuts its
-/// connections once. It serves at once again; those that gave it up for a while would miss what
-/// changes meanwhile.
+/// The readers have lost the store, so the followers read it themselves when it closes their
+/// connections once. It serves again at once; an instance that stopped reading it for a while would
+/// miss changes.
 #[test]
-fn a_connection_that_the_store_cut_is_no_reason_to_leave_it() {
+fn a_closed_connection_does_not_mark_the_store_as_lost() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let mut instances = Vec::new();
@@ -334,17 +343,17 @@
             instances.push(platform.instance(name).await);
         }
         Timer::after(Duration::from_secs(3)).await;
-        let (readers, followers) = roles(&instances).await;
+        let (readers, followers) = readers_and_followers(&instances).await;
         for reader in &readers {
-            instances[*reader].door.set_unavailable(true);
+            instances[*reader].endpoint.set_unavailable(true);
         }
         Timer::after(Duration::from_secs(2)).await;
         for follower in &followers {
-            instances[*follower].door.set_unavailable(true);
+            instances[*follower].endpoint.set_unavailable(true);
         }
         Timer::after(Duration::from_millis(50)).await;
         for follower in &followers {
-            instances[*follower].door.set_unavailable(false);
+            instances[*follower].endpoint.set_unavailable(false);
         }
         platform.configure(&["key-7"]);
         Timer::after(Duration::from_millis(1_900)).await;
@@ -357,32 +366,33 @@
     });
 }
 
-/// The operators shorten the life of a key that was taken away, and nobody signals the instances.
-/// One that went on by its old settings would honour keys for longer than is allowed now.
+/// Operators shorten the limit for revoked keys without signalling the instances. An instance that
+/// kept its old settings would accept revoked keys for too long.
 #[test]
-fn settings_that_change_without_a_signal_are_taken() {
+fn settings_that_change_without_a_signal_are_applied() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("settings").await;
         let caller = Caller::new("key-1");
         let got = caller.call(instance.addr, "GET", "/titles/9", "r-1").await;
         assert_eq!(got.status, 200);
-        // Shorter than any read of the store takes: no knowledge of keys is fresh enough.
+        // Shorter than any read of the store takes, so that the knowledge of keys is always too
+        // old.
         instance.rewrite_settings("revoke_ms = 2500", "revoke_ms = 0");
-        eventually("keys are not honoured any more", || async {
+        eventually("keys are no longer accepted", || async {
             let got = caller.call(instance.addr, "GET", "/titles/9", "r-2").await;
             got.status == 503 && got.retry_after.is_some()
         })
         .await;
         assert!(instance.events().contains(&"SettingsReloaded".to_owned()));
         instance.rewrite_settings("[limits]", "[limits");
-        eventually("a file that can't be read is logged", || async {
+        eventually("an invalid settings file is logged", || async {
             instance.events().contains(&"SettingsKept".to_owned())
         })
         .await;
         instance.rewrite_settings("[limits", "[limits]");
         instance.rewrite_settings("revoke_ms = 0", "revoke_ms = 2500");
-        eventually("keys are honoured again", || async {
+        eventually("keys are accepted again", || async {
             let got = caller.call(instance.addr, "GET", "/titles/9", "r-3").await;
             got.status == 200
         })
@@ -390,19 +400,22 @@
     });
 }
 
-/// All instances start at once, and one makes itself known just after another has looked who is
-/// there. As long as they don't know of each other, both take themselves for the owner.
+/// All instances start at once, and one registers just after another has read the list of members.
+/// Until they discover each other, both consider themselves the owner.
 #[test]
-fn who_comes_right_after_the_first_look_is_known_soon() {
+fn a_member_registered_right_after_the_first_read_is_discovered_soon() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("looks").await;
         let late = r#"{"id":"late-one","addr":"127.0.0.1:9","born":1,"capacity":1}"#;
         platform.store.put("members", "late-one", late);
-        eventually("it knows the one who came late", || async {
-            let dump = page(instance.admin, "/dump").await;
-            dump.is_some_and(|dump| dump.body.contains("late-one"))
-        })
+        eventually(
+            "it has discovered the member that registered late",
+            || async {
+                let dump = page(instance.admin, "/dump").await;
+                dump.is_some_and(|dump| dump.body.contains("late-one"))
+            },
+        )
         .await;
     });
 }
--- a/tests/platform/endings.rs
+++ b/tests/platform/endings.rs
@@ -1,4 +1,4 @@
-//! Each request that was read ends with a whole answer, or in a way that does not look like one.
+//! Each request that was read ends with a complete answer, or in a way that does not look like one.
 
 use std::{
     net::SocketAddr,
@@ -25,98 +25,107 @@
 };
 
 /// Events of a generation that takes about two seconds.
-const LONG: u32 = 130;
-/// Time after which some of them have come.
-const SOME: Duration = Duration::from_millis(300);
-/// Bytes of a body of which six and a part fit into the memory of an instance that is for bodies.
-const LARGE_BODY: usize = 4 * 1024 * 1024;
-/// Time in which a caller is answered though an owner does not answer; the route allows eight
-/// seconds.
-const IN_TIME: Duration = Duration::from_secs(2);
+const LONG_EVENTS: u32 = 130;
+/// Time after which the first events have arrived.
+const STREAM_START_DELAY: Duration = Duration::from_millis(300);
+/// Size of a body in bytes; an instance's memory for bodies holds six of them, but not seven.
+const LARGE_BODY_BYTES: usize = 4 * 1024 * 1024;
+/// Time within which a caller must be answered if the owner doesn't answer; the route's deadline is
+/// eight seconds.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A platform whose first engine has these faults, with one instance through which a generation has
-/// begun there.
-async fn under_way(name: &str, faults: Faults) -> (Platform, Instance, Response<Incoming>) {
+/// Starts a platform whose first engine has these faults, with one instance, and a generation
+/// through it at that engine.
+async fn start_generation(name: &str, faults: Faults) -> (Platform, Instance, Response<Incoming>) {
     let platform = Platform::start().await;
     platform.engines[0].set_faults(faults);
     let instance = platform.instance(name).await;
     let caller = Caller::new("key-1");
     let resp = caller
-        .send(instance.addr, "POST", "/drafts/1", "g-1", LONG)
+        .send(instance.addr, "POST", "/drafts/1", "g-1", LONG_EVENTS)
         .await;
-    Timer::after(SOME).await;
+    Timer::after(STREAM_START_DELAY).await;
     assert_eq!(platform.engines[0].active_count(), 1);
     (platform, instance, resp.expect("an answer"))
 }
 
-/// Guards against passing on a part of an event as the end of a whole stream.
+/// Guards against forwarding a truncated event as the end of a complete stream.
 #[test]
-fn a_stream_without_length_that_ends_within_an_event_does_not_look_whole() {
+fn a_close_delimited_stream_that_ends_within_an_event_does_not_look_complete() {
     smol::block_on(async {
         let faults = Faults {
             close_delimited: true,
             ..Faults::default()
         };
-        let (platform, _instance, resp) = under_way("within", faults).await;
+        let (platform, _instance, resp) = start_generation("within", faults).await;
         platform.engines[0].exit(Exit::WithinEvent);
         let got = read_answer(resp).await;
         assert!(!got.is_complete, "{}", got.body);
-        assert!(all_events(LONG).starts_with(&got.body), "{}", got.body);
+        assert!(
+            all_events(LONG_EVENTS).starts_with(&got.body),
+            "{}",
+            got.body
+        );
     });
 }
 
-/// Guards against taking the end of an engine for the end of its streams.
+/// Guards against mistaking the end of an engine for the end of its streams.
 #[test]
-fn a_stream_without_length_does_not_look_whole_when_its_engine_has_ended() {
+fn a_close_delimited_stream_does_not_look_complete_when_its_engine_has_ended() {
     smol::block_on(async {
         let faults = Faults {
             close_delimited: true,
             ..Faults::default()
         };
-        let (platform, _instance, resp) = under_way("ended", faults).await;
+        let (platform, _instance, resp) = start_generation("ended", faults).await;
         platform.engines[0].exit(Exit::BetweenEvents);
         let got = read_answer(resp).await;
         assert!(!got.is_complete, "{}", got.body);
-        assert!(all_events(LONG).starts_with(&got.body), "{}", got.body);
+        assert!(
+            all_events(LONG_EVENTS).starts_with(&got.body),
+            "{}",
+            got.body
+        );
     });
 }
 
-/// Guards against cutting a whole stream without a length because its engine leaves.
+/// Guards against truncating a complete close-delimited stream because its engine leaves.
 #[test]
-fn a_stream_without_length_that_ends_at_a_leaving_engine_is_whole() {
+fn a_close_delimited_stream_that_ends_at_a_leaving_engine_is_complete() {
     smol::block_on(async {
         let faults = Faults {
             close_delimited: true,
             ..Faults::default()
         };
-        let (platform, _instance, resp) = under_way("stayed", faults).await;
+        let (platform, _instance, resp) = start_generation("stayed", faults).await;
         platform.engines[1].crash();
         platform.store.delete_row("servers", "e-2");
         platform.set_engine_leaving(0);
         let got = read_answer(resp).await;
-        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG_EVENTS)));
     });
 }
 
-/// Guards against taking a stream for whole that its engine closed for a move it never answered.
+/// Guards against treating a stream as complete that its engine closed for a migration which it
+/// never answered.
 #[test]
-fn a_stream_without_length_goes_on_when_the_answer_to_its_move_is_lost() {
+fn a_close_delimited_stream_continues_when_the_answer_to_its_migration_is_lost() {
     smol::block_on(async {
         let faults = Faults {
             close_delimited: true,
             hangs_on_final_copy: true,
             ..Faults::default()
         };
-        let (platform, _instance, resp) = under_way("unanswered", faults).await;
+        let (platform, _instance, resp) = start_generation("unanswered", faults).await;
         platform.set_engine_leaving(0);
         let got = read_answer(resp).await;
-        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG_EVENTS)));
     });
 }
 
-/// Guards against giving a stream up that was reset because no other engine has room for it.
+/// Guards against giving up a stream that was reset, because no other engine has room for it.
 #[test]
-fn a_stream_that_is_reset_goes_on_where_it_was_when_no_other_engine_has_room() {
+fn a_reset_stream_continues_at_its_engine_when_no_other_has_room() {
     smol::block_on(async {
         let platform = Platform::start().await;
         platform.engines[1].set_faults(Faults {
@@ -127,70 +136,73 @@
         let instance = platform.instance("no-room").await;
         let caller = Caller::new("key-1");
         let resp = caller
-            .send(instance.addr, "POST", "/drafts/1", "g-1", LONG)
+            .send(instance.addr, "POST", "/drafts/1", "g-1", LONG_EVENTS)
             .await;
-        Timer::after(SOME).await;
+        Timer::after(STREAM_START_DELAY).await;
         platform.engines[0].abort_streams();
         let got = read_answer(resp.expect("an answer")).await;
-        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG_EVENTS)));
         assert_eq!(platform.engines[0].started(), ["g-1"]);
         assert!(platform.engines[1].started().is_empty());
     });
 }
 
-/// Guards against losing a stream that its engine cut for a move it never answered.
+/// Guards against losing a stream that its engine closed for a migration which it never answered.
 #[test]
-fn a_stream_goes_on_when_the_answer_to_its_move_is_lost() {
+fn a_stream_continues_when_the_answer_to_its_migration_is_lost() {
     smol::block_on(async {
         let faults = Faults {
             hangs_on_final_copy: true,
             ..Faults::default()
         };
-        let (platform, _instance, resp) = under_way("lost-answer", faults).await;
+        let (platform, _instance, resp) = start_generation("lost-answer", faults).await;
         platform.set_engine_leaving(0);
         let got = read_answer(resp).await;
-        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG_EVENTS)));
     });
 }
 
-/// Guards against taking the end that a move causes for a failure when it is seen before the order.
+/// Guards against treating the end of a stream as a failure if it is caused by a migration but seen
+/// before the request for it.
 #[test]
-fn a_stream_goes_on_when_it_is_moved_while_its_engine_is_being_asked() {
+fn a_stream_continues_when_it_is_migrated_during_a_report_of_its_engine() {
     smol::block_on(async {
         let faults = Faults {
             report_delay: Duration::from_millis(200),
             ..Faults::default()
         };
-        let (platform, _instance, resp) = under_way("asked", faults).await;
-        // Asked after 900 ms of silence, and for 200 ms.
+        let (platform, _instance, resp) = start_generation("asked", faults).await;
+        // The engine is asked for its report after 900 ms without an event, and takes 200 ms to
+        // answer.
         platform.engines[0].mute_streams();
         Timer::after(Duration::from_millis(940)).await;
         platform.set_engine_leaving(0);
         let got = read_answer(resp).await;
-        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG_EVENTS)));
     });
 }
 
-/// Guards against giving a stream up that is reset while its engine copies it.
+/// Guards against giving up a stream that is reset while its engine copies it.
 #[test]
-fn a_stream_that_is_reset_during_its_move_goes_on_where_it_was_moved() {
+fn a_stream_that_is_reset_during_its_migration_continues_at_the_destination() {
     smol::block_on(async {
         let faults = Faults {
             aborts_stream_on_copy: true,
             ..Faults::default()
         };
-        let (platform, _instance, resp) = under_way("reset-copy", faults).await;
+        let (platform, _instance, resp) = start_generation("reset-copy", faults).await;
         platform.set_engine_leaving(0);
         let got = read_answer(resp).await;
-        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
-        let began: usize = platform.engines.iter().map(|e| e.started().len()).sum();
-        assert_eq!(began, 1, "it was never begun anew");
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG_EVENTS)));
+        let started: usize = platform.engines.iter().map(|e| e.started().len()).sum();
+        assert_eq!(started, 1, "it was started only once");
     });
 }
 
-/// Guards against leaving a move half done when the owner that ordered it stops before it is told.
+/// Guards against an incomplete migration when the owner that requested it stops before it gets the
+/// outcome.
 #[test]
-fn a_move_is_completed_though_the_owner_that_ordered_it_has_gone() {
+fn a_migration_is_completed_after_the_owner_that_requested_it_is_gone() {
     smol::block_on(async {
         let platform = Platform::start().await;
         platform.engines[0].set_faults(Faults {
@@ -201,46 +213,46 @@
         let instance = platform.instance("ownerless").await;
         let caller = Caller::new("key-1");
         let resp = caller
-            .send(instance.addr, "POST", "/drafts/1", "g-1", LONG)
+            .send(instance.addr, "POST", "/drafts/1", "g-1", LONG_EVENTS)
             .await;
-        Timer::after(SOME).await;
-        let patience = Duration::from_millis(100);
-        Peer::send_migration(instance.peers, "g-1", ["e-1", "e-2"], patience).await;
+        Timer::after(STREAM_START_DELAY).await;
+        let timeout = Duration::from_millis(100);
+        Peer::send_migration(instance.peers, "g-1", ["e-1", "e-2"], timeout).await;
         Timer::after(Duration::from_millis(500)).await;
         platform.engines[0].crash();
         let got = read_answer(resp.expect("an answer")).await;
-        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG_EVENTS)));
     });
 }
 
-/// Guards against waiting for the head of an answer from an engine that is gone.
+/// Guards against waiting for the response head of an engine that is gone.
 #[test]
-fn a_generation_whose_engine_never_answers_is_told_so_once_the_listing_is_gone() {
+fn a_generation_whose_engine_never_answers_fails_once_the_listing_is_gone() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("headless").await;
         platform.engines[0].stop_responding();
         let sent = Instant::now();
         let caller = Caller::new("key-1");
-        let asked = caller.generate(instance.addr, "g-1", LONG);
-        let gone = async {
-            Timer::after(SOME).await;
+        let generation = caller.generate(instance.addr, "g-1", LONG_EVENTS);
+        let delist = async {
+            Timer::after(STREAM_START_DELAY).await;
             platform.store.delete_row("servers", "e-1");
         };
-        let (got, ()) = smol::future::zip(asked, gone).await;
+        let (got, ()) = smol::future::zip(generation, delist).await;
         assert_eq!(got.status, 502);
         assert!(sent.elapsed() < Duration::from_secs(5), "it was held");
     });
 }
 
-/// An instance whose engines belong to another one that treats asks like this, and what a caller of
-/// it gets.
-async fn with_owner(
+/// Starts an instance whose engines are owned by a peer that answers placement requests like this;
+/// returns it with the status that a caller gets and the time that it took.
+async fn generate_with_owner(
     platform: &Platform,
     name: &str,
-    asks: PlacementMode,
+    mode: PlacementMode,
 ) -> (Instance, u16, Duration) {
-    Peer::start(&platform.store, asks).await;
+    Peer::start(&platform.store, mode).await;
     let instance = platform.instance(name).await;
     let sent = Instant::now();
     let got = Caller::new("key-1").generate(instance.addr, "g-1", 4).await;
@@ -249,59 +261,61 @@
 
 /// Guards against waiting for an owner that never answers.
 #[test]
-fn a_generation_is_served_in_time_though_its_owner_does_not_answer() {
+fn a_generation_is_served_in_time_when_its_owner_does_not_answer() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let (_instance, status, took) =
-            with_owner(&platform, "no-owner", PlacementMode::NoAnswer).await;
+            generate_with_owner(&platform, "no-owner", PlacementMode::NoAnswer).await;
         assert_eq!(status, 200);
-        assert!(took < IN_TIME, "{took:?}");
+        assert!(took < ANSWER_TIMEOUT, "{took:?}");
     });
 }
 
-/// Guards against waiting for the rest of an owner's answer that never comes.
+/// Guards against waiting for the rest of an owner's answer that never arrives.
 #[test]
-fn a_generation_is_served_in_time_though_its_owner_stops_within_its_answer() {
+fn a_generation_is_served_in_time_when_its_owner_sends_only_the_head() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let (_instance, status, took) =
-            with_owner(&platform, "half-owner", PlacementMode::HeadOnly).await;
+            generate_with_owner(&platform, "half-owner", PlacementMode::HeadOnly).await;
         assert_eq!(status, 200);
-        assert!(took < IN_TIME, "{took:?}");
+        assert!(took < ANSWER_TIMEOUT, "{took:?}");
     });
 }
 
-/// Guards against being granted the same unlisted engine again and again until the deadline.
+/// Guards against being assigned the same unlisted engine repeatedly until the deadline.
 #[test]
-fn a_generation_runs_elsewhere_when_its_owner_grants_an_engine_that_is_not_listed() {
+fn a_generation_runs_elsewhere_when_its_owner_assigns_an_unlisted_engine() {
     smol::block_on(async {
         let platform = Platform::start().await;
-        let asks = PlacementMode::Assign(vec!["e-9".into(), "e-1".into()]);
-        let (_instance, status, took) = with_owner(&platform, "unlisted", asks).await;
+        let mode = PlacementMode::Assign(vec!["e-9".into(), "e-1".into()]);
+        let (_instance, status, took) = generate_with_owner(&platform, "unlisted", mode).await;
         assert_eq!(status, 200);
-        assert!(took < IN_TIME, "{took:?}");
+        assert!(took < ANSWER_TIMEOUT, "{took:?}");
         assert_eq!(platform.engines[0].started(), ["g-1"]);
     });
 }
 
-/// Guards against sending new work to an engine whose leaving only the owner has not heard of.
+/// Guards against sending new work to a leaving engine when only the owner doesn't know that it
+/// leaves.
 #[test]
-fn a_generation_runs_elsewhere_when_its_owner_grants_an_engine_that_leaves() {
+fn a_generation_runs_elsewhere_when_its_owner_assigns_a_leaving_engine() {
     smol::block_on(async {
         let platform = Platform::start().await;
         platform.set_engine_leaving(0);
-        let asks = PlacementMode::Assign(vec!["e-1".into(), "e-2".into()]);
-        let (_instance, status, took) = with_owner(&platform, "leaving", asks).await;
+        let mode = PlacementMode::Assign(vec!["e-1".into(), "e-2".into()]);
+        let (_instance, status, took) = generate_with_owner(&platform, "leaving", mode).await;
         assert_eq!(status, 200);
-        assert!(took < IN_TIME, "{took:?}");
+        assert!(took < ANSWER_TIMEOUT, "{took:?}");
         assert!(platform.engines[0].started().is_empty());
         assert_eq!(platform.engines[1].started(), ["g-1"]);
     });
 }
 
-/// Guards against an owner that forgets what runs as its entry waits for instances that are dark.
+/// Guards against an owner that drops running generations because its entry instance waits for
+/// unresponsive instances.
 #[test]
-fn an_owner_hears_what_runs_though_many_instances_are_dark() {
+fn an_owner_receives_state_syncs_while_many_instances_are_unresponsive() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let owner = Peer::start(&platform.store, PlacementMode::Assign(vec!["e-1".into()])).await;
@@ -318,21 +332,22 @@
         };
         for _ in 0..4 {
             let before = syncs();
-            // An owner forgets what it has not heard of for three seconds.
+            // An owner drops generations that were not reported to it for three seconds.
             Timer::after(Duration::from_millis(2_500)).await;
             assert!(syncs() > before, "no sync in 2.5 s");
         }
     });
 }
 
-/// Guards against an owner that forgets a second try as it hears of the first one's end later.
+/// Guards against an owner that drops a second attempt because the end of the first one arrives
+/// after it.
 #[test]
-fn an_owner_hears_that_a_try_has_ended_before_it_is_asked_for_the_next() {
+fn an_owner_is_notified_of_a_failed_attempt_before_the_next_placement_request() {
     smol::block_on(async {
         let platform = Platform::start().await;
         platform.engines[0].set_full(true);
-        let asks = PlacementMode::Assign(vec!["e-1".into(), "e-2".into()]);
-        let owner = Peer::start(&platform.store, asks).await;
+        let mode = PlacementMode::Assign(vec!["e-1".into(), "e-2".into()]);
+        let owner = Peer::start(&platform.store, mode).await;
         let instance = platform.instance("ordered").await;
         let caller = Caller::new("key-1");
         for number in 0..5 {
@@ -341,30 +356,30 @@
                 .generate(instance.addr, &format!("g-{number}"), 4)
                 .await;
             assert_eq!((got.status, got.body), (200, all_events(4)));
-            let heard = owner.received()[before..].to_vec();
+            let received = owner.received()[before..].to_vec();
             assert!(
-                heard.starts_with(&[
+                received.starts_with(&[
                     ReceivedMessage::Place,
                     ReceivedMessage::Ended,
                     ReceivedMessage::Place
                 ]),
-                "{heard:?}"
+                "{received:?}"
             );
-            Timer::after(SOME).await;
+            Timer::after(STREAM_START_DELAY).await;
         }
     });
 }
 
-/// Guards against holding more bodies of requests under way than there is memory for.
+/// Guards against holding more bodies of requests in flight than the memory for bodies allows.
 #[test]
-fn a_body_that_finds_no_memory_beside_those_being_served_is_refused() {
+fn a_body_beyond_the_memory_limit_for_bodies_is_refused() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("crowded").await;
         for process in &platform.plain {
             process.set_fault(Fault::NoAnswer);
         }
-        let body = Bytes::from(vec![b'x'; LARGE_BODY]);
+        let body = Bytes::from(vec![b'x'; LARGE_BODY_BYTES]);
         let send = |number: usize| {
             let id = format!("r-{number}");
             let (head, _) = request("POST", "/grants/9", &id, 0, "key-1").into_parts();
@@ -372,33 +387,33 @@
             let addr = instance.addr;
             async move { Client::new().send_fresh(addr, req).await }
         };
-        let held: Vec<_> = (0..6).map(|number| smol::spawn(send(number))).collect();
+        let in_flight: Vec<_> = (0..6).map(|number| smol::spawn(send(number))).collect();
         eventually("six are being served", || async {
             platform.plain.iter().map(|p| p.run_count()).sum::<usize>() == 6
         })
         .await;
         let got = read_answer(send(6).await.expect("an answer")).await;
         assert_eq!(got.status, 503);
-        drop(held);
+        drop(in_flight);
     });
 }
 
-/// A process that answers the first request of each connection, and closes it when it has read the
-/// second. Tells what it reads.
-async fn closes_on_the_second(id: &'static str) -> (SocketAddr, Receiver<String>) {
+/// Starts a server that answers the first request of each connection and closes the connection once
+/// it has read the second. Returns its address and the requests that it reads.
+async fn start_closing_server(id: &'static str) -> (SocketAddr, Receiver<String>) {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
     let listener = TcpListener::bind(any).await.expect("a free port");
     let addr = listener.local_addr().expect("an address");
     let (tx, rx) = unbounded();
     let serve = async move {
         while let Ok((mut stream, _)) = listener.accept().await {
-            for answers in [true, false] {
+            for is_first in [true, false] {
                 let Some(request) = read_request(&mut stream).await else {
                     break;
                 };
                 assert!(request.contains(id), "{request}");
                 let _ = tx.try_send(request);
-                if answers {
+                if is_first {
                     let answer = "HTTP/1.1 200 OK\r\nresponse-seal: a-seal\r\n\
                                   content-length: 2\r\n\r\nok";
                     let _ = stream.write_all(answer.as_bytes()).await;
@@ -410,23 +425,24 @@
     (addr, rx)
 }
 
-/// Reads a request with the body that callers send; none if there is no other one.
+/// Reads a request with the body that callers send; `None` if the connection ends before.
 async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut buf = Vec::new();
-    let mut part = [0; 1024];
+    let mut chunk = [0; 1024];
     while !buf.ends_with(BODY.as_bytes()) {
-        let count = stream.read(&mut part).await.ok().filter(|n| *n > 0)?;
-        buf.extend_from_slice(&part[..count]);
+        let count = stream.read(&mut chunk).await.ok().filter(|n| *n > 0)?;
+        buf.extend_from_slice(&chunk[..count]);
     }
     Some(String::from_utf8_lossy(&buf).into_owned())
 }
 
-/// Guards against repeating, or calling not run, a call whose kept connection is closed under it.
+/// Guards against retrying a call, or reporting it as not run, when its pooled connection is closed
+/// after the call was sent.
 #[test]
-fn a_call_whose_kept_connection_is_closed_is_repeated_only_where_that_is_allowed() {
+fn a_call_whose_pooled_connection_is_closed_is_retried_only_if_idempotent() {
     smol::block_on(async {
         let platform = Platform::start().await;
-        let (addr, seen) = closes_on_the_second("p-1").await;
+        let (addr, seen) = start_closing_server("p-1").await;
         platform.plain[0].set_public_addr(addr);
         let listing = platform.plain[0].listing("titles", "dc-0", "ready");
         platform.store.put("servers", "p-1", listing);
@@ -443,20 +459,20 @@
     });
 }
 
-/// Guards against ending what is under way when its route and service are taken out.
+/// Guards against aborting requests in flight when their route and service are removed.
 #[test]
-fn requests_under_way_end_whole_when_their_route_is_gone() {
+fn requests_in_flight_are_completed_when_their_route_is_removed() {
     smol::block_on(async {
-        let (platform, instance, resp) = under_way("routeless", Faults::default()).await;
+        let (platform, instance, resp) = start_generation("routeless", Faults::default()).await;
         let rules = json!({"version": 1_000, "routes": [], "services": [], "tenants": []});
         platform.store.put("op", "config", rules.to_string());
         let caller = Caller::new("key-1");
-        eventually("the route is gone", || async {
+        eventually("the route is removed", || async {
             let got = caller.call(instance.addr, "GET", "/titles/9", "r-1").await;
             got.status == 404
         })
         .await;
         let got = read_answer(resp).await;
-        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG_EVENTS)));
     });
 }
--- a/tests/platform/explaining.rs
+++ b/tests/platform/explaining.rs
@@ -1,4 +1,4 @@
-//! From a failed request's id to its cause, by the logs of real processes alone.
+//! The cause of a failed request, found from its id and the logs alone, with real processes.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 
 use crate::support::{Caller, Platform};
 
-/// The order of these texts in a story.
-fn assert_tells(story: &str, texts: &[&str]) {
-    let mut rest = story;
+/// Asserts that the output contains these texts in this order.
+fn assert_in_order(output: &str, texts: &[&str]) {
+    let mut rest = output;
     for text in texts {
         let at = rest.find(text);
-        let at = at.unwrap_or_else(|| panic!("no {text:?} where it should be in\n{story}"));
+        let at = at.unwrap_or_else(|| panic!("{text:?} is missing or out of order in\n{output}"));
         rest = &rest[at + text.len()..];
     }
 }
 
-/// A caller complains of a refusal. The instance had lost the store a while before.
+/// A request is refused because the instance lost the store some time before.
 #[test]
-fn a_refusal_leads_to_the_lost_store() {
+fn explain_traces_a_refusal_to_the_lost_store() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("explain-1").await;
@@ -28,19 +28,19 @@
         let caller = Caller::new("key-1");
         let got = caller.call(instance.addr, "GET", "/titles/9", "r-1").await;
         assert_eq!(got.status, 503);
-        instance.line("r-1", "RequestRefused").await;
-        let cause = [
-            "the store is lost",
+        instance.log_line("r-1", "RequestRefused").await;
+        let expected = [
+            "the store's feed of operator was lost",
             "answered 503",
             "knowledge of keys is too old",
         ];
-        assert_tells(&instance.explain("r-1"), &cause);
+        assert_in_order(&instance.explain("r-1"), &expected);
     });
 }
 
-/// A caller does not know whether its grant was given. The target ran it and its answer broke off.
+/// The target ran a call and its answer broke off, so the caller doesn't know the outcome.
 #[test]
-fn an_unknown_outcome_leads_to_the_target() {
+fn explain_traces_an_unknown_outcome_to_the_target() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("explain-2").await;
@@ -48,24 +48,24 @@
         let caller = Caller::new("key-1");
         let got = caller.call(instance.addr, "POST", "/grants/9", "r-1").await;
         assert_eq!(got.status, 502);
-        instance.line("r-1", "RequestRefused").await;
-        let cause = [
+        instance.log_line("r-1", "RequestRefused").await;
+        let expected = [
             "sent to p-1",
-            "p-1 failed it: the answer broke off",
-            "not run: false",
+            "attempt at p-1 failed: the answer broke off",
+            "certainly not run: false",
         ];
-        assert_tells(&instance.explain("r-1"), &cause);
+        assert_in_order(&instance.explain("r-1"), &expected);
     });
 }
 
-/// A caller got half of its generation. The engine had said that it leaves, and was gone before
-/// the generation could be moved.
+/// A generation is truncated: its engine announced that it leaves, and ended before the generation
+/// could be migrated.
 #[test]
-fn a_cut_generation_leads_to_the_engine_that_left() {
+fn explain_traces_a_truncated_generation_to_its_leaving_engine() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("explain-3").await;
-        // There is nowhere to go.
+        // No other engine is left as a destination.
         platform.engines[1].crash();
         platform.store.delete_row("servers", "e-2");
         let caller = Caller::new("key-1");
@@ -78,21 +78,21 @@
         platform.engines[0].crash();
         let got = crate::support::read_answer(resp.expect("an answer")).await;
         assert!(!got.is_complete);
-        instance.line("g-1", "StreamCut").await;
-        let cause = [
+        instance.log_line("g-1", "StreamCut").await;
+        let expected = [
             "sent to e-1",
             "first event",
-            "e-1 leaves",
-            "cut after event",
+            "target e-1 is leaving",
+            "truncated after event",
         ];
-        assert_tells(&instance.explain("g-1"), &cause);
+        assert_in_order(&instance.explain("g-1"), &expected);
     });
 }
 
-/// After a bad hour an operator wants to know what was lost and why, and has only the logs. One call
-/// is served, three are refused for want of knowledge, and one never gets an answer.
+/// `losses` summarises failures from the logs: one call is served, three are refused because the
+/// knowledge of keys is too old, and one gets 502 because its answer broke off.
 #[test]
-fn losses_are_summed_up_by_cause() {
+fn losses_are_counted_by_cause() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("losses").await;
@@ -107,12 +107,12 @@
         for id in ["r-2", "r-3", "r-4"] {
             caller.call(instance.addr, "GET", "/titles/9", id).await;
         }
-        instance.line("r-4", "RequestRefused").await;
-        let causes = [
+        instance.log_line("r-4", "RequestRefused").await;
+        let expected = [
             "1  served",
             "3  answered 503: knowledge of keys is too old",
             "1  answered 502: the answer broke off",
         ];
-        assert_tells(&instance.losses(), &causes);
+        assert_in_order(&instance.losses(), &expected);
     });
 }
--- a/tests/platform/generations.rs
+++ b/tests/platform/generations.rs
@@ -1,4 +1,4 @@
-//! Generations on the users' platform, with real processes before engines that leave and fail.
+//! Generations on the users' platform, with real processes and engines that leave or fail.
 
 use std::time::{Duration, Instant};
 
@@ -7,24 +7,24 @@
 use smol::Timer;
 
 /// Events of a generation that takes about two seconds.
-const LONG: u32 = 130;
-/// Time after which some of them have come.
-const SOME: Duration = Duration::from_millis(300);
+const LONG_EVENTS: u32 = 130;
+/// Time after which the first events have arrived.
+const STREAM_START_DELAY: Duration = Duration::from_millis(300);
 
-/// A platform with one instance, through which a generation has begun at the first engine.
-async fn under_way(name: &str, events: u32) -> (Platform, Instance, Response<Incoming>) {
+/// Starts a platform with one instance, and a generation through it at the first engine.
+async fn start_generation(name: &str, events: u32) -> (Platform, Instance, Response<Incoming>) {
     let platform = Platform::start().await;
     let instance = platform.instance(name).await;
     let caller = Caller::new("key-1");
     let resp = caller
         .send(instance.addr, "POST", "/drafts/1", "g-1", events)
         .await;
-    Timer::after(SOME).await;
+    Timer::after(STREAM_START_DELAY).await;
     (platform, instance, resp.expect("an answer"))
 }
 
 #[test]
-fn a_generation_comes_whole_and_in_order() {
+fn a_generation_is_complete_and_in_order() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("whole").await;
@@ -36,63 +36,63 @@
     });
 }
 
-/// An engine is reclaimed while it generates. Without a move its caller gets a part of the answer;
-/// with one it gets every event once, and the second engine begins nothing anew.
+/// An engine is reclaimed while it generates. Without a migration the caller gets a truncated
+/// answer; with one it gets every event once, and the second engine starts no new generation.
 #[test]
-fn a_generation_is_carried_over_when_its_engine_leaves() {
+fn a_generation_is_migrated_when_its_engine_leaves() {
     smol::block_on(async {
-        let (platform, instance, resp) = under_way("carried", LONG).await;
+        let (platform, instance, resp) = start_generation("carried", LONG_EVENTS).await;
         assert_eq!(platform.engines[0].active_count(), 1);
         platform.set_engine_leaving(0);
         eventually("it runs at the other engine", || async {
             platform.engines[1].active_count() == 1
         })
         .await;
-        // The first one is gone for good.
+        // The first engine must no longer be needed.
         platform.engines[0].crash();
         let got = read_answer(resp).await;
         assert!(got.is_complete);
-        assert_eq!(got.body, all_events(LONG));
+        assert_eq!(got.body, all_events(LONG_EVENTS));
         assert!(platform.engines[1].started().is_empty());
-        let line = instance.line("g-1", "GenerationCarried").await;
+        let line = instance.log_line("g-1", "GenerationCarried").await;
         assert_eq!(line["fields"]["to"], "e-2");
     });
 }
 
-/// An engine is reclaimed, and the one that its generation was copied to takes nothing any more. The
-/// first one has stopped and keeps the memory: without going back there the caller would get half
-/// an answer though the engine has a second left.
+/// An engine is reclaimed, and the engine to which its generation was copied refuses it. The source
+/// has stopped the generation but keeps its memory for another second: without continuing there the
+/// answer would be truncated.
 #[test]
-fn a_generation_goes_back_where_it_was_if_its_destination_refuses_it() {
+fn a_generation_continues_at_its_source_if_the_destination_refuses_it() {
     smol::block_on(async {
-        let (platform, _instance, resp) = under_way("back", LONG).await;
+        let (platform, _instance, resp) = start_generation("back", LONG_EVENTS).await;
         platform.engines[1].set_full(true);
         platform.set_engine_leaving(0);
         let got = read_answer(resp).await;
-        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG_EVENTS)));
         assert!(platform.engines[1].started().is_empty());
     });
 }
 
-/// Guards against a generation that is stopped for a move to an engine which has crashed and is listed
-/// still.
+/// Guards against stopping a generation for a migration to an engine that has crashed but is still
+/// listed.
 #[test]
-fn a_generation_stays_where_it_is_if_its_destination_has_crashed() {
+fn a_generation_stays_at_its_source_if_the_destination_has_crashed() {
     smol::block_on(async {
-        let (platform, _instance, resp) = under_way("crashed-destination", LONG).await;
+        let (platform, _instance, resp) =
+            start_generation("crashed-destination", LONG_EVENTS).await;
         platform.engines[1].crash();
         platform.set_engine_leaving(0);
         let got = read_answer(resp).await;
-        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG_EVENTS)));
     });
 }
 
-/// The instance has lost the store, and nobody tells it that an engine leaves but the engine
-/// itself.
+/// During a store outage only the engine itself reports that it leaves.
 #[test]
-fn a_generation_is_carried_over_also_while_the_store_is_lost() {
+fn a_generation_is_migrated_during_a_store_outage() {
     smol::block_on(async {
-        let (platform, _instance, resp) = under_way("blind", 300).await;
+        let (platform, _instance, resp) = start_generation("blind", 300).await;
         platform.store.set_down(true);
         Timer::after(Duration::from_millis(2_400)).await;
         platform.engines[0].set_leaving();
@@ -107,12 +107,13 @@
     });
 }
 
-/// The store begins to refuse in the moment in which an engine gets its notice, and the engine is
-/// gone 1.8 s later. Whoever waits until its knowledge is old finds out when the stream breaks off.
+/// The store begins to refuse calls at the moment at which an engine starts to leave, and the
+/// engine ends 1.8 s later. An instance that asks engines only once its data is stale would notice
+/// when the stream breaks off.
 #[test]
-fn an_engine_that_leaves_as_the_store_goes_away_is_found_out_before_it_is_gone() {
+fn an_engine_that_leaves_as_a_store_outage_begins_is_detected_in_time() {
     smol::block_on(async {
-        let (platform, _instance, resp) = under_way("at-once", 300).await;
+        let (platform, _instance, resp) = start_generation("at-once", 300).await;
         platform.store.set_down(true);
         platform.engines[0].set_leaving();
         Timer::after(Duration::from_millis(1_800)).await;
@@ -124,85 +125,88 @@
     });
 }
 
-/// An engine crashes without notice. What the caller has is a part, and must not look whole.
+/// An engine crashes without notice. The truncated answer must not look complete.
 #[test]
-fn a_generation_whose_engine_crashed_does_not_look_whole() {
+fn a_generation_whose_engine_crashed_does_not_look_complete() {
     smol::block_on(async {
-        let (platform, instance, resp) = under_way("crashed", LONG).await;
+        let (platform, instance, resp) = start_generation("crashed", LONG_EVENTS).await;
         platform.engines[0].crash();
         let got = read_answer(resp).await;
         assert!(!got.is_complete);
-        assert!(all_events(LONG).starts_with(&got.body));
-        let line = instance.line("g-1", "StreamCut").await;
+        assert!(all_events(LONG_EVENTS).starts_with(&got.body));
+        let line = instance.log_line("g-1", "StreamCut").await;
         assert_eq!(line["fields"]["target"], "e-1");
     });
 }
 
-/// The connection to an engine is reset in the middle, and the engine goes on. Without asking it
-/// for what it holds, the caller would get half an answer of which the other half is there.
+/// The connection to an engine is reset during a generation that the engine continues. The answer
+/// would be truncated if the instance didn't recover the rest from the engine's KV memory.
 #[test]
-fn a_generation_whose_connection_was_reset_goes_on_from_its_memory() {
+fn a_generation_whose_connection_was_reset_is_resumed_from_its_kv_memory() {
     smol::block_on(async {
-        let (platform, instance, resp) = under_way("reset", LONG).await;
+        let (platform, instance, resp) = start_generation("reset", LONG_EVENTS).await;
         platform.engines[0].abort_streams();
         let got = read_answer(resp).await;
-        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
-        let began: usize = platform.engines.iter().map(|e| e.started().len()).sum();
-        assert_eq!(began, 1, "it was never begun anew");
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG_EVENTS)));
+        let started: usize = platform.engines.iter().map(|e| e.started().len()).sum();
+        assert_eq!(started, 1, "it was started only once");
         assert_eq!(
             platform.engines[0].active_count(),
             0,
             "it was stopped there"
         );
-        let line = instance.line("g-1", "GenerationRescued").await;
+        let line = instance.log_line("g-1", "GenerationRescued").await;
         assert_eq!(line["fields"]["to"], "e-2");
     });
 }
 
-/// A connection falls silent without a reset while its engine goes on. The caller would wait until
-/// it loses patience, though the engine has made the rest.
+/// A connection transfers nothing more without being reset, while its engine continues. Without a
+/// recovery the caller would wait until its own time-out.
 #[test]
-fn a_generation_whose_connection_fell_silent_goes_on_from_its_memory() {
+fn a_generation_whose_connection_is_idle_is_resumed_from_its_kv_memory() {
     smol::block_on(async {
-        let (platform, _instance, resp) = under_way("silent", LONG).await;
+        let (platform, _instance, resp) = start_generation("silent", LONG_EVENTS).await;
         platform.engines[0].mute_streams();
         let got = read_answer(resp).await;
-        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG_EVENTS)));
         assert!(platform.engines[1].started().is_empty());
     });
 }
 
-/// An engine goes dark: it resets nothing, answers nothing, and its listing lapses. A caller that is
-/// not told waits for seconds, though its answer will never be whole.
+/// An engine stops responding without resetting its connections, and its listing expires. The
+/// caller must not wait for an answer that will never be complete.
 #[test]
-fn a_generation_whose_engine_went_dark_ends_once_its_listing_is_gone() {
+fn a_generation_ends_once_the_listing_of_its_unresponsive_engine_is_gone() {
     smol::block_on(async {
-        let (platform, instance, resp) = under_way("dark", LONG).await;
+        let (platform, instance, resp) = start_generation("dark", LONG_EVENTS).await;
         platform.engines[0].stop_responding();
         platform.store.delete_row("servers", "e-1");
-        let dark = Instant::now();
+        let unresponsive_since = Instant::now();
         let got = read_answer(resp).await;
         assert!(!got.is_complete);
-        assert!(dark.elapsed() < Duration::from_secs(5), "it was held");
-        let line = instance.line("g-1", "StreamCut").await;
+        assert!(
+            unresponsive_since.elapsed() < Duration::from_secs(5),
+            "it was held"
+        );
+        let line = instance.log_line("g-1", "StreamCut").await;
         assert_eq!(line["fields"]["target"], "e-1");
     });
 }
 
-/// A long generation comes to an instance that stops in a few seconds. Begun there it would be cut
-/// in the middle; told at once, its caller gets all of it from another instance.
+/// A long generation arrives at an instance that stops within a few seconds and would truncate it.
+/// Refused at once, its caller can get all of it from another instance.
 #[test]
-fn an_instance_that_stops_sends_long_generations_elsewhere() {
+fn a_stopping_instance_refuses_long_generations() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("stopping").await;
         let caller = Caller::new("key-1");
-        let before = caller
-            .send(instance.addr, "POST", "/drafts/1", "g-1", LONG)
+        let earlier = caller
+            .send(instance.addr, "POST", "/drafts/1", "g-1", LONG_EVENTS)
             .await;
         instance.terminate();
         eventually("it is no longer ready", || async {
-            status(instance.ready, "/v1/readiness").await == Some(503)
+            status(instance.readiness, "/v1/readiness").await == Some(503)
         })
         .await;
         let long = caller.generate(instance.addr, "g-2", 3_000).await;
@@ -210,14 +214,14 @@
         assert_eq!(long.retry_after.as_deref(), Some("0.010"));
         let short = caller.generate(instance.addr, "g-3", 4).await;
         assert_eq!((short.status, short.body), (200, all_events(4)));
-        let got = read_answer(before.expect("an answer")).await;
+        let got = read_answer(earlier.expect("an answer")).await;
         assert!(got.is_complete);
     });
 }
 
-/// An engine refuses, saying that it did not run it. The generation goes to another, once.
+/// An engine refuses a generation without running it. It is sent to another engine, once.
 #[test]
-fn a_generation_that_an_engine_refused_runs_elsewhere() {
+fn a_generation_that_an_engine_refused_runs_at_another() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let instance = platform.instance("elsewhere").await;
@@ -229,12 +233,12 @@
     });
 }
 
-/// A caller goes away in the middle. An engine that works on for nobody lacks the place for
-/// somebody else.
+/// A caller disconnects during its generation. An engine that continued it would have less room for
+/// others.
 #[test]
-fn a_generation_ends_when_its_caller_leaves() {
+fn a_generation_is_stopped_when_its_caller_disconnects() {
     smol::block_on(async {
-        let (platform, _instance, resp) = under_way("gone", LONG).await;
+        let (platform, _instance, resp) = start_generation("gone", LONG_EVENTS).await;
         assert_eq!(platform.engines[0].active_count(), 1);
         drop(resp);
         eventually("the engine has stopped", || async {
@@ -244,26 +248,26 @@
     });
 }
 
-/// An instance is told to stop while generations run. It takes no new callers from the balancer,
-/// and cuts none that it has.
+/// An instance is stopped while generations run. It reports that it is not ready, and completes the
+/// requests that it has and still gets.
 #[test]
-fn a_planned_stop_cuts_no_generation() {
+fn a_planned_stop_truncates_no_generation() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let mut instance = platform.instance("stop").await;
         let caller = Caller::new("key-1");
         let resp = caller
-            .send(instance.addr, "POST", "/drafts/1", "g-1", LONG)
+            .send(instance.addr, "POST", "/drafts/1", "g-1", LONG_EVENTS)
             .await;
         instance.terminate();
         eventually("it is no longer ready", || async {
-            status(instance.ready, "/v1/readiness").await == Some(503)
+            status(instance.readiness, "/v1/readiness").await == Some(503)
         })
         .await;
         let late = caller.call(instance.addr, "GET", "/titles/9", "r-1").await;
         assert_eq!(late.status, 200);
         let got = read_answer(resp.expect("an answer")).await;
-        assert_eq!((got.is_complete, got.body), (true, all_events(LONG)));
+        assert_eq!((got.is_complete, got.body), (true, all_events(LONG_EVENTS)));
         eventually("the process has ended", || {
             let stopped = instance.has_stopped();
             async move { stopped }
--- a/tests/platform/limits.rs
+++ b/tests/platform/limits.rs
@@ -1,4 +1,4 @@
-//! Targets that take only so many requests a second from all instances together.
+//! Targets that limit the rate of requests from all instances together.
 
 use std::{
     sync::Arc,
@@ -10,18 +10,18 @@
 
 use crate::support::{Caller, Instance, Platform, ReceivedAnswer};
 
-/// Time after which all instances in touch keep a limit.
-const CONTACT: Duration = Duration::from_secs(3);
-/// The time in which requests are counted.
+/// Time after which all instances that can reach each other keep a limit.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
+/// Window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Requests a second that targets name.
-const LIMIT: f64 = 4.0;
-/// Requests that a target may get in one window: one and a half times its limit, and a few.
-const ALLOWED: usize = 29;
-/// Time that traffic lasts.
-const LASTS: Duration = Duration::from_secs(10);
-/// Pause between two requests of a caller.
-const PAUSE: Duration = Duration::from_millis(60);
+/// Rate limit of the targets, in requests a second.
+const RATE_LIMIT: f64 = 4.0;
+/// Most requests that a target may get in one window: one and a half times its limit, and a few.
+const MAX_PER_WINDOW: usize = 29;
+/// Duration of the traffic.
+const TRAFFIC_DURATION: Duration = Duration::from_secs(10);
+/// Pause of a caller between an answer and its next request.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(60);
 
 async fn start(name: &str) -> (Platform, Vec<Instance>) {
     let platform = Platform::start().await;
@@ -32,8 +32,8 @@
     (platform, instances)
 }
 
-/// One caller at each instance; gives what they got, and how long each answer took.
-async fn traffic(
+/// Runs one caller at each instance; returns their answers, each with the time that it took.
+async fn send_traffic(
     instances: &[Instance],
     method: &'static str,
     path: &'static str,
@@ -45,11 +45,11 @@
             let to = instance.addr;
             smol::spawn(async move {
                 let (caller, begun, mut all) = (Caller::new("key-1"), Instant::now(), Vec::new());
-                while begun.elapsed() < LASTS {
+                while begun.elapsed() < TRAFFIC_DURATION {
                     let (id, sent) = (format!("r-{number}-{}", all.len()), Instant::now());
                     let got = caller.call(to, method, path, &id).await;
                     all.push((got, sent.elapsed()));
-                    Timer::after(PAUSE).await;
+                    Timer::after(REQUEST_INTERVAL).await;
                 }
                 all
             })
@@ -62,10 +62,13 @@
     all
 }
 
-/// The most requests of one window that began after instances should keep the limit.
-fn most(arrivals: &Arrivals, named: Instant) -> usize {
+/// The highest number of requests in any window that began after all instances should keep the
+/// limit.
+fn busiest_window(arrivals: &Arrivals, limited_since: Instant) -> usize {
     let times: Vec<Instant> = arrivals.list().iter().map(|a| a.at).collect();
-    let late = times.iter().filter(|at| **at > named + CONTACT);
+    let late = times
+        .iter()
+        .filter(|at| **at > limited_since + PROPAGATION_TIME);
     let count = |from: &Instant| {
         times
             .iter()
@@ -75,36 +78,37 @@
     late.map(count).max().unwrap_or_default()
 }
 
-/// Guards against instances that each keep the limit, or none of them, while their sum is over it.
+/// Guards against instances that ignore the limit, or each keep it while their sum exceeds it.
 #[test]
-fn a_target_in_need_gets_no_more_than_it_names_from_all_instances() {
+fn a_target_gets_no_more_than_its_rate_limit_from_all_instances() {
     smol::block_on(async {
         let (platform, instances) = start("need").await;
-        platform.plain[0].set_limit(Some(LIMIT));
-        let named = Instant::now();
-        let got = traffic(&instances, "GET", "/titles/1").await;
-        let most = most(&platform.plain[0].arrivals(), named);
-        assert!(most <= ALLOWED, "{most} in one window");
-        // The other one has room for all.
+        platform.plain[0].set_limit(Some(RATE_LIMIT));
+        let limited_since = Instant::now();
+        let got = send_traffic(&instances, "GET", "/titles/1").await;
+        let max = busiest_window(&platform.plain[0].arrivals(), limited_since);
+        assert!(max <= MAX_PER_WINDOW, "{max} in one window");
+        // The other target has no limit and can serve all requests.
         let failed = got.iter().filter(|(got, _)| got.status != 200).count();
         assert_eq!(failed, 0, "of {}", got.len());
     });
 }
 
-/// Guards against callers who wait in vain, or are told nothing true, where no target has room.
+/// Guards against holding requests that no target can accept, or refusing them without a
+/// retry-after header.
 #[test]
-fn what_no_target_takes_is_refused_at_once_with_a_time_to_come_back() {
+fn requests_over_the_limits_of_all_targets_are_refused_at_once_with_retry_after() {
     smol::block_on(async {
         let (platform, instances) = start("refused").await;
         platform
             .plain
             .iter()
-            .for_each(|plain| plain.set_limit(Some(LIMIT)));
-        let named = Instant::now();
-        let got = traffic(&instances, "POST", "/grants/1").await;
+            .for_each(|plain| plain.set_limit(Some(RATE_LIMIT)));
+        let limited_since = Instant::now();
+        let got = send_traffic(&instances, "POST", "/grants/1").await;
         for plain in &platform.plain {
-            let most = most(&plain.arrivals(), named);
-            assert!(most <= ALLOWED, "{most} in one window");
+            let max = busiest_window(&plain.arrivals(), limited_since);
+            assert!(max <= MAX_PER_WINDOW, "{max} in one window");
         }
         let refused = got.iter().filter(|(got, _)| got.status == 503);
         assert!(refused.clone().count() > 0);
@@ -116,37 +120,37 @@
     });
 }
 
-/// Guards against a limit that outlives its target's need.
+/// Guards against keeping a limit that its target has lifted.
 #[test]
-fn a_target_that_names_no_limit_any_more_gets_its_share_again() {
+fn a_target_that_lifts_its_limit_gets_its_share_again() {
     smol::block_on(async {
         let (platform, instances) = start("over").await;
-        platform.plain[0].set_limit(Some(LIMIT));
-        let need = Arc::clone(&platform.plain[0].id());
-        let over = async {
-            Timer::after(LASTS / 2).await;
+        platform.plain[0].set_limit(Some(RATE_LIMIT));
+        let id = Arc::clone(&platform.plain[0].id());
+        let lift = async {
+            Timer::after(TRAFFIC_DURATION / 2).await;
             platform.plain[0].set_limit(None);
         };
-        smol::future::zip(traffic(&instances, "GET", "/titles/1"), over).await;
+        smol::future::zip(send_traffic(&instances, "GET", "/titles/1"), lift).await;
         let last = Instant::now()
-            .checked_sub(LASTS / 5)
+            .checked_sub(TRAFFIC_DURATION / 5)
             .expect("a time before");
         let arrivals = platform.plain[0].arrivals().list();
         let later = arrivals.iter().filter(|a| a.at > last).count();
-        assert!(later > 20, "{need} got {later} of some 100 requests");
+        assert!(later > 20, "{id} got {later} of some 100 requests");
     });
 }
 
-/// Guards against generations that keep no limit, as their targets are chosen by their owner.
+/// Guards against ignoring the limit for generations, whose targets are chosen by an owner.
 #[test]
-fn an_engine_in_need_gets_no_more_than_it_names() {
+fn an_engine_gets_no_more_than_its_rate_limit() {
     smol::block_on(async {
         let (platform, instances) = start("engine").await;
-        platform.engines[0].set_limit(Some(LIMIT));
-        let named = Instant::now();
-        let got = traffic(&instances, "POST", "/drafts/1").await;
-        let most = most(&platform.engines[0].arrivals(), named);
-        assert!(most <= ALLOWED, "{most} in one window");
+        platform.engines[0].set_limit(Some(RATE_LIMIT));
+        let limited_since = Instant::now();
+        let got = send_traffic(&instances, "POST", "/drafts/1").await;
+        let max = busiest_window(&platform.engines[0].arrivals(), limited_since);
+        assert!(max <= MAX_PER_WINDOW, "{max} in one window");
         let failed = got.iter().filter(|(got, _)| got.status != 200).count();
         assert_eq!(failed, 0, "of {}", got.len());
     });
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -1,5 +1,5 @@
-//! The program on the users' platform: real processes before stand-ins for its store, engines and
-//! plain services.
+//! Integration tests of the program on the users' platform: real processes with stand-ins for the
+//! store, the engines and the plain services.
 
 mod calls;
 mod endings;
--- a/tests/platform/quarantine.rs
+++ b/tests/platform/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the targets that run them, at several instances as real processes.
+//! Requests that crash the targets that run them, sent to several instances as real processes.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 
 use crate::support::{Caller, Instance, Platform, ReceivedAnswer, eventually, status};
 
-/// Time within which all instances in touch know what one of them has seen.
-const CONTACT: Duration = Duration::from_secs(3);
-/// Targets that one request may crash before it is rejected.
-const MOST: usize = 3;
-/// Time until the listing of a target that has crashed lapses.
-const LAPSE: Duration = Duration::from_millis(300);
+/// Time within which a crash seen by one instance is known to all that can reach each other.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
+/// Number of targets that one request may crash before it is rejected.
+const MAX_CRASHES: usize = 3;
+/// Time until the listing of a crashed target expires.
+const LISTING_EXPIRY: Duration = Duration::from_millis(300);
 
-/// A platform with eight engines and so many instances.
+/// Starts a platform with eight engines and `count` instances.
 async fn start(name: &str, count: usize) -> (Platform, Vec<Engine>, Vec<Instance>) {
     let platform = Platform::start().await;
     let mut engines = platform.engines.clone();
@@ -28,48 +28,48 @@
     (platform, engines, instances)
 }
 
-fn crashed(engines: &[Engine]) -> usize {
+fn crashed_count(engines: &[Engine]) -> usize {
     engines.iter().filter(|engine| engine.has_crashed()).count()
 }
 
-/// Sends the same crashing request again and again, each time to the next instance; listings of
-/// engines that it crashes lapse.
-async fn crash_some(
+/// Sends the same crashing request `times` times, to the instances in turn, and removes the
+/// listings of crashed engines.
+async fn send_crashing_requests(
     platform: &Platform,
     engines: &[Engine],
     instances: &[Instance],
     times: usize,
 ) -> Vec<ReceivedAnswer> {
-    let mut all = Vec::new();
+    let mut answers = Vec::new();
     for number in 0..times {
-        let before = crashed(engines);
+        let before = crashed_count(engines);
         let to = instances[number % instances.len()].addr;
         let id = format!("x-{number}-{before}");
-        all.push(
+        answers.push(
             Caller::new("key-1")
                 .crash(to, "POST", "/drafts/1", &id)
                 .await,
         );
-        Timer::after(LAPSE).await;
+        Timer::after(LISTING_EXPIRY).await;
         for engine in engines.iter().filter(|engine| engine.has_crashed()) {
             platform.store.delete_row("servers", &engine.id());
         }
-        Timer::after(LAPSE).await;
+        Timer::after(LISTING_EXPIRY).await;
     }
-    all
+    answers
 }
 
-/// Guards against a request that crashes one engine after the other because each instance forgets it
-/// with its id.
+/// Guards against a request that crashes one engine after the other because each instance counts
+/// crashes by the request's id, which changes with every retry.
 #[test]
-fn a_request_that_crashed_three_engines_is_sent_to_no_more_by_any_instance() {
+fn a_request_that_crashed_three_engines_is_rejected_by_every_instance() {
     smol::block_on(async {
         let (platform, engines, instances) = start("fatal", 3).await;
-        crash_some(&platform, &engines, &instances, MOST).await;
-        assert_eq!(crashed(&engines), MOST);
-        Timer::after(CONTACT).await;
-        let later = crash_some(&platform, &engines, &instances, MOST).await;
-        assert_eq!(crashed(&engines), MOST, "{later:?}");
+        send_crashing_requests(&platform, &engines, &instances, MAX_CRASHES).await;
+        assert_eq!(crashed_count(&engines), MAX_CRASHES);
+        Timer::after(PROPAGATION_TIME).await;
+        let later = send_crashing_requests(&platform, &engines, &instances, MAX_CRASHES).await;
+        assert_eq!(crashed_count(&engines), MAX_CRASHES, "{later:?}");
         for got in later {
             assert_eq!(
                 (got.status, got.is_complete, &got.retry_after),
@@ -83,50 +83,51 @@
     });
 }
 
-/// Guards against an instance that has started again and lets through what all others reject.
+/// Guards against a restarted instance that accepts requests which all others reject.
 #[test]
-fn an_instance_that_starts_again_learns_which_requests_are_rejected() {
+fn a_restarted_instance_rejects_what_its_peers_reject() {
     smol::block_on(async {
         let (platform, engines, mut instances) = start("forgetful", 3).await;
-        crash_some(&platform, &engines, &instances, MOST).await;
-        let again = &mut instances[1];
-        again.kill();
-        again.start_again();
-        let ready = again.ready;
-        eventually("it takes callers again", || async move {
-            status(ready, "/v1/readiness").await == Some(200)
+        send_crashing_requests(&platform, &engines, &instances, MAX_CRASHES).await;
+        let restarted = &mut instances[1];
+        restarted.kill();
+        restarted.restart();
+        let readiness = restarted.readiness;
+        eventually("it is ready again", || async move {
+            status(readiness, "/v1/readiness").await == Some(200)
         })
         .await;
-        Timer::after(CONTACT).await;
-        crash_some(&platform, &engines, &instances[1..2], 1).await;
-        assert_eq!(crashed(&engines), MOST);
+        Timer::after(PROPAGATION_TIME).await;
+        send_crashing_requests(&platform, &engines, &instances[1..2], 1).await;
+        assert_eq!(crashed_count(&engines), MAX_CRASHES);
     });
 }
 
-/// Guards against a loss of all instances, after which a request crashes as many engines once more.
+/// Guards against losing the rejection when all instances are killed: the request would crash as
+/// many engines once more.
 #[test]
-fn a_rejection_outlives_the_loss_of_all_instances() {
+fn a_rejection_persists_when_all_instances_are_killed() {
     smol::block_on(async {
         let (platform, engines, mut instances) = start("all", 3).await;
-        crash_some(&platform, &engines, &instances, MOST).await;
+        send_crashing_requests(&platform, &engines, &instances, MAX_CRASHES).await;
         instances.iter_mut().for_each(Instance::kill);
-        instances.iter_mut().for_each(Instance::start_again);
+        instances.iter_mut().for_each(Instance::restart);
         for instance in &instances {
-            let ready = instance.ready;
-            eventually("it takes callers again", || async move {
-                status(ready, "/v1/readiness").await == Some(200)
+            let readiness = instance.readiness;
+            eventually("it is ready again", || async move {
+                status(readiness, "/v1/readiness").await == Some(200)
             })
             .await;
         }
-        crash_some(&platform, &engines, &instances, MOST).await;
-        assert_eq!(crashed(&engines), MOST);
+        send_crashing_requests(&platform, &engines, &instances, MAX_CRASHES).await;
+        assert_eq!(crashed_count(&engines), MAX_CRASHES);
     });
 }
 
-/// Guards against one attempt of a caller that is sent again and crashes a target with each sending,
-/// and against its caller's own repeats.
+/// Guards against retries of a call, by the instance or by its caller, that crash a further target
+/// each time.
 #[test]
-fn a_repeatable_call_that_crashed_three_targets_is_sent_to_no_more() {
+fn an_idempotent_call_that_crashed_three_targets_is_rejected() {
     smol::block_on(async {
         let platform = Platform::start().await;
         let mut processes = platform.plain.clone();
@@ -143,31 +144,34 @@
             let caller = Caller::new("key-1");
             let got = caller.crash(instance.addr, "GET", "/titles/1", &id).await;
             assert_eq!(got.status, 502);
-            Timer::after(LAPSE).await;
+            Timer::after(LISTING_EXPIRY).await;
             for process in processes.iter().filter(|p| p.has_crashed()) {
                 platform.store.delete_row("servers", &process.id());
             }
-            Timer::after(LAPSE * 2).await;
+            Timer::after(LISTING_EXPIRY * 2).await;
         }
-        // Two sendings of the attempt under which the third ended may be under way at once.
+        // Two attempts at the call that crashed the third target may be in flight at once.
         let crashed = processes.iter().filter(|p| p.has_crashed()).count();
-        assert!((MOST..=MOST + 1).contains(&crashed), "{crashed}");
+        assert!(
+            (MAX_CRASHES..=MAX_CRASHES + 1).contains(&crashed),
+            "{crashed}"
+        );
     });
 }
 
-/// Guards against the blame of requests that ran beside one that crashes engines.
+/// Guards against rejecting requests that only ran at the same time as one that crashes engines.
 #[test]
-fn a_request_that_ran_beside_a_crashing_one_is_served_again() {
+fn a_request_that_ran_at_the_same_time_as_a_crashing_one_is_not_rejected() {
     smol::block_on(async {
         let (platform, engines, instances) = start("beside", 2).await;
         for number in 0..2 {
             let caller = Caller::new("key-1");
-            let innocent = caller.generate(instances[0].addr, "g-1", 400);
-            let beside = async {
-                Timer::after(LAPSE).await;
-                crash_some(&platform, &engines, &instances, 1 + number).await
+            let other = caller.generate(instances[0].addr, "g-1", 400);
+            let crashes = async {
+                Timer::after(LISTING_EXPIRY).await;
+                send_crashing_requests(&platform, &engines, &instances, 1 + number).await
             };
-            smol::future::zip(innocent, beside).await;
+            smol::future::zip(other, crashes).await;
         }
         let got = Caller::new("key-1")
             .generate(instances[1].addr, "g-3", 20)
