--- a/components/bench/src/request.rs
+++ b/components/bench/src/request.rs
@@ -4,7 +4,7 @@
 use http_body_util::Full;
 use hyper::Request;
 use serde::Serialize;
-use standins::service::Answer;
+use standins::service::EchoResponse;
 use types::Class;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -166,7 +166,7 @@
     let What::Plain { method, path, .. } = &wanted.what else {
         return wrong("a plain answer to a generation".to_owned());
     };
-    let Ok(answer) = serde_json::from_slice::<Answer>(body) else {
+    let Ok(answer) = serde_json::from_slice::<EchoResponse>(body) else {
         return wrong(format!("not an answer: {}", String::from_utf8_lossy(body)));
     };
     let sent = format!("{:016x}", xxh3_64(&body_of(wanted, method)));
--- a/components/standins/src/engine/output.rs
+++ b/components/standins/src/engine/output.rs
@@ -80,7 +80,7 @@
                 match generation.end {
                     Some(EndReason::Finished) => {
                         let (prompt, produced) = (generation.prompt_tokens, generation.produced);
-                        let body = text::complete_answer(
+                        let body = text::complete_response(
                             generation.api,
                             &generation.stream,
                             prompt,
--- a/components/standins/src/engine/text.rs
+++ b/components/standins/src/engine/text.rs
@@ -166,7 +166,7 @@
 
 /// Body of a response that is not streamed.
 #[must_use]
-pub fn complete_answer(api: Api, stream: &str, prompt_tokens: u64, produced: u64) -> Bytes {
+pub fn complete_response(api: Api, stream: &str, prompt_tokens: u64, produced: u64) -> Bytes {
     let content: String = (0..produced)
         .map(|offset| token_text(stream, offset))
         .collect();
@@ -193,7 +193,7 @@
             )
         }
     };
-    let answer = Chunk {
+    let response = Chunk {
         id: stream,
         object,
         created: 0,
@@ -208,5 +208,5 @@
             total_tokens: prompt_tokens + produced,
         }),
     };
-    serde_json::to_vec(&answer).unwrap_or_default().into()
+    serde_json::to_vec(&response).unwrap_or_default().into()
 }
--- a/components/standins/src/platform/mod.rs
+++ b/components/standins/src/platform/mod.rs
@@ -153,16 +153,16 @@
         }
         let target = req.header("x-amz-target");
         let operation = target.strip_prefix(table::PROTOCOL).unwrap_or_default();
-        let answer = {
+        let response = {
             let mut state = self.state.lock();
             let now = self.timer.now();
             let State { faults, table, .. } = &mut *state;
-            let answer = table.execute(now, faults, operation, &req.body);
-            let lost = operation == table::COMMIT && answer.is_ok() && take_lost_answer(faults);
+            let response = table.execute(now, faults, operation, &req.body);
+            let lost = operation == table::COMMIT && response.is_ok() && take_lost_answer(faults);
             table.record_lost(lost);
-            (answer, lost)
+            (response, lost)
         };
-        match answer {
+        match response {
             (_, true) => control::close_connection(&req.connection),
             (Ok(text), _) => dynamodb_response(200, text),
             (Err(error), _) => dynamodb_response(error.status(), error.body()),
--- a/components/standins/src/service.rs
+++ b/components/standins/src/service.rs
@@ -63,7 +63,7 @@
 
 /// Body of a response: echoes the request so that the caller can check it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Answer {
+pub struct EchoResponse {
     /// Path and query as received.
     pub path: String,
     /// Value of the header `x-echo`.
@@ -149,20 +149,20 @@
         let (tx, rx) = bounded(1);
         let inner = Arc::clone(&self.inner);
         let run = async move {
-            let answer = inner.run(&req).await;
+            let response = inner.run(&req).await;
             // Fails if the caller has disconnected.
-            let _ = tx.send(answer).await;
+            let _ = tx.send(response).await;
         };
         workers::spawn(run).detach();
         match rx.recv().await {
-            Ok(Some(answer)) => Reply::json(200, &answer).done(),
+            Ok(Some(response)) => Reply::json(200, &response).done(),
             _ => control::pending_response().await,
         }
     }
 }
 
 impl Inner {
-    async fn run(&self, req: &ReceivedRequest) -> Option<Answer> {
+    async fn run(&self, req: &ReceivedRequest) -> Option<EchoResponse> {
         let incarnation = self.lifecycle.log().incarnation;
         let time = self.service_time();
         self.lifecycle.timer.sleep(time).await;
@@ -188,7 +188,7 @@
             return None;
         }
         let query = if req.query.is_empty() { "" } else { "?" };
-        Some(Answer {
+        Some(EchoResponse {
             path: format!("{}{query}{}", req.path, req.query),
             seen: req.header("x-echo").to_owned(),
             body: format!("{:016x}", xxh3_64(&req.body)),
