--- a/tests/chaos.rs
+++ b/tests/chaos.rs
@@ -1,4 +1,5 @@
-//! Short randomised runs with real processes: fixed seeds, every promise checked from outside.
+//! Short randomised runs with real processes and fixed seeds; every promise is checked from
+//! outside.
 
 use std::time::Duration;
 
@@ -23,18 +24,18 @@
         env!("CARGO_BIN_EXE_celerystand"),
         env!("CARGO_BIN_EXE_celerystand-standin"),
     );
-    let shown = chaos::run(&programs, &scenario, &trial, None);
-    let shown = smol::block_on(shown).unwrap();
-    assert!(shown.outcomes.values().sum::<u32>() > 50, "{shown}");
-    shown
+    let report = chaos::run(&programs, &scenario, &trial, None);
+    let report = smol::block_on(report).unwrap();
+    assert!(report.outcomes.values().sum::<u32>() > 50, "{report}");
+    report
 }
 
-// Connections to engines and services break at any byte, or fall silent while new ones work.
-// A caller would notice tokens that come twice or are missing, an answer that belongs to
-// somebody else, or an order placed twice.
+/// Connections to engines and services break at any byte, or stall while new ones work. Guards
+/// against duplicate or missing tokens, answers that belong to another request, and effects that
+/// take place twice.
 #[test]
-fn links_that_break_or_fall_silent_break_no_promise() {
-    let links = [
+fn broken_or_stalled_connections_break_no_promise() {
+    let faults = [
         Fault::CutEngine,
         Fault::SilenceEngine,
         Fault::BreakEngineAnswers,
@@ -43,31 +44,32 @@
         Fault::BreakServiceCalls,
         Fault::BreakServiceAnswers,
     ];
-    let shown = run(6, &links);
-    assert!(shown.breaches.is_empty(), "{shown}");
+    let report = run(6, &faults);
+    assert!(report.breaches.is_empty(), "{report}");
 }
 
-// Instances are stopped as planned, data centres leave and return, and the platform's table is
-// down at times. A caller would notice a stream that ends early or has to be gone on with.
+/// Instances are stopped as planned, data centres are taken out and in, and the platform's table
+/// service has outages. Guards against streams that end early or that callers have to resume.
 #[test]
-fn planned_stops_and_outages_of_the_platform_cut_no_request_short() {
-    let shown = run(5, &Fault::GENTLE);
-    assert!(shown.breaches.is_empty(), "{shown}");
+fn planned_stops_and_platform_outages_truncate_no_request() {
+    let report = run(5, &Fault::GENTLE);
+    assert!(report.breaches.is_empty(), "{report}");
 }
 
-// Instances are killed or frozen in the midst of their work, owners of targets among them. A
-// caller would notice an order placed twice, or an answer that was said not to have run.
+/// Instances, owners of targets among them, are killed or paused while they serve requests. Guards
+/// against effects that take place twice, and against requests that are reported as not run but
+/// were run.
 #[test]
-fn instances_that_die_or_freeze_break_no_promise() {
-    let shown = run(3, &[Fault::KillInstance, Fault::PauseInstance]);
-    assert!(shown.breaches.is_empty(), "{shown}");
+fn killed_or_paused_instances_break_no_promise() {
+    let report = run(3, &[Fault::KillInstance, Fault::PauseInstance]);
+    assert!(report.breaches.is_empty(), "{report}");
 }
 
-// Targets crash and come back cold as another incarnation, sooner than the directory shows it.
-// Work that was on its way reaches the new incarnation uncounted; with that and its full share of
-// new work it would fall over again, and callers would see their streams end for good.
+/// Targets crash and restart cold as another incarnation, sooner than the directory shows it.
+/// Requests in flight reach the new incarnation uncounted; with its full share of new requests in
+/// addition it would crash again, and streams would be lost.
 #[test]
-fn crashed_targets_come_back_cold_and_get_no_more_than_they_bear() {
-    let shown = run(4, &[Fault::CrashEngine, Fault::CrashService]);
-    assert!(shown.breaches.is_empty(), "{shown}");
+fn crashed_targets_restart_cold_and_are_not_overloaded() {
+    let report = run(4, &[Fault::CrashEngine, Fault::CrashService]);
+    assert!(report.breaches.is_empty(), "{report}");
 }
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -1,4 +1,5 @@
-//! The pages against the program: what they tell to type, write and expect must be true.
+//! Checks the documentation against the program: commands, examples, files, links and tables must
+//! be correct.
 
 use std::{
     collections::BTreeSet,
@@ -45,7 +46,7 @@
         .collect()
 }
 
-/// A fenced part of a page.
+/// A fenced code block of a page.
 struct Block {
     page: PathBuf,
     info: String,
@@ -73,27 +74,32 @@
                 (None, None) => {}
             }
         }
-        assert!(open.is_none(), "{}: a block has no end", page.display());
+        assert!(
+            open.is_none(),
+            "{}: a code block is not closed",
+            page.display()
+        );
     }
     all
 }
 
-/// Parts of a page between single backticks.
-fn inline(text: &str) -> Vec<String> {
+/// Inline code of a page: the parts between single backticks.
+fn inline_code(text: &str) -> Vec<String> {
     let plain: Vec<&str> = text.split("```").step_by(2).collect();
-    let odd = |part: &&str| {
+    let code_parts = |part: &&str| {
         part.split('`')
             .skip(1)
             .step_by(2)
             .map(str::to_owned)
             .collect()
     };
-    let parts: Vec<Vec<String>> = plain.iter().map(odd).collect();
+    let parts: Vec<Vec<String>> = plain.iter().map(code_parts).collect();
     parts.concat()
 }
 
-/// The arguments of a line that calls the program, without what belongs to the shell.
-fn arguments(line: &str) -> Option<Vec<String>> {
+/// The arguments of a line that calls the program, without environment variables,
+/// redirections and pipes; `None` for any other line.
+fn parse_arguments(line: &str) -> Option<Vec<String>> {
     let mut words: Vec<&str> = line.split_whitespace().collect();
     while words
         .first()
@@ -102,8 +108,8 @@
         words.remove(0);
     }
     let rest = if words.starts_with(&["cargo", "run"]) {
-        let other = words.iter().position(|word| *word == "--bin");
-        if other.is_some_and(|at| words.get(at + 1) != Some(&"celerystand")) {
+        let binary = words.iter().position(|word| *word == "--bin");
+        if binary.is_some_and(|at| words.get(at + 1) != Some(&"celerystand")) {
             return None;
         }
         let dashes = words.iter().position(|word| *word == "--")?;
@@ -118,8 +124,8 @@
     Some(rest.iter().map(|w| (*w).to_owned()).collect())
 }
 
-/// Tells what is wrong with a command line, or nothing.
-fn fault(arguments: &[String]) -> Option<String> {
+/// The error that the program reports for these arguments, if any.
+fn usage_error(arguments: &[String]) -> Option<String> {
     let line = std::iter::once("celerystand".to_owned()).chain(arguments.iter().cloned());
     match cli::command().try_get_matches_from(line) {
         Ok(_) => None,
@@ -129,7 +135,7 @@
 }
 
 #[test]
-fn every_command_in_the_pages_is_one_of_the_program() {
+fn every_command_in_the_pages_is_valid() {
     let mut count = 0;
     let fenced = blocks().into_iter().flat_map(|block| {
         let lines: Vec<String> = block.text.lines().map(str::to_owned).collect();
@@ -138,35 +144,35 @@
             .map(move |line| (block.page.clone(), line))
     });
     let in_text = pages().into_iter().flat_map(|(page, text)| {
-        inline(&text)
+        inline_code(&text)
             .into_iter()
             .map(move |line| (page.clone(), line))
     });
     for (page, line) in fenced.chain(in_text) {
-        // The name of the program alone is no command.
-        let Some(arguments) = arguments(&line).filter(|all| !all.is_empty()) else {
+        // The name of the program alone is not a command.
+        let Some(arguments) = parse_arguments(&line).filter(|all| !all.is_empty()) else {
             continue;
         };
         count += 1;
-        let fault = fault(&arguments);
-        assert_eq!(fault, None, "{}: {line}", page.display());
+        let error = usage_error(&arguments);
+        assert_eq!(error, None, "{}: {line}", page.display());
     }
     assert!(count > 20, "only {count} commands were found");
 }
 
 #[test]
-fn every_example_in_the_help_is_a_command_of_the_program() {
+fn every_example_in_the_help_is_a_valid_command() {
     let mut count = 0;
     let mut commands = vec![cli::command()];
     while let Some(command) = commands.pop() {
         commands.extend(command.get_subcommands().cloned());
         let text = command.get_after_help().map(ToString::to_string);
         for line in text.unwrap_or_default().lines() {
-            let Some(arguments) = arguments(line) else {
+            let Some(arguments) = parse_arguments(line) else {
                 continue;
             };
             count += 1;
-            assert_eq!(fault(&arguments), None, "{line}");
+            assert_eq!(usage_error(&arguments), None, "{line}");
         }
     }
     assert!(count > 15, "only {count} examples were found");
@@ -194,7 +200,7 @@
 }
 
 #[test]
-fn every_yaml_in_the_pages_is_read_by_the_program() {
+fn every_yaml_block_in_the_pages_is_valid() {
     let mut count = 0;
     for block in blocks() {
         let name = block.page.display().to_string();
@@ -203,13 +209,16 @@
             "yaml settings" => drop(settings::parse(&block.text).expect(&name)),
             "yaml node" => drop(serde_saphyr::from_str::<NodeFile>(&block.text).expect(&name)),
             info => {
-                assert!(!info.starts_with("yaml"), "{name}: say what {info:?} holds");
+                assert!(
+                    !info.starts_with("yaml"),
+                    "{name}: add to {info:?} what the block contains"
+                );
                 continue;
             }
         }
         count += 1;
     }
-    assert!(count >= 2, "only {count} parts were found");
+    assert!(count >= 2, "only {count} blocks were found");
 }
 
 #[test]
@@ -226,7 +235,7 @@
             let read = platform::decisions(&path);
             assert!(read.is_ok(), "{name}: {read:?}");
         } else {
-            panic!("{name} is neither settings nor a tree nor decisions");
+            panic!("{name} is neither a settings, a tree nor a decisions file");
         }
         count += 1;
     }
@@ -234,7 +243,7 @@
 }
 
 #[test]
-fn links_between_pages_lead_somewhere() {
+fn links_between_pages_lead_to_existing_files() {
     for (page, text) in pages() {
         let dir = page.parent().expect("a directory");
         for part in text.split("](").skip(1) {
@@ -248,7 +257,7 @@
     }
 }
 
-/// Rows of the tables in a page, as cells.
+/// Cells of each row of the tables in a page.
 fn rows(text: &str) -> Vec<Vec<String>> {
     let cells = |line: &str| {
         let inner = line.trim_matches('|');
@@ -267,13 +276,13 @@
     cell.strip_prefix('`')?.strip_suffix('`')
 }
 
-/// The texts in quotes that name a refusal: after `Refusal::new(`, `bad_request(` or in the JSON of
-/// the one that the server itself gives.
+/// Codes of refusals in a source: string literals after `Refusal::new(` or `bad_request(`, and
+/// those in the JSON of the refusal that the server itself sends.
 fn codes_in(source: &str) -> BTreeSet<String> {
     let mut codes = BTreeSet::new();
     for start in ["Refusal::new(", "bad_request("] {
         for part in source.split(start).skip(1) {
-            // Nothing but white space, a status and commas may stand before it.
+            // Only white space, a status and commas may precede the literal.
             let before = part.split('"').next().unwrap_or_default();
             let literal = part.split('"').nth(1).unwrap_or_default();
             let near = before
@@ -294,29 +303,29 @@
     !text.is_empty() && text.chars().all(|c| c.is_ascii_lowercase() || c == '-')
 }
 
-fn sources(dir: &Path, all: &mut Vec<PathBuf>) {
+fn rust_files(dir: &Path, all: &mut Vec<PathBuf>) {
     for entry in fs::read_dir(dir).expect("a directory") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            sources(&path, all);
+            rust_files(&path, all);
         } else if path.extension().is_some_and(|e| e == "rs") {
             all.push(path);
         }
     }
 }
 
-// A caller gets a code that the page does not list, and nobody can say what to do about it.
+/// Guards against refusal codes for which the page does not tell callers what to do.
 #[test]
-fn the_page_for_callers_lists_every_refusal() {
-    let mut given = BTreeSet::new();
+fn the_page_for_callers_lists_every_refusal_code() {
+    let mut used = BTreeSet::new();
     for component in ["gateway", "net", "node", "policy"] {
         let mut all = Vec::new();
-        sources(
+        rust_files(
             &root().join("components").join(component).join("src"),
             &mut all,
         );
         for path in all {
-            given.extend(codes_in(&read(&path)));
+            used.extend(codes_in(&read(&path)));
         }
     }
     let page = read(&root().join("docs/CALLERS.md"));
@@ -325,7 +334,7 @@
         .filter(|row| row.len() == 4)
         .filter_map(|row| code_cell(&row[0]).map(str::to_owned))
         .collect();
-    assert_eq!(listed, given);
+    assert_eq!(listed, used);
 }
 
 #[test]
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,4 @@
-//! One request's whole way through separate processes.
+//! Requests of each kind, from caller to target through separate processes.
 
 mod support;
 
@@ -26,9 +26,9 @@
 }
 
 #[test]
-fn each_kind_of_request_gets_its_whole_answer_through_each_instance() {
-    let setting = support::start(&support::plan());
-    let deployment = &setting.deployment;
+fn each_kind_of_request_gets_its_complete_answer_through_each_instance() {
+    let started = support::start(&support::plan());
+    let deployment = &started.deployment;
     smol::block_on(async {
         let caller = Caller::new(Timer::new());
         for (number, addr) in deployment.entries().into_iter().enumerate() {
--- a/tests/promises_calls.rs
+++ b/tests/promises_calls.rs
@@ -1,4 +1,4 @@
-//! A call that is not idempotent runs at most once, and refusals tell the truth about it.
+//! A call that is not idempotent runs at most once, and refusals report correctly whether it ran.
 
 mod support;
 
@@ -17,15 +17,15 @@
 use timer::Timer;
 use types::Execution;
 
-/// Time between two looks at something that takes a while.
-const POLL: Duration = Duration::from_millis(20);
-/// Looks before a test gives up.
-const LOOKS: usize = 1500;
+/// Time between two polls of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of polls after which a test gives up.
+const MAX_POLLS: usize = 1500;
 
 fn plan() -> Plan {
     let mut plan = support::plan();
     plan.replica.lifecycle.warm = true;
-    // Long enough that calls sent together are in flight together.
+    // Long enough that calls sent at the same time are in flight at the same time.
     plan.replica.latency_ms = 150.0;
     plan
 }
@@ -49,11 +49,11 @@
 }
 
 async fn until_effect(deployment: &Deployment, name: &str) {
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_POLLS {
         if effects(deployment, name).await > 0 {
             return;
         }
-        smol::Timer::after(POLL).await;
+        smol::Timer::after(POLL_INTERVAL).await;
     }
     let tails: Vec<String> = (0..deployment.instances.len())
         .map(|number| deployment.tail(number))
@@ -61,34 +61,34 @@
     panic!("{name} never took effect\n{}", tails.join("\n\n"));
 }
 
-/// Sends a call, again while it is said to run still, as the answer asks callers to do.
-async fn settled(caller: &Caller, addr: SocketAddr, wanted: &Wanted) -> Record {
-    for _ in 0..LOOKS {
+/// Sends a call, and retries it while the refusal says that it is still running, as callers should.
+async fn follow_until_settled(caller: &Caller, addr: SocketAddr, wanted: &Wanted) -> Record {
+    for _ in 0..MAX_POLLS {
         let record = caller.follow(&[addr], wanted).await;
         let running =
             matches!(&record.outcome, Outcome::Refused { code, .. } if code == "still-running");
         if !running {
             return record;
         }
-        smol::Timer::after(POLL).await;
+        smol::Timer::after(POLL_INTERVAL).await;
     }
-    panic!("{} runs for ever", wanted.name);
+    panic!("{} is still running", wanted.name);
 }
 
-/// Waits until keyed calls are taken again after an outage, and tells how the first one ended.
-async fn after_outage(caller: &Caller, addr: SocketAddr, wanted: &Wanted) -> Record {
-    for _ in 0..LOOKS {
+/// Retries a call until the outage of the table service is over; returns the first other outcome.
+async fn follow_until_table_up(caller: &Caller, addr: SocketAddr, wanted: &Wanted) -> Record {
+    for _ in 0..MAX_POLLS {
         let record = caller.follow(&[addr], wanted).await;
         let down = matches!(&record.outcome, Outcome::Refused { code, .. } if code == "store-down");
         if !down {
             return record;
         }
-        smol::Timer::after(POLL).await;
+        smol::Timer::after(POLL_INTERVAL).await;
     }
-    panic!("the table service is still said to be down");
+    panic!("the table service is still reported as down");
 }
 
-async fn never_answer(deployment: &Deployment, times: u32) {
+async fn set_never_answer(deployment: &Deployment, times: u32) {
     let faults = Faults {
         never_answer: Some(times),
         ..Faults::default()
@@ -108,7 +108,7 @@
     }
 }
 
-async fn table_down(deployment: &Deployment, down: bool) {
+async fn set_table_down(deployment: &Deployment, down: bool) {
     let faults = platform::Faults {
         table_down: Some(down),
         ..platform::Faults::default()
@@ -125,17 +125,17 @@
     }
 }
 
-async fn assert_no_breach(deployment: &Deployment, records: &[Record]) {
+async fn assert_no_violation(deployment: &Deployment, records: &[Record]) {
     let breaches = breaches(records, &deployment.logs().await);
     assert_eq!(breaches, Vec::<String>::new());
 }
 
-// An impatient caller, or a proxy before it, sends one save through three instances at the same
-// moment. Without a claim that all instances see, a viewer's list has the title three times.
+/// A caller or a proxy sends one save through three instances at the same moment. Without a claim
+/// that all instances see, it would take effect three times.
 #[test]
-fn a_key_sent_at_three_instances_at_once_takes_effect_once() {
-    let mut setting = support::start(&plan());
-    let deployment = &mut setting.deployment;
+fn one_idempotency_key_sent_to_three_instances_at_once_takes_effect_once() {
+    let mut started = support::start(&plan());
+    let deployment = &mut started.deployment;
     smol::block_on(async {
         let caller = Caller::new(Timer::new());
         let entries = deployment.entries();
@@ -147,7 +147,9 @@
                 .iter()
                 .map(|addr| {
                     let (caller, addr, wanted) = (caller.clone(), *addr, wanted.clone());
-                    workers::spawn(async move { settled(&caller, addr, &wanted).await })
+                    workers::spawn(
+                        async move { follow_until_settled(&caller, addr, &wanted).await },
+                    )
                 })
                 .collect();
             for send in sends {
@@ -157,7 +159,7 @@
             }
             assert_eq!(effects(deployment, &name).await, 1, "{name}");
         }
-        // Another body under a key that is known.
+        // Another body with a known key.
         let other = save("other", Some("key-0"));
         for addr in entries {
             let record = caller.follow(&[addr], &other).await;
@@ -168,33 +170,33 @@
             records.push(record);
         }
         assert_eq!(effects(deployment, "other").await, 0);
-        assert_no_breach(deployment, &records).await;
+        assert_no_violation(deployment, &records).await;
     });
 }
 
-// The instance that holds a key's claim dies after it sent the call and before it wrote down the
-// answer, or the table service is down, or the link breaks behind the effect. Whoever then sends
-// the call again to be safe doubles an order; whoever says that it did not run makes the caller
-// double it.
+/// The instance that holds a key's claim is killed after it sent the call and before it recorded
+/// the answer, or the table service is down, or the connection breaks after the effect. A retry by
+/// the instance would run the call twice, and so would one by the caller if the call were reported
+/// as not run.
 #[test]
-fn a_call_whose_outcome_was_lost_never_runs_again() {
-    let mut setting = support::start(&plan());
-    let deployment = &mut setting.deployment;
+fn a_call_whose_outcome_is_unknown_never_runs_again() {
+    let mut started = support::start(&plan());
+    let deployment = &mut started.deployment;
     smol::block_on(async {
         let caller = Caller::new(Timer::new());
         let entries = deployment.entries();
         let mut records = Vec::new();
 
-        // The link is cut behind the effect, and there is no key.
-        never_answer(deployment, 1).await;
+        // The connection breaks after the effect of a call without a key.
+        set_never_answer(deployment, 1).await;
         let keyless = save("keyless", None);
-        let sending = {
+        let response = {
             let (caller, addr) = (caller.clone(), entries[0]);
             workers::spawn(async move { caller.follow(&[addr], &keyless).await })
         };
         until_effect(deployment, "keyless").await;
         cut_services(deployment).await;
-        let record = sending.await;
+        let record = response.await;
         assert_eq!(
             refusal(&record),
             (504, "answer-lost", Some(Execution::Unknown))
@@ -202,9 +204,9 @@
         records.push(record);
         assert_eq!(effects(deployment, "keyless").await, 1);
 
-        // The table is down.
-        never_answer(deployment, 0).await;
-        table_down(deployment, true).await;
+        // The table service is down.
+        set_never_answer(deployment, 0).await;
+        set_table_down(deployment, true).await;
         for (number, addr) in entries.iter().enumerate() {
             let name = format!("outage-{number}");
             let record = caller.follow(&[*addr], &save(&name, Some(&name))).await;
@@ -214,38 +216,40 @@
             );
             assert_eq!(effects(deployment, &name).await, 0);
             records.push(record);
-            // Calls without a key go on.
+            // Calls without a key are still served.
             let name = format!("meanwhile-{number}");
             let record = caller.follow(&[*addr], &save(&name, None)).await;
             assert_eq!(record.outcome, Outcome::Whole);
             assert_eq!(effects(deployment, &name).await, 1);
             records.push(record);
         }
-        table_down(deployment, false).await;
-        let record = after_outage(&caller, entries[0], &save("after", Some("after"))).await;
+        set_table_down(deployment, false).await;
+        let record =
+            follow_until_table_up(&caller, entries[0], &save("after", Some("after"))).await;
         assert_eq!(record.outcome, Outcome::Whole);
         assert_eq!(effects(deployment, "after").await, 1);
 
-        // The claimant is killed between effect and record.
-        never_answer(deployment, 1).await;
+        // The instance that holds the claim is killed after the effect and before it records the
+        // answer.
+        set_never_answer(deployment, 1).await;
         let keyed = save("keyed", Some("kept"));
-        let sending = {
+        let response = {
             let (caller, addr, keyed) = (caller.clone(), entries[0], keyed.clone());
             workers::spawn(async move { caller.follow(&[addr], &keyed).await })
         };
         until_effect(deployment, "keyed").await;
         deployment.signal(0, Signal::Kill);
-        assert_eq!(sending.await.outcome, Outcome::Broken);
-        never_answer(deployment, 0).await;
-        let mut told = BTreeMap::new();
+        assert_eq!(response.await.outcome, Outcome::Broken);
+        set_never_answer(deployment, 0).await;
+        let mut codes = BTreeMap::new();
         for addr in &entries[1..] {
-            let record = settled(&caller, *addr, &keyed).await;
+            let record = follow_until_settled(&caller, *addr, &keyed).await;
             let (_, code, run) = refusal(&record);
-            told.insert(code.to_owned(), run);
+            codes.insert(code.to_owned(), run);
         }
         let unknown = BTreeMap::from([("outcome-unknown".to_owned(), Some(Execution::Unknown))]);
-        assert_eq!(told, unknown, "all instances tell the same");
+        assert_eq!(codes, unknown, "all instances give the same refusal");
         assert_eq!(effects(deployment, "keyed").await, 1);
-        assert_no_breach(deployment, &records).await;
+        assert_no_violation(deployment, &records).await;
     });
 }
--- a/tests/promises_data_centre.rs
+++ b/tests/promises_data_centre.rs
@@ -1,4 +1,5 @@
-//! A data centre that operators take out gets no new work within seconds, and loses none.
+//! A data centre that operators take out gets no new requests within seconds, and loses none in
+//! flight.
 
 mod support;
 
@@ -21,22 +22,22 @@
 use standins::platform;
 use timer::Timer;
 
-/// Time between two requests of the load.
-const PACE: Duration = Duration::from_millis(40);
-/// Time within which a data centre that was taken out must stop getting new work.
-const SETTLE: Duration = Duration::from_secs(3);
-/// How long it is watched after that.
-const WATCH: Duration = Duration::from_secs(3);
-/// Time between two looks at something that takes a while.
-const POLL: Duration = Duration::from_millis(50);
-/// Looks before a test gives up.
-const LOOKS: usize = 200;
-/// Time for an instance to end when it is stopped as planned.
-const STOP_PATIENCE: Duration = Duration::from_secs(60);
-/// Time until the balancer's list no longer names an instance that stops.
+/// Time between two pairs of a draft and a lookup.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(40);
+/// Time after which a data centre that was taken out must get no new requests.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// How long it is observed after that.
+const OBSERVATION_TIME: Duration = Duration::from_secs(3);
+/// Time between two polls of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of polls after which a test gives up.
+const MAX_POLLS: usize = 200;
+/// How long the end of an instance is awaited after a planned stop.
+const STOP_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time until the balancer's list no longer names a stopping instance.
 const BALANCER_LAG: Duration = Duration::from_millis(500);
-/// The data centre that leaves.
-const ZONE: &str = "dc-1";
+/// The data centre that is taken out.
+const DATA_CENTRE: &str = "dc-1";
 
 fn plan() -> Plan {
     let mut plan = support::plan();
@@ -66,7 +67,7 @@
     Wanted::new(name, "key-viewers", what)
 }
 
-/// The balancer's list: an instance that was started is on it once it says that it is ready.
+/// The balancer's list of instances that reported that they are ready.
 #[derive(Clone)]
 struct Balancer {
     entries: Arc<Mutex<Vec<SocketAddr>>>,
@@ -83,7 +84,7 @@
         *self.entries.lock().unwrap_or_else(PoisonError::into_inner) = entries;
     }
 
-    /// All instances, another one first each time.
+    /// All instances, rotated by `number`.
     fn choose(&self, number: usize) -> Vec<SocketAddr> {
         let entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
         let mut addrs = entries.clone();
@@ -92,13 +93,13 @@
     }
 }
 
-/// Sends drafts and lookups at every instance in turn until told to end.
-fn load(balancer: Balancer, ends: Arc<AtomicBool>) -> Task<Vec<Record>> {
+/// Sends drafts and lookups to the instances in turn until `is_over` is set.
+fn send_load(balancer: Balancer, is_over: Arc<AtomicBool>) -> Task<Vec<Record>> {
     workers::spawn(async move {
         let caller = Caller::new(Timer::new());
         let mut sent = Vec::new();
         let mut number = 0;
-        while !ends.load(Ordering::Relaxed) {
+        while !is_over.load(Ordering::Relaxed) {
             let addrs = balancer.choose(number);
             let output = if number % 10 == 0 { 200 } else { 10 };
             let wanted = [
@@ -112,7 +113,7 @@
                 }));
             }
             number += 1;
-            smol::Timer::after(PACE).await;
+            smol::Timer::after(REQUEST_INTERVAL).await;
         }
         let mut records = Vec::new();
         for task in sent {
@@ -122,45 +123,45 @@
     })
 }
 
-/// The requests that targets of the data centre have taken so far, by the callers' names.
-fn taken(deployment: &Deployment, logs: &Logs) -> BTreeSet<String> {
-    let mut taken = BTreeSet::new();
-    for engine in deployment.engines.iter().filter(|e| e.zone == ZONE) {
+/// Names of the requests that targets of the data centre have received so far.
+fn received(deployment: &Deployment, logs: &Logs) -> BTreeSet<String> {
+    let mut names = BTreeSet::new();
+    for engine in deployment.engines.iter().filter(|e| e.zone == DATA_CENTRE) {
         let all = logs.engines[&engine.name].generations.iter();
-        taken.extend(all.map(|g| g.caller.clone()));
+        names.extend(all.map(|g| g.caller.clone()));
     }
-    for service in deployment.services.iter().filter(|s| s.zone == ZONE) {
-        taken.extend(logs.services[&service.name].lookups.keys().cloned());
+    for service in deployment.services.iter().filter(|s| s.zone == DATA_CENTRE) {
+        names.extend(logs.services[&service.name].lookups.keys().cloned());
     }
-    taken
+    names
 }
 
-/// Waits until targets of the data centre have taken further requests of these kinds.
-async fn until_taken(
+/// Waits until targets of the data centre have received further requests of these kinds.
+async fn until_received(
     deployment: &Deployment,
     before: &BTreeSet<String>,
     kinds: &[&str],
     when: &str,
 ) {
-    for _ in 0..LOOKS {
-        let now = taken(deployment, &deployment.logs().await);
+    for _ in 0..MAX_POLLS {
+        let now = received(deployment, &deployment.logs().await);
         let fresh: Vec<&String> = now.difference(before).collect();
         let has = |kind: &str| fresh.iter().any(|name| name.starts_with(kind));
         if kinds.iter().all(|kind| has(kind)) {
             return;
         }
-        smol::Timer::after(POLL).await;
+        smol::Timer::after(POLL_INTERVAL).await;
     }
-    let now = taken(deployment, &deployment.logs().await);
+    let now = received(deployment, &deployment.logs().await);
     let fresh: Vec<&String> = now.difference(before).take(5).collect();
     let tails: Vec<String> = (0..deployment.instances.len())
         .map(|number| deployment.tail(number))
         .collect();
     let tails = tails.join("\n\n");
-    panic!("{ZONE} gets no work {when}, only {fresh:?}\n{tails}");
+    panic!("{DATA_CENTRE} gets too few requests {when}, only {fresh:?}\n{tails}");
 }
 
-async fn table_down(deployment: &Deployment, down: bool) {
+async fn set_table_down(deployment: &Deployment, down: bool) {
     let faults = platform::Faults {
         table_down: Some(down),
         ..platform::Faults::default()
@@ -168,18 +169,18 @@
     deployment.platform_fault(&faults).await;
 }
 
-// Operators take a data centre out before its power is cut. An instance that has not heard of it,
-// because the table service went down right after or because it was just started, would go on
-// sending work there, and callers would lose it together with the machines.
+/// Operators take a data centre out before its power is cut. Guards against instances that don't
+/// know of it, because the table service went down right after or because they have just been
+/// started, and continue to send requests there that would be lost.
 #[test]
-fn a_data_centre_that_was_taken_out_gets_no_new_work_and_loses_none() {
-    let mut setting = support::start(&plan());
-    let deployment = &mut setting.deployment;
+fn a_data_centre_that_was_taken_out_gets_no_new_requests_and_loses_none() {
+    let mut started = support::start(&plan());
+    let deployment = &mut started.deployment;
     smol::block_on(async {
-        let ends = Arc::new(AtomicBool::new(false));
+        let is_over = Arc::new(AtomicBool::new(false));
         let balancer = Balancer::new(deployment.entries());
-        let load = load(balancer.clone(), Arc::clone(&ends));
-        until_taken(
+        let load = send_load(balancer.clone(), Arc::clone(&is_over));
+        until_received(
             deployment,
             &BTreeSet::new(),
             &["draft", "lookup"],
@@ -187,40 +188,43 @@
         )
         .await;
 
-        assert!(deployment.turn(ZONE, "out").await);
-        table_down(deployment, true).await;
-        smol::Timer::after(SETTLE).await;
-        let settled = taken(deployment, &deployment.logs().await);
-        smol::Timer::after(WATCH).await;
-        let later = taken(deployment, &deployment.logs().await);
+        assert!(deployment.turn(DATA_CENTRE, "out").await);
+        set_table_down(deployment, true).await;
+        smol::Timer::after(SETTLE_TIME).await;
+        let settled = received(deployment, &deployment.logs().await);
+        smol::Timer::after(OBSERVATION_TIME).await;
+        let later = received(deployment, &deployment.logs().await);
         let late: Vec<&String> = later.difference(&settled).collect();
-        assert!(late.is_empty(), "new work with the table down: {late:?}");
+        assert!(
+            late.is_empty(),
+            "new requests during the table service's outage: {late:?}"
+        );
 
-        // An instance that has just been started knows the order from the others.
-        // The balancer drops it from its list while it still serves, as it does in operation.
+        // A restarted instance gets the change from its peers. The balancer removes the instance
+        // from its list while it still serves, as in operation.
         let others = deployment.entries()[..2].to_vec();
         let listed = balancer.clone();
-        let drops = async {
+        let delist = async {
             smol::Timer::after(BALANCER_LAG).await;
             listed.set(others);
         };
-        let stops = deployment.stop_instance(2, STOP_PATIENCE);
-        let (ended, ()) = future::zip(stops, drops).await;
+        let stop = deployment.stop_instance(2, STOP_TIMEOUT);
+        let (ended, ()) = future::zip(stop, delist).await;
         assert!(ended, "{}", deployment.tail(2));
         deployment.start_instance(2).await.expect("it starts");
-        deployment.until_ready().await.expect("it takes work");
+        deployment.until_ready().await.expect("it is ready");
         balancer.set(deployment.entries());
-        smol::Timer::after(WATCH).await;
-        table_down(deployment, false).await;
-        smol::Timer::after(WATCH).await;
-        let later = taken(deployment, &deployment.logs().await);
+        smol::Timer::after(OBSERVATION_TIME).await;
+        set_table_down(deployment, false).await;
+        smol::Timer::after(OBSERVATION_TIME).await;
+        let later = received(deployment, &deployment.logs().await);
         let late: Vec<&String> = later.difference(&settled).collect();
-        assert!(late.is_empty(), "new work after a start: {late:?}");
+        assert!(late.is_empty(), "new requests after a restart: {late:?}");
 
-        assert!(deployment.turn(ZONE, "in").await);
-        // Lookups are so few that one service may do for all of them.
-        until_taken(deployment, &later, &["draft"], "after it came back").await;
-        ends.store(true, Ordering::Relaxed);
+        assert!(deployment.turn(DATA_CENTRE, "in").await);
+        // Lookups are so few that a single service may serve all of them.
+        until_received(deployment, &later, &["draft"], "after it was taken in").await;
+        is_over.store(true, Ordering::Relaxed);
         let records = load.await;
         for record in &records {
             assert_eq!(record.outcome, Outcome::Whole, "{}", record.name);
--- a/tests/promises_quarantine.rs
+++ b/tests/promises_quarantine.rs
@@ -1,4 +1,5 @@
-//! A request that crashes what runs it ends few engines, at whichever instance it comes.
+//! A request that crashes engines is stopped after a few of them, whichever instances it is sent
+//! to.
 
 mod support;
 
@@ -11,19 +12,20 @@
 use standins::engine::CRASH_TRIGGER;
 use timer::Timer;
 
-/// Time between two sendings: a crashed engine is back by then.
-const BETWEEN: Duration = Duration::from_millis(900);
-/// Time within which all instances know what one of them has seen.
-const CONTACT: Duration = Duration::from_secs(3);
-/// Engines that one request may crash before it is rejected, and those that one attempt which is
-/// under way may crash beside.
-const MOST: u64 = 6;
+/// Time between two requests: a crashed engine has restarted by then.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(900);
+/// Time within which a crash seen by one instance is known to all.
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
+/// Number of engines that a request may crash before it is rejected, including those that an
+/// attempt in flight may crash meanwhile.
+const MAX_CRASHES: u64 = 6;
 
 fn plan() -> Plan {
     let mut plan = support::plan();
     plan.engine.lifecycle.warm = true;
     plan.engine.lifecycle.restart_ms = 400;
-    // One attempt crashes all engines at once, and waits until they are warm again or it is late.
+    // One attempt crashes all engines in a row, and then waits until one is warm again or its
+    // deadline has passed.
     if let Some(model) = plan.tree.get_mut("/services/catalogue") {
         model.knobs.deadline_ms = Some(4_000);
     }
@@ -41,8 +43,8 @@
     Wanted::new(name, "key-editors", what)
 }
 
-/// Lives of all engines that have ended.
-async fn ended(deployment: &Deployment) -> u64 {
+/// Number of crashes of all engines.
+async fn crash_count(deployment: &Deployment) -> u64 {
     let logs = deployment.logs().await;
     let lives = logs
         .engines
@@ -51,7 +53,11 @@
     lives.sum()
 }
 
-async fn crash_some(deployment: &Deployment, caller: &Caller, times: usize) -> Vec<Outcome> {
+async fn send_crashing_requests(
+    deployment: &Deployment,
+    caller: &Caller,
+    times: usize,
+) -> Vec<Outcome> {
     let entries: Vec<SocketAddr> = deployment.entries();
     let mut outcomes = Vec::new();
     for number in 0..times {
@@ -60,25 +66,25 @@
             .follow(&[to], &draft("the same", CRASH_TRIGGER))
             .await;
         outcomes.push(record.outcome);
-        smol::Timer::after(BETWEEN).await;
+        smol::Timer::after(REQUEST_INTERVAL).await;
     }
     outcomes
 }
 
-/// Guards against a request that crashes one engine after the other because each instance, and each
-/// further try of one attempt, knows nothing of the ends before.
+/// Guards against a request that crashes one engine after the other because instances, or retries
+/// within one request, don't know of the crashes before.
 #[test]
 fn a_request_that_crashes_engines_is_rejected_by_every_instance() {
-    let setting = support::start(&plan());
-    let deployment = &setting.deployment;
+    let started = support::start(&plan());
+    let deployment = &started.deployment;
     smol::block_on(async {
         let caller = Caller::new(Timer::new());
-        crash_some(deployment, &caller, 3).await;
-        smol::Timer::after(CONTACT).await;
-        let before = ended(deployment).await;
-        assert!((3..=MOST).contains(&before), "{before} ended");
-        let later = crash_some(deployment, &caller, 3).await;
-        assert_eq!(ended(deployment).await, before, "{later:?}");
+        send_crashing_requests(deployment, &caller, 3).await;
+        smol::Timer::after(PROPAGATION_TIME).await;
+        let before = crash_count(deployment).await;
+        assert!((3..=MAX_CRASHES).contains(&before), "{before} ended");
+        let later = send_crashing_requests(deployment, &caller, 3).await;
+        assert_eq!(crash_count(deployment).await, before, "{later:?}");
         for outcome in later {
             assert!(
                 matches!(&outcome, Outcome::Refused { code, .. } if code == "quarantined"),
--- a/tests/promises_stops.rs
+++ b/tests/promises_stops.rs
@@ -1,4 +1,4 @@
-//! No order from outside leaves a request without its answer.
+//! Signals and planned stops leave no request without its answer.
 
 mod support;
 
@@ -22,35 +22,35 @@
 use smol::{Task, Timer, unblock};
 use standins::platform;
 
-/// Time between two looks at something that takes a while.
-const POLL: Duration = Duration::from_millis(20);
-/// Looks before a test gives up.
-const LOOKS: usize = 1500;
-/// Tokens of a stream that takes seconds.
-const LONG: u64 = 150;
-/// Shortly after this time from the order to stop on, instances take no further connections.
-const GRACE: Duration = Duration::from_secs(1);
-/// Time before it at which a connection is made that brings nothing.
-const BEFORE: Duration = Duration::from_millis(20);
-/// Time after it at which the first call is sent.
-const AFTER: Duration = Duration::from_millis(10);
-/// Time for an instance to end when it is stopped as planned.
-const STOP_PATIENCE: Duration = Duration::from_secs(60);
-/// Longer than an instance takes to end once it has nothing to do.
+/// Time between two polls of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of polls after which a test gives up.
+const MAX_POLLS: usize = 1500;
+/// Tokens of a stream that takes several seconds.
+const LONG_TOKENS: u64 = 150;
+/// Shortly after this time since the order to stop, instances accept no further connections.
+const ACCEPT_PERIOD: Duration = Duration::from_secs(1);
+/// Time before the end of [`ACCEPT_PERIOD`] at which a connection is made that carries no request.
+const IDLE_CONNECTION_LEAD: Duration = Duration::from_millis(20);
+/// Time after the end of [`ACCEPT_PERIOD`] at which the first call is sent.
+const FIRST_CALL_DELAY: Duration = Duration::from_millis(10);
+/// How long the end of an instance is awaited after a planned stop.
+const STOP_TIMEOUT: Duration = Duration::from_secs(60);
+/// Latency of the services: longer than an idle instance takes to end.
 const LATENCY_MS: f64 = 900.0;
-/// Calls to each instance as it stops to take connections.
+/// Calls to each instance as it stops accepting connections.
 const LAST_CALLS: u32 = 4;
 
-/// Calls to an instance that starts.
+/// Calls to an instance during its start.
 const EARLY_CALLS: usize = 60;
-/// Time between two of them.
-const EARLY_PAUSE: Duration = Duration::from_millis(5);
-/// Delay of each answer of the table service that makes a change outlast a stop.
-const TABLE_MS: u64 = 700;
-/// Time for an answer's body.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Bytes of an answer at most.
-const ANSWER_LIMIT: usize = 1 << 20;
+/// Time between two of these calls.
+const EARLY_CALL_INTERVAL: Duration = Duration::from_millis(5);
+/// Delay of the table service's answers, which lets a change outlast an idle instance's stop.
+const TABLE_DELAY_MS: u64 = 700;
+/// How long an answer's body is awaited.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum size of an answer in bytes.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 fn plan() -> Plan {
     let mut plan = support::plan();
@@ -64,8 +64,8 @@
         model: "catalogue".into(),
         route: None,
         prompt: "A long synopsis, please.".into(),
-        output: LONG,
-        most: 2 * LONG,
+        output: LONG_TOKENS,
+        most: 2 * LONG_TOKENS,
     };
     Wanted::new(name, "key-editors", what)
 }
@@ -85,26 +85,26 @@
 }
 
 async fn until_produced(deployment: &Deployment, name: &str, tokens: u64) {
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_POLLS {
         let logs = deployment.logs().await;
         let mut generations = logs.engines.values().flat_map(|log| &log.generations);
         if generations.any(|g| g.caller == name && g.produced >= tokens) {
             return;
         }
-        Timer::after(POLL).await;
+        Timer::after(POLL_INTERVAL).await;
     }
     panic!("{name} never had {tokens} tokens:\n{}", deployment.tail(0));
 }
 
-/// Waits until an instance says that it shuts down.
+/// Waits until an instance reports that it is not ready.
 async fn until_draining(deployment: &Deployment, number: usize) {
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_POLLS {
         if !deployment.is_ready(number).await {
             return;
         }
         Timer::after(Duration::from_millis(1)).await;
     }
-    panic!("instance {number} never began to shut down");
+    panic!("instance {number} is still ready");
 }
 
 async fn effects(deployment: &Deployment) -> BTreeMap<String, u32> {
@@ -113,7 +113,7 @@
     all.collect()
 }
 
-/// Writes a node of the tree that is not there yet; `None` if no whole answer came.
+/// Writes a new node of the tree; returns the status, or `None` if no complete answer arrived.
 async fn write_new(admin: SocketAddr, path: &str) -> Option<u16> {
     let req = Request::put(path)
         .header("authorization", format!("Bearer {OPERATOR_KEY}"))
@@ -123,13 +123,13 @@
         .expect("a request");
     let resp = Client::new().send_fresh(admin, req).await.ok()?;
     let status = resp.status().as_u16();
-    net::read_all(resp.into_body(), ANSWER_LIMIT, PATIENCE)
+    net::read_all(resp.into_body(), MAX_ANSWER_BYTES, BODY_TIMEOUT)
         .await
         .ok()?;
     Some(status)
 }
 
-/// Connects and sends a save, with as little as possible between the two.
+/// Connects and sends a save without any delay between the two.
 fn send_at_once(addr: SocketAddr, name: &str) -> io::Result<TcpStream> {
     let text = format!(
         "POST /watchlist HTTP/1.1\r\nhost: x\r\nauthorization: Bearer key-viewers\r\n\
@@ -140,18 +140,19 @@
     Ok(stream)
 }
 
-/// Reads the status of an answer; `None` if there is none.
+/// Reads the status of an answer; `None` if no answer arrives.
 fn read_status(stream: io::Result<TcpStream>) -> Option<u16> {
     let mut line = String::new();
     BufReader::new(stream.ok()?).read_line(&mut line).ok()?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Guards against a hangup ending the process, and with it every request, as it does by default.
+/// Guards against a hangup signal that ends the process and all its requests, as it does by
+/// default.
 #[test]
-fn a_hangup_cuts_no_request() {
-    let mut setting = support::start(&plan());
-    let deployment = &mut setting.deployment;
+fn a_hangup_signal_aborts_no_request() {
+    let mut started = support::start(&plan());
+    let deployment = &mut started.deployment;
     smol::block_on(async {
         let caller = Caller::new(timer::Timer::new());
         let entry = deployment.entries()[0];
@@ -160,19 +161,24 @@
         deployment.signal(0, Signal::Reload);
         let record = stream.await;
         assert_eq!(record.outcome, Outcome::Whole, "{}", deployment.tail(0));
-        assert_eq!(record.tokens, LONG);
+        assert_eq!(record.tokens, LONG_TOKENS);
         let record = caller.follow(&[entry], &save("after")).await;
         assert_eq!(record.outcome, Outcome::Whole, "{}", deployment.tail(0));
-        let told = Event::HangUp.to_string();
-        assert!(deployment.tail(0).contains(&told), "{}", deployment.tail(0));
+        let log_line = Event::HangUp.to_string();
+        assert!(
+            deployment.tail(0).contains(&log_line),
+            "{}",
+            deployment.tail(0)
+        );
     });
 }
 
-/// Guards against a second order, or a hangup, that ends a shutdown before the last request.
+/// Guards against a second terminate or a hangup signal that ends a shutdown before its last
+/// request is answered.
 #[test]
-fn further_signals_in_a_stop_cut_no_request() {
-    let mut setting = support::start(&plan());
-    let deployment = &mut setting.deployment;
+fn further_signals_during_a_stop_abort_no_request() {
+    let mut started = support::start(&plan());
+    let deployment = &mut started.deployment;
     smol::block_on(async {
         let caller = Caller::new(timer::Timer::new());
         let entry = deployment.entries()[0];
@@ -180,33 +186,32 @@
         until_produced(deployment, "draft", 3).await;
         for signal in [Signal::Terminate, Signal::Reload, Signal::Terminate] {
             deployment.signal(0, signal);
-            Timer::after(POLL * 5).await;
+            Timer::after(POLL_INTERVAL * 5).await;
         }
-        let ended = deployment.stop_instance(0, STOP_PATIENCE).await;
+        let ended = deployment.stop_instance(0, STOP_TIMEOUT).await;
         assert!(ended, "{}", deployment.tail(0));
         let record = stream.await;
         assert_eq!(record.outcome, Outcome::Whole, "{}", deployment.tail(0));
-        assert_eq!((record.tokens, record.resumed), (LONG, 0));
+        assert_eq!((record.tokens, record.resumed), (LONG_TOKENS, 0));
     });
 }
 
-/// Guards against a process that ends before a connection which it took at the very last.
+/// Guards against a process that ends before it has served the connection that it accepted last.
 #[test]
-fn a_call_over_a_connection_made_as_the_instance_stops_accepting_gets_its_answer() {
+fn a_call_over_a_connection_made_as_the_instance_stops_accepting_is_answered() {
     let mut plan = plan();
     plan.replica.latency_ms = LATENCY_MS;
-    let mut setting = support::start(&plan);
-    let deployment = &mut setting.deployment;
+    let mut started = support::start(&plan);
+    let deployment = &mut started.deployment;
     smol::block_on(async {
         for number in 0..deployment.instances.len() {
             let addr = deployment.instances[number].listen;
             deployment.signal(number, Signal::Terminate);
             until_draining(deployment, number).await;
-            Timer::after(GRACE.saturating_sub(BEFORE)).await;
-            // From here on the server waits for the next connection for longer than until the
-            // first call.
+            Timer::after(ACCEPT_PERIOD.saturating_sub(IDLE_CONNECTION_LEAD)).await;
+            // The server now waits for the next connection until after the first call.
             drop(TcpStream::connect(addr).expect("a connection"));
-            Timer::after(BEFORE + AFTER).await;
+            Timer::after(IDLE_CONNECTION_LEAD + FIRST_CALL_DELAY).await;
             let calls: Vec<_> = (0..LAST_CALLS)
                 .map(|call| (format!("last-{number}-{call}"), addr))
                 .map(|(name, addr)| (send_at_once(addr, &name), name))
@@ -215,9 +220,9 @@
             for (stream, name) in calls {
                 answers.push((name, unblock(|| read_status(stream)).await));
             }
-            let ended = deployment.stop_instance(number, STOP_PATIENCE).await;
+            let ended = deployment.stop_instance(number, STOP_TIMEOUT).await;
             assert!(ended, "{}", deployment.tail(number));
-            // Services finish what they began, whoever has gone.
+            // Services complete a call even if its connection is gone.
             Timer::after(Duration::from_secs(1)).await;
             let effects = effects(deployment).await;
             for (name, answer) in answers {
@@ -231,41 +236,45 @@
             deployment
                 .start_instance(number)
                 .await
-                .expect("it starts again");
-            deployment.until_ready().await.expect("all take work again");
+                .expect("it restarts");
+            deployment
+                .until_ready()
+                .await
+                .expect("all instances are ready again");
         }
     });
 }
 
-/// Guards against a process that ends while the table service takes an operator's change.
+/// Guards against a process that ends while the table service processes an operator's change.
 #[test]
-fn an_operators_change_in_flight_at_a_stop_gets_its_answer() {
-    let mut setting = support::start(&plan());
-    let deployment = &mut setting.deployment;
+fn an_operators_change_in_flight_at_a_stop_is_answered() {
+    let mut started = support::start(&plan());
+    let deployment = &mut started.deployment;
     smol::block_on(async {
         let slow = platform::Faults {
-            table_slow_ms: Some(TABLE_MS),
+            table_slow_ms: Some(TABLE_DELAY_MS),
             ..platform::Faults::default()
         };
         deployment.platform_fault(&slow).await;
         let admin = deployment.instances[0].admin;
         let path = "/v1/tree/services/viewer/routes/added";
         let change = workers::spawn(write_new(admin, path));
-        let ended = deployment.stop_instance(0, STOP_PATIENCE).await;
+        let ended = deployment.stop_instance(0, STOP_TIMEOUT).await;
         assert!(ended, "{}", deployment.tail(0));
         assert_eq!(change.await, Some(200), "{}", deployment.tail(0));
     });
 }
 
-/// Guards against calls that are taken, or a stop that is ordered, before all parts are there.
+/// Guards against calls, or an order to stop, that arrive before all parts of the instance have
+/// started.
 #[test]
-fn calls_to_an_instance_that_starts_and_is_stopped_at_once_are_answered_or_refused() {
-    let mut setting = support::start(&plan());
-    let deployment = &mut setting.deployment;
+fn calls_to_an_instance_that_is_stopped_right_after_its_start_are_answered_or_refused() {
+    let mut started = support::start(&plan());
+    let deployment = &mut started.deployment;
     smol::block_on(async {
         let addr = deployment.instances[0].listen;
-        assert!(deployment.stop_instance(0, STOP_PATIENCE).await);
-        deployment.start_instance(0).await.expect("it starts again");
+        assert!(deployment.stop_instance(0, STOP_TIMEOUT).await);
+        deployment.start_instance(0).await.expect("it restarts");
         let mut calls = Vec::new();
         while calls.len() < EARLY_CALLS {
             let stream = send_at_once(addr, "early");
@@ -275,13 +284,13 @@
             if calls.len() == EARLY_CALLS / 2 {
                 deployment.signal(0, Signal::Terminate);
             }
-            Timer::after(EARLY_PAUSE).await;
+            Timer::after(EARLY_CALL_INTERVAL).await;
         }
         for call in calls {
             let answer = call.await;
-            let told = matches!(answer, Some(200 | 503));
-            assert!(told, "{answer:?}\n{}", deployment.tail(0));
+            let is_answered = matches!(answer, Some(200 | 503));
+            assert!(is_answered, "{answer:?}\n{}", deployment.tail(0));
         }
-        assert!(deployment.stop_instance(0, STOP_PATIENCE).await);
+        assert!(deployment.stop_instance(0, STOP_TIMEOUT).await);
     });
 }
--- a/tests/promises_streams.rs
+++ b/tests/promises_streams.rs
@@ -1,4 +1,5 @@
-//! Each token reaches its caller once, in order, from one generation, whatever dies or stops.
+//! Each token reaches its caller once, in order and from one generation, also when instances or
+//! engines crash or stop.
 
 mod support;
 
@@ -17,17 +18,17 @@
 };
 use timer::Timer;
 
-/// Time between two looks at something that takes a while.
-const POLL: Duration = Duration::from_millis(20);
-/// Looks before a test gives up.
-const LOOKS: usize = 1500;
-/// Tokens of a long stream: seconds of it.
-const LONG: u64 = 150;
-/// Time for an instance to end when it is stopped as planned.
-const STOP_PATIENCE: Duration = Duration::from_secs(60);
-/// Short drafts that make three engines warm.
-const WARM_UP: usize = 60;
-/// Longer than any engine stands still in these tests.
+/// Time between two polls of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of polls after which a test gives up.
+const MAX_POLLS: usize = 1500;
+/// Tokens of a stream that takes several seconds.
+const LONG_TOKENS: u64 = 150;
+/// How long the end of an instance is awaited after a planned stop.
+const STOP_TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of short drafts that make three engines warm.
+const WARM_UP_DRAFTS: usize = 60;
+/// A stall of an engine that outlasts any of these tests, unless it is ended.
 const STALL_MS: u64 = 60_000;
 
 fn plan() -> Plan {
@@ -42,7 +43,7 @@
         route: None,
         prompt: "A long synopsis, please.".into(),
         output,
-        most: 2 * LONG,
+        most: 2 * LONG_TOKENS,
     };
     Wanted::new(name, "key-editors", what)
 }
@@ -52,11 +53,11 @@
     workers::spawn(async move { caller.follow(&addrs, &wanted).await })
 }
 
-/// Short drafts until each engine has shown that it is warm: to a cold one instances send one
-/// request after another.
+/// Sends short drafts until each engine is known to be warm: instances send only one request at a
+/// time to a cold engine.
 async fn warm_up(deployment: &Deployment, caller: &Caller) {
     let entries = deployment.entries();
-    let drafts = (0..WARM_UP).map(|n| {
+    let drafts = (0..WARM_UP_DRAFTS).map(|n| {
         let addr = entries[n % entries.len()];
         follow(caller, &[addr], draft(&format!("warm-up-{n}"), 2))
     });
@@ -65,19 +66,19 @@
     }
 }
 
-/// The logs of all targets; one that has just crashed tells its own when it is back.
+/// The logs of all targets; waits for those of engines that are restarting.
 async fn logs(deployment: &Deployment) -> Logs {
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_POLLS {
         let logs = deployment.logs().await;
         if logs.engines.len() == deployment.engines.len() {
             return logs;
         }
-        smol::Timer::after(POLL).await;
+        smol::Timer::after(POLL_INTERVAL).await;
     }
-    panic!("an engine did not come back");
+    panic!("an engine did not restart");
 }
 
-/// The generations that engines began for a caller's request, with the engine's number.
+/// The generations that engines started for a caller's request, each with the engine's index.
 async fn generations(deployment: &Deployment, name: &str) -> Vec<(usize, Generation)> {
     let logs = logs(deployment).await;
     let mut found = Vec::new();
@@ -89,15 +90,15 @@
     found
 }
 
-/// Waits until an engine has produced so many tokens for a request; tells which engine.
+/// Waits until an engine has produced this many tokens for a request; returns the engine's index.
 async fn until_produced(deployment: &Deployment, name: &str, tokens: u64) -> usize {
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_POLLS {
         let found = generations(deployment, name).await;
         let begun = found.iter().find(|(_, g)| g.produced >= tokens);
         if let Some((number, _)) = begun {
             return *number;
         }
-        smol::Timer::after(POLL).await;
+        smol::Timer::after(POLL_INTERVAL).await;
     }
     let tails: Vec<String> = (0..deployment.instances.len())
         .map(|number| deployment.tail(number))
@@ -107,9 +108,9 @@
     panic!("{name} never had {tokens} tokens: {found:?}\n{tails}");
 }
 
-async fn act(deployment: &Deployment, engine: usize, act: FaultAction) {
+async fn inject(deployment: &Deployment, engine: usize, action: FaultAction) {
     let faults = Faults {
-        action: Some(act),
+        action: Some(action),
         ..Faults::default()
     };
     deployment
@@ -127,18 +128,18 @@
     }
 }
 
-async fn assert_no_breach(deployment: &Deployment, records: &[Record]) {
+async fn assert_no_violation(deployment: &Deployment, records: &[Record]) {
     let breaches = breaches(records, &logs(deployment).await);
     assert_eq!(breaches, Vec::<String>::new());
 }
 
-// The instance between a caller and its engine is killed, and the balancer sends the caller to
-// another one, which has never heard of the stream. If that one began anew, the reader would see
-// the draft start over or jump; if it asked for too little, words would be missing.
+/// The instance between a caller and its engine is killed, and the balancer sends the caller to
+/// another one that doesn't know the stream. If that one started a new generation, the text would
+/// start over or jump; if it resumed at the wrong token, words would be missing.
 #[test]
-fn a_stream_goes_on_at_another_instance_after_its_own_was_killed() {
-    let mut setting = support::start(&plan());
-    let deployment = &mut setting.deployment;
+fn a_stream_is_resumed_at_another_instance_after_its_own_was_killed() {
+    let mut started = support::start(&plan());
+    let deployment = &mut started.deployment;
     smol::block_on(async {
         let caller = Caller::new(Timer::new());
         warm_up(deployment, &caller).await;
@@ -147,7 +148,11 @@
         let mut streams = Vec::new();
         for (number, name) in names.iter().enumerate() {
             let next = entries[1 + number % 2];
-            streams.push(follow(&caller, &[entries[0], next], draft(name, LONG)));
+            streams.push(follow(
+                &caller,
+                &[entries[0], next],
+                draft(name, LONG_TOKENS),
+            ));
         }
         for name in &names {
             until_produced(deployment, name, 3).await;
@@ -161,24 +166,24 @@
             assert_eq!(record.outcome, Outcome::Whole, "{}", record.name);
             assert_eq!(
                 (record.tokens, record.resumed),
-                (LONG, 1),
+                (LONG_TOKENS, 1),
                 "{}",
                 record.name
             );
             let begun = generations(deployment, &record.name).await;
             assert_eq!(begun.len(), 1, "{} began {begun:?}", record.name);
         }
-        assert_no_breach(deployment, &records).await;
+        assert_no_violation(deployment, &records).await;
     });
 }
 
-// An engine dies. Before the first token nothing has been shown, so the draft can come from
-// another engine and the reader only waits longer. After it, a second generation would put two
-// different drafts together; the reader must see what there is, and that it is not all.
+/// An engine crashes. Before the first token the draft can be generated by another engine, and its
+/// caller only waits longer. After the first token a second generation would join two different
+/// drafts, so that the caller must get the truncated stream and see that it is not complete.
 #[test]
-fn an_engine_that_dies_ends_its_streams_openly_or_is_replaced_before_the_first_token() {
-    let mut setting = support::start(&plan());
-    let deployment = &mut setting.deployment;
+fn streams_of_a_crashed_engine_restart_before_their_first_token_or_end_as_truncated() {
+    let mut started = support::start(&plan());
+    let deployment = &mut started.deployment;
     smol::block_on(async {
         let caller = Caller::new(Timer::new());
         let entries = deployment.entries();
@@ -187,7 +192,7 @@
         stall(deployment, STALL_MS).await;
         let stream = follow(&caller, &entries[..1], draft("unseen", 20));
         let engine = until_produced(deployment, "unseen", 0).await;
-        act(deployment, engine, FaultAction::Crash).await;
+        inject(deployment, engine, FaultAction::Crash).await;
         stall(deployment, 0).await;
         let record = stream.await;
         assert_eq!(record.outcome, Outcome::Whole, "{}", deployment.tail(0));
@@ -197,26 +202,26 @@
         assert!(ends.contains(&Some(EndReason::Dropped)), "{begun:?}");
         records.push(record);
 
-        let stream = follow(&caller, &entries[1..2], draft("seen", LONG));
+        let stream = follow(&caller, &entries[1..2], draft("seen", LONG_TOKENS));
         let engine = until_produced(deployment, "seen", 10).await;
-        act(deployment, engine, FaultAction::Crash).await;
+        inject(deployment, engine, FaultAction::Crash).await;
         let record = stream.await;
         assert_eq!(record.outcome, Outcome::Partial, "{}", deployment.tail(1));
-        assert!((1..LONG).contains(&record.tokens), "{record:?}");
+        assert!((1..LONG_TOKENS).contains(&record.tokens), "{record:?}");
         let begun = generations(deployment, "seen").await;
         assert_eq!(begun.len(), 1, "{begun:?}");
         records.push(record);
-        assert_no_breach(deployment, &records).await;
+        assert_no_violation(deployment, &records).await;
     });
 }
 
-// Each instance is replaced in turn while long drafts run through it, and the balancer, whose
-// list lags, keeps sending it new work for a while. A reader would see a draft break off, and
-// have to go on with it at another instance.
+/// Each instance is stopped in turn while long drafts run through it, and the balancer, whose list
+/// lags, keeps sending it new requests for a while. Guards against streams that break off and that
+/// their callers have to resume at another instance.
 #[test]
-fn a_planned_stop_of_each_instance_in_turn_cuts_nothing() {
-    let mut setting = support::start(&plan());
-    let deployment = &mut setting.deployment;
+fn a_planned_stop_of_each_instance_in_turn_truncates_no_stream() {
+    let mut started = support::start(&plan());
+    let deployment = &mut started.deployment;
     smol::block_on(async {
         let caller = Caller::new(Timer::new());
         let mut records = Vec::new();
@@ -227,13 +232,13 @@
             let long: Vec<String> = (0..6).map(|n| format!("long-{number}-{n}")).collect();
             let streams = long
                 .iter()
-                .map(|name| follow(&caller, &addrs, draft(name, LONG)));
+                .map(|name| follow(&caller, &addrs, draft(name, LONG_TOKENS)));
             let mut streams: Vec<Task<Record>> = streams.collect();
             for name in &long {
                 until_produced(deployment, name, 1).await;
             }
-            // Connections are made anew or refused; the list still names the instance.
-            let lagging = {
+            // The balancer still lists the instance, which may refuse new connections.
+            let late = {
                 let (caller, addrs) = (caller.clone(), addrs.clone());
                 workers::spawn(async move {
                     let mut sent = Vec::new();
@@ -243,31 +248,34 @@
                             &addrs,
                             draft(&format!("late-{number}-{n}"), 10),
                         ));
-                        smol::Timer::after(POLL).await;
+                        smol::Timer::after(POLL_INTERVAL).await;
                     }
                     sent
                 })
             };
-            let ended = deployment.stop_instance(number, STOP_PATIENCE).await;
+            let ended = deployment.stop_instance(number, STOP_TIMEOUT).await;
             assert!(
                 ended,
                 "instance {number} did not end:\n{}",
                 deployment.tail(number)
             );
-            streams.extend(lagging.await);
+            streams.extend(late.await);
             for stream in streams {
                 records.push(stream.await);
             }
             deployment
                 .start_instance(number)
                 .await
-                .expect("it starts again");
-            deployment.until_ready().await.expect("all take work again");
+                .expect("it restarts");
+            deployment
+                .until_ready()
+                .await
+                .expect("all instances are ready again");
         }
         for record in &records {
             assert_eq!(record.outcome, Outcome::Whole, "{}", record.name);
             assert_eq!(record.resumed, 0, "{} was cut", record.name);
         }
-        assert_no_breach(deployment, &records).await;
+        assert_no_violation(deployment, &records).await;
     });
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,11 +1,11 @@
-//! Short seeded runs of the soak, and the seeds that ever showed a fault.
+//! Short runs of the soak with fixed seeds, among them those that have found faults.
 
 use std::{env, path::PathBuf, time::Duration};
 
 use soak::{Shown, Soak, run, world::Sizes};
 
-/// Length of the troubled part of a run.
-const SHORT: Duration = Duration::from_secs(8);
+/// Duration of the part of a run that has disruptions.
+const SHORT_RUN: Duration = Duration::from_secs(8);
 
 fn play(seed: u64, length: Duration, planned: bool) -> Shown {
     let name = format!("celerystand-soak-{}-{seed}-{planned}", std::process::id());
@@ -24,35 +24,37 @@
     };
     let shown = smol::block_on(run(&soak)).expect("the deployment starts");
     if shown.breaches.is_empty() {
-        // What a broken run logged is kept for whoever looks into it.
+        // The logs of a failed run are kept for its analysis.
         let _ = std::fs::remove_dir_all(dir);
     }
     shown
 }
 
-// Whatever happens to instances, store and targets, in series and at once: answers are whole and
-// one's own, what must run once does, refusals are true, and service comes back by itself.
+/// Disruptions of instances, store and targets, one after another and at the same time. Answers
+/// must be complete and belong to their request, calls that are not idempotent run at most once,
+/// refusals report correctly whether a request ran, and service recovers by itself.
 #[test]
-fn random_trouble_from_outside_breaks_no_promise() {
+fn random_disruptions_break_no_promise() {
     for seed in [5, 6] {
-        let shown = play(seed, SHORT, false);
+        let shown = play(seed, SHORT_RUN, false);
         assert!(shown.breaches.is_empty(), "seed {seed}\n{shown}");
     }
 }
 
-/// Guards against moves to engines that have crashed while the store is down and are listed still; the
-/// stand-in said that such a copy was whole.
+/// Guards against migrations to engines that have crashed during a store outage and are therefore
+/// still listed, and against a stand-in that reports a copy to such an engine as complete.
 #[test]
-fn generations_survive_a_crashed_destination_while_the_store_is_down() {
-    let shown = play(607, SHORT * 2, false);
+fn generations_survive_a_crashed_destination_during_a_store_outage() {
+    let shown = play(607, SHORT_RUN * 2, false);
     assert!(shown.breaches.is_empty(), "{shown}");
 }
 
-/// Guards against the end of a process while it still takes requests, which cuts them unanswered.
+/// Guards against a process that ends while it still accepts requests, which are then left
+/// unanswered.
 #[test]
-fn a_request_that_a_stopping_instance_takes_last_is_answered_or_refused() {
+fn the_last_requests_of_a_stopping_instance_are_answered_or_refused() {
     for seed in [1, 3, 4] {
-        let shown = play(seed, SHORT, true);
+        let shown = play(seed, SHORT_RUN, true);
         assert!(shown.breaches.is_empty(), "seed {seed}\n{shown}");
     }
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests with real processes share.
+//! Shared helpers of the tests with real processes.
 
 use std::{
     collections::BTreeMap,
@@ -14,7 +14,7 @@
 use tree::{Knobs, Node};
 use types::ServiceKind;
 
-/// The programs that cargo has built for these tests.
+/// The binaries that cargo has built for these tests.
 pub fn programs() -> Programs {
     Programs {
         celerystand: PathBuf::from(env!("CARGO_BIN_EXE_celerystand")),
@@ -22,7 +22,7 @@
     }
 }
 
-/// Three instances before three engines and three plain services in three data centres.
+/// Three instances with three engines and three plain services in three data centres.
 pub fn plan() -> Plan {
     Plan {
         data_centres: ["dc-1", "dc-2", "dc-3"].map(String::from).to_vec(),
@@ -75,25 +75,28 @@
     .collect()
 }
 
-/// A deployment, and the turn to have one. Deployments of one test program take turns: another
-/// that starts at the same time may take a port that this one is about to listen on.
-pub struct Setting {
+/// A deployment and the lock that allows it. Only one deployment of a test binary runs at a time:
+/// another one that starts at the same time could take a port on which this one is about to listen.
+pub struct TestDeployment {
     /// The deployment.
     pub deployment: Deployment,
-    // Given back after the deployment has gone, for fields are dropped in this order.
-    _turn: MutexGuard<'static, ()>,
+    // Released after the deployment is dropped: fields are dropped in the order of their
+    // declaration.
+    _lock: MutexGuard<'static, ()>,
 }
 
-static TURN: Mutex<()> = Mutex::new(());
+static DEPLOYMENT_LOCK: Mutex<()> = Mutex::new(());
 
-/// Starts a deployment; the test fails with the reason if it can't be started.
-pub fn start(plan: &Plan) -> Setting {
-    // A test that failed before says nothing about this one.
-    let turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+/// Starts a deployment; panics with the reason if it can't be started.
+pub fn start(plan: &Plan) -> TestDeployment {
+    // A panic of an earlier test poisons the lock but does not affect this one.
+    let lock = DEPLOYMENT_LOCK
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner);
     match smol::block_on(Deployment::start(programs(), plan, Strategy::Owner, None)) {
-        Ok(deployment) => Setting {
+        Ok(deployment) => TestDeployment {
             deployment,
-            _turn: turn,
+            _lock: lock,
         },
         Err(error) => panic!("the deployment did not start: {error}"),
     }
