--- a/components/events/src/event.rs
+++ b/components/events/src/event.rs
@@ -481,14 +481,14 @@
         914, Info, "data centre {data_centre} is out of service: {out}",
         "Nothing.",
     ),
-    /// A topic of the store can't be followed.
+    /// A topic of the store can't be followed, neither at the store nor at another instance.
     StoreLost {
         /// The topic.
         topic: Arc<str>,
         /// The reason.
         reason: Arc<str>,
     } = (
-        915, Warn, "the store's feed of {topic} was lost: {reason}",
+        915, Warn, "the store is unavailable: its {topic} rows can't be followed: {reason}",
         "Check the store and the network path to it. Callers' keys are honoured only for a limited time without it.",
     ),
     /// A topic of the store is followed again.
@@ -498,7 +498,7 @@
         /// Time since it was lost, in milliseconds.
         lost_ms: u64,
     } = (
-        916, Info, "the store's feed of {topic} was restored after {lost_ms} ms",
+        916, Info, "the store is available again after {lost_ms} ms: its {topic} rows are followed",
         "Nothing.",
     ),
     /// A row of the store can't be decoded; a target whose row it is gets no requests.
