--- a/components/admin/tests/api/support.rs
+++ b/components/admin/tests/api/support.rs
@@ -11,8 +11,8 @@
 use async_trait::async_trait;
 use bytes::Bytes;
 use config::{
-    Change, ChangeError, Config, Current, Entry, Fault, Override, OverrideError, OverrideOrder,
-    Told, Update,
+    Change, ChangeError, Config, CurrentConfig, Fault, HistoryEntry, Override, OverrideError,
+    OverrideOrder, OverrideReport, Update,
 };
 use http_body_util::Full;
 use hyper::{HeaderMap, Request};
@@ -26,17 +26,18 @@
 
 /// The key that the API under test knows.
 pub const KEY: &str = "an operator's key";
-const PATIENCE: Duration = Duration::from_secs(20);
+/// How long to wait for a part of a body.
+const BODY_GAP_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// State of the fake configuration.
 #[derive(Default)]
 struct State {
     snapshot: Snapshot,
-    changed: BTreeMap<NodePath, ConfigVersion>,
-    entries: Vec<Entry>,
+    node_versions: BTreeMap<NodePath, ConfigVersion>,
+    entries: Vec<HistoryEntry>,
     loaded: bool,
     next_error: Option<ChangeError>,
-    rival: Option<(NodePath, Node)>,
+    concurrent_write: Option<(NodePath, Node)>,
     overrides: Vec<Override>,
 }
 
@@ -47,7 +48,7 @@
 }
 
 impl FakeConfig {
-    /// A tree with one service, two data centres and a workspace.
+    /// Creates a configuration whose tree has one service, two data centres and a workspace.
     pub fn with_tree() -> Arc<Self> {
         let fake = Self::default();
         fake.state.lock().loaded = true;
@@ -66,17 +67,17 @@
         Arc::new(fake)
     }
 
-    /// The next change fails with this error.
+    /// Makes the next change fail with this error.
     pub fn fail_next(&self, error: ChangeError) {
         self.state.lock().next_error = Some(error);
     }
 
-    /// Another operator writes this node right before the next change.
-    pub fn race_next(&self, path: &str, node: Node) {
-        self.state.lock().rival = Some((path.into(), node));
+    /// Writes this node right before the next change, as another operator would.
+    pub fn write_before_next(&self, path: &str, node: Node) {
+        self.state.lock().concurrent_write = Some((path.into(), node));
     }
 
-    /// The node as it is now.
+    /// The current content of a node.
     pub fn node(&self, path: &str) -> Option<Node> {
         self.state.lock().snapshot.nodes.get(path).cloned()
     }
@@ -86,7 +87,7 @@
         self.state.lock().snapshot.version
     }
 
-    /// Writes or deletes a node whatever it is now.
+    /// Writes or deletes a node without a precondition.
     pub fn put(&self, path: &str, node: Option<Node>) -> ConfigVersion {
         let mut state = self.state.lock();
         let path: NodePath = path.into();
@@ -94,11 +95,11 @@
         let version = state.snapshot.version;
         match node {
             Some(node) => {
-                state.changed.insert(Arc::clone(&path), version);
+                state.node_versions.insert(Arc::clone(&path), version);
                 state.snapshot.nodes.insert(path, node);
             }
             None => {
-                state.changed.remove(&path);
+                state.node_versions.remove(&path);
                 state.snapshot.nodes.remove(&path);
             }
         }
@@ -108,18 +109,18 @@
 
 #[async_trait]
 impl Config for FakeConfig {
-    fn current(&self) -> Option<Arc<Current>> {
+    fn current(&self) -> Option<Arc<CurrentConfig>> {
         let state = self.state.lock();
         state.loaded.then(|| {
-            Arc::new(Current {
-                in_force: Box::new(Rules::new(&state.snapshot)),
+            Arc::new(CurrentConfig {
+                effective: Box::new(Rules::new(&state.snapshot)),
                 snapshot: state.snapshot.clone(),
             })
         })
     }
 
-    fn changed(&self, path: &str) -> Option<ConfigVersion> {
-        self.state.lock().changed.get(path).copied()
+    fn node_version(&self, path: &str) -> Option<ConfigVersion> {
+        self.state.lock().node_versions.get(path).copied()
     }
 
     fn check(&self, change: &Change) -> Result<(), Vec<Fault>> {
@@ -140,18 +141,18 @@
         if let Some(error) = error {
             return Err(error);
         }
-        let rival = self.state.lock().rival.take();
-        if let Some((path, node)) = rival {
+        let concurrent_write = self.state.lock().concurrent_write.take();
+        if let Some((path, node)) = concurrent_write {
             self.put(&path, Some(node));
         }
-        let now = self.changed(&change.path);
-        if now != change.seen {
+        let now = self.node_version(&change.path);
+        if now != change.expected_version {
             return Err(ChangeError::Conflict { now });
         }
         self.check(&change)
             .map_err(|faults| ChangeError::Invalid { faults })?;
         let version = self.put(&change.path, change.node.clone());
-        let entry = Entry {
+        let entry = HistoryEntry {
             version,
             at: SystemTime::UNIX_EPOCH,
             change,
@@ -161,14 +162,17 @@
         Ok(version)
     }
 
-    async fn history(&self, limit: usize) -> Result<Vec<Entry>, ChangeError> {
+    async fn history(&self, limit: usize) -> Result<Vec<HistoryEntry>, ChangeError> {
         let entries = self.state.lock().entries.clone();
         Ok(entries.into_iter().take(limit).collect())
     }
 
-    async fn heard(&self, _peer: &InstanceId, _version: ConfigVersion) {}
+    async fn receive_version(&self, _peer: &InstanceId, _version: ConfigVersion) {}
 
-    async fn override_out(&self, order: OverrideOrder) -> Result<Told, OverrideError> {
+    async fn override_data_centre(
+        &self,
+        order: OverrideOrder,
+    ) -> Result<OverrideReport, OverrideError> {
         let path = format!("/data-centres/{}", order.data_centre);
         if self.node(&path).is_none() {
             return Err(OverrideError::NoSuchDataCentre);
@@ -176,17 +180,17 @@
         let order = Override {
             data_centre: order.data_centre,
             out: order.out,
-            number: 1,
-            by: "entry-1".into(),
-            who: order.who,
-            base: self.version(),
-            left: order.within,
+            sequence: 1,
+            issued_by: "entry-1".into(),
+            operator: order.operator,
+            base_version: self.version(),
+            time_left: order.duration,
         };
         self.state.lock().overrides = vec![order.clone()];
-        Ok(Told {
+        Ok(OverrideReport {
             order,
-            taken: vec!["entry-1".into()],
-            missed: vec!["entry-2".into()],
+            accepted_by: vec!["entry-1".into()],
+            unanswered_by: vec!["entry-2".into()],
         })
     }
 
@@ -200,7 +204,7 @@
 }
 
 struct FakeProcess {
-    unready: Option<Arc<str>>,
+    unready_reason: Option<Arc<str>>,
 }
 
 impl Dump for FakeProcess {
@@ -217,33 +221,33 @@
 
 impl Readiness for FakeProcess {
     fn ready(&self) -> Result<(), Arc<str>> {
-        self.unready.clone().map_or(Ok(()), Err)
+        self.unready_reason.clone().map_or(Ok(()), Err)
     }
 }
 
-/// An API that is being served.
+/// A running server of the API with a client.
 pub struct Api {
     addr: SocketAddr,
     client: Client,
 }
 
-/// An answer.
+/// A response of the API.
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Headers.
+    /// HTTP headers.
     pub headers: HeaderMap,
     /// The body.
     pub text: String,
 }
 
 impl Answer {
-    /// The body as a message.
+    /// Decodes the body from JSON.
     pub fn read<T: DeserializeOwned>(&self) -> T {
         serde_json::from_str(&self.text).expect(&self.text)
     }
 
-    /// A header.
+    /// The text of a header; empty if it is missing.
     pub fn header(&self, name: &str) -> &str {
         let value = self.headers.get(name);
         value.map_or("", |value| value.to_str().expect("text"))
@@ -251,17 +255,17 @@
 }
 
 impl Api {
-    /// Serves a ready process.
+    /// Starts the API of a process that is ready.
     pub fn start(config: &Arc<FakeConfig>) -> Self {
         Self::start_with(config, None)
     }
 
-    /// Serves a process that is not ready for a reason.
-    pub fn start_with(config: &Arc<FakeConfig>, unready: Option<&str>) -> Self {
+    /// Starts the API of a process that is not ready if a reason is given.
+    pub fn start_with(config: &Arc<FakeConfig>, unready_reason: Option<&str>) -> Self {
         let mut registry = Registry::default();
         registry.register("asked", "Requests asked", Counter::<u64>::default());
         let process = Arc::new(FakeProcess {
-            unready: unready.map(Arc::from),
+            unready_reason: unready_reason.map(Arc::from),
         });
         let parts = AdminParts {
             instance: "entry-1".into(),
@@ -272,9 +276,9 @@
             readiness: process,
             registry: Arc::new(registry),
         };
-        let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
+        let any_port: SocketAddr = "127.0.0.1:0".parse().expect("an address");
         let handler = Arc::new(AdminApi::new(parts));
-        let server = smol::block_on(Server::bind(any, ServeLimits::default(), handler));
+        let server = smol::block_on(Server::bind(any_port, ServeLimits::default(), handler));
         let server = server.expect("a free port");
         let addr = server.addr().expect("an address");
         workers::spawn(server.run()).detach();
@@ -284,21 +288,21 @@
         }
     }
 
-    /// Asks with the operator's key.
-    pub fn ask(&self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Answer {
+    /// Sends a request with the operator's key.
+    pub fn send(&self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Answer {
         let bearer = format!("Bearer {KEY}");
         let mut headers = headers.to_vec();
         headers.push(("authorization", &bearer));
-        self.ask_plain(method, path, &headers, body)
+        self.send_raw(method, path, &headers, body)
     }
 
-    /// Reads with the operator's key.
+    /// Sends a `GET` request with the operator's key.
     pub fn get(&self, path: &str) -> Answer {
-        self.ask("GET", path, &[], "")
+        self.send("GET", path, &[], "")
     }
 
-    /// Asks with just these headers.
-    pub fn ask_plain(
+    /// Sends a request with only these headers.
+    pub fn send_raw(
         &self,
         method: &str,
         path: &str,
@@ -314,7 +318,9 @@
         smol::block_on(async {
             let resp = self.client.send(self.addr, req).await.expect("an answer");
             let (head, body) = resp.into_parts();
-            let buf = read_all(body, 1 << 20, PATIENCE).await.expect("a body");
+            let buf = read_all(body, 1 << 20, BODY_GAP_TIMEOUT)
+                .await
+                .expect("a body");
             Answer {
                 status: head.status.as_u16(),
                 headers: head.headers,
--- a/components/claims/src/lib.rs
+++ b/components/claims/src/lib.rs
@@ -1,17 +1,20 @@
-//! At most one run per idempotency key, kept in the platform's table service.
+//! Idempotency keys: the call of a key runs at most once across all instances.
+//!
+//! Claims are rows of the platform's table service. A call is sent only after its claim is written,
+//! and an outcome once recorded never changes.
 
 mod answer;
 pub mod api;
-mod desk;
+mod finalize;
 mod group;
 pub mod liveness;
+mod manager;
 mod open;
 mod row;
-mod settle;
 pub mod store;
 pub mod sweep;
 
-pub use api::{ClaimError, Claimed, Claims, KeyedCall, Recorded};
+pub use api::{ClaimError, ClaimOutcome, Claims, KeyedCall, RecordedAnswer};
 pub use liveness::Liveness;
 pub use store::StoreClaims;
 pub use sweep::RETENTION_SECONDS;
--- a/components/config/examples/measure_config.rs
+++ b/components/config/examples/measure_config.rs
@@ -1,5 +1,5 @@
-//! Measures what the configuration costs an instance: `cargo run --release -p config --example
-//! measure_config`. Prints slopes for the capacity page.
+//! Measures the memory and time that the configuration costs an instance: `cargo run --release -p
+//! config --example measure_config`. Prints the slopes used on the capacity page.
 
 use std::{
     collections::BTreeMap,
@@ -10,13 +10,13 @@
 
 use async_trait::async_trait;
 use config::{
-    Change, Config, Entry, Keeper, Override, OverrideOrder, PeerConfig, Update,
-    held::{Held, Whole},
+    Change, Config, ConfigUpdater, HistoryEntry, Override, OverrideOrder, PeerConfig, Update,
+    cache::{ConfigCache, VersionedTree},
 };
 use parking_lot::Mutex;
 use stores::MemoryTable;
 use timer::Timer;
-use tree::{InForce, Knobs, Node, Rules, Snapshot};
+use tree::{EffectiveConfig, Knobs, Node, Rules, Snapshot};
 use types::{ConfigVersion, InstanceId};
 
 /// Look-ups timed for each size.
@@ -26,10 +26,10 @@
 
 fn main() {
     for workspaces in [10, 480, 4800] {
-        tree_of(workspaces);
+        measure_tree(workspaces);
     }
     for instances in [9, 200, 2100] {
-        spread_over(instances);
+        measure_gossip(instances);
     }
 }
 
@@ -63,22 +63,25 @@
     Snapshot { version: 1, nodes }
 }
 
-/// Hashes spread as those of real keys do.
+/// Random hashes, distributed like those of real keys.
 fn key_hash(workspace: usize) -> String {
     let mut rng = fastrand::Rng::with_seed(workspace as u64);
     (0..64).map(|_| rng.digit(16)).collect()
 }
 
-fn tree_of(workspaces: usize) {
+fn measure_tree(workspaces: usize) {
     let snapshot = snapshot(workspaces);
     let count = snapshot.nodes.len();
-    let changed = snapshot.nodes.keys().map(|p| (p.clone(), 1)).collect();
-    let whole = Whole { snapshot, changed };
-    let update = Update::Whole(whole.snapshot.clone(), whole.changed.clone());
-    let whole_bytes = serde_json::to_string(&update).map_or(0, |text| text.len());
+    let node_versions = snapshot.nodes.keys().map(|p| (p.clone(), 1)).collect();
+    let tree = VersionedTree {
+        snapshot,
+        node_versions,
+    };
+    let update = Update::Full(tree.snapshot.clone(), tree.node_versions.clone());
+    let full_bytes = serde_json::to_string(&update).map_or(0, |text| text.len());
     let before = resident();
-    let mut held = Held::default();
-    held.take_whole(whole);
+    let mut cache = ConfigCache::default();
+    cache.replace_tree(tree);
     let memory = resident().saturating_sub(before);
 
     let start = Instant::now();
@@ -87,17 +90,17 @@
         let entry = entry(version);
         let update = Update::Changes(vec![entry.clone()]);
         bytes = serde_json::to_string(&update).map_or(0, |text| text.len());
-        let taken = held.take_changes(&[entry]);
-        assert_eq!(taken, Ok(true), "the change applies");
+        let result = cache.apply_changes(&[entry]);
+        assert_eq!(result, Ok(true), "the change applies");
     }
     let apply = start.elapsed() / u32::try_from(CHANGES).unwrap_or(1);
 
     let start = Instant::now();
-    let faults = tree::check(&held.whole().snapshot);
+    let faults = tree::check(&cache.tree().snapshot);
     let check = start.elapsed();
     assert_eq!(faults, [], "the tree is valid");
 
-    let rules = Rules::new(&held.whole().snapshot);
+    let rules = Rules::new(&cache.tree().snapshot);
     let (own, hash) = ("w7".into(), key_hash(7));
     let start = Instant::now();
     for _ in 0..LOOKUPS {
@@ -109,19 +112,19 @@
         "{count} nodes: {} KB held, a change applied in {apply:?}, a tree checked in {check:?}, \
          a look-up {lookup:?}, a change {bytes} bytes, the whole {} KB",
         memory / 1024,
-        whole_bytes / 1024,
+        full_bytes / 1024,
     );
 }
 
-fn entry(version: ConfigVersion) -> Entry {
-    Entry {
+fn entry(version: ConfigVersion) -> HistoryEntry {
+    HistoryEntry {
         version,
         at: SystemTime::now(),
         change: Change {
             path: "/services/s3".into(),
             node: Some(Node::default()),
-            seen: Some(version - 1),
-            who: "operator".into(),
+            expected_version: Some(version - 1),
+            operator: "operator".into(),
         },
         id: "instance-17a5b3c2-0".into(),
     }
@@ -137,7 +140,7 @@
 
 #[derive(Default)]
 struct Links {
-    keepers: Mutex<BTreeMap<InstanceId, Weak<Keeper>>>,
+    updaters: Mutex<BTreeMap<InstanceId, Weak<ConfigUpdater>>>,
     names: Mutex<Vec<InstanceId>>,
     messages: Mutex<usize>,
 }
@@ -150,16 +153,20 @@
 #[async_trait]
 impl PeerConfig for Peers {
     async fn fetch(&self, peer: &InstanceId, version: ConfigVersion) -> Option<Update> {
-        let keeper = self.links.keepers.lock().get(peer)?.upgrade()?;
-        Some(keeper.since(version))
+        let updater = self.links.updaters.lock().get(peer)?.upgrade()?;
+        Some(updater.since(version))
     }
 
-    async fn exchange(&self, peer: &InstanceId, ours: &[Override]) -> Option<Vec<Override>> {
+    async fn exchange_overrides(
+        &self,
+        peer: &InstanceId,
+        ours: &[Override],
+    ) -> Option<Vec<Override>> {
         *self.links.messages.lock() += 1;
-        // The way there and back between data centres.
+        // Round trip between data centres.
         Timer::new().sleep(Duration::from_millis(3)).await;
-        let keeper = self.links.keepers.lock().get(peer)?.upgrade()?;
-        Some(keeper.exchange(ours))
+        let updater = self.links.updaters.lock().get(peer)?.upgrade()?;
+        Some(updater.exchange_overrides(ours))
     }
 
     fn peers(&self) -> Vec<InstanceId> {
@@ -168,8 +175,8 @@
     }
 }
 
-/// Waits until all instances have started and say nothing any more.
-async fn quiet(links: &Links, timer: Timer) {
+/// Waits until all instances have started and a second passes without a message.
+async fn until_idle(links: &Links, timer: Timer) {
     loop {
         timer.sleep(Duration::from_secs(1)).await;
         if std::mem::take(&mut *links.messages.lock()) == 0 {
@@ -178,58 +185,61 @@
     }
 }
 
-/// Time until an override is known to all of so many instances in this process.
-fn spread_over(instances: usize) {
+/// Measures the time until every one of `instances` instances in this process knows an override.
+fn measure_gossip(instances: usize) {
     let table = Arc::new(MemoryTable::new());
     let links = Arc::new(Links::default());
     let timer = Timer::new();
-    let mut keepers = Vec::new();
+    let mut updaters = Vec::new();
     for number in 0..instances {
         let me: InstanceId = format!("i{number}").into();
         let peers = Peers {
             me: me.clone(),
             links: links.clone(),
         };
-        let keeper = Keeper::new(me.clone(), table.clone(), Arc::new(peers), timer);
-        let weak = Arc::downgrade(&keeper);
-        links.keepers.lock().insert(me.clone(), weak);
+        let updater = ConfigUpdater::new(me.clone(), table.clone(), Arc::new(peers), timer);
+        let weak = Arc::downgrade(&updater);
+        links.updaters.lock().insert(me.clone(), weak);
         links.names.lock().push(me);
-        keepers.push(keeper);
+        updaters.push(updater);
     }
     smol::block_on(async {
-        keepers[0].catch_up().await.expect("the table is up");
-        let added = keepers[0].change(Change {
+        updaters[0].catch_up().await.expect("the table is up");
+        let added = updaters[0].change(Change {
             path: "/data-centres/d".into(),
             node: Some(Node::default()),
-            seen: None,
-            who: "operator".into(),
+            expected_version: None,
+            operator: "operator".into(),
         });
         added.await.expect("it is accepted");
-        for keeper in &keepers {
-            keeper.catch_up().await.expect("the table is up");
+        for updater in &updaters {
+            updater.catch_up().await.expect("the table is up");
         }
         table.set_down(true);
-        let tasks: Vec<_> = keepers
+        let tasks: Vec<_> = updaters
             .iter()
-            .map(|keeper| workers::spawn(Arc::clone(keeper).run()))
+            .map(|updater| workers::spawn(Arc::clone(updater).run()))
             .collect();
-        quiet(&links, timer).await;
+        until_idle(&links, timer).await;
         let start = Instant::now();
-        let told = keepers[0].override_out(OverrideOrder {
+        let report = updaters[0].override_data_centre(OverrideOrder {
             data_centre: "d".into(),
             out: true,
-            within: Duration::from_secs(600),
-            who: "operator".into(),
+            duration: Duration::from_secs(600),
+            operator: "operator".into(),
         });
-        let told = told.await.expect("it is taken");
+        let report = report.await.expect("the override is accepted");
         let answered = start.elapsed();
-        while keepers.iter().any(|keeper| keeper.overrides().is_empty()) {
+        while updaters
+            .iter()
+            .any(|updater| updater.overrides().is_empty())
+        {
             timer.sleep(Duration::from_millis(10)).await;
         }
         println!(
             "{instances} instances: the operator's answer in {answered:?} with {} names, known to \
              all in {:?} with {} messages",
-            told.taken.len(),
+            report.accepted_by.len(),
             start.elapsed(),
             links.messages.lock(),
         );
--- a/components/config/src/lib.rs
+++ b/components/config/src/lib.rs
@@ -1,20 +1,23 @@
-//! Keeping the configuration: commits to the table service, spreading between instances.
+//! The configuration of an instance: commits to the table service and updates between instances.
+//!
+//! The version in effect on an instance never decreases, and an accepted change is never reverted
+//! by anything but a later accepted change.
 
 pub mod api;
+pub mod cache;
 mod commit;
-mod fetching;
-pub mod held;
-pub mod keeper;
+mod gossip;
+mod override_exchange;
 pub mod overrides;
-mod overriding;
 pub mod pollers;
 mod rows;
-mod spread;
 mod store;
+mod sync;
+pub mod updater;
 
 pub use api::{
-    Change, ChangeError, Config, Current, Entry, Fault, OverrideError, OverrideOrder, PeerConfig,
-    Told, Update,
+    Change, ChangeError, Config, CurrentConfig, Fault, HistoryEntry, OverrideError, OverrideOrder,
+    OverrideReport, PeerConfig, Update,
 };
-pub use keeper::Keeper;
 pub use overrides::Override;
+pub use updater::ConfigUpdater;
--- a/components/front/src/store/follow.rs
+++ b/components/front/src/store/follow.rs
@@ -276,7 +276,7 @@
         for row in &changed {
             self.apply_row(row, now);
         }
-        for change in self.front.view.expire_lapsed(now) {
+        for change in self.front.view.remove_expired_listings(now) {
             act(&self.front, change);
         }
         let Some(confirmed_at) = self.cache.confirmed_at() else {
@@ -437,7 +437,7 @@
             emit(&Event::TargetReborn {
                 target: Arc::clone(&target.id),
             });
-            front.client.forget(target.addr);
+            front.client.close_connections(target.addr);
             front.placement.owner.lock().remove_engine(&target.id);
         }
         Change::Closed(data_centre) => log_switch(data_centre, true),
--- a/components/gateway/src/gateway.rs
+++ b/components/gateway/src/gateway.rs
@@ -10,12 +10,12 @@
 
 use async_trait::async_trait;
 use claims::Claims;
-use config::{Config, Current};
+use config::{Config, CurrentConfig};
 use futures_lite::future;
 use net::Budget;
 use relay::Relay;
 use settings::Limits;
-use targets::{Engine, Plain, StreamId};
+use targets::{Engine, PlainService, StreamId};
 use timer::Timer;
 use types::{Execution, InstanceId, Moment, Refusal, TargetId};
 
@@ -45,7 +45,7 @@
     /// The client of engines.
     pub engine: Arc<dyn Engine>,
     /// The client of plain services.
-    pub plain: Arc<dyn Plain>,
+    pub plain: Arc<dyn PlainService>,
     /// Claims on idempotency keys: a key runs at most once.
     pub claims: Arc<dyn Claims>,
     /// Rejects requests that crash targets.
@@ -85,7 +85,7 @@
 pub(crate) struct Core {
     pub admission: Arc<dyn Admission>,
     pub engine: Arc<dyn Engine>,
-    pub plain: Arc<dyn Plain>,
+    pub plain: Arc<dyn PlainService>,
     pub claims: Arc<dyn Claims>,
     pub quarantine: Arc<dyn Quarantine>,
     pub config: Arc<dyn Config>,
@@ -188,13 +188,13 @@
     }
 
     /// Returns the configuration in force, or a refusal while no requests are accepted.
-    pub fn current(&self) -> Result<Arc<Current>, Refusal> {
+    pub fn current(&self) -> Result<Arc<CurrentConfig>, Refusal> {
         if !self.admission.is_ready() {
             return Err(refusals::not_ready());
         }
         let current = self.config.current().ok_or_else(refusals::not_ready)?;
         // Version 0 has no workspaces: refusing every key as unknown would be misleading.
-        if current.in_force.version() == 0 {
+        if current.effective.version() == 0 {
             return Err(refusals::not_ready());
         }
         Ok(current)
--- a/components/gateway/src/plain.rs
+++ b/components/gateway/src/plain.rs
@@ -53,7 +53,7 @@
     let path = forward::path(req.uri())?;
     let rule = caller
         .current
-        .in_force
+        .effective
         .plain(&caller.workspace, method.as_str(), req.uri().path())
         .ok_or_else(|| refusals::no_route("no route of this workspace leads to this path"))?;
     let limit = rule.knobs.in_flight.unwrap_or(DEFAULT_IN_FLIGHT);
@@ -213,7 +213,7 @@
                 };
                 Ok((outcome, answer))
             }
-            Err(TargetError::Wrong { status, body }) => {
+            Err(TargetError::ClientError { status, body }) => {
                 let answer = PlainAnswer {
                     status,
                     headers: Vec::new(),
@@ -222,7 +222,7 @@
                 Ok((WorkOutcome::Cancelled { produced: 0 }, answer))
             }
             Err(TargetError::Unsent { .. }) => Err((WorkOutcome::Unreachable, false)),
-            Err(TargetError::Turned { .. }) => Err((WorkOutcome::Overloaded, false)),
+            Err(TargetError::Rejected { .. }) => Err((WorkOutcome::Overloaded, false)),
             Err(TargetError::Lost { .. } | TargetError::Gone) => Err((WorkOutcome::Failed, true)),
         }
     }
--- a/components/net/src/lib.rs
+++ b/components/net/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP over `hyper` and `smol`: serving with limits, calling with pooled connections.
+//! HTTP over `hyper` and `smol`: a server with limits, and a client with pooled connections.
 
 pub mod body;
 pub mod budget;
@@ -9,10 +9,10 @@
 mod pool;
 pub mod reply;
 pub mod serve;
-mod stall;
+mod write_timeout;
 
 pub use body::{BodyError, SharedError, read_all, read_limited, read_shared};
 pub use budget::{Budget, Share};
 pub use client::{Client, SendError};
-pub use reply::{Body, BodySender, Cut, Reply, channel, empty, fed, full};
-pub use serve::{Guard, Handler, ServeLimits, Server, Terms};
+pub use reply::{Body, BodyAborted, BodySender, Reply, channel, empty, full, task_body};
+pub use serve::{ConnectionGuard, DynamicLimits, Handler, ServeLimits, Server};
--- a/components/standins/src/cli.rs
+++ b/components/standins/src/cli.rs
@@ -12,15 +12,15 @@
 /// Why a stand-in did not start.
 #[derive(Debug, Display, Error, From)]
 pub enum StartError {
-    /// Its settings are wrong.
-    #[display("the settings are wrong: {_0}")]
+    /// The settings can't be parsed.
+    #[display("invalid settings: {_0}")]
     Settings(serde_json::Error),
-    /// It can't listen.
-    #[display("it can't listen: {_0}")]
+    /// The listening socket can't be opened.
+    #[display("can't listen: {_0}")]
     Listen(io::Error),
 }
 
-/// The commands.
+/// The command line with its subcommands.
 #[must_use]
 pub fn command() -> Command {
     let listen = Arg::new("listen")
@@ -55,10 +55,10 @@
         ])
 }
 
-/// Runs the stand-in that the command line names, until the process is ended.
+/// Runs the stand-in that the command line names until the process is killed.
 ///
 /// # Errors
-/// Why it did not start.
+/// Returns why the stand-in did not start.
 pub fn run(matches: &ArgMatches) -> Result<(), StartError> {
     let Some((name, args)) = matches.subcommand() else {
         return Ok(());
@@ -68,26 +68,26 @@
 }
 
 async fn serve(name: &str, args: &ArgMatches) -> Result<(), StartError> {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let addr = args.get_one("listen").copied().unwrap_or(any);
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let addr = args.get_one("listen").copied().unwrap_or(any_port);
     match name {
         "platform" => {
-            let running = platform::start(addr, parse(args)?).await?;
-            stay(running.addr).await;
+            let handle = platform::start(addr, parse(args)?).await?;
+            serve_until_killed(handle.addr).await;
         }
         "engine" => {
-            let running = engine::start(addr, parse(args)?).await?;
-            stay(running.addr).await;
+            let handle = engine::start(addr, parse(args)?).await?;
+            serve_until_killed(handle.addr).await;
         }
         _ => {
-            let running = service::start(addr, parse(args)?).await?;
-            stay(running.addr).await;
+            let handle = service::start(addr, parse(args)?).await?;
+            serve_until_killed(handle.addr).await;
         }
     }
     Ok(())
 }
 
-async fn stay(addr: SocketAddr) {
+async fn serve_until_killed(addr: SocketAddr) {
     println!("listening on {addr}");
     future::pending().await
 }
--- a/components/standins/src/engine/batch.rs
+++ b/components/standins/src/engine/batch.rs
@@ -1,128 +1,139 @@
-//! The continuous batch: memory in tokens, preemption, priorities, step times. No I/O.
+//! Continuous batching: token memory, priorities, preemption and step times. Does no I/O.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use async_channel::Sender;
 use serde::{Deserialize, Serialize};
 
-use crate::engine::{EngineSettings, prefix::Prefixes, text::Api};
+use crate::engine::{EngineSettings, prefix::PrefixCache, text::Api};
 
-/// How a generation ended.
+/// Why a generation ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum End {
-    /// It has all its tokens.
+pub enum EndReason {
+    /// All tokens were produced.
     Finished,
-    /// Somebody cancelled it.
+    /// It was cancelled by request.
     Cancelled,
-    /// Nobody read it for too long.
+    /// It had no reader for too long.
     Unobserved,
-    /// The engine fell over.
+    /// The engine crashed.
     Dropped,
 }
 
-/// One generation, as the log keeps it.
+/// A generation, as recorded in the log.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Generation {
-    /// By which API it was asked for.
+    /// API that the request used.
     pub api: Api,
-    /// Name of the stream.
+    /// Name of the stream, under which it can be resumed.
     pub stream: String,
-    /// Name of the request, from `x-request-id`.
+    /// Request id from the header `x-request-id`.
     pub request: String,
-    /// The caller's own name for it, from the body's metadata.
+    /// Name that the caller gave the request, from the metadata in the body.
     pub caller: String,
-    /// Which life of the engine.
+    /// Incarnation of the engine.
     pub incarnation: u64,
-    /// When it came, in milliseconds.
+    /// Time of arrival on the engine's clock, in milliseconds.
     pub admitted_ms: u64,
-    /// Priority; a smaller one goes first.
+    /// Priority; smaller values are scheduled first.
     pub priority: i64,
-    /// Tokens in the prompt.
-    pub prompt: u64,
-    /// Tokens that it will have.
-    pub wanted: u64,
-    /// Tokens that it has.
+    /// Prompt length in tokens.
+    #[serde(rename = "prompt")]
+    pub prompt_tokens: u64,
+    /// Tokens to produce in total.
+    #[serde(rename = "wanted")]
+    pub output_tokens: u64,
+    /// Tokens produced so far.
     pub produced: u64,
-    /// How often it was preempted.
+    /// Number of preemptions.
     pub preempted: u32,
-    /// Milliseconds from being preempted to the next token, in all.
+    /// Total stall by preemptions in milliseconds, from the last token before each to the next one.
     pub stall_ms: u64,
-    /// How it ended.
-    pub end: Option<End>,
+    /// Why it ended; `None` while it is in progress.
+    pub end: Option<EndReason>,
     #[serde(skip)]
-    run: Run,
+    progress: Progress,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Run {
+struct Progress {
+    // Tokens still to be prefilled.
     prefill: u64,
+    // When the last token was produced.
     last_token: Duration,
-    stalled: bool,
+    // Whether it was preempted after its last token.
+    was_preempted: bool,
+    // Wake the readers.
     observers: Vec<Sender<()>>,
-    seen: Duration,
+    // When it last had a reader.
+    last_read: Duration,
 }
 
-/// A new generation.
+/// Parameters of a new generation.
 #[derive(Clone, Debug, Default)]
-pub struct Work {
-    /// By which API it is asked for.
+pub struct NewGeneration {
+    /// API that the request used.
     pub api: Api,
-    /// Name of the stream.
+    /// Name of the stream, under which it can be resumed.
     pub stream: String,
-    /// Name of the request.
+    /// Request id.
     pub request: String,
-    /// The caller's own name for it.
+    /// Name that the caller gave the request.
     pub caller: String,
-    /// Priority.
+    /// Priority; smaller values are scheduled first.
     pub priority: i64,
-    /// The prompt's text.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Tokens in the prompt.
+    /// Prompt length in tokens.
     pub prompt_tokens: u64,
-    /// Tokens wanted.
-    pub wanted: u64,
+    /// Tokens to produce.
+    pub output_tokens: u64,
 }
 
-/// Sums over the engine's time.
+/// Counters and maxima since the engine started.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct Totals {
-    /// Preemptions.
+    /// Number of preemptions.
     pub preemptions: u64,
-    /// Milliseconds that preempted streams stood still.
+    /// Total stall of preempted generations in milliseconds.
     pub stall_ms: u64,
-    /// Tokens produced.
+    /// Number of tokens produced.
     pub tokens: u64,
-    /// Steps.
+    /// Number of steps.
     pub steps: u64,
-    /// Most streams in one step.
-    pub most_running: u32,
-    /// Most tokens in memory.
-    pub most_used: u64,
+    /// Highest number of generations in one step.
+    #[serde(rename = "most_running")]
+    pub max_running: u32,
+    /// Highest memory use, in tokens.
+    #[serde(rename = "most_used")]
+    pub max_used: u64,
 }
 
-/// The batch.
+/// The running and waiting generations of an engine. Memory in use never exceeds the capacity.
 pub struct Batch {
     settings: EngineSettings,
-    /// All generations, by number.
-    pub all: Vec<Generation>,
-    /// Sums.
+    /// All generations since the start; the index is a generation's number.
+    pub generations: Vec<Generation>,
+    /// Counters since the start.
     pub totals: Totals,
-    /// Prompts in the prefix cache.
-    pub prefixes: Prefixes,
+    /// Cache of prompt prefixes.
+    pub prefix_cache: PrefixCache,
     running: Vec<usize>,
+    // By priority and number, both ascending.
     waiting: BTreeMap<(i64, usize), usize>,
+    // Memory in use, in tokens.
     used: u64,
 }
 
 impl Batch {
-    /// Makes an empty batch.
+    /// Creates an empty batch.
     #[must_use]
     pub fn new(settings: EngineSettings) -> Self {
         Self {
-            prefixes: Prefixes::new(settings.prefix_blocks),
+            prefix_cache: PrefixCache::new(settings.prefix_blocks),
             settings,
-            all: Vec::new(),
+            generations: Vec::new(),
             totals: Totals::default(),
             running: Vec::new(),
             waiting: BTreeMap::new(),
@@ -130,108 +141,105 @@
         }
     }
 
-    /// Its settings.
+    /// Settings of the engine.
     #[must_use]
     pub const fn settings(&self) -> &EngineSettings {
         &self.settings
     }
 
-    /// Generations in the batch.
+    /// Number of generations in the batch.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.running.len() as u32
     }
 
-    /// Generations waiting for room.
+    /// Number of generations waiting for memory.
     #[must_use]
     pub fn waiting(&self) -> u32 {
         self.waiting.len() as u32
     }
 
-    /// Generations in the batch or waiting, for a message.
+    /// Describes the running and waiting generations, for a log message.
     #[must_use]
-    pub fn inside(&self) -> String {
+    pub fn describe_active(&self) -> String {
         let numbers = self.running.iter().chain(self.waiting.values());
         let one = |number: &usize| {
-            let g = &self.all[*number];
+            let g = &self.generations[*number];
             format!("{} by {} since {} ms", g.caller, g.request, g.admitted_ms)
         };
         numbers.map(one).collect::<Vec<_>>().join(", ")
     }
 
-    /// Tokens in memory.
+    /// Memory in use, in tokens.
     #[must_use]
-    pub const fn used(&self) -> u64 {
+    pub const fn tokens_used(&self) -> u64 {
         self.used
     }
 
-    /// Takes in a generation and tells its number.
-    pub fn add(&mut self, now: Duration, incarnation: u64, work: Work) -> usize {
-        let hit = self.prefixes.visit(now, &work.prompt);
-        let room = self
-            .settings
-            .capacity
-            .saturating_sub(work.prompt_tokens + 1);
-        let number = self.all.len();
-        self.waiting.insert((work.priority, number), number);
-        self.all.push(Generation {
-            api: work.api,
-            stream: work.stream,
-            request: work.request,
-            caller: work.caller,
+    /// Queues a generation and returns its number.
+    pub fn add(&mut self, now: Duration, incarnation: u64, new: NewGeneration) -> usize {
+        let hit = self.prefix_cache.insert(now, &new.prompt);
+        let room = self.settings.capacity.saturating_sub(new.prompt_tokens + 1);
+        let number = self.generations.len();
+        self.waiting.insert((new.priority, number), number);
+        self.generations.push(Generation {
+            api: new.api,
+            stream: new.stream,
+            request: new.request,
+            caller: new.caller,
             incarnation,
             admitted_ms: now.as_millis() as u64,
-            priority: work.priority,
-            prompt: work.prompt_tokens,
-            wanted: work.wanted.min(room).max(1),
+            priority: new.priority,
+            prompt_tokens: new.prompt_tokens,
+            output_tokens: new.output_tokens.min(room).max(1),
             produced: 0,
             preempted: 0,
             stall_ms: 0,
             end: None,
-            run: Run {
-                prefill: work.prompt_tokens.saturating_sub(hit).max(1),
+            progress: Progress {
+                prefill: new.prompt_tokens.saturating_sub(hit).max(1),
                 last_token: now,
-                seen: now,
-                ..Run::default()
+                last_read: now,
+                ..Progress::default()
             },
         });
         number
     }
 
-    /// Adds an observer that is woken whenever there is more to read.
+    /// Adds a reader of a generation, which is woken whenever there is new output.
     pub fn observe(&mut self, number: usize, tx: Sender<()>) {
-        self.all[number].run.observers.push(tx);
+        self.generations[number].progress.observers.push(tx);
     }
 
-    /// Ends a generation early.
-    pub fn end(&mut self, number: usize, end: End) {
-        let generation = &mut self.all[number];
+    /// Ends a generation and frees its memory; has no effect if it has ended already.
+    pub fn end(&mut self, number: usize, end: EndReason) {
+        let generation = &mut self.generations[number];
         if generation.end.is_some() {
             return;
         }
         generation.end = Some(end);
         wake(generation);
         let priority = generation.priority;
-        let size = generation.prompt + generation.produced;
+        let size = generation.prompt_tokens + generation.produced;
         if self.waiting.remove(&(priority, number)).is_none() {
             self.running.retain(|n| *n != number);
             self.used -= size;
         }
     }
 
-    /// Drops everything.
+    /// Ends all generations and clears the prefix cache, as in a crash.
     pub fn drop_all(&mut self) {
         let waiting: Vec<usize> = self.waiting.values().copied().collect();
         for number in self.running.clone().into_iter().chain(waiting) {
-            self.end(number, End::Dropped);
+            self.end(number, EndReason::Dropped);
         }
-        self.prefixes.clear();
+        self.prefix_cache.clear();
         assert!(self.used == 0, "an empty batch holds {} tokens", self.used);
     }
 
-    /// Prepares the next step and tells its length; `None` when there is nothing to do.
+    /// Schedules the next step and returns its duration; `None` if nothing can run.
     pub fn plan(&mut self, now: Duration) -> Option<Duration> {
-        self.drop_unobserved(now);
+        self.end_unobserved(now);
         if !self.preempt() {
             self.admit();
         }
@@ -247,34 +255,36 @@
         Some(Duration::from_secs_f64(ms / 1000.0))
     }
 
-    /// Ends the step: each generation that is past its prompt has one token more. Tells how many
-    /// finished.
+    /// Completes the step: each generation whose prompt has been prefilled produces one token.
+    /// Returns how many generations finished.
     pub fn step(&mut self, now: Duration) -> u32 {
         let totals = &mut self.totals;
         totals.steps += 1;
-        totals.most_running = totals.most_running.max(self.running.len() as u32);
+        totals.max_running = totals.max_running.max(self.running.len() as u32);
         let mut finished = Vec::new();
         for number in &self.running {
-            let generation = &mut self.all[*number];
-            if generation.run.prefill > 0 {
+            let generation = &mut self.generations[*number];
+            if generation.progress.prefill > 0 {
                 continue;
             }
             generation.produced += 1;
             self.used += 1;
             totals.tokens += 1;
-            if generation.run.stalled {
-                let stall = now.saturating_sub(generation.run.last_token).as_millis() as u64;
+            if generation.progress.was_preempted {
+                let stall = now
+                    .saturating_sub(generation.progress.last_token)
+                    .as_millis() as u64;
                 generation.stall_ms += stall;
                 totals.stall_ms += stall;
-                generation.run.stalled = false;
+                generation.progress.was_preempted = false;
             }
-            generation.run.last_token = now;
+            generation.progress.last_token = now;
             wake(generation);
-            if generation.produced >= generation.wanted {
+            if generation.produced >= generation.output_tokens {
                 finished.push(*number);
             }
         }
-        totals.most_used = totals.most_used.max(self.used);
+        totals.max_used = totals.max_used.max(self.used);
         assert!(
             self.used <= self.settings.capacity,
             "{} tokens in a memory of {}",
@@ -282,17 +292,17 @@
             self.settings.capacity
         );
         for number in &finished {
-            self.end(*number, End::Finished);
+            self.end(*number, EndReason::Finished);
         }
         finished.len() as u32
     }
 
     fn admit(&mut self) {
-        while self.running.len() < self.settings.most_running
+        while self.running.len() < self.settings.max_running
             && let Some((key, number)) = self.waiting.first_key_value()
         {
             let (key, number) = (*key, *number);
-            let size = self.all[number].prompt + self.all[number].produced;
+            let size = self.generations[number].prompt_tokens + self.generations[number].produced;
             let next_step = self.running.len() as u64 + 1;
             if self.used + size + next_step > self.settings.capacity {
                 return;
@@ -303,20 +313,22 @@
         }
     }
 
-    /// Makes room for the next step's tokens; a victim is computed again from its prompt on.
+    /// Preempts the least urgent generations until the next step's tokens fit into memory. A
+    /// preempted generation is recomputed from its prompt when it is admitted again. Returns whether
+    /// any was preempted.
     fn preempt(&mut self) -> bool {
         let mut any = false;
         while self.used + self.running.len() as u64 > self.settings.capacity {
-            let worst = |number: &&usize| (self.all[**number].priority, **number);
+            let worst = |number: &&usize| (self.generations[**number].priority, **number);
             let Some(victim) = self.running.iter().max_by_key(worst).copied() else {
                 break;
             };
             self.running.retain(|n| *n != victim);
-            let generation = &mut self.all[victim];
-            let size = generation.prompt + generation.produced;
+            let generation = &mut self.generations[victim];
+            let size = generation.prompt_tokens + generation.produced;
             generation.preempted += 1;
-            generation.run.stalled = generation.produced > 0;
-            generation.run.prefill = size;
+            generation.progress.was_preempted = generation.produced > 0;
+            generation.progress.prefill = size;
             self.waiting.insert((generation.priority, victim), victim);
             self.used -= size;
             self.totals.preemptions += 1;
@@ -326,34 +338,34 @@
     }
 
     fn prefill(&mut self) -> u64 {
-        let mut left = self.settings.prefill_chunk;
+        let mut budget = self.settings.prefill_chunk;
         for number in &self.running {
-            let run = &mut self.all[*number].run;
-            let part = run.prefill.min(left);
-            run.prefill -= part;
-            left -= part;
+            let progress = &mut self.generations[*number].progress;
+            let part = progress.prefill.min(budget);
+            progress.prefill -= part;
+            budget -= part;
         }
-        self.settings.prefill_chunk - left
+        self.settings.prefill_chunk - budget
     }
 
-    fn drop_unobserved(&mut self, now: Duration) {
+    fn end_unobserved(&mut self, now: Duration) {
         let limit = Duration::from_millis(self.settings.unobserved_ms);
         let waiting: Vec<usize> = self.waiting.values().copied().collect();
         for number in self.running.clone().into_iter().chain(waiting) {
-            let run = &mut self.all[number].run;
-            run.observers.retain(|tx| !tx.is_closed());
-            if !run.observers.is_empty() {
-                run.seen = now;
-            } else if now.saturating_sub(run.seen) > limit {
-                self.end(number, End::Unobserved);
+            let progress = &mut self.generations[number].progress;
+            progress.observers.retain(|tx| !tx.is_closed());
+            if !progress.observers.is_empty() {
+                progress.last_read = now;
+            } else if now.saturating_sub(progress.last_read) > limit {
+                self.end(number, EndReason::Unobserved);
             }
         }
     }
 }
 
 fn wake(generation: &Generation) {
-    for tx in &generation.run.observers {
-        // A full channel means that the observer has yet to look anyway.
+    for tx in &generation.progress.observers {
+        // If the channel is full, an earlier wake-up is still pending.
         let _ = tx.try_send(());
     }
 }
--- a/components/standins/src/engine/settings.rs
+++ b/components/standins/src/engine/settings.rs
@@ -1,57 +1,60 @@
-//! Settings of an engine.
+//! Settings of the engine stand-in.
 
 use serde::{Deserialize, Serialize};
 
-use crate::life::LifeSettings;
+use crate::lifecycle::LifecycleSettings;
 
-/// Settings of an engine.
+/// Memory, batch, step times and output lengths of an engine.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineSettings {
-    /// Its life.
-    pub life: LifeSettings,
-    /// Seed of the lengths that callers don't set.
+    /// Lifecycle of the engine.
+    #[serde(rename = "life")]
+    pub lifecycle: LifecycleSettings,
+    /// Seed of the random output lengths, used when the caller sets none.
     pub seed: u64,
-    /// Memory in tokens.
+    /// KV-cache memory in tokens.
     pub capacity: u64,
-    /// Most generations in one step.
-    pub most_running: usize,
-    /// Most generations waiting for room.
-    pub most_waiting: u32,
-    /// Milliseconds of a step.
+    /// Maximum number of generations in the batch.
+    #[serde(rename = "most_running")]
+    pub max_running: usize,
+    /// Maximum number of generations waiting for memory.
+    #[serde(rename = "most_waiting")]
+    pub max_waiting: u32,
+    /// Fixed time of a step, in milliseconds.
     pub step_ms: f64,
-    /// Milliseconds more for each generation in it.
+    /// Additional milliseconds for each generation in the batch.
     pub step_ms_per_stream: f64,
-    /// Milliseconds more for each thousand tokens in memory.
+    /// Additional milliseconds for each thousand tokens in memory.
     pub step_ms_per_ktoken: f64,
-    /// Milliseconds more for each token of a prompt.
+    /// Additional milliseconds for each prompt token prefilled in the step.
     pub prefill_ms_per_token: f64,
-    /// Tokens of prompts in one step at most.
+    /// Maximum number of prompt tokens prefilled in one step.
     pub prefill_chunk: u64,
-    /// Factor on a step while cold.
+    /// Factor on the time of a step while cold.
     pub cold_factor: f64,
-    /// Blocks in the prefix cache.
+    /// Capacity of the prefix cache, in blocks.
     pub prefix_blocks: usize,
-    /// Milliseconds by which cache events lag.
+    /// Delay of cache events in milliseconds.
     pub cache_lag_ms: u64,
-    /// Milliseconds after which a generation that nobody reads is dropped.
+    /// Milliseconds without a reader after which a generation is ended.
     pub unobserved_ms: u64,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether commands with an outdated fencing number are refused.
     pub checks_fences: bool,
-    /// Median of the lengths that callers don't set, in tokens.
+    /// Median of the random output lengths, in tokens.
     pub median_output: f64,
-    /// Spread of the logarithm of these lengths.
+    /// Standard deviation of the logarithm of the random output lengths.
     pub spread_output: f64,
 }
 
 impl Default for EngineSettings {
     fn default() -> Self {
         Self {
-            life: LifeSettings::default(),
+            lifecycle: LifecycleSettings::default(),
             seed: 1,
             capacity: 16_384,
-            most_running: 64,
-            most_waiting: 64,
+            max_running: 64,
+            max_waiting: 64,
             step_ms: 20.0,
             step_ms_per_stream: 0.25,
             step_ms_per_ktoken: 0.1,
--- a/components/standins/src/engine/text.rs
+++ b/components/standins/src/engine/text.rs
@@ -1,53 +1,53 @@
-//! The texts of the OpenAI API.
+//! Requests, stream events and responses in the format of the OpenAI API.
 
 use bytes::{Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
 
-/// Name of the model that answers.
+/// Model name in the responses.
 const MODEL: &str = "standin";
 /// Bytes of prompt that count as one token.
 const TOKEN_BYTES: usize = 4;
 
-/// A request.
+/// A request of `/v1/completions` or `/v1/chat/completions`.
 #[derive(Debug, Deserialize)]
-pub struct Ask {
+pub struct CompletionRequest {
     #[serde(default)]
     prompt: Option<String>,
     #[serde(default)]
-    messages: Vec<Message>,
-    /// Whether the answer is streamed.
+    messages: Vec<PromptMessage>,
+    /// Whether the response is streamed.
     #[serde(default)]
     pub stream: bool,
-    /// The most tokens wanted.
+    /// Upper limit of the output length, in tokens.
     #[serde(default)]
     pub max_tokens: Option<u64>,
-    /// Priority; a smaller one goes first.
+    /// Priority; smaller values are scheduled first.
     #[serde(default)]
     pub priority: i64,
-    /// What the load tool adds.
+    /// Data that the load tool adds.
     #[serde(default)]
     pub metadata: Metadata,
 }
 
-/// What the load tool adds to a request.
+/// Data that the load tool adds to a request.
 #[derive(Debug, Default, Deserialize)]
 pub struct Metadata {
-    /// Length of the answer in tokens, in decimal.
+    /// Output length in tokens, as a decimal number.
     #[serde(default)]
     pub output_tokens: Option<String>,
-    /// The caller's name for the request.
+    /// Name that the caller gave the request.
     #[serde(default)]
     pub caller: String,
 }
 
 #[derive(Debug, Deserialize)]
-struct Message {
+struct PromptMessage {
     role: String,
     content: String,
 }
 
-impl Ask {
-    /// The prompt as one text.
+impl CompletionRequest {
+    /// The prompt as a single string; chat messages are joined with their roles.
     #[must_use]
     pub fn prompt(&self) -> String {
         if let Some(prompt) = &self.prompt {
@@ -60,19 +60,19 @@
     }
 }
 
-/// Counts a prompt's tokens.
+/// Number of tokens of a prompt, estimated from its length.
 #[must_use]
-pub const fn count(prompt: &str) -> u64 {
+pub const fn count_tokens(prompt: &str) -> u64 {
     prompt.len().div_ceil(TOKEN_BYTES) as u64
 }
 
-/// The text of one token: no two streams and no two places in one stream share it.
+/// Text of a token, unique to its stream and offset.
 #[must_use]
-pub fn token(stream: &str, offset: u64) -> String {
+pub fn token_text(stream: &str, offset: u64) -> String {
     format!("{stream}.{offset} ")
 }
 
-/// Which of the two APIs was called.
+/// API that a request used.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Api {
@@ -98,16 +98,16 @@
 struct Choice {
     index: u32,
     #[serde(skip_serializing_if = "Option::is_none")]
-    delta: Option<Said>,
+    delta: Option<ChatMessage>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    message: Option<Said>,
+    message: Option<ChatMessage>,
     #[serde(skip_serializing_if = "Option::is_none")]
     text: Option<String>,
     finish_reason: Option<&'static str>,
 }
 
 #[derive(Serialize)]
-struct Said {
+struct ChatMessage {
     #[serde(skip_serializing_if = "Option::is_none")]
     role: Option<&'static str>,
     content: String,
@@ -120,14 +120,14 @@
     total_tokens: u64,
 }
 
-/// Writes one token as a server-sent event.
-pub fn event(buf: &mut BytesMut, api: Api, stream: &str, offset: u64, last: bool) {
-    let content = token(stream, offset);
+/// Appends one token as a server-sent event whose id is the token's offset.
+pub fn write_event(buf: &mut BytesMut, api: Api, stream: &str, offset: u64, last: bool) {
+    let content = token_text(stream, offset);
     let finish_reason = last.then_some("stop");
     let (object, choice) = match api {
         Api::Chat => {
             let role = (offset == 0).then_some("assistant");
-            let delta = Some(Said { role, content });
+            let delta = Some(ChatMessage { role, content });
             (
                 "chat.completion.chunk",
                 Choice {
@@ -159,19 +159,21 @@
         usage: None,
     };
     buf.extend_from_slice(format!("id: {offset}\ndata: ").as_bytes());
-    // Structs of text and numbers always become JSON.
+    // Serializing a struct of strings and numbers can't fail.
     buf.extend_from_slice(&serde_json::to_vec(&chunk).unwrap_or_default());
     buf.extend_from_slice(b"\n\n");
 }
 
-/// The whole answer.
+/// Body of a response that is not streamed.
 #[must_use]
-pub fn whole(api: Api, stream: &str, prompt_tokens: u64, produced: u64) -> Bytes {
-    let content: String = (0..produced).map(|offset| token(stream, offset)).collect();
+pub fn complete_response(api: Api, stream: &str, prompt_tokens: u64, produced: u64) -> Bytes {
+    let content: String = (0..produced)
+        .map(|offset| token_text(stream, offset))
+        .collect();
     let (object, choice) = match api {
         Api::Chat => {
             let role = Some("assistant");
-            let message = Some(Said { role, content });
+            let message = Some(ChatMessage { role, content });
             (
                 "chat.completion",
                 Choice {
@@ -191,7 +193,7 @@
             )
         }
     };
-    let answer = Chunk {
+    let response = Chunk {
         id: stream,
         object,
         created: 0,
@@ -206,5 +208,5 @@
             total_tokens: prompt_tokens + produced,
         }),
     };
-    serde_json::to_vec(&answer).unwrap_or_default().into()
+    serde_json::to_vec(&response).unwrap_or_default().into()
 }
--- a/components/targets/src/stream.rs
+++ b/components/targets/src/stream.rs
@@ -1,4 +1,4 @@
-//! An engine's stream as it comes over one connection.
+//! An engine's stream over one connection.
 
 use std::collections::VecDeque;
 
@@ -11,22 +11,22 @@
 
 use crate::{
     answer,
-    api::{Piece, Stream, StreamId, TargetError},
+    api::{Stream, StreamId, StreamItem, TargetError},
     sse::{Event, Splitter},
 };
 
-/// The data of the last event.
+/// The data of the event that ends a stream.
 const DONE: &[u8] = b"[DONE]";
 
-/// Reads pieces off one connection. Offsets are told as the engine wrote them: the relay finds
-/// repeats and gaps.
+/// Reads a stream's items from one connection. Offsets are returned as the engine wrote them; the
+/// relay detects repetitions and gaps.
 pub struct EngineStream {
     id: StreamId,
     body: Incoming,
     splitter: Splitter,
     events: Vec<Event>,
-    pieces: VecDeque<Piece>,
-    next: Tokens,
+    items: VecDeque<StreamItem>,
+    next_offset: Tokens,
     ended: bool,
 }
 
@@ -38,13 +38,13 @@
             body,
             splitter: Splitter::new(),
             events: Vec::new(),
-            pieces: VecDeque::new(),
-            next: at,
+            items: VecDeque::new(),
+            next_offset: at,
             ended: false,
         }
     }
 
-    async fn chunk(&mut self) -> Result<Bytes, TargetError> {
+    async fn next_chunk(&mut self) -> Result<Bytes, TargetError> {
         loop {
             let frame = self
                 .body
@@ -58,39 +58,38 @@
         }
     }
 
-    /// Reads the body's own end if it is there already: only then the connection can be used
-    /// again.
+    /// Reads the end of the body if it has arrived. Only then can the connection be reused.
     async fn finish(&mut self) {
         let _ = future::poll_once(self.body.frame()).await;
     }
 
-    /// Turns events into pieces: one for each run of consecutive offsets.
-    fn gather(&mut self) {
-        let mut run: Option<(Tokens, Vec<Bytes>)> = None;
+    /// Converts events to items, one for each series of consecutive offsets.
+    fn convert_events(&mut self) {
+        let mut series: Option<(Tokens, Vec<Bytes>)> = None;
         for event in self.events.drain(..) {
             if event.data == DONE {
                 self.ended = true;
                 break;
             }
-            let offset = event.id.unwrap_or(self.next);
-            match &mut run {
-                Some((_, data)) if offset == self.next => data.push(event.data),
+            let offset = event.id.unwrap_or(self.next_offset);
+            match &mut series {
+                Some((_, data)) if offset == self.next_offset => data.push(event.data),
                 _ => {
-                    self.pieces.extend(run.take().map(tokens));
-                    run = Some((offset, vec![event.data]));
+                    self.items.extend(series.take().map(tokens));
+                    series = Some((offset, vec![event.data]));
                 }
             }
-            self.next = offset.saturating_add(1);
+            self.next_offset = offset.saturating_add(1);
         }
-        self.pieces.extend(run.map(tokens));
+        self.items.extend(series.map(tokens));
         if self.ended {
-            self.pieces.push_back(Piece::End);
+            self.items.push_back(StreamItem::End);
         }
     }
 }
 
-fn tokens((first, data): (Tokens, Vec<Bytes>)) -> Piece {
-    Piece::Tokens {
+fn tokens((first, data): (Tokens, Vec<Bytes>)) -> StreamItem {
+    StreamItem::Tokens {
         first,
         count: data.len() as Tokens,
         data,
@@ -103,22 +102,22 @@
         StreamId::clone(&self.id)
     }
 
-    async fn next(&mut self) -> Result<Piece, TargetError> {
+    async fn next(&mut self) -> Result<StreamItem, TargetError> {
         loop {
-            if let Some(piece) = self.pieces.pop_front() {
-                if piece == Piece::End {
+            if let Some(item) = self.items.pop_front() {
+                if item == StreamItem::End {
                     self.finish().await;
                 }
-                return Ok(piece);
+                return Ok(item);
             }
             if self.ended {
-                return Ok(Piece::End);
+                return Ok(StreamItem::End);
             }
-            let chunk = self.chunk().await?;
+            let chunk = self.next_chunk().await?;
             self.splitter
                 .push(chunk, &mut self.events)
                 .map_err(|e| answer::lost(e.to_string()))?;
-            self.gather();
+            self.convert_events();
         }
     }
 }
--- a/src/cmd/logging.rs
+++ b/src/cmd/logging.rs
@@ -1,8 +1,8 @@
-//! Logging by settings.
+//! Initialises logging from the settings.
 
 use settings::{Log, LogFormat, LogLevel};
 
-/// Sets up logging.
+/// Initialises logging to standard error with the level and format of the settings.
 pub fn start(log: &Log) {
     let level = match log.level {
         LogLevel::Error => events::Level::Error,
@@ -14,5 +14,5 @@
         LogFormat::Text => events::Format::Text,
         LogFormat::Json => events::Format::Json,
     };
-    events::start(level, format, events::Output::Stderr);
+    events::init(level, format, events::Output::Stderr);
 }
--- a/src/cmd/state.rs
+++ b/src/cmd/state.rs
@@ -1,10 +1,10 @@
-//! `celerystand status`, `dump` and `history`.
+//! `celerystand status`, `dump` and `history`: the state of an instance and the accepted changes.
 
 use std::time::SystemTime;
 
 use admin::message::{OverrideView, Status};
 use clap::ArgMatches;
-use config::Entry;
+use config::HistoryEntry;
 use serde_json::Value;
 
 use crate::{
@@ -13,13 +13,13 @@
     output,
 };
 
-/// Shows a summary of an instance.
+/// Prints a summary of an instance's state.
 ///
 /// # Errors
 /// The instance can't be reached or refuses.
 pub fn status(args: &ArgMatches) -> Outcome {
     let status: Status = operator::client(args)?.get("/v1/status")?;
-    Ok(print::either(args, &status, &status_lines(&status))?)
+    Ok(print::json_or_text(args, &status, &status_lines(&status))?)
 }
 
 fn status_lines(status: &Status) -> String {
@@ -42,16 +42,16 @@
     )
 }
 
-fn override_line(order: &OverrideView) -> String {
+fn override_line(view: &OverrideView) -> String {
     let OverrideView {
         data_centre,
         who,
         seconds_left,
-    } = order;
+    } = view;
     format!("\nnot accepted   {data_centre}, kept out by {who} for another {seconds_left} s")
 }
 
-/// Prints the state of an instance.
+/// Prints the whole state of an instance as JSON.
 ///
 /// # Errors
 /// The instance can't be reached or refuses.
@@ -60,14 +60,14 @@
     Ok(print::json(&state)?)
 }
 
-/// Lists accepted changes.
+/// Prints the accepted changes, newest first.
 ///
 /// # Errors
 /// The instance or the table service can't be reached, or the instance refuses.
 pub fn history(args: &ArgMatches) -> Outcome {
     let limit = args.get_one::<u32>("limit").copied().unwrap_or_default();
     let path = format!("/v1/history?limit={limit}");
-    let entries: Vec<Entry> = operator::client(args)?.get(&path)?;
+    let entries: Vec<HistoryEntry> = operator::client(args)?.get(&path)?;
     if print::wants_json(args) {
         return Ok(print::json(&entries)?);
     }
@@ -77,12 +77,12 @@
     Ok(())
 }
 
-fn history_line(entry: &Entry, now: SystemTime) -> String {
+fn history_line(entry: &HistoryEntry, now: SystemTime) -> String {
     let age = now.duration_since(entry.at).unwrap_or_default().as_secs();
     let what = match &entry.change.node {
         None => "deleted".to_owned(),
         Some(node) => serde_json::to_string(node).unwrap_or_default(),
     };
-    let (version, who, path) = (entry.version, &entry.change.who, &entry.change.path);
-    format!("{version:>6}  {age:>8} s ago  {who}  {path}  {what}")
+    let (version, operator, path) = (entry.version, &entry.change.operator, &entry.change.path);
+    format!("{version:>6}  {age:>8} s ago  {operator}  {path}  {what}")
 }
--- a/src/demo/surroundings.rs
+++ b/src/demo/stand_ins.rs
@@ -6,56 +6,56 @@
 };
 
 use standins::{
-    Running,
-    control::Listed,
+    StandinHandle,
+    control::DirectoryEntry,
     engine::{self, Engine, EngineSettings},
-    life::LifeSettings,
+    lifecycle::LifecycleSettings,
     platform::{self, Faults, Platform},
     service::{self, Service, ServiceSettings},
 };
 
 use crate::demo::{DATA_CENTRE, INSTANCE, MODEL, PLAIN};
 
-/// Name under which instances are listed.
+/// Service name under which the platform lists the instances.
 const MEMBERS: &str = "celerystand";
 /// Number of engines.
 const ENGINES: u64 = 2;
 
-/// Everything around the instance; it ends when this is dropped.
-pub struct Surroundings {
+/// The running stand-ins; they stop when this is dropped.
+pub struct StandIns {
     /// The platform.
-    pub platform: Running<Platform>,
-    _engines: Vec<Running<Engine>>,
-    service: Running<Service>,
+    pub platform: StandinHandle<Platform>,
+    _engines: Vec<StandinHandle<Engine>>,
+    service: StandinHandle<Service>,
 }
 
-impl Surroundings {
+impl StandIns {
     /// Starts all stand-ins on free ports.
     ///
     /// # Errors
-    /// Passes on why one could not listen.
+    /// A stand-in could not listen.
     pub async fn start() -> io::Result<Self> {
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let platform = platform::start(any, Faults::default()).await?;
-        let life = |name: String, service: &str| LifeSettings {
+        let life = |name: String, service: &str| LifecycleSettings {
             name,
             service: service.to_owned(),
             zone: DATA_CENTRE.to_owned(),
             platform: Some(platform.addr),
             warm: true,
-            ..LifeSettings::default()
+            ..LifecycleSettings::default()
         };
         let mut engines = Vec::new();
         for number in 1..=ENGINES {
             let settings = EngineSettings {
-                life: life(format!("engine-{number}"), MODEL),
+                lifecycle: life(format!("engine-{number}"), MODEL),
                 seed: number,
                 ..EngineSettings::default()
             };
             engines.push(engine::start(any, settings).await?);
         }
         let settings = ServiceSettings {
-            life: life("orders-1".to_owned(), PLAIN),
+            lifecycle: life("orders-1".to_owned(), PLAIN),
             ..ServiceSettings::default()
         };
         let service = service::start(any, settings).await?;
@@ -66,9 +66,9 @@
         })
     }
 
-    /// Puts the instance into the platform's list.
+    /// Adds the instance, which listens for peers at this address, to the platform's list.
     pub fn list_instance(&self, peer: SocketAddr) {
-        self.platform.standin.register(Listed {
+        self.platform.standin.register(DirectoryEntry {
             name: INSTANCE.to_owned(),
             service: MEMBERS.to_owned(),
             zone: DATA_CENTRE.to_owned(),
@@ -78,15 +78,15 @@
         });
     }
 
-    /// How many effects the plain service has had.
+    /// Returns how many effects the plain service has had: runs of calls that change something.
     #[must_use]
     pub fn effects(&self) -> u32 {
         self.service.standin.log().effects.values().sum()
     }
 
-    /// Takes the table service down or brings it back.
+    /// Makes the table service refuse all calls, or serve them again.
     pub fn set_table_down(&self, down: bool) {
-        self.platform.standin.set(Faults {
+        self.platform.standin.set_faults(Faults {
             table_down: Some(down),
             ..Faults::default()
         });
