--- a/src/bin/soak.rs
+++ b/src/bin/soak.rs
@@ -4,7 +4,7 @@
 use std::{io, path::PathBuf, process::ExitCode, time::Duration};
 
 use clap::{Arg, ArgAction, ArgMatches, Command, value_parser};
-use soak::{Soak, run, world::Sizes};
+use soak::{SoakConfig, deployment::Sizes, run};
 
 fn command() -> Command {
     let number = |name: &'static str, help: &'static str, default: &'static str| {
@@ -80,7 +80,7 @@
     let dir = args.get_one::<PathBuf>("dir").cloned().unwrap_or_default();
     let mut passed = true;
     for seed in number("seed")..number("seed").saturating_add(number("seeds")) {
-        let soak = Soak {
+        let soak = SoakConfig {
             program: program.clone(),
             dir: dir.join(seed.to_string()),
             seed,
@@ -90,19 +90,19 @@
                 instances: count("instances"),
                 engines: count("engines"),
                 callers: count("callers"),
-                kept: count("kept"),
+                persistent_connections: count("kept"),
                 grace_s: number("grace"),
                 ..Sizes::default()
             },
         };
         let report = smol::block_on(run(&soak))?;
-        let verdict = if report.breaches.is_empty() {
+        let verdict = if report.violations.is_empty() {
             "kept"
         } else {
             "BROKEN"
         };
         println!("seed {seed}: {verdict}\n{report}");
-        passed &= report.breaches.is_empty();
+        passed &= report.violations.is_empty();
     }
     Ok(passed)
 }
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -2,15 +2,15 @@
 
 use std::{env, path::PathBuf, time::Duration};
 
-use soak::{Shown, Soak, run, world::Sizes};
+use soak::{Report, SoakConfig, deployment::Sizes, run};
 
 /// Duration of the part of a run that has disruptions.
 const SHORT_RUN: Duration = Duration::from_secs(8);
 
-fn play(seed: u64, length: Duration, planned: bool) -> Shown {
+fn run_seed(seed: u64, length: Duration, planned: bool) -> Report {
     let name = format!("celerystand-soak-{}-{seed}-{planned}", std::process::id());
     let dir = env::temp_dir().join(name);
-    let soak = Soak {
+    let soak = SoakConfig {
         program: PathBuf::from(env!("CARGO_BIN_EXE_celerystand")),
         dir: dir.clone(),
         seed,
@@ -22,12 +22,12 @@
             ..Sizes::default()
         },
     };
-    let shown = smol::block_on(run(&soak)).expect("the deployment starts");
-    if shown.breaches.is_empty() {
+    let report = smol::block_on(run(&soak)).expect("the deployment starts");
+    if report.violations.is_empty() {
         // The logs of a failed run are kept for its analysis.
         let _ = std::fs::remove_dir_all(dir);
     }
-    shown
+    report
 }
 
 /// Disruptions of instances, store and targets, one after another and at the same time. Answers
@@ -36,8 +36,8 @@
 #[test]
 fn random_disruptions_break_no_promise() {
     for seed in [5, 6] {
-        let shown = play(seed, SHORT_RUN, false);
-        assert!(shown.breaches.is_empty(), "seed {seed}\n{shown}");
+        let report = run_seed(seed, SHORT_RUN, false);
+        assert!(report.violations.is_empty(), "seed {seed}\n{report}");
     }
 }
 
@@ -45,8 +45,8 @@
 /// still listed, and against a stand-in that reports a copy to such an engine as complete.
 #[test]
 fn generations_survive_a_crashed_destination_during_a_store_outage() {
-    let shown = play(607, SHORT_RUN * 2, false);
-    assert!(shown.breaches.is_empty(), "{shown}");
+    let report = run_seed(607, SHORT_RUN * 2, false);
+    assert!(report.violations.is_empty(), "{report}");
 }
 
 /// Guards against a process that ends while it still accepts requests, which are then left
@@ -54,7 +54,7 @@
 #[test]
 fn the_last_requests_of_a_stopping_instance_are_answered_or_refused() {
     for seed in [1, 3, 4] {
-        let shown = play(seed, SHORT_RUN, true);
-        assert!(shown.breaches.is_empty(), "seed {seed}\n{shown}");
+        let report = run_seed(seed, SHORT_RUN, true);
+        assert!(report.violations.is_empty(), "seed {seed}\n{report}");
     }
 }
