--- a/components/gateway/src/auth.rs
+++ b/components/gateway/src/auth.rs
@@ -12,10 +12,10 @@
 /// Returns the workspace to which the caller's bearer key belongs.
 pub fn workspace(
     headers: &HeaderMap,
-    in_force: &dyn EffectiveConfig,
+    effective: &dyn EffectiveConfig,
 ) -> Result<WorkspaceId, Refusal> {
     let key = bearer(headers).ok_or_else(refusals::bad_key)?;
-    in_force
+    effective
         .workspace(&hex(&Sha256::digest(key)))
         .ok_or_else(refusals::bad_key)
 }
--- a/components/gateway/src/request.rs
+++ b/components/gateway/src/request.rs
@@ -66,19 +66,19 @@
         })
     }
 
-    /// Returns the urgency: the one in force, which the caller may lower but not raise.
-    pub fn class(&self, in_force: Option<Class>) -> Class {
-        let in_force = in_force.unwrap_or_default();
-        self.class.map_or(in_force, |wanted| wanted.max(in_force))
+    /// Returns the urgency: the effective one, which the caller may lower but not raise.
+    pub fn class(&self, effective: Option<Class>) -> Class {
+        let effective = effective.unwrap_or_default();
+        self.class.map_or(effective, |wanted| wanted.max(effective))
     }
 
-    /// Returns the deadline: the one in force, in milliseconds after arrival, which the caller may
+    /// Returns the deadline: the effective one, in milliseconds after arrival, which the caller may
     /// shorten but not extend.
-    pub fn deadline(&self, arrived: Moment, in_force: Option<u64>) -> Moment {
-        let in_force = in_force.unwrap_or(DEFAULT_DEADLINE_MS);
+    pub fn deadline(&self, arrived: Moment, effective: Option<u64>) -> Moment {
+        let effective = effective.unwrap_or(DEFAULT_DEADLINE_MS);
         let ms = self
             .deadline_ms
-            .map_or(in_force, |wanted| wanted.min(in_force));
+            .map_or(effective, |wanted| wanted.min(effective));
         arrived.saturating_add(Duration::from_millis(ms))
     }
 }
--- a/components/gateway/tests/fakes/mod.rs
+++ b/components/gateway/tests/fakes/mod.rs
@@ -257,7 +257,7 @@
     fn current(&self) -> Option<Arc<CurrentConfig>> {
         Some(Arc::new(CurrentConfig {
             snapshot: Snapshot::default(),
-            effective: Box::new(FakeInForce),
+            effective: Box::new(FakeEffectiveConfig),
         }))
     }
 
@@ -286,7 +286,7 @@
 
 /// A configuration with the models `m` and `many`, route `default`, and plain calls below `/shop`,
 /// of which those below `/shop/order` are not idempotent.
-struct FakeInForce;
+struct FakeEffectiveConfig;
 
 fn rule(kind: ServiceKind, idempotent: Option<bool>) -> RouteRule {
     RouteRule {
@@ -304,7 +304,7 @@
     }
 }
 
-impl EffectiveConfig for FakeInForce {
+impl EffectiveConfig for FakeEffectiveConfig {
     fn version(&self) -> ConfigVersion {
         1
     }
--- a/components/members/src/queries.rs
+++ b/components/members/src/queries.rs
@@ -86,13 +86,13 @@
     pub fn dump(&self, now: Moment) -> Vec<String> {
         let mut lines = Vec::new();
         for (id, peer) in &self.peers {
-            let heard = now.saturating_sub(peer.last_seen).as_millis();
+            let last_seen_ms = now.saturating_sub(peer.last_seen).as_millis();
             let state = if peer.is_alive(now) {
                 "alive"
             } else {
                 "silent"
             };
-            lines.push(format!("peer {id} {state}, heard {heard} ms ago"));
+            lines.push(format!("peer {id} {state}, heard {last_seen_ms} ms ago"));
         }
         for (shard, followed) in self.followed_owners.iter() {
             let owner = followed.owner.as_deref().unwrap_or("nobody");
--- a/components/node/src/components.rs
+++ b/components/node/src/components.rs
@@ -81,17 +81,17 @@
         let peers = PeerClient::new(Arc::clone(&core), key.clone(), client.clone());
         let peers = Arc::new(peers);
         let peer_config = Arc::clone(&peers) as Arc<dyn PeerConfig>;
-        let keeper = ConfigUpdater::new(me.id.clone(), Arc::clone(&store), peer_config, timer);
+        let updater = ConfigUpdater::new(me.id.clone(), Arc::clone(&store), peer_config, timer);
         let liveness = Arc::new(MemberLiveness::new(Arc::clone(&core)));
         let claims = StoreClaims::new(me.id.clone(), me.incarnation, store, liveness, timer);
-        let config = Arc::clone(&keeper) as Arc<dyn Config>;
+        let config = Arc::clone(&updater) as Arc<dyn Config>;
         let directory_watcher =
             DirectoryWatcher::new(Arc::clone(&core), config, Arc::new(directory));
         let components = Self {
             core,
             key,
             claims,
-            config: keeper,
+            config: updater,
             table,
             directory_watcher: Arc::new(directory_watcher),
             peers,
--- a/components/quarantine/src/state.rs
+++ b/components/quarantine/src/state.rs
@@ -82,8 +82,8 @@
         }
     }
 
-    /// The verdict that is in force.
-    fn in_force(&self, now: Moment) -> Option<VerdictKind> {
+    /// The kind of the verdict, unless it has expired.
+    fn effective_kind(&self, now: Moment) -> Option<VerdictKind> {
         self.kind.filter(|_| self.until > now)
     }
 
@@ -97,7 +97,7 @@
 
     /// Whether the record has no effect any more and can be dropped.
     fn is_expired(&self, now: Moment) -> bool {
-        self.in_force(now).is_none() && !self.is_on_probation(now) && self.crashes.is_empty()
+        self.effective_kind(now).is_none() && !self.is_on_probation(now) && self.crashes.is_empty()
     }
 
     /// Adds a crash; returns false if it is already counted or shares its cause with one that is.
@@ -125,7 +125,7 @@
         Some(Verdict {
             fingerprint,
             round: self.round,
-            kind: self.in_force(now)?,
+            kind: self.effective_kind(now)?,
             remaining: self.until.saturating_sub(now),
         })
     }
@@ -156,7 +156,7 @@
     #[must_use]
     pub fn rejects(&self, now: Moment, fingerprint: &Fingerprint) -> bool {
         let record = self.records.get(fingerprint);
-        record.is_some_and(|record| record.in_force(now) == Some(VerdictKind::Rejected))
+        record.is_some_and(|record| record.effective_kind(now) == Some(VerdictKind::Rejected))
     }
 
     /// Records the crash of a target that was running a request. Returns a verdict for all
@@ -171,7 +171,7 @@
         };
         let record = self.record_mut(now, fingerprint);
         record.drop_expired_crashes(now);
-        if !record.add(crash) || record.in_force(now) == Some(VerdictKind::Rejected) {
+        if !record.add(crash) || record.effective_kind(now) == Some(VerdictKind::Rejected) {
             return None;
         }
         let again = record.is_on_probation(now);
@@ -202,7 +202,7 @@
         fingerprint: &Fingerprint,
     ) -> Option<(Verdict, Recipients)> {
         let record = self.records.get_mut(fingerprint)?;
-        let recipients = match record.in_force(now) {
+        let recipients = match record.effective_kind(now) {
             Some(VerdictKind::Rejected) => Recipients::All,
             Some(VerdictKind::Suspected) => Recipients::Aggregators,
             Some(VerdictKind::Cleared) | None if record.crashes.is_empty() => return None,
@@ -219,7 +219,7 @@
             return false;
         }
         let record = self.record_mut(now, verdict.fingerprint);
-        let known = (record.round, record.in_force(now));
+        let known = (record.round, record.effective_kind(now));
         if known >= (verdict.round, Some(verdict.kind)) {
             return false;
         }
--- a/components/relay/src/active_stream.rs
+++ b/components/relay/src/active_stream.rs
@@ -33,7 +33,7 @@
     first_token_at: Option<Moment>,
     last_token_at: Moment,
     token_gaps: GapEstimator,
-    timeout_timer: ReusableTimeout,
+    idle_timer: ReusableTimeout,
     retry: RetryState,
     resume_count: u32,
     /// Whether a lost connection ends the stream instead of being replaced.
@@ -75,7 +75,7 @@
             first_token_at: None,
             last_token_at: started_at,
             token_gaps: GapEstimator::new(TOKEN_GAP_BOUNDS),
-            timeout_timer: ReusableTimeout::new(),
+            idle_timer: ReusableTimeout::new(),
             retry: RetryState::default(),
             resume_count: 0,
             resume_disabled: false,
@@ -132,7 +132,7 @@
                 self.resume().await?;
                 continue;
             };
-            match self.timeout_timer.within(timeout, connection.next()).await {
+            match self.idle_timer.within(timeout, connection.next()).await {
                 Some(Ok(StreamItem::Tokens { first, data, .. })) => {
                     if let Some(item) = self.accept_tokens(first, data) {
                         return Ok(item);
