--- a/tests/platform/endings.rs
+++ b/tests/platform/endings.rs
@@ -1,4 +1,4 @@
-//! Each request that was read ends with a complete answer, or in a way that does not look like one.
+//! Each request that was read gets a complete answer, or one that is recognisably incomplete.
 
 use std::{
     net::SocketAddr,
@@ -241,11 +241,14 @@
         };
         let (got, ()) = smol::future::zip(generation, delist).await;
         assert_eq!(got.status, 502);
-        assert!(sent.elapsed() < Duration::from_secs(5), "it was held");
+        assert!(
+            sent.elapsed() < Duration::from_secs(5),
+            "the request was held"
+        );
     });
 }
 
-/// Starts an instance whose engines are owned by a peer that answers placement requests like this;
+/// Starts an instance whose engines are owned by a peer that answers placement requests in this mode;
 /// returns it with the status that a caller gets and the time that it took.
 async fn generate_with_owner(
     platform: &Platform,
--- a/tests/platform/generations.rs
+++ b/tests/platform/generations.rs
@@ -186,7 +186,7 @@
         assert!(!got.is_complete);
         assert!(
             unresponsive_since.elapsed() < Duration::from_secs(5),
-            "it was held"
+            "the request was held"
         );
         let line = instance.log_line("g-1", "StreamCut").await;
         assert_eq!(line["fields"]["target"], "e-1");
--- a/tests/promises_data_centre.rs
+++ b/tests/promises_data_centre.rs
@@ -228,7 +228,7 @@
         let records = load.await;
         for record in &records {
             assert_eq!(record.outcome, Outcome::Whole, "{}", record.name);
-            assert_eq!(record.resumed, 0, "{} was cut", record.name);
+            assert_eq!(record.resumed, 0, "{} was interrupted", record.name);
         }
         let breaches = breaches(&records, &deployment.logs().await);
         assert_eq!(breaches, Vec::<String>::new());
--- a/tests/promises_quarantine.rs
+++ b/tests/promises_quarantine.rs
@@ -82,7 +82,7 @@
         send_crashing_requests(deployment, &caller, 3).await;
         smol::Timer::after(PROPAGATION_TIME).await;
         let before = crash_count(deployment).await;
-        assert!((3..=MAX_CRASHES).contains(&before), "{before} ended");
+        assert!((3..=MAX_CRASHES).contains(&before), "{before} crashes");
         let later = send_crashing_requests(deployment, &caller, 3).await;
         assert_eq!(crash_count(deployment).await, before, "{later:?}");
         for outcome in later {
--- a/tests/promises_stops.rs
+++ b/tests/promises_stops.rs
@@ -93,7 +93,10 @@
         }
         Timer::after(POLL_INTERVAL).await;
     }
-    panic!("{name} never had {tokens} tokens:\n{}", deployment.tail(0));
+    panic!(
+        "{name} never reached {tokens} tokens:\n{}",
+        deployment.tail(0)
+    );
 }
 
 /// Waits until an instance reports that it is not ready.
--- a/tests/promises_streams.rs
+++ b/tests/promises_streams.rs
@@ -105,7 +105,7 @@
         .collect();
     let found = generations(deployment, name).await;
     let tails = tails.join("\n\n");
-    panic!("{name} never had {tokens} tokens: {found:?}\n{tails}");
+    panic!("{name} never reached {tokens} tokens: {found:?}\n{tails}");
 }
 
 async fn inject(deployment: &Deployment, engine: usize, action: FaultAction) {
@@ -171,7 +171,7 @@
                 record.name
             );
             let begun = generations(deployment, &record.name).await;
-            assert_eq!(begun.len(), 1, "{} began {begun:?}", record.name);
+            assert_eq!(begun.len(), 1, "{} was started as {begun:?}", record.name);
         }
         assert_no_violation(deployment, &records).await;
     });
@@ -274,7 +274,7 @@
         }
         for record in &records {
             assert_eq!(record.outcome, Outcome::Whole, "{}", record.name);
-            assert_eq!(record.resumed, 0, "{} was cut", record.name);
+            assert_eq!(record.resumed, 0, "{} was interrupted", record.name);
         }
         assert_no_violation(deployment, &records).await;
     });
