--- a/components/standins/src/platform/table.rs
+++ b/components/standins/src/platform/table.rs
@@ -182,9 +182,7 @@
 
     fn query(&self, query: &QueryRequest) -> Result<String, TableError> {
         if query.key_condition_expression != "pk = :p AND sk > :s" {
-            return Err(invalid(
-                "unsupported key condition: expected `pk = :p AND sk > :s`",
-            ));
+            return Err(invalid("only the condition `pk = :p AND sk > :s` is known"));
         }
         let values = &query.expression_attribute_values;
         let partition = &values.partition.s;
@@ -277,9 +275,7 @@
         match (condition.as_str(), expected) {
             ("attribute_not_exists(pk)", None) => Ok(row.is_none()),
             ("ver = :v", Some(expected)) => Ok(row.is_some_and(|row| row.ver == expected.version)),
-            _ => Err(invalid(
-                "unsupported condition, or its values don't match it",
-            )),
+            _ => Err(invalid("unknown condition, or its values don't fit")),
         }
     }
 }
@@ -287,7 +283,7 @@
 fn check(table: &str, consistent: bool) -> Result<(), TableError> {
     match (table, consistent) {
         (TABLE, true) => Ok(()),
-        (TABLE, false) => Err(invalid("unsupported: read that is not consistent")),
+        (TABLE, false) => Err(invalid("only consistent reads are known")),
         _ => Err(invalid("no such table")),
     }
 }
