--- a/components/wire/src/codec.rs
+++ b/components/wire/src/codec.rs
@@ -20,8 +20,8 @@
     /// Longer than `MAX_ENVELOPE_BYTES`.
     #[display("the envelope is larger than {MAX_ENVELOPE_BYTES} bytes")]
     TooLarge,
-    /// Too short, or authenticated with another key.
-    #[display("the envelope is too short or was authenticated with another key")]
+    /// Too short, altered after it was authenticated, or authenticated with another key.
+    #[display("the envelope is too short, was altered, or was authenticated with another key")]
     NotAuthentic,
     /// Authentic, but not a valid envelope.
     #[display("the envelope is authentic but cannot be decoded")]
