--- a/components/bench/src/slopes/decisions.rs
+++ b/components/bench/src/slopes/decisions.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::VecDeque, time::Duration};
 
-use policy::{Action, EngineReport, Entry, Event, Owner, ShardRole};
+use policy::{Action, Entry, Event, Owner, ShardRole, TargetLoad};
 use types::{Moment, Shard, Target};
 use wire::{Done, Grant, Held, Message, Outcome};
 
@@ -115,7 +115,7 @@
     }
 
     fn report(&mut self, number: usize) {
-        let report = EngineReport {
+        let report = TargetLoad {
             incarnation: 1,
             age: Duration::from_millis(100),
             running: STREAMS as u32,
--- a/components/bench/src/sweep/world.rs
+++ b/components/bench/src/sweep/world.rs
@@ -8,7 +8,7 @@
 };
 
 use policy::{
-    Action, EngineReport, Event, MemoryEstimate, Owner, ShardRole, TargetLimits, Tuning, View,
+    Action, Event, MemoryEstimate, Owner, ShardRole, TargetLimits, TargetLoad, Tuning, View,
 };
 use types::{
     Epoch, InstanceId, Moment, ServiceId, ServiceKind, ServingState, Shard, Target, TargetId,
@@ -429,7 +429,7 @@
 
     fn report(&mut self, at: usize) {
         let engine = &self.engines[at];
-        let report = EngineReport {
+        let report = TargetLoad {
             incarnation: 1,
             age: REPORT_EVERY,
             running: engine.running.len() as u32,
--- a/components/node/src/admission.rs
+++ b/components/node/src/admission.rs
@@ -12,7 +12,7 @@
 use types::{Moment, Refusal, Target, Tokens};
 use wire::Outcome;
 
-use crate::core::{Core, PendingRequest, PermitResult};
+use crate::core::{Core, PendingPermit, PermitResult};
 
 /// Admits requests of the gateway by the decisions of the policy.
 pub struct CoreAdmission {
@@ -52,7 +52,7 @@
 /// Waits until the policy has decided about a request.
 async fn wait_for_permit(
     core: &Arc<Core>,
-    pending: PendingRequest,
+    pending: PendingPermit,
 ) -> Result<Box<dyn PermitHandle>, Refusal> {
     let mut guard = WaitGuard {
         core: Arc::clone(core),
--- a/components/node/src/core.rs
+++ b/components/node/src/core.rs
@@ -27,14 +27,14 @@
 /// The decision about a request that waits for a permit.
 pub type PermitResult = Result<DispatchPermit, Refusal>;
 
-/// The sending ends of the channels to a pending request.
+/// The sending ends of the channels of a pending permit.
 struct PendingChannels {
     result: Sender<PermitResult>,
     revocation: Sender<()>,
 }
 
-/// A request that waits for a permit, with the receiving ends of its channels.
-pub struct PendingRequest {
+/// The permit that a request waits for: the receiving ends of its channels.
+pub struct PendingPermit {
     /// Id of the request.
     pub id: RequestId,
     /// Receives the permit or the refusal.
@@ -47,7 +47,7 @@
 pub struct ConfigHint {
     /// The peer.
     pub peer: InstanceId,
-    /// The version that it has in force.
+    /// The version that is effective there.
     pub version: u64,
 }
 
@@ -149,7 +149,7 @@
 
     /// Registers a request that is about to wait for a permit. A retry passes the `id` of the
     /// request; otherwise a new one is assigned.
-    pub fn register(&self, id: Option<RequestId>) -> PendingRequest {
+    pub fn register(&self, id: Option<RequestId>) -> PendingPermit {
         let id = id.unwrap_or_else(|| self.next_request.fetch_add(1, Ordering::Relaxed));
         let (result_tx, result) = bounded(1);
         let (revocation_tx, revocation) = bounded(1);
@@ -158,7 +158,7 @@
             revocation: revocation_tx,
         };
         self.pending.lock().insert(id, channels);
-        PendingRequest {
+        PendingPermit {
             id,
             result,
             revocation,
--- a/components/node/src/reports.rs
+++ b/components/node/src/reports.rs
@@ -7,7 +7,7 @@
 };
 
 use parking_lot::Mutex;
-use policy::{EngineReport, Event};
+use policy::{Event, TargetLoad};
 use targets::{Engine, PlainService, TargetReport};
 use types::{ServiceKind, Shard, Target, TargetId};
 
@@ -105,8 +105,8 @@
     }
 }
 
-const fn engine_report(report: &TargetReport, transit: Duration) -> EngineReport {
-    EngineReport {
+const fn engine_report(report: &TargetReport, transit: Duration) -> TargetLoad {
+    TargetLoad {
         incarnation: report.incarnation,
         age: report.age.saturating_add(transit),
         running: report.running,
--- a/components/policy/src/account.rs
+++ b/components/policy/src/account.rs
@@ -9,7 +9,7 @@
 use wire::HeldPermit;
 
 use crate::{
-    api::{EngineReport, TargetLimits, View},
+    api::{TargetLimits, TargetLoad, View},
     length::{GenerationSource, LengthEstimator},
     limiter::ConcurrencyLimiter,
     memory::{MemoryProjection, RunningGeneration},
@@ -32,7 +32,7 @@
     /// When the target made the report, on this process's clock.
     pub taken_at: Moment,
     /// The report itself.
-    pub report: EngineReport,
+    pub report: TargetLoad,
 }
 
 /// One target and the permits that occupy it.
--- a/components/policy/src/api.rs
+++ b/components/policy/src/api.rs
@@ -61,7 +61,7 @@
 
 /// A target's load report. It describes the target as it was `age` ago.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct EngineReport {
+pub struct TargetLoad {
     /// The incarnation of the target that made the report.
     pub incarnation: Incarnation,
     /// Time since the report was made.
@@ -160,7 +160,7 @@
         /// The target.
         target: TargetId,
         /// The report.
-        report: EngineReport,
+        report: TargetLoad,
     },
     /// The configuration or the target listing changed.
     ViewChanged(View),
--- a/components/policy/src/baseline/pick.rs
+++ b/components/policy/src/baseline/pick.rs
@@ -4,7 +4,7 @@
 
 use types::{Target, TargetId};
 
-use crate::api::{EngineReport, Request, TargetLimits};
+use crate::api::{Request, TargetLimits, TargetLoad};
 
 /// What one instance knows of a target.
 #[derive(Clone, Debug)]
@@ -12,7 +12,7 @@
     /// The target.
     pub target: Target,
     /// The newest load report.
-    pub report: EngineReport,
+    pub report: TargetLoad,
     /// Requests that this instance runs on the target.
     pub running: u32,
 }
--- a/components/policy/src/lib.rs
+++ b/components/policy/src/lib.rs
@@ -32,8 +32,8 @@
 pub mod wait_queue;
 
 pub use api::{
-    Action, DispatchPermit, EngineReport, Event, Policy, Request, RequestId, ShardRole,
-    TargetLimits, View,
+    Action, DispatchPermit, Event, Policy, Request, RequestId, ShardRole, TargetLimits, TargetLoad,
+    View,
 };
 pub use entry::Entry;
 pub use instance::{Identity, Instance};
--- a/components/policy/src/owner.rs
+++ b/components/policy/src/owner.rs
@@ -9,7 +9,7 @@
 use wire::{Done, Held, Message, PermitRequest, ShardSummary};
 
 use crate::{
-    api::{Action, EngineReport, Event, ShardRole, TargetLimits, View},
+    api::{Action, Event, ShardRole, TargetLimits, TargetLoad, View},
     outbox::deny,
     owner_state::OwnerState,
     shard::ShardState,
@@ -188,7 +188,7 @@
         &mut self,
         now: Moment,
         target: &TargetId,
-        report: EngineReport,
+        report: TargetLoad,
         out: &mut Vec<Action>,
     ) {
         let report = self.owner_state.record_report(now, target, report);
--- a/components/policy/src/owner_state.rs
+++ b/components/policy/src/owner_state.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     account::TimedReport,
-    api::{EngineReport, View},
+    api::{TargetLoad, View},
     decision_log::DecisionLog,
     length::LengthEstimator,
     tuning::Tuning,
@@ -161,7 +161,7 @@
         &mut self,
         now: Moment,
         target: &TargetId,
-        report: EngineReport,
+        report: TargetLoad,
     ) -> TimedReport {
         let report = TimedReport {
             taken_at: now.saturating_sub(report.age),
--- a/components/policy/tests/faults.rs
+++ b/components/policy/tests/faults.rs
@@ -8,7 +8,7 @@
     time::Duration,
 };
 
-use policy::{Action, EngineReport, Event, Owner, ShardRole, View};
+use policy::{Action, Event, Owner, ShardRole, TargetLoad, View};
 use proptest::{prelude::*, test_runner::Config};
 use support::{limits, permit_request, shard, target, view};
 use types::{Epoch, Incarnation, InstanceId, Moment, PermitId};
@@ -591,13 +591,13 @@
 
     fn report_load(&mut self, target: usize) {
         let engine = &self.engines[target];
-        let report = EngineReport {
+        let report = TargetLoad {
             incarnation: engine.incarnation,
             age: REPORT_LAG,
             running: engine.jobs.len() as u32,
             capacity: 10_000,
             warm: engine.finished >= WARM_AFTER,
-            ..EngineReport::default()
+            ..TargetLoad::default()
         };
         let due_at = self.now + REPORT_LAG;
         let target = engine_name(target).as_str().into();
--- a/components/policy/tests/limits.rs
+++ b/components/policy/tests/limits.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use policy::{EngineReport, Event, TargetLimits};
+use policy::{Event, TargetLimits, TargetLoad};
 use support::{DATA_CENTRE, Fixture, finished_outcome, limits, target, view, warm_report};
 use types::ServingState;
 use wire::{Grant, Outcome};
@@ -17,8 +17,8 @@
     }
 }
 
-fn large_report(running: u32) -> EngineReport {
-    EngineReport {
+fn large_report(running: u32) -> TargetLoad {
+    TargetLoad {
         running,
         capacity: 1_000_000,
         ..warm_report()
@@ -83,7 +83,7 @@
 #[test]
 fn a_target_that_reports_itself_cold_stays_cold() {
     let mut fixture = Fixture::owning(view(vec![target("a", 1)], large_limits()));
-    let cold = EngineReport {
+    let cold = TargetLoad {
         warm: false,
         ..large_report(0)
     };
@@ -127,7 +127,7 @@
     fixture.advance(100);
     fixture.report_load(
         "a",
-        EngineReport {
+        TargetLoad {
             incarnation: 2,
             ..large_report(0)
         },
@@ -149,7 +149,7 @@
     let (mut fixture, grants) = warmed_up();
     fixture.report_load(
         "a",
-        EngineReport {
+        TargetLoad {
             incarnation: 2,
             ..large_report(0)
         },
--- a/components/policy/tests/order.rs
+++ b/components/policy/tests/order.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use policy::{EngineReport, TargetLimits};
+use policy::{TargetLimits, TargetLoad};
 use support::{
     Fixture, finished_outcome, held_permit, limits, permit_request, target, view, warm_report,
 };
@@ -21,7 +21,7 @@
     let mut fixture = Fixture::owning(view(vec![target("a", 1)], limits));
     fixture.report_load(
         "a",
-        EngineReport {
+        TargetLoad {
             running: 4,
             ..warm_report()
         },
@@ -234,7 +234,7 @@
         background_held(&answering, 9),
     ];
     fixture.report_held("entry", 1, permits);
-    let full = EngineReport {
+    let full = TargetLoad {
         used: 9_800,
         running: 3,
         ..warm_report()
--- a/components/policy/tests/owner.rs
+++ b/components/policy/tests/owner.rs
@@ -159,7 +159,7 @@
     fixture.exclusive(true);
     fixture.request_permit("entry", 1);
     fixture.advance(1600);
-    let cold = |running| policy::EngineReport {
+    let cold = |running| policy::TargetLoad {
         warm: false,
         running,
         ..warm_report()
@@ -188,7 +188,7 @@
     });
     fixture.request_permit("entry", 1);
     assert!(fixture.grants().is_empty());
-    let cold = policy::EngineReport {
+    let cold = policy::TargetLoad {
         warm: false,
         ..warm_report()
     };
--- a/components/policy/tests/support/mod.rs
+++ b/components/policy/tests/support/mod.rs
@@ -3,7 +3,7 @@
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
-use policy::{Action, EngineReport, Event, Owner, ShardRole, TargetLimits, View};
+use policy::{Action, Event, Owner, ShardRole, TargetLimits, TargetLoad, View};
 use types::{
     Class, Epoch, Incarnation, InstanceId, Moment, PermitId, PermitRequestId, ServiceId,
     ServiceKind, ServingState, Shard, Target, TargetId, Tokens,
@@ -168,7 +168,7 @@
     }
 
     /// Sends a target's load report, made just now.
-    pub fn report_load(&mut self, id: &str, report: EngineReport) {
+    pub fn report_load(&mut self, id: &str, report: TargetLoad) {
         self.event(Event::TargetReported {
             target: id.into(),
             report,
@@ -254,11 +254,11 @@
 }
 
 /// A report of a warm target that runs nothing.
-pub fn warm_report() -> EngineReport {
-    EngineReport {
+pub fn warm_report() -> TargetLoad {
+    TargetLoad {
         incarnation: 1,
         capacity: 10_000,
         warm: true,
-        ..EngineReport::default()
+        ..TargetLoad::default()
     }
 }
