--- a/components/config/src/gossip.rs
+++ b/components/config/src/gossip.rs
@@ -3,7 +3,7 @@
 //! Nothing is sent while there are no overrides. An instance that receives a new one sends it to a
 //! few random peers at once, so thousands of instances know it within a few rounds. As long as any
 //! override is known, each instance also exchanges its overrides with one random peer from time to
-//! time, which reaches instances that have just started or were cut off.
+//! time, which reaches instances that have just started or were partitioned.
 
 use std::time::Duration;
 
--- a/components/config/src/pollers.rs
+++ b/components/config/src/pollers.rs
@@ -7,7 +7,7 @@
 
 /// Instances that poll the table service, whatever the size of the deployment. One would be enough;
 /// with three, a change is found even if its author crashed before it announced the change and two
-/// of the pollers have failed or are cut off.
+/// of the pollers have failed or are partitioned.
 pub const POLLER_COUNT: usize = 3;
 
 /// Whether an instance polls: the reachable instances whose names hash highest do. Instances that
--- a/components/config/tests/updates/overrides.rs
+++ b/components/config/tests/updates/overrides.rs
@@ -178,8 +178,9 @@
     });
 }
 
-// One instance is cut off when the order is given and another one starts later. Both must receive
-// the override without the table service, or they would go on sending work to the data centre.
+// One instance is partitioned when the order is given and another one starts later. Both must
+// receive the override without the table service, or they would go on sending work to the data
+// centre.
 #[test]
 fn an_instance_that_was_cut_off_or_just_started_receives_an_override() {
     smol::block_on(async {
@@ -194,7 +195,7 @@
         );
         assert!(!is_out(&updaters[2]));
         deployment.links.heal();
-        until("the instance that was cut off has the override", || {
+        until("the instance that was partitioned has the override", || {
             is_out(&updaters[2])
         })
         .await;
--- a/components/front/src/generations/placement.rs
+++ b/components/front/src/generations/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of generations: asks the owner of the shard, or decides locally.
+//! Placement of generations: sends a placement request to the owner of the shard, or decides locally.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,7 +16,7 @@
 };
 
 /// Time for an owner to answer. It normally answers within a millisecond or two, also between data
-/// centres; one that does not is stopped, cut off or overloaded.
+/// centres; one that does not is stopped, partitioned or overloaded.
 const PLACE_TIMEOUT: Duration = Duration::from_millis(150);
 /// Time for an owner to accept an update.
 const UPDATE_TIMEOUT: Duration = Duration::from_millis(300);
@@ -24,7 +24,7 @@
 /// is stopping. Half of the drafts run longer than a shutdown takes, while nearly all short ones
 /// complete well within it.
 const MIN_COMPLETION_PROBABILITY: f64 = 0.9;
-/// Owners that are asked before an instance decides locally.
+/// Owners that are tried before an instance decides locally.
 const MAX_OWNERS_ASKED: usize = 2;
 
 /// This instance's account of engines. As an owner it keeps the account for all instances;
--- a/components/front/src/generations/probing.rs
+++ b/components/front/src/generations/probing.rs
@@ -1,9 +1,9 @@
-//! Asks engines directly for their state and load while all other sources are lost.
+//! Polls engines directly for their state and load while all other sources are lost.
 //!
 //! An instance that reaches neither the store nor a peer may still reach its engines and callers.
 //! It would otherwise notice a leaving engine only when its streams break, and would assume that
 //! engines are empty which other instances have filled. Every request to an engine has a cost, so
-//! engines are asked only while the known state is stale, and only by the owner of their shard: by
+//! engines are polled only while the known state is stale, and only by the owner of their shard: by
 //! one instance if all have lost the store, by each if they can't reach one another.
 
 use std::{
@@ -30,8 +30,8 @@
 /// Time between two rounds. Engines leave 1.5 s after their notice at the earliest, and their
 /// reports may be half a second old.
 const PERIOD: Duration = Duration::from_millis(300);
-/// Every n-th round asks all engines; the others ask only those that run something for this
-/// instance. If many instances are cut off at once, requests to all engines are the main cost.
+/// Every n-th round polls all engines; the others poll only those that run something for this
+/// instance. If many instances are partitioned at once, requests to all engines are the main cost.
 const FULL_ROUND_PERIOD: u32 = 4;
 /// Time for an engine to answer.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(200);
--- a/components/front/src/store/follow.rs
+++ b/components/front/src/store/follow.rs
@@ -2,7 +2,7 @@
 //!
 //! Each call to the store has a cost, and the store may refuse some instances while it serves
 //! others. So two instances follow each topic at the store, and the rest follow those two. An
-//! instance that is cut off from the store gets changes as early as the others, and always knows
+//! instance that cannot reach the store gets changes as early as the others, and always knows
 //! the age of its state.
 
 use std::{
--- a/components/front/tests/sources.rs
+++ b/components/front/tests/sources.rs
@@ -77,8 +77,8 @@
     }
 }
 
-/// A change must be in force within two seconds. After one reader has not answered, waiting for the
-/// other, which may be cut off as well, would take too long.
+/// A change must be effective within two seconds. After one reader has not answered, waiting for
+/// the other, which may be unreachable as well, would take too long.
 #[test]
 fn after_a_reader_that_does_not_answer_the_store_is_tried() {
     let ranking = scattered(83);
@@ -89,7 +89,7 @@
     assert_eq!(sources.next(NOW, me, &ranking), Source::Store);
 }
 
-/// The same for a leaf that follows relays: the other relay may be cut off as well.
+/// The same for a leaf that follows relays: the other relay may be unreachable as well.
 #[test]
 fn after_a_relay_that_does_not_answer_the_store_is_tried() {
     let ranking = dense(195);
--- a/components/members/tests/ownership.rs
+++ b/components/members/tests/ownership.rs
@@ -237,7 +237,7 @@
 enum Action {
     Cut(usize, usize),
     CutBothWays(usize, usize),
-    /// The instances below an index are cut off from the others, in both directions.
+    /// The instances below an index are partitioned from the others, in both directions.
     Split(usize),
     Heal,
     /// Pauses an instance for a number of steps.
--- a/components/placing/src/length.rs
+++ b/components/placing/src/length.rs
@@ -26,7 +26,7 @@
 /// Number of steps in the numeric integration of the remaining length.
 const INTEGRATION_STEPS: u32 = 24;
 
-/// Estimated distribution of the length of one generation: log-normal, cut off at the maximum
+/// Estimated distribution of the length of one generation: log-normal, truncated at the maximum
 /// length.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LengthEstimate {
--- a/components/placing/src/message.rs
+++ b/components/placing/src/message.rs
@@ -63,9 +63,9 @@
         /// Engine to send the request to.
         target: TargetId,
     },
-    /// No engine has room now; the entry asks again later.
+    /// No engine has room now; the entry retries later.
     Wait {
-        /// Time after which to ask again.
+        /// Time after which to retry.
         after: Duration,
     },
     /// No engine will have room in time; the caller is told to retry.
--- a/components/placing/src/queue.rs
+++ b/components/placing/src/queue.rs
@@ -56,10 +56,10 @@
     shard: Shard,
     is_late: bool,
     priority: u32,
-    /// Time since its arrival, as of `last_asked_at`.
+    /// Time since its arrival, as of `last_request_at`.
     waited: Duration,
-    /// Time at which the entry last asked.
-    last_asked_at: Moment,
+    /// Time of the last placement request of the entry.
+    last_request_at: Moment,
 }
 
 /// Position of a waiting request; the lowest goes first. Requests that can still meet their
@@ -174,11 +174,11 @@
             is_late: evaluated.is_late(),
             priority: request.priority,
             waited: request.waited,
-            last_asked_at: now,
+            last_request_at: now,
         };
         self.waiting
             .insert(Arc::clone(&request.generation), waiting);
-        // Every waiting entry asks again periodically; the interval grows with their number, so
+        // Every waiting entry retries periodically; the interval grows with their number, so
         // that the requests do not take all of the owner's time.
         let steps =
             u32::try_from(self.waiting.len()).unwrap_or(u32::MAX) / self.tuning.waiting_per_step;
@@ -220,7 +220,7 @@
         }
         let expiry = self.tuning.waiting_expiry;
         self.waiting
-            .retain(|_, waiting| now.saturating_sub(waiting.last_asked_at) < expiry);
+            .retain(|_, waiting| now.saturating_sub(waiting.last_request_at) < expiry);
         let request = evaluated.request;
         let own: WaitOrder = (
             evaluated.is_late(),
@@ -229,7 +229,7 @@
             Arc::clone(&request.generation),
         );
         let ahead = |(generation, other): &(&GenerationId, &WaitingRequest)| {
-            let waited = other.waited + now.saturating_sub(other.last_asked_at);
+            let waited = other.waited + now.saturating_sub(other.last_request_at);
             let other_order: WaitOrder = (
                 other.is_late,
                 other.priority,
--- a/components/placing/src/tuning.rs
+++ b/components/placing/src/tuning.rs
@@ -49,14 +49,14 @@
     /// Maximum age of an engine's load report.
     #[serde(rename = "report_life_ms", deserialize_with = "millis")]
     pub report_max_age: Duration,
-    /// Interval at which a waiting entry asks again.
+    /// Interval at which a waiting entry retries.
     #[serde(rename = "wait_ms", deserialize_with = "millis")]
     pub wait_interval: Duration,
     /// Number of waiting requests for each further increase of the interval: it doubles from this
     /// number on, triples from twice the number, and so on.
     #[serde(rename = "wait_crowd")]
     pub waiting_per_step: u32,
-    /// Maximum interval at which a waiting entry asks again.
+    /// Maximum interval at which a waiting entry retries.
     #[serde(rename = "wait_most_ms", deserialize_with = "millis")]
     pub max_wait_interval: Duration,
     /// How long a late request waits for an engine where no requests are rejected.
--- a/components/placing/tests/migration.rs
+++ b/components/placing/tests/migration.rs
@@ -36,7 +36,8 @@
 }
 
 /// The engine stops in two seconds, and its link copies one generation at a time. Generations with
-/// a long remaining time are certain to be cut off if they stay; those with a short one may finish.
+/// a long remaining time are certain to be truncated if they stay; those with a short one may
+/// finish.
 #[test]
 fn generations_with_the_longest_remaining_time_migrate_first() {
     let (mut owner, now) = owner();
--- a/components/placing/tests/overload.rs
+++ b/components/placing/tests/overload.rs
@@ -278,7 +278,7 @@
 
 /// Long generations migrate when their engine is reclaimed, and the engine stops before it has
 /// handed over more than a few. The engine that would start 0.2 s sooner holds more of them.
-/// Callers do not notice 0.2 s, but they do notice a stream that is cut off.
+/// Callers do not notice 0.2 s, but they do notice a stream that is truncated.
 #[test]
 fn long_generations_are_spread_over_engines() {
     let (mut owner, now) = owner();
