--- a/components/front/src/generations/dispatch.rs
+++ b/components/front/src/generations/dispatch.rs
@@ -32,9 +32,9 @@
 
 /// `Retry-After` of a generation for which no engine was found.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// Shards of a service's engines that are asked before a generation is refused. Even with two of
+/// Shards of a service's engines that are tried before a generation is refused. Even with two of
 /// many, a full shard hardly ever decides while others have room.
-const MAX_SHARDS_ASKED: u32 = 3;
+const MAX_SHARD_ATTEMPTS: u32 = 3;
 /// Engines in a row that may report that they did not run a generation before it is refused.
 const MAX_NOT_RUN: usize = 4;
 /// Fraction of its time to the first token that a generation waits for the rate limit of an engine.
@@ -174,7 +174,7 @@
             },
             PlacementAnswer::Wait { after } => after,
             PlacementAnswer::Rejected { .. }
-                if full_shards + 1 < shard.count.min(MAX_SHARDS_ASKED) =>
+                if full_shards + 1 < shard.count.min(MAX_SHARD_ATTEMPTS) =>
             {
                 full_shards += 1;
                 shard = shard.next();
@@ -191,7 +191,7 @@
 /// Time within which the listing of a new engine arrives at the other instances.
 const LISTING_DELAY: Duration = Duration::from_millis(20);
 
-/// The shard that is asked first for a generation. It is chosen by the fingerprint, so that
+/// The shard that is tried first for a generation. It is chosen by the fingerprint, so that
 /// requests are spread over the shards while retries of one request go to the same shard.
 pub(crate) fn first_shard(front: &Front, call: &Call) -> Shard {
     let service = &call.service.name;
--- a/components/front/src/generations/placement.rs
+++ b/components/front/src/generations/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of generations: sends a placement request to the owner of the shard, or decides locally.
+//! Placement of generations: by the owner of the shard, or locally if no owner answers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -25,7 +25,7 @@
 /// complete well within it.
 const MIN_COMPLETION_PROBABILITY: f64 = 0.9;
 /// Owners that are tried before an instance decides locally.
-const MAX_OWNERS_ASKED: usize = 2;
+const MAX_OWNER_ATTEMPTS: usize = 2;
 
 /// This instance's account of engines. As an owner it keeps the account for all instances;
 /// otherwise it uses it for its own generations while no owner answers.
@@ -60,12 +60,12 @@
 impl Front {
     /// Requests an engine for a generation.
     pub async fn place(&self, request: &PlacementRequest) -> PlacementAnswer {
-        let max_asked = if self.cfg.decisions.features.owner_placement {
-            MAX_OWNERS_ASKED
+        let max_attempts = if self.cfg.decisions.features.owner_placement {
+            MAX_OWNER_ATTEMPTS
         } else {
             0
         };
-        for owner in self.owners(&request.shard).into_iter().take(max_asked) {
+        for owner in self.owners(&request.shard).into_iter().take(max_attempts) {
             if owner == self.cfg.instance {
                 break;
             }
@@ -80,7 +80,7 @@
     }
 
     /// Whether a generation will probably complete before this instance stops. Otherwise it would
-    /// be cut in the middle, and the caller can't ask for the rest; refused at once, it gets a
+    /// be truncated, and the caller can't ask for the rest; refused at once, it gets a
     /// complete answer from another instance.
     #[must_use]
     pub fn can_complete(&self, request: &PlacementRequest) -> bool {
