--- a/components/front/src/generations/placement.rs
+++ b/components/front/src/generations/placement.rs
@@ -1,4 +1,4 @@
-//! Placement of generations: asks the owner of the shard, or decides locally.
+//! Placement of generations: by the owner of the shard, or locally if no owner answers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,7 +16,7 @@
 };
 
 /// Time for an owner to answer. It normally answers within a millisecond or two, also between data
-/// centres; one that does not is stopped, cut off or overloaded.
+/// centres; one that does not is stopped, partitioned or overloaded.
 const PLACE_TIMEOUT: Duration = Duration::from_millis(150);
 /// Time for an owner to accept an update.
 const UPDATE_TIMEOUT: Duration = Duration::from_millis(300);
@@ -24,8 +24,8 @@
 /// is stopping. Half of the drafts run longer than a shutdown takes, while nearly all short ones
 /// complete well within it.
 const MIN_COMPLETION_PROBABILITY: f64 = 0.9;
-/// Owners that are asked before an instance decides locally.
-const MAX_OWNERS_ASKED: usize = 2;
+/// Owners that are tried before an instance decides locally.
+const MAX_OWNER_ATTEMPTS: usize = 2;
 
 /// This instance's account of engines. As an owner it keeps the account for all instances;
 /// otherwise it uses it for its own generations while no owner answers.
@@ -60,12 +60,12 @@
 impl Front {
     /// Requests an engine for a generation.
     pub async fn place(&self, request: &PlacementRequest) -> PlacementAnswer {
-        let max_asked = if self.cfg.decisions.features.owner_placement {
-            MAX_OWNERS_ASKED
+        let max_attempts = if self.cfg.decisions.features.owner_placement {
+            MAX_OWNER_ATTEMPTS
         } else {
             0
         };
-        for owner in self.owners(&request.shard).into_iter().take(max_asked) {
+        for owner in self.owners(&request.shard).into_iter().take(max_attempts) {
             if owner == self.cfg.instance {
                 break;
             }
@@ -80,7 +80,7 @@
     }
 
     /// Whether a generation will probably complete before this instance stops. Otherwise it would
-    /// be cut in the middle, and the caller can't ask for the rest; refused at once, it gets a
+    /// be truncated, and the caller can't ask for the rest; refused at once, it gets a
     /// complete answer from another instance.
     #[must_use]
     pub fn can_complete(&self, request: &PlacementRequest) -> bool {
